--- /dev/null
+++ b/policy/replay_test.go
@@ -0,0 +1,192 @@
+package policy
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+
+	"onyxgate/internal/fake/replay"
+)
+
+// replayPort hands each action to the recorder but log lines; what the instance sends to others is kept to be played back.
+type replayPort struct {
+	record
+	to    *replay.Recorder
+	sent  [][]byte
+	timer uint64
+}
+
+func (p *replayPort) flush() {
+	for _, did := range p.take() {
+		p.to.Effect(did)
+	}
+}
+
+func (p *replayPort) Decline(id string, wait float64) { p.add("decline %s %v", id, wait) }
+func (p *replayPort) Tell(instance int, note []byte) {
+	p.sent = append(p.sent, note)
+	p.record.Tell(instance, note)
+}
+func (p *replayPort) Timer(after float64, token uint64) {
+	p.timer = token
+	p.add("timer %v %d", after, token)
+}
+func (p *replayPort) FetchList() { p.add("fetch list") }
+
+// schedule is a random order of events for one instance, whatever sense they make together.
+type schedule struct {
+	rng      *rand.Rand
+	a        *Agent
+	port     *replayPort
+	now      float64
+	ids      int
+	attempts map[string]int // by request, as many as were sent
+	open     []string
+}
+
+func (s *schedule) backend() string { return string(rune('a' + s.rng.IntN(8))) }
+
+func (s *schedule) release() int {
+	if s.rng.IntN(12) == 0 {
+		return UnknownRelease
+	}
+	return 1 + s.rng.IntN(5)
+}
+
+func (s *schedule) request() string {
+	if len(s.open) == 0 || s.rng.IntN(20) == 0 {
+		return "nobody's"
+	}
+	return s.open[max(0, len(s.open)-1-s.rng.IntN(12))]
+}
+
+// event plays one and names it.
+func (s *schedule) event() string {
+	now := s.now
+	switch s.rng.IntN(22) {
+	case 0:
+		id, release, state, start := s.backend(), s.release(), State(s.rng.IntN(6)%4%3), 0.0
+		if s.rng.IntN(2) == 0 {
+			start = now - s.rng.Float64()*40000
+		}
+		whole := s.rng.IntN(30) == 0
+		s.a.List(now, []Listed{{ID: id, Build: release, State: state, Rating: 1 + s.rng.Float64(), Start: start, Zone: s.rng.IntN(2), Cell: s.rng.IntN(2)}}, whole, s.rng.IntN(50) == 0)
+		return fmt.Sprint("list ", id, release, int(state), start, whole)
+	case 1:
+		release, stage, phase, reply := 1+s.rng.IntN(5), s.rng.IntN(3), Phase(s.rng.IntN(4)), Reply(s.rng.IntN(5))
+		limit := []float64{0.5, 0, 1, 0}[phase]
+		told := s.rng.IntN(3) > 0
+		s.a.News(now, release, stage, phase, reply, limit, s.rng.Float64()*100, told)
+		return fmt.Sprint("news ", release, stage, int(phase), int(reply), told)
+	case 2, 3, 4, 5, 6, 7:
+		s.ids++
+		id, key := fmt.Sprint("r", s.ids), ""
+		if s.rng.IntN(4) > 0 {
+			key = fmt.Sprint("k", s.rng.IntN(30))
+		}
+		s.open = append(s.open, id)
+		class, left, hint := s.rng.IntN(4), 100+s.rng.Float64()*4000, s.rng.Float64()*20-5
+		s.a.Txn(now, id, key, class, s.rng.IntN(3), s.rng.IntN(6) == 0, left, hint)
+		return fmt.Sprint("request ", id, key, class, left, hint)
+	case 8, 9, 10, 11, 12, 13, 14:
+		id, attempt := s.request(), s.rng.IntN(3)
+		result := []Result{Settled, Settled, Settled, Settled, Errored, Rejected, TimedOut, Unconnected, Broken, Revoked, Moot}[s.rng.IntN(11)]
+		took, waiting := s.rng.Float64()*300, float64(s.rng.IntN(4)-1)
+		s.a.Outcome(now, id, attempt, result, result == Settled, took, waiting, waiting/2)
+		return fmt.Sprint("outcome ", id, attempt, int(result), took, waiting)
+	case 15:
+		id := s.request()
+		s.a.Hangup(now, id)
+		return "hangup " + id
+	case 16:
+		id := s.backend()
+		s.a.Probed(now, id, s.rng.IntN(3) > 0, s.rng.Float64()*50, float64(s.rng.IntN(4)-1), -1)
+		return "probed " + id
+	case 17:
+		if len(s.port.sent) > 0 {
+			note := s.port.sent[s.rng.IntN(len(s.port.sent))]
+			s.a.Told(now, note[:s.rng.IntN(len(note)+1)])
+		}
+		return "told"
+	case 18:
+		s.a.ReportedWrong(now, s.backend(), s.rng.IntN(4), s.rng.Float64()*1000)
+		return "reported wrong"
+	case 19:
+		switch s.rng.IntN(12) {
+		case 0:
+			s.a.ClockStepped(now)
+			return "clock stepped"
+		case 1:
+			s.a.ListFailed(now)
+			return "list failed"
+		case 2:
+			s.a.Counted(now, 2, 0, 100, 3, 20)
+			return "counted"
+		}
+		s.a.Began(now, s.request(), 0)
+		return "began"
+	case 20:
+		id, attempt := s.request(), s.rng.IntN(3)
+		s.port.add("sendable %v", s.a.Sendable(id, attempt))
+		return fmt.Sprint("sendable ", id, attempt)
+	}
+	s.a.Wake(now, s.port.timer)
+	return "wake"
+}
+
+func (s *schedule) status() {
+	r := s.a.Releases()
+	newest := r.Newest
+	s.port.add("releases %d %d %d %v %v %v", newest.Release, newest.Stage, newest.Phase, newest.Cap, newest.Announced, newest.Superseded)
+	s.port.add("releases %d %d %d %d %d", r.Trial, r.Keys, r.Withheld.Closed, r.Withheld.Cap, r.Withheld.Affinity)
+}
+
+// configured is an instance of a kind drawn from the schedule's seed.
+func configured(s *schedule) *Agent {
+	agents := []int{1, 2, 8, 40, 300}[s.rng.IntN(5)]
+	a := New(s.port, s.rng.Uint64(), s.rng.IntN(min(agents, 4)), agents)
+	classes := []Product{{SLA: 1000, Expiry: 4000, Revenue: 1}, {SLA: 800, Expiry: 3000, Revenue: 3, Effect: Referenced, Remember: 2000},
+		{SLA: 1000, Expiry: 4000, Revenue: 5, Effect: OnceOnly, Late: 0.2},
+		{SLA: 500, Stretch: 2, Expiry: 4000, Revenue: 2, Effect: Referenced, Group: Group(1 + s.rng.IntN(2)), Remember: 1500}}
+	a.Serve(classes, 2+s.rng.IntN(4), s.rng.IntN(2) == 0, s.rng.IntN(2) == 0)
+	a.Hold(float64(20 + s.rng.IntN(200)))
+	a.Share(s.rng.IntN(2) == 0)
+	a.Probing(s.rng.IntN(2) == 0, 0.01)
+	a.Advise(2000)
+	a.Zone(s.rng.IntN(2), s.rng.IntN(2) == 0)
+	a.Watch(s.rng.IntN(2) == 0, 2000, 10000)
+	a.Warm(0.4, 5000, 3, 1000)
+	a.Expose(2, []float64{0.1, 0.5, 1}, s.rng.IntN(2), s.rng.IntN(2) == 0, s.rng.IntN(3) > 0)
+	a.CountOver(float64(s.rng.IntN(2) * 3000))
+	a.Judge([]float64{0.1, 0.5, 1}, Control(s.rng.IntN(3)), 1+s.rng.IntN(5), 4000)
+	a.Tenants([]float64{0.02, 0.005}, 0.1)
+	return a
+}
+
+// Random schedules, among them what no simulated day has: steps of the clock, unknown releases, attempts asked again as they are
+// sent, leaving. The effects are those of the recording, to the byte.
+func TestReplaySchedules(t *testing.T) {
+	recorder := replay.Open(t, "testdata/schedules.txt")
+	for seed := range uint64(80) {
+		if recorder.Differs() {
+			return
+		}
+		s := &schedule{rng: rand.New(rand.NewPCG(seed, 2)), port: &replayPort{to: recorder}, now: 1000}
+		s.a = configured(s)
+		recorder.Event(fmt.Sprint("schedule ", seed))
+		for range 1200 {
+			s.now += s.rng.ExpFloat64() * 15
+			recorder.Event(s.event())
+			s.port.flush()
+		}
+		s.status()
+		s.a.Leave(s.now, s.now+500)
+		for range 50 {
+			s.now += 20
+			s.a.Wake(s.now, s.port.timer)
+		}
+		s.status()
+		s.port.flush()
+	}
+	recorder.Close()
+}
