--- a/cmd/rehearse/day.go
+++ b/cmd/e2e/day.go
@@ -14,7 +14,7 @@
 	"github.com/mattn/go-isatty"
 	"github.com/schollz/progressbar/v3"
 
-	"onyxgate/internal/standin/tier"
+	"onyxgate/internal/fake/fleet"
 )
 
 type day struct {
@@ -35,7 +35,7 @@
 	Outcomes map[string]map[string]int `json:"outcomes"`
 	Lost     int                       `json:"lost"`
 	Late     int                       `json:"late"`
-	Broken   tier.Broken               `json:"rules_broken"`
+	Broken   fleet.Broken              `json:"rules_broken"`
 	P50      float64                   `json:"p50_ms"`
 	P99      float64                   `json:"p99_ms"`
 	Stages   []string                  `json:"stages"`
@@ -47,7 +47,7 @@
 	if d.Short {
 		d.Length = 8 * time.Second
 	}
-	dir, err := os.MkdirTemp("", "rehearse")
+	dir, err := os.MkdirTemp("", "e2e")
 	if err != nil {
 		return err
 	}
@@ -58,7 +58,7 @@
 			return err
 		}
 	}
-	w, err := tier.New(3, 10, 3, d.Seed)
+	w, err := fleet.New(3, 10, 3, d.Seed)
 	if err != nil {
 		return err
 	}
@@ -73,7 +73,7 @@
 		}
 	}
 	defer c.stop()
-	clients := tier.NewClients(w, c.address, d.Seed)
+	clients := fleet.NewClients(w, c.address, d.Seed)
 	defer clients.Close()
 	ctx, stop := context.WithTimeout(context.Background(), d.Length)
 	defer stop()
@@ -154,7 +154,7 @@
 }
 
 // progress shows the day go by, on a terminal.
-func progress(ctx context.Context, length time.Duration, w *tier.World) {
+func progress(ctx context.Context, length time.Duration, w *fleet.World) {
 	if !isatty.IsTerminal(os.Stderr.Fd()) {
 		return
 	}
@@ -176,7 +176,7 @@
 		head = append(head, k)
 	}
 	t.AppendHeader(head)
-	for _, p := range tier.Products {
+	for _, p := range fleet.Products {
 		row := table.Row{p.Name}
 		for _, k := range kinds {
 			row = append(row, f.Outcomes[p.Name][k])
--- a/cmd/rehearse/exposure_test.go
+++ b/cmd/e2e/exposure_test.go
@@ -7,17 +7,17 @@
 	"testing"
 	"time"
 
-	"onyxgate/internal/standin/faultproxy"
-	"onyxgate/internal/standin/tier"
+	"onyxgate/internal/fake/faultproxy"
+	"onyxgate/internal/fake/fleet"
 )
 
 // trial is one agent, as a real process, among backends and a platform whose words a proxy can hold back.
 type trial struct {
 	t       *testing.T
-	world   *tier.World
+	world   *fleet.World
 	proxy   *faultproxy.Proxy
 	crew    *crew
-	clients *tier.Clients
+	clients *fleet.Clients
 	stop    func()
 }
 
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	x := &trial{t: t}
-	if x.world, err = tier.New(1, 6, 4, 27); err != nil {
+	if x.world, err = fleet.New(1, 6, 4, 27); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(x.world.Close)
@@ -48,7 +48,7 @@
 	if _, err := x.crew.start(0, 27, ""); err != nil {
 		t.Fatal(err)
 	}
-	x.clients = tier.NewClients(x.world, x.crew.address, 27)
+	x.clients = fleet.NewClients(x.world, x.crew.address, 27)
 	x.clients.Keys = 2000 // few are asked for so often that they are kept out of a trial
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -91,8 +91,8 @@
 	x.until(fmt.Sprint(n, " more attempts at release ", release), func() bool { return x.world.Attempts(release) >= from+n })
 }
 
-func onTrial(release int) tier.Stage {
-	return tier.Stage{Build: release, Mode: "canary", Cap: 0.25}
+func onTrial(release int) fleet.Stage {
+	return fleet.Stage{Build: release, Mode: "canary", Cap: 0.25}
 }
 
 // withdraw tries a release on one backend and takes it off again.
@@ -103,8 +103,8 @@
 		x.t.Fatal(err)
 	}
 	x.attempts(release, 20)
-	x.world.Announce(tier.Stage{Build: release, Mode: "reverting"})
-	x.world.Announce(tier.Stage{Build: release, Mode: "reverted"})
+	x.world.Announce(fleet.Stage{Build: release, Mode: "reverting"})
+	x.world.Announce(fleet.Stage{Build: release, Mode: "reverted"})
 	x.world.DrainBackends(release, 1)
 	x.requests(200)
 }
@@ -146,10 +146,10 @@
 		t.Fatal(err)
 	}
 	x.attempts(2, 20)
-	x.world.Announce(tier.Stage{Build: 2, Mode: "reverting"})
-	x.world.Announce(tier.Stage{Build: 2, Mode: "reverted"})
+	x.world.Announce(fleet.Stage{Build: 2, Mode: "reverting"})
+	x.world.Announce(fleet.Stage{Build: 2, Mode: "reverted"})
 	x.requests(100) // its backend stays listed as ready: the list lags
-	time.Sleep(tier.Grace)
+	time.Sleep(fleet.Grace)
 	closed := x.world.Attempts(2)
 	x.world.Announce(onTrial(3))
 	x.requests(400)
@@ -169,11 +169,11 @@
 	x.attempts(2, 20)
 	x.proxy.Hold(votes)
 	x.until("a vote's answer is held", func() bool { return x.proxy.Holding() > 0 })
-	x.world.Announce(tier.Stage{Build: 2, Mode: "reverting"})
+	x.world.Announce(fleet.Stage{Build: 2, Mode: "reverting"})
 	x.requests(20) // the word is there
 	x.proxy.Release()
 	x.requests(100)
-	time.Sleep(tier.Grace)
+	time.Sleep(fleet.Grace)
 	closed := x.world.Attempts(2)
 	x.requests(400)
 	x.stop()
--- a/cmd/rehearse/faults_test.go
+++ b/cmd/e2e/faults_test.go
@@ -12,11 +12,11 @@
 	"testing"
 	"time"
 
-	"onyxgate/internal/standin/faultproxy"
-	"onyxgate/internal/standin/tier"
+	"onyxgate/internal/fake/faultproxy"
+	"onyxgate/internal/fake/fleet"
 )
 
-// go test ./cmd/rehearse -run UnderFaults -args -schedules 24
+// go test ./cmd/e2e -run UnderFaults -args -schedules 24
 var schedules = flag.Uint64("schedules", 3, "how many schedules TestExposureUnderFaults draws, from seed 0 on")
 
 // told finds a release's state in what the platform writes, as a notice or as a vote's answer.
@@ -27,12 +27,12 @@
 type rollout struct {
 	t       *testing.T
 	chance  *rand.Rand
-	world   *tier.World
+	world   *fleet.World
 	proxies []*faultproxy.Proxy
 	crew    *crew
 	base    int // the release that carries the fleet
 	newest  int
-	state   tier.Stage
+	state   fleet.Stage
 	counts  map[string]int
 	did     []string
 }
@@ -56,7 +56,7 @@
 }
 
 func (x *rollout) tell(mode string, stage int, limit float64) {
-	x.state = tier.Stage{Build: x.newest, Stage: stage, Mode: mode, Cap: limit}
+	x.state = fleet.Stage{Build: x.newest, Stage: stage, Mode: mode, Cap: limit}
 	x.world.Announce(x.state)
 	x.do("tell", "release %d %s, stage %d, cap %g", x.newest, mode, stage, limit)
 }
@@ -145,9 +145,9 @@
 
 func underFaults(t *testing.T, program string, seed uint64) {
 	x := &rollout{t: t, chance: rand.New(rand.NewPCG(seed, 27)), base: 1, newest: 1, counts: map[string]int{},
-		state: tier.Stage{Build: 1, Mode: "stable", Cap: 1}}
+		state: fleet.Stage{Build: 1, Mode: "stable", Cap: 1}}
 	var err error
-	if x.world, err = tier.New(faultAgents, 6, 4, seed); err != nil {
+	if x.world, err = fleet.New(faultAgents, 6, 4, seed); err != nil {
 		t.Fatal(err)
 	}
 	defer x.world.Close()
@@ -177,7 +177,7 @@
 			t.Fatal(err)
 		}
 	}
-	clients := tier.NewClients(x.world, x.crew.address, seed)
+	clients := fleet.NewClients(x.world, x.crew.address, seed)
 	clients.Keys = 1500
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
--- a/cmd/rehearse/main.go
+++ b/cmd/e2e/main.go
@@ -1,4 +1,4 @@
-// Command rehearse runs real agents against stand-ins on loopback and counts from outside what the project claims. It must
+// Command e2e runs real agents against stand-ins on loopback and counts from outside what the project claims. It must
 // never read an agent's own counts to judge the agent. Exit codes: 0 all claims held, 1 one broke, 2 it could not run.
 package main
 
@@ -17,7 +17,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"onyxgate/internal/standin/tier"
+	"onyxgate/internal/fake/fleet"
 )
 
 func main() {
@@ -28,12 +28,12 @@
 		Pgwire   pgStand `cmd:"" hidden:"" help:"The stand-in of a PostgreSQL server, as a process that can be killed."`
 		Holdlite holder  `cmd:"" hidden:"" help:"Holds the write lock of a SQLite file until its input ends."`
 	}
-	c := kong.Parse(&line, kong.Name("rehearse"), kong.UsageOnError())
+	c := kong.Parse(&line, kong.Name("e2e"), kong.UsageOnError())
 	switch err := c.Run(); {
 	case errors.Is(err, errBroken):
 		os.Exit(1)
 	case err != nil:
-		fmt.Fprintln(os.Stderr, "rehearse:", err)
+		fmt.Fprintln(os.Stderr, "e2e:", err)
 		os.Exit(2)
 	}
 }
@@ -86,7 +86,7 @@
 
 // crew are the agents of a rehearsal, under their own names and addresses.
 type crew struct {
-	world   *tier.World
+	world   *fleet.World
 	program string
 	dir     string
 	address []string
@@ -94,7 +94,7 @@
 	run     []*process
 }
 
-func newCrew(w *tier.World, program, dir string) (*crew, error) {
+func newCrew(w *fleet.World, program, dir string) (*crew, error) {
 	c := &crew{world: w, program: program, dir: dir, run: make([]*process, w.Agents)}
 	for range w.Agents { // the kernel chooses, and the number stays free: the agent listens there again and again
 		l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/cmd/rehearse/record.go
+++ b/cmd/e2e/record.go
@@ -25,10 +25,10 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"onyxgate/internal/fake/fleet"
+	"onyxgate/internal/fake/postgres"
 	"onyxgate/internal/record/sqlite"
 	"onyxgate/internal/record/sqlstore"
-	"onyxgate/internal/standin/pgwire"
-	"onyxgate/internal/standin/tier"
 )
 
 type rec struct {
@@ -72,12 +72,12 @@
 	P99Calm      float64        `json:"p99_ms_calm"`
 	P99Stall     float64        `json:"p99_ms_stalled"`
 	StallAnswers int            `json:"answers_stalled"`
-	RulesBroken  tier.Broken    `json:"rules_broken"`
+	RulesBroken  fleet.Broken   `json:"rules_broken"`
 	Took         float64        `json:"took_s"`
 }
 
 func (r rec) Run() error {
-	dir, err := os.MkdirTemp("", "rehearse")
+	dir, err := os.MkdirTemp("", "e2e")
 	if err != nil {
 		return err
 	}
@@ -100,7 +100,7 @@
 	if err != nil {
 		return err
 	}
-	w, err := tier.New(3, 8, 3, r.Seed)
+	w, err := fleet.New(3, 8, 3, r.Seed)
 	if err != nil {
 		return err
 	}
@@ -116,7 +116,7 @@
 		}
 	}
 	defer c.stop()
-	clients := tier.NewClients(w, c.address, r.Seed)
+	clients := fleet.NewClients(w, c.address, r.Seed)
 	defer clients.Close()
 	calm, stalled, most := 6*time.Second, 6*time.Second, 26*time.Second
 	if r.Short {
@@ -327,7 +327,7 @@
 const seenLate = 5 * time.Millisecond
 
 // open counts the txns that were under way at an agent's death, as their clients saw it.
-func (f *recFigures) open(log []tier.Got) (n int) {
+func (f *recFigures) open(log []fleet.Got) (n int) {
 	for _, d := range f.deaths {
 		for _, g := range log {
 			if g.Agent == d.agent && g.Outcome != "nobody" && g.Sent.Before(d.at) && g.Done.After(d.at.Add(-seenLate)) {
@@ -339,7 +339,7 @@
 }
 
 // judge holds the record against what the clients got.
-func (f *recFigures) judge(log []tier.Got, text []byte) error {
+func (f *recFigures) judge(log []fleet.Got, text []byte) error {
 	rows := map[string][]sqlstore.Row{}
 	lines := bufio.NewScanner(bytes.NewReader(text))
 	lines.Buffer(nil, 1<<20)
@@ -360,7 +360,7 @@
 		}
 		rows[r.Txn] = append(rows[r.Txn], r)
 	}
-	whole := map[string]tier.Got{}
+	whole := map[string]fleet.Got{}
 	for _, g := range log {
 		switch g.Outcome {
 		case "settled", "declined", "voided":
@@ -389,7 +389,7 @@
 	return nil
 }
 
-func same(g tier.Got, r sqlstore.Row) bool {
+func same(g fleet.Got, r sqlstore.Row) bool {
 	body := ""
 	if g.Outcome == "settled" {
 		body = hex.EncodeToString(g.Body[:])
@@ -398,7 +398,7 @@
 }
 
 // share is how many of the answers in a span were settled, their p99 in ms and their number.
-func share(log []tier.Got, from, to time.Time) (settled, p99 float64, n int) {
+func share(log []fleet.Got, from, to time.Time) (settled, p99 float64, n int) {
 	times := hdrhistogram.New(1, 60_000_000, 3)
 	k := 0
 	for _, g := range log {
@@ -601,7 +601,7 @@
 }
 
 func (p pgStand) Run() error {
-	s, err := pgwire.New(p.File, pgUser, pgPassword)
+	s, err := postgres.New(p.File, pgUser, pgPassword)
 	if err != nil {
 		return err
 	}
--- a/cmd/rehearse/srv.go
+++ b/cmd/e2e/srv.go
@@ -11,8 +11,8 @@
 	"path/filepath"
 	"time"
 
-	"onyxgate/internal/standin/names"
-	"onyxgate/internal/standin/tier"
+	"onyxgate/internal/fake/dnsserver"
+	"onyxgate/internal/fake/fleet"
 )
 
 type srv struct {
@@ -51,7 +51,7 @@
 const alone, dead, faulty = 0, 1, 2
 
 func (s srv) Run() error {
-	dir, err := os.MkdirTemp("", "rehearse")
+	dir, err := os.MkdirTemp("", "e2e")
 	if err != nil {
 		return err
 	}
@@ -61,7 +61,7 @@
 		return err
 	}
 	began, chance := time.Now(), rand.New(rand.NewPCG(s.Seed, 4))
-	w, err := tier.New(3, 8, 3, s.Seed)
+	w, err := fleet.New(3, 8, 3, s.Seed)
 	if err != nil {
 		return err
 	}
@@ -72,10 +72,10 @@
 		return err
 	}
 	stale := true // the name server names whoever ever ran
-	var servers []*names.Server
+	var servers []*dnsserver.Server
 	settings := []string{""}
 	for _, agent := range []int{dead, faulty} {
-		n, err := names.New(func() []string { return w.Addresses(agent, stale) })
+		n, err := dnsserver.New(func() []string { return w.Addresses(agent, stale) })
 		if err != nil {
 			return err
 		}
@@ -83,7 +83,7 @@
 		servers = append(servers, n)
 		path := filepath.Join(dir, fmt.Sprintf("sources%d.toml", agent))
 		text := fmt.Sprintf("[sources]\nstate = %q\n[sources.dns]\nname = %q\nservers = [%q]\nwait = \"200ms\"\nlookups_a_second = 5.0\n",
-			filepath.Join(dir, fmt.Sprintf("state%d", agent)), names.Service, n.Address)
+			filepath.Join(dir, fmt.Sprintf("state%d", agent)), dnsserver.Service, n.Address)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			return err
 		}
@@ -97,7 +97,7 @@
 		}
 	}
 	defer c.stop()
-	clients := tier.NewClients(w, c.address, s.Seed)
+	clients := fleet.NewClients(w, c.address, s.Seed)
 	defer clients.Close()
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -110,7 +110,7 @@
 	look := func() { f.FleetTrueMin = min(f.FleetTrueMin, len(w.Addresses(0, false))) }
 	faults := func(length time.Duration) {
 		for until := time.Now().Add(length); time.Now().Before(until); look() {
-			mode := names.Modes[chance.IntN(len(names.Modes))]
+			mode := dnsserver.Modes[chance.IntN(len(dnsserver.Modes))]
 			servers[1].Fail(mode)
 			f.Faults[mode]++
 			time.Sleep(time.Duration(300+chance.IntN(600)) * time.Millisecond)
@@ -159,7 +159,7 @@
 
 	log := clients.Log()
 	of := func(agent int, from, to time.Time) float64 {
-		var own []tier.Got
+		var own []fleet.Got
 		for _, g := range log {
 			if g.Agent == agent && g.Outcome != "nobody" {
 				own = append(own, g)
--- a/cmd/onyxgate/main.go
+++ b/cmd/onyxgate/main.go
@@ -13,8 +13,8 @@
 	"github.com/sirupsen/logrus"
 
 	"onyxgate/internal/assembly"
-	"onyxgate/internal/settings"
-	"onyxgate/internal/setup"
+	"onyxgate/internal/config"
+	"onyxgate/internal/siteconfig"
 )
 
 const version = "0.12"
@@ -62,11 +62,11 @@
 		return fmt.Errorf("nothing to check: name --config or --settings")
 	}
 	if c.Settings != "" {
-		tables, err := settings.Read(c.Settings)
+		tables, err := config.Read(c.Settings)
 		if err != nil {
 			return err
 		}
-		text, err := settings.Show(tables)
+		text, err := config.Show(tables)
 		if err != nil {
 			return err
 		}
@@ -79,7 +79,7 @@
 	if err != nil {
 		return err
 	}
-	_, known := setup.Products(config.Get("settings"))
+	_, known := siteconfig.Products(config.Get("settings"))
 	fmt.Printf("%s can be used: %d products, %d appliances known\n", c.Configuration, len(known),
 		len(config.Get("known.servers").Array()))
 	return nil
@@ -95,7 +95,7 @@
 	logrus.SetLevel(level)
 	logrus.SetFormatter(&logrus.TextFormatter{DisableColors: true, FullTimestamp: true,
 		TimestampFormat: "15:04:05.000"})
-	tables, err := settings.Read(s.Settings)
+	tables, err := config.Read(s.Settings)
 	if err != nil {
 		return err
 	}
--- a/cmd/onyxgate/record.go
+++ b/cmd/onyxgate/record.go
@@ -22,10 +22,10 @@
 	"github.com/mattn/go-isatty"
 	"github.com/schollz/progressbar/v3"
 
-	"onyxgate/internal/record/keeper"
+	"onyxgate/internal/config"
+	"onyxgate/internal/record/recorder"
 	"onyxgate/internal/record/spool"
 	"onyxgate/internal/record/sqlstore"
-	"onyxgate/internal/settings"
 )
 
 type recordLine struct {
@@ -39,8 +39,8 @@
 	Adopt    recordAdopt  `cmd:"" help:"Take over a spool directory that was moved here on purpose."`
 }
 
-func (l recordLine) table() (keeper.Table, error) {
-	tables, err := settings.Read(l.Settings)
+func (l recordLine) table() (recorder.Table, error) {
+	tables, err := config.Read(l.Settings)
 	if err == nil && !tables.Record.On() {
 		err = fmt.Errorf("%s: record.mode is off", l.Settings)
 	}
@@ -253,8 +253,8 @@
 	ctx, stop := interrupted()
 	defer stop()
 	progress, defects := bar("entries read"), 0
-	var all []keeper.Finding
-	err = keeper.Audit(ctx, t, c.Agent, func(f keeper.Finding) {
+	var all []recorder.Finding
+	err = recorder.Audit(ctx, t, c.Agent, func(f recorder.Finding) {
 		all = append(all, f)
 		if f.Defect {
 			defects++
@@ -264,7 +264,7 @@
 	if err != nil {
 		return err
 	}
-	slices.SortStableFunc(all, func(a, b keeper.Finding) int { // what is wrong stands last, above the prompt
+	slices.SortStableFunc(all, func(a, b recorder.Finding) int { // what is wrong stands last, above the prompt
 		switch {
 		case a.Defect == b.Defect:
 			return 0
@@ -303,7 +303,7 @@
 	defer stop()
 	progress := bar("shipped")
 	var shipped, doubt uint64
-	err = keeper.Ship(ctx, t, c.Agent, func(s, d uint64) {
+	err = recorder.Ship(ctx, t, c.Agent, func(s, d uint64) {
 		shipped, doubt = s, d
 		progress.Set64(int64(s))
 	})
--- a/cmd/onyxgate/sources.go
+++ b/cmd/onyxgate/sources.go
@@ -13,7 +13,7 @@
 
 	"github.com/jedib0t/go-pretty/v6/table"
 
-	"onyxgate/internal/settings"
+	"onyxgate/internal/config"
 	"onyxgate/internal/sources/dns"
 	"onyxgate/internal/sources/host"
 )
@@ -26,7 +26,7 @@
 }
 
 func (l sourcesLine) state() (s host.State, err error) {
-	tables, err := settings.Read(l.Settings)
+	tables, err := config.Read(l.Settings)
 	if err != nil {
 		return s, err
 	}
@@ -102,7 +102,7 @@
 }
 
 func (c sourcesResolve) Run(l *sourcesLine) error {
-	tables, err := settings.Read(l.Settings)
+	tables, err := config.Read(l.Settings)
 	if err != nil {
 		return err
 	}
--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -22,13 +22,13 @@
 	"github.com/sirupsen/logrus"
 	"github.com/tidwall/gjson"
 
+	"onyxgate/internal/config"
 	"onyxgate/internal/core"
 	"onyxgate/internal/httpwire"
-	"onyxgate/internal/metering"
-	"onyxgate/internal/must"
-	"onyxgate/internal/record/keeper"
-	"onyxgate/internal/settings"
-	"onyxgate/internal/setup"
+	"onyxgate/internal/invariant"
+	"onyxgate/internal/metrics"
+	"onyxgate/internal/record/recorder"
+	"onyxgate/internal/siteconfig"
 	"onyxgate/internal/sources"
 	"onyxgate/internal/sources/host"
 	"onyxgate/policy"
@@ -39,7 +39,7 @@
 	Version                 string
 	File                    string // the configuration
 	Name, Listen, Discovery string // in place of the configuration's, where not empty
-	Tables                  settings.Tables
+	Tables                  config.Tables
 	Every                   time.Duration // between two lines of counts
 }
 
@@ -53,7 +53,7 @@
 		return gjson.Result{}, fmt.Errorf("%s is not JSON", path)
 	}
 	config, wrong := gjson.ParseBytes(text), []error{}
-	for _, line := range setup.Wrong(config) {
+	for _, line := range siteconfig.Wrong(config) {
 		wrong = append(wrong, errors.New(line))
 	}
 	if len(wrong) > 0 {
@@ -73,9 +73,9 @@
 	platform  *httpwire.Platform
 	upstream  *httpwire.Upstream
 	front     *httpwire.Front
-	keeper    *keeper.Keeper // nil: nothing is recorded
-	sources   *host.Host     // nil: discovery alone
-	meter     *metering.Meter
+	keeper    *recorder.Keeper // nil: nothing is recorded
+	sources   *host.Host       // nil: discovery alone
+	meter     *metrics.Meter
 }
 
 // what the module wants beside its requests.
@@ -101,13 +101,13 @@
 	}
 	a := &Agent{orders: o, config: config}
 	s := config.Get("settings")
-	seed, _ := setup.Seed(config) // Read has seen that it is one
+	seed, _ := siteconfig.Seed(config) // Read has seen that it is one
 	sockets, memoryMB := a.limits()
-	names, products := setup.Products(s)
+	names, products := siteconfig.Products(s)
 
 	a.core = core.New(a)
 	if o.Tables.Record.On() {
-		if a.keeper, err = keeper.New(o.Tables.Record, a.told(o.Name, "name"), names, a.core.Now, seed+2); err != nil {
+		if a.keeper, err = recorder.New(o.Tables.Record, a.told(o.Name, "name"), names, a.core.Now, seed+2); err != nil {
 			return nil, err
 		}
 		a.core.Join(a.keeper)
@@ -118,11 +118,11 @@
 	a.budget = httpwire.NewSockets(sockets)
 	dial := (&net.Dialer{KeepAlive: -1}).DialContext
 	tcp := func(ctx context.Context, address string) (net.Conn, error) { return dial(ctx, "tcp", address) }
-	zones, kinds := setup.Places(s)
-	a.discovery = httpwire.NewDiscovery(a.core, tcp, a.told(o.Discovery, "discovery"), zones, kinds, setup.Asked(s), seed)
-	a.platform = httpwire.NewPlatform(a.core, tcp, config.Get("pipeline.address").Str, setup.Called(s), seed+1)
-	up, idle := setup.Connecting(s)
-	onAnswers, onProbes := setup.Reported(s)
+	zones, kinds := siteconfig.Places(s)
+	a.discovery = httpwire.NewDiscovery(a.core, tcp, a.told(o.Discovery, "discovery"), zones, kinds, siteconfig.Asked(s), seed)
+	a.platform = httpwire.NewPlatform(a.core, tcp, config.Get("pipeline.address").Str, siteconfig.Called(s), seed+1)
+	up, idle := siteconfig.Connecting(s)
+	onAnswers, onProbes := siteconfig.Reported(s)
 	address := a.discovery.Address
 	if o.Tables.Sources.On() {
 		address = func(id string) string { return a.sources.Address(id) }
@@ -133,13 +133,13 @@
 	if memoryMB > 0 {
 		room = int64(memoryMB) << 20 / 4
 	}
-	a.front = httpwire.NewFront(a.core, a.upstream, a.budget, names, products, setup.Revokes(s), setup.Open(s), room)
+	a.front = httpwire.NewFront(a.core, a.upstream, a.budget, names, products, siteconfig.Revokes(s), siteconfig.Open(s), room)
 
 	logrus.WithFields(logrus.Fields{"version": o.Version, "name": a.told(o.Name, "name"),
 		"listen": a.listener.Addr().String(), "cpus": runtime.NumCPU(), "cores": runtime.GOMAXPROCS(0), "sockets": sockets,
 		"memory_mb": memoryMB, "agents": s.Get("balancers").Int(), "products": len(names),
 		"appliances": len(config.Get("known.servers").Array())}).Info("start")
-	a.core.Start(func(p policy.Port) *policy.Agent { return setup.Module(p, seed, s, a.budget.Clients()) })
+	a.core.Start(func(p policy.Port) *policy.Agent { return siteconfig.Module(p, seed, s, a.budget.Clients()) })
 	if o.Tables.Sources.On() { // after the module: what is remembered goes to it at once
 		a.sources = host.New(o.Tables.Sources, a.core, a.upstream.Forget, int(s.Get("me").Int()),
 			int(s.Get("balancers").Int()), seed+3)
@@ -173,8 +173,8 @@
 
 // limits holds the program to what the configuration allows it.
 func (a *Agent) limits() (sockets, memoryMB int) {
-	sockets, memoryMB = setup.Limits(a.config)
-	if cores := setup.Cores(a.config); cores > 0 { // more threads at once than that only take turns on it
+	sockets, memoryMB = siteconfig.Limits(a.config)
+	if cores := siteconfig.Cores(a.config); cores > 0 { // more threads at once than that only take turns on it
 		runtime.GOMAXPROCS(cores)
 	}
 	if memoryMB > 0 { // the rest is for stacks, the program itself and what the collector is late with
@@ -337,7 +337,7 @@
 		"voided": n.Voided, "gone": n.Gone, "bad_input": a.front.Refused.Load(), "open": n.Open, "out": n.Out,
 		"ends":    fmt.Sprint(n.Ends[policy.Settled:]),
 		"sockets": all, "clients": clients, "clients_idle": resting, "opened": opened, "idle": idle, "unsent": unsent,
-		"list": version, "listed": listed, "timers": n.Timers, "broken": must.Broken(), "withdrawn": n.Withdrawn}).Info("counts")
+		"list": version, "listed": listed, "timers": n.Timers, "broken": invariant.Broken(), "withdrawn": n.Withdrawn}).Info("counts")
 	r := n.Releases
 	logrus.WithFields(logrus.Fields{"newest": r.Newest.Release, "phase": r.Newest.Phase.String(), "stage": r.Newest.Stage,
 		"cap": r.Newest.Cap, "trial": r.Trial, "keys": r.Keys, "withheld_closed": r.Withheld.Closed,
@@ -398,7 +398,7 @@
 
 // measure names what can be scraped.
 func (a *Agent) measure() {
-	a.meter = metering.New()
+	a.meter = metrics.New()
 	count := func(name string, of func(core.Counts) int) {
 		a.meter.Gauge(name, func() float64 { return float64(of(a.core.Counts())) })
 	}
@@ -409,7 +409,7 @@
 	count(`onyxgate_txns_ended_total{outcome="gone"}`, func(n core.Counts) int { return n.Gone })
 	count("onyxgate_txns_open", func(n core.Counts) int { return n.Open })
 	count("onyxgate_submissions_out", func(n core.Counts) int { return n.Out })
-	a.meter.Gauge("onyxgate_broken_total", func() float64 { return float64(must.Broken()) })
+	a.meter.Gauge("onyxgate_broken_total", func() float64 { return float64(invariant.Broken()) })
 	a.measureReleases(count)
 	if a.sources != nil {
 		a.seen()
@@ -417,18 +417,18 @@
 	if a.keeper == nil {
 		return
 	}
-	standing := func(name string, of func(keeper.Standing) float64) {
+	standing := func(name string, of func(recorder.Standing) float64) {
 		a.meter.Gauge(name, func() float64 { return of(a.keeper.Standing()) })
 	}
-	standing("onyxgate_record_entries_total", func(s keeper.Standing) float64 { return float64(s.Entries) })
-	standing("onyxgate_record_syncs_total", func(s keeper.Standing) float64 { return float64(s.Syncs) })
-	standing("onyxgate_record_failures_total", func(s keeper.Standing) float64 { return float64(s.Failures) })
-	standing("onyxgate_record_unsynced_total", func(s keeper.Standing) float64 { return float64(s.Unsynced) })
-	standing("onyxgate_record_missed_total", func(s keeper.Standing) float64 { return float64(s.Missed) })
-	standing("onyxgate_record_gaps_total", func(s keeper.Standing) float64 { return float64(s.Gaps) })
-	standing("onyxgate_record_shipped_total", func(s keeper.Standing) float64 { return float64(s.Shipped) })
-	standing("onyxgate_record_in_doubt_total", func(s keeper.Standing) float64 { return float64(s.InDoubt) })
-	standing("onyxgate_record_spool_bytes", func(s keeper.Standing) float64 { return float64(s.Used) })
-	standing("onyxgate_record_queued_bytes", func(s keeper.Standing) float64 { return float64(s.Queued) })
-	standing("onyxgate_record_oldest_unshipped_seconds", func(s keeper.Standing) float64 { return s.Oldest / 1000 })
+	standing("onyxgate_record_entries_total", func(s recorder.Standing) float64 { return float64(s.Entries) })
+	standing("onyxgate_record_syncs_total", func(s recorder.Standing) float64 { return float64(s.Syncs) })
+	standing("onyxgate_record_failures_total", func(s recorder.Standing) float64 { return float64(s.Failures) })
+	standing("onyxgate_record_unsynced_total", func(s recorder.Standing) float64 { return float64(s.Unsynced) })
+	standing("onyxgate_record_missed_total", func(s recorder.Standing) float64 { return float64(s.Missed) })
+	standing("onyxgate_record_gaps_total", func(s recorder.Standing) float64 { return float64(s.Gaps) })
+	standing("onyxgate_record_shipped_total", func(s recorder.Standing) float64 { return float64(s.Shipped) })
+	standing("onyxgate_record_in_doubt_total", func(s recorder.Standing) float64 { return float64(s.InDoubt) })
+	standing("onyxgate_record_spool_bytes", func(s recorder.Standing) float64 { return float64(s.Used) })
+	standing("onyxgate_record_queued_bytes", func(s recorder.Standing) float64 { return float64(s.Queued) })
+	standing("onyxgate_record_oldest_unshipped_seconds", func(s recorder.Standing) float64 { return s.Oldest / 1000 })
 }
--- a/internal/assembly/crossings_test.go
+++ b/internal/assembly/crossings_test.go
@@ -18,9 +18,9 @@
 	"testing/synctest"
 	"time"
 
+	"onyxgate/internal/config"
 	"onyxgate/internal/core"
 	"onyxgate/internal/httpwire"
-	"onyxgate/internal/settings"
 	"onyxgate/policy"
 )
 
@@ -120,7 +120,7 @@
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	tables, err := settings.Read("")
+	tables, err := config.Read("")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/ci/clock_test.go
+++ b/internal/ci/clock_test.go
@@ -20,7 +20,7 @@
 	"internal/httpwire/discovery.go: SetDeadline(time.Unix(1, 0))": "the same",
 	"internal/sources/dns/dns.go: SetDeadline(time.Unix(1, 0))":    "the same",
 	"internal/record/sqlstore/sqlstore.go: time.Now().UnixMilli()": "a time that is stored for people",
-	"internal/record/keeper/ship.go: uint64(from.UnixNano())":      "a seed",
+	"internal/record/recorder/ship.go: uint64(from.UnixNano())":    "a seed",
 	"cmd/onyxgate/record.go: UnixMilli":                            "times that operators give and read",
 	"cmd/onyxgate/record.go: t.UnixNano()":                         "the same",
 	"cmd/onyxgate/sources.go: Unix":                                "a time that operators read, and a seed",
@@ -33,7 +33,7 @@
 		err := filepath.WalkDir(filepath.Join("../..", root), func(path string, entry fs.DirEntry, err error) error {
 			name, _ := filepath.Rel("../..", path)
 			if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") ||
-				strings.HasPrefix(name, "internal/standin/") {
+				strings.HasPrefix(name, "internal/fake/") {
 				return err
 			}
 			text, err := os.ReadFile(path)
--- a/internal/settings/settings.go
+++ b/internal/config/config.go
@@ -1,7 +1,7 @@
-// Package settings reads our own settings, TOML in deploy/, one table for each part that has some, and says what is wrong
+// Package config reads our own settings, TOML in deploy/, one table for each part that has some, and says what is wrong
 // with file, line, key, value and a right example. It must never hold a part's decision, nor keep a value that a part does
 // not have.
-package settings
+package config
 
 import (
 	"bytes"
@@ -14,22 +14,22 @@
 	"github.com/pelletier/go-toml/v2"
 	"github.com/pelletier/go-toml/v2/unstable"
 
-	"onyxgate/internal/metering"
-	"onyxgate/internal/record/keeper"
+	"onyxgate/internal/metrics"
+	"onyxgate/internal/record/recorder"
 	"onyxgate/internal/sources/host"
 	"onyxgate/internal/units"
 )
 
 // Tables are all that there are.
 type Tables struct {
-	Record  keeper.Table   `toml:"record"`
+	Record  recorder.Table `toml:"record"`
 	Sources host.Table     `toml:"sources"`
-	Metrics metering.Table `toml:"metrics"`
+	Metrics metrics.Table  `toml:"metrics"`
 }
 
 // Default is what holds without a file.
 func Default() Tables {
-	return Tables{Record: keeper.Default(), Sources: host.Default(), Metrics: metering.Default()}
+	return Tables{Record: recorder.Default(), Sources: host.Default(), Metrics: metrics.Default()}
 }
 
 // Read reads a file; no name means what holds without one.
--- a/internal/settings/settings_test.go
+++ b/internal/config/config_test.go
@@ -1,4 +1,4 @@
-package settings
+package config
 
 import (
 	"os"
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"onyxgate/internal/must"
+	"onyxgate/internal/invariant"
 	"onyxgate/policy"
 )
 
@@ -113,7 +113,7 @@
 	defer func() {
 		c.inside = false
 		if !whole {
-			must.Hold(false, "the module handles every event", what, recover(), string(debug.Stack()))
+			invariant.Hold(false, "the module handles every event", what, recover(), string(debug.Stack()))
 		}
 	}()
 	event(c.Now())
@@ -331,7 +331,7 @@
 		if !t.over {
 			t.core.agent.Wake(now, 0)
 		}
-		if !must.Hold(t.over, "every request is answered in time", t.ID) {
+		if !invariant.Hold(t.over, "every request is answered in time", t.ID) {
 			t.finish(Action{Do: Void, Reason: "watchdog"}, &t.core.counts.Voided)
 			t.core.agent.Hangup(now, t.ID)
 		}
@@ -451,7 +451,7 @@
 func (s *Attempt) End(r policy.Result, answer any, waiting, busy float64) {
 	t, c := s.request, s.request.core
 	c.enter("outcome", func(now float64) {
-		if !must.Hold(!s.over, "one outcome for each attempt", t.ID, s.n) {
+		if !invariant.Hold(!s.over, "one outcome for each attempt", t.ID, s.n) {
 			return
 		}
 		s.over = true
@@ -480,14 +480,14 @@
 type port Core
 
 func (p *port) held(id string) *Request {
-	must.Hold(p.inside, "the lock is held when the module acts", id)
+	invariant.Hold(p.inside, "the lock is held when the module acts", id)
 	return p.requests[id]
 }
 
 func (p *port) Submit(id, appliance string, limit float64) {
 	t, now := p.held(id), (*Core)(p).Now()
 	if t == nil {
-		must.Hold(false, "an attempt belongs to a request that is held", id)
+		invariant.Hold(false, "an attempt belongs to a request that is held", id)
 		return
 	}
 	s := &Attempt{Appliance: appliance, Build: p.builds[appliance], Until: t.Expiry, request: t, n: len(t.attempts), at: now}
@@ -499,7 +499,7 @@
 	t.attempts = append(t.attempts, s)
 	t.out++
 	p.counts.Out++
-	if !must.Hold(!t.over, "no attempt after the end", id) {
+	if !invariant.Hold(!t.over, "no attempt after the end", id) {
 		go s.End(policy.Moot, nil, -1, -1)
 		return
 	}
--- a/internal/core/watchdog_test.go
+++ b/internal/core/watchdog_test.go
@@ -7,7 +7,7 @@
 	"testing/synctest"
 	"time"
 
-	"onyxgate/internal/must"
+	"onyxgate/internal/invariant"
 	"onyxgate/policy"
 )
 
@@ -15,13 +15,13 @@
 func TestWatchdog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core, _ := hosted(policy.Product{}, 1)
-		from, was := time.Now(), must.Broken()
+		from, was := time.Now(), invariant.Broken()
 		x := core.Take(core.Now(), "t", "", "", 9, false, 300, "", nil) // a product that the module does not have
 		if a := x.Next(); a.Do != Void {
 			t.Errorf("got %v", a.Do)
 		}
-		if took := time.Since(from); took > 320*time.Millisecond || must.Broken() <= was {
-			t.Errorf("after %v, %d breaches", took, must.Broken()-was)
+		if took := time.Since(from); took > 320*time.Millisecond || invariant.Broken() <= was {
+			t.Errorf("after %v, %d breaches", took, invariant.Broken()-was)
 		}
 		x.Close()
 		y := core.Take(core.Now(), "u", "", "", 0, false, 300, "", nil)
--- a/internal/points/defect.go
+++ b/internal/failpoint/defect.go
@@ -1,6 +1,6 @@
 //go:build defect
 
-package points
+package failpoint
 
 import (
 	"os"
--- a/internal/points/release.go
+++ b/internal/failpoint/release.go
@@ -1,8 +1,8 @@
 //go:build !defect
 
-// Package points names the moments at which a rehearsal may kill an agent, and the protections that it may switch off
+// Package failpoint names the moments at which a rehearsal may kill an agent, and the protections that it may switch off
 // to see itself fail. A release build holds none of it.
-package points
+package failpoint
 
 // At is passed at each named moment.
 func At(string) {}
--- a/internal/standin/names/names.go
+++ b/internal/fake/dnsserver/dnsserver.go
@@ -1,5 +1,5 @@
-// Package names stands in for a name server on loopback, UDP and TCP, for one service, and fails as it is told.
-package names
+// Package dnsserver stands in for a name server on loopback, UDP and TCP, for one service, and fails as it is told.
+package dnsserver
 
 import (
 	"net"
--- a/internal/standin/tier/affinity.go
+++ b/internal/fake/fleet/affinity.go
@@ -1,4 +1,4 @@
-package tier
+package fleet
 
 // This file owns the rule on exposure as it is seen from outside: a key that a release has answered through an agent goes to no
 // earlier release through it, unless that release goes back; and nothing goes to a release whose cap an agent was told is 0.
--- a/internal/standin/tier/clients.go
+++ b/internal/fake/fleet/clients.go
@@ -1,4 +1,4 @@
-package tier
+package fleet
 
 // This file owns the clients: they keep connections, state deadlines, retry, and log what they got, which is the only
 // oracle that a rehearsal has.
--- a/internal/standin/tier/control.go
+++ b/internal/fake/fleet/control.go
@@ -1,4 +1,4 @@
-package tier
+package fleet
 
 // This file owns what a test does to the world by hand: which backends of which release are listed, and what the platform says
 // of the newest release. Without it votes move the roll-out.
--- a/internal/standin/tier/tier.go
+++ b/internal/fake/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package tier stands in for the platform's side on loopback: appliances, discovery and the pipeline, by the users'
+// Package fleet stands in for the platform's side on loopback: appliances, discovery and the pipeline, by the users'
 // protocol, with what rehearsals have to count from outside. It is small on purpose: no model of a fleet grows here.
-package tier
+package fleet
 
 // This file owns the world: who is in the fleet, the roll-out, and the configuration that an agent starts with.
 
--- a/internal/standin/tier/serve.go
+++ b/internal/fake/fleet/serve.go
@@ -1,4 +1,4 @@
-package tier
+package fleet
 
 // This file owns the sockets: appliances, discovery and the platform.
 
--- a/internal/standin/pgwire/pgwire.go
+++ b/internal/fake/postgres/postgres.go
@@ -1,6 +1,6 @@
-// Package pgwire stands in for a PostgreSQL server by its published protocol: it plays the statements that sqlstore sends,
+// Package postgres stands in for a PostgreSQL server by its published protocol: it plays the statements that sqlstore sends,
 // keeps what was committed in a file of its own, and fails as it is told. It is no database and knows no SQL.
-package pgwire
+package postgres
 
 import (
 	"bufio"
--- a/internal/httpwire/sockets.go
+++ b/internal/httpwire/sockets.go
@@ -15,7 +15,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"onyxgate/internal/must"
+	"onyxgate/internal/invariant"
 )
 
 // reserve is held back for what is no client or appliance: standard streams, the runtime's poller, the listener,
@@ -289,7 +289,7 @@
 			s.clients--
 			s.busy(c)
 		}
-		must.Hold(s.used >= 0 && s.clients >= 0, "a connection is closed once", s.used)
+		invariant.Hold(s.used >= 0 && s.clients >= 0, "a connection is closed once", s.used)
 	}
 	return err
 }
--- a/internal/must/debug.go
+++ b/internal/invariant/debug.go
@@ -1,5 +1,5 @@
 //go:build debug
 
-package must
+package invariant
 
 func stop(what string) { panic("must hold: " + what) }
--- a/internal/must/must.go
+++ b/internal/invariant/invariant.go
@@ -1,6 +1,6 @@
-// Package must says what has to hold whatever the network does. A debug build stops at the first breach, so that
+// Package invariant says what has to hold whatever the network does. A debug build stops at the first breach, so that
 // tests and staging show where; a release build counts and logs it and serves on. It must never decide anything.
-package must
+package invariant
 
 import (
 	"sync/atomic"
--- a/internal/sched/sched.go
+++ b/internal/jobs/queue.go
@@ -1,6 +1,6 @@
-// Package sched decides which background job runs next: by priority, within each job's budget of time and bytes, and so
-// that none waits for ever. It must never run anything, read a clock or hold a goroutine; internal/sched/run does.
-package sched
+// Package jobs decides which background job runs next: by priority, within each job's budget of time and bytes, and so
+// that none waits for ever. It must never run anything, read a clock or hold a goroutine; internal/jobs/runner does.
+package jobs
 
 // ageing (ms): a job that has been due for so long goes ahead of those one priority above it.
 const ageing = 1000.0
--- a/internal/sched/sched_test.go
+++ b/internal/jobs/queue_test.go
@@ -1,4 +1,4 @@
-package sched
+package jobs
 
 import "testing"
 
--- a/internal/sched/run/run.go
+++ b/internal/jobs/runner/runner.go
@@ -1,12 +1,12 @@
-// Package run carries out what sched decides, on a fixed number of goroutines. It must never choose a job itself.
-package run
+// Package runner carries out what sched decides, on a fixed number of goroutines. It must never choose a job itself.
+package runner
 
 import (
 	"context"
 	"sync"
 	"time"
 
-	"onyxgate/internal/sched"
+	"onyxgate/internal/jobs"
 )
 
 // Job does a bounded piece of work; it returns the bytes that it moved and when it wants to run again.
@@ -15,7 +15,7 @@
 // Runner runs jobs until it is stopped.
 type Runner struct {
 	mu    sync.Mutex
-	queue sched.Queue
+	queue jobs.Queue
 	jobs  []Job
 	from  time.Time
 	bell  chan struct{}
--- a/internal/metering/metering.go
+++ b/internal/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package metering offers the agent's counters and gauges to whoever scrapes them, by a metrics library. It must never
+// Package metrics offers the agent's counters and gauges to whoever scrapes them, by a metrics library. It must never
 // label by txn, key or client, nor decide anything.
-package metering
+package metrics
 
 import (
 	"context"
--- a/internal/record/keeper/audit.go
+++ b/internal/record/recorder/audit.go
@@ -1,4 +1,4 @@
-package keeper
+package recorder
 
 // This file owns the audit of what stands in spools and store: it reads all, changes nothing and says what must not be.
 
--- a/internal/record/keeper/keeper.go
+++ b/internal/record/recorder/recorder.go
@@ -1,7 +1,7 @@
-// Package keeper is the part of an agent that keeps the record: it joins the path of each txn, runs the ledger's writer
+// Package recorder is the part of an agent that keeps the record: it joins the path of each txn, runs the ledger's writer
 // and ships to the store in the background. It must never choose what the ledger or the shipper chooses, nor let a txn
 // wait for the store.
-package keeper
+package recorder
 
 // This file owns the txns' side and the writer.
 
@@ -15,7 +15,7 @@
 	"github.com/sirupsen/logrus"
 
 	"onyxgate/internal/core"
-	"onyxgate/internal/points"
+	"onyxgate/internal/failpoint"
 	"onyxgate/internal/record"
 	"onyxgate/internal/record/spool"
 )
@@ -105,8 +105,8 @@
 	if !ok {
 		return nil
 	}
-	points.At("record.queued")
-	if points.Defect("answer-before-sync") {
+	failpoint.At("record.queued")
+	if failpoint.Defect("answer-before-sync") {
 		return n
 	}
 	if patience > 0 {
@@ -129,7 +129,7 @@
 			}
 			k.mu.Unlock()
 			if durable {
-				points.At("record.durable")
+				failpoint.At("record.durable")
 				return n
 			}
 		}
@@ -148,7 +148,7 @@
 	if !ok { // it stands for itself in a gap
 		return
 	}
-	points.At("record.answered")
+	failpoint.At("record.answered")
 	k.mu.Lock()
 	k.ledger.Done(now, n, whole)
 	k.mu.Unlock()
@@ -200,7 +200,7 @@
 		pending := k.ledger.Pending()
 		k.mu.Unlock()
 		if !w.Idle() {
-			if points.Defect("answer-before-sync") {
+			if failpoint.Defect("answer-before-sync") {
 				time.Sleep(40 * time.Millisecond) // what a slow disk would take
 			}
 			wrote, err := k.writer.Do(w)
--- a/internal/record/keeper/keeper_test.go
+++ b/internal/record/recorder/recorder_test.go
@@ -1,4 +1,4 @@
-package keeper
+package recorder
 
 import (
 	"context"
--- a/internal/record/keeper/ship.go
+++ b/internal/record/recorder/ship.go
@@ -1,4 +1,4 @@
-package keeper
+package recorder
 
 // This file owns the way to the store: readers over the spool, batches, pruning. Pace and meaning of failures are
 // record.Shipper's, the turns sched's.
@@ -13,10 +13,10 @@
 
 	"github.com/sirupsen/logrus"
 
+	"onyxgate/internal/jobs/runner"
 	"onyxgate/internal/record"
 	"onyxgate/internal/record/spool"
 	"onyxgate/internal/record/sqlstore"
-	"onyxgate/internal/sched/run"
 )
 
 // line is one incarnation on its way to the store.
@@ -115,7 +115,7 @@
 	if s.store == nil {
 		return
 	}
-	jobs := run.New()
+	jobs := runner.New()
 	prune := func() {}
 	jobs.Add("ship", 0, 0, float64(s.table.Bytes), func(ctx context.Context) (int64, time.Duration) {
 		sent, wait, _ := s.step(ctx)
--- a/internal/record/keeper/table.go
+++ b/internal/record/recorder/table.go
@@ -1,4 +1,4 @@
-package keeper
+package recorder
 
 // This file owns the tables [record] and [record.store] of our settings: their fields, what holds unless they say
 // otherwise, and which of them contradict each other.
--- a/internal/record/spool/spool.go
+++ b/internal/record/spool/spool.go
@@ -13,7 +13,7 @@
 
 	"github.com/google/uuid"
 
-	"onyxgate/internal/points"
+	"onyxgate/internal/failpoint"
 	"onyxgate/internal/record"
 )
 
@@ -228,7 +228,7 @@
 		if name == ownerName {
 			continue
 		}
-		points.At("spool.drop")
+		failpoint.At("spool.drop")
 		if err := s.fs.Remove(join(dir, name)); err != nil {
 			return freed, err
 		}
@@ -248,7 +248,7 @@
 		if err != nil || head.From == 0 || head.From-1 > through {
 			break
 		}
-		points.At("spool.prune")
+		failpoint.At("spool.prune")
 		if err := s.fs.Remove(join(dir, segmentName(numbers[i]))); err != nil {
 			return freed, err
 		}
@@ -275,7 +275,7 @@
 	if err := s.fs.MkdirAll(w.dir); err != nil {
 		return nil, err
 	}
-	points.At("spool.begin")
+	failpoint.At("spool.begin")
 	if err := s.own(w.Incarnation); err != nil {
 		return nil, err
 	}
@@ -285,7 +285,7 @@
 // Do carries a work out and tells how many bytes the files may now hold of it.
 func (w *Writer) Do(work record.Work) (wrote int, err error) {
 	if work.Turn {
-		points.At("spool.turn")
+		failpoint.At("spool.turn")
 		if w.file != nil {
 			w.file.Close()
 			w.file = nil
@@ -300,14 +300,14 @@
 		return 0, errors.New("no segment is open")
 	}
 	if len(work.Bytes) > 0 {
-		points.At("spool.write")
+		failpoint.At("spool.write")
 		if wrote, err = w.file.Write(work.Bytes); err == nil && wrote < len(work.Bytes) {
 			err = io.ErrShortWrite
 		}
 		if err != nil {
 			return wrote, err
 		}
-		points.At("spool.wrote")
+		failpoint.At("spool.wrote")
 	}
 	if work.Sync {
 		if err := w.file.Sync(); err != nil {
@@ -318,7 +318,7 @@
 				return wrote, err
 			}
 		}
-		points.At("spool.synced")
+		failpoint.At("spool.synced")
 	}
 	return wrote, nil
 }
--- a/internal/record/sqlstore/sqlstore.go
+++ b/internal/record/sqlstore/sqlstore.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"onyxgate/internal/points"
+	"onyxgate/internal/failpoint"
 	"onyxgate/internal/record"
 )
 
@@ -87,7 +87,7 @@
 func (s *Store) migrations() [][]string {
 	big, real := s.d.Big, s.d.Real
 	key := `primary key (incarnation, n)`
-	if points.Defect("no-dedupe") {
+	if failpoint.Defect("no-dedupe") {
 		key = `check (n > 0)`
 	}
 	return [][]string{
@@ -219,7 +219,7 @@
 		names, values = append(names, f[0]), append(values, s.d.Field(f[0], f[1]))
 	}
 	again := " on conflict do nothing"
-	if points.Defect("no-dedupe") && table == "onyxgate_entry" {
+	if failpoint.Defect("no-dedupe") && table == "onyxgate_entry" {
 		again = ""
 	}
 	return name + "insert into " + table + " (" + strings.Join(names, ", ") + ") select " + strings.Join(values, ", ") +
@@ -245,7 +245,7 @@
 		return 0, err
 	}
 	defer tx.Rollback()
-	points.At("ship.begun")
+	failpoint.At("ship.begun")
 	// The claim locks the incarnation's row, so that of two shippers one waits.
 	if _, err := tx.Exec(ctx, NameClaim+`insert into onyxgate_incarnation (incarnation, agent, place, through, closed)
 		values ($1, $2, $3, 0, 0) on conflict do nothing`, b.Incarnation, b.Agent, b.Place); err != nil {
@@ -283,11 +283,11 @@
 			return 0, err
 		}
 	}
-	points.At("ship.commit")
+	failpoint.At("ship.commit")
 	if err := tx.Commit(ctx); err != nil {
 		return 0, err
 	}
-	points.At("ship.committed")
+	failpoint.At("ship.committed")
 	return bytes, nil
 }
 
--- a/internal/record/sqlstore/sqlstore_test.go
+++ b/internal/record/sqlstore/sqlstore_test.go
@@ -14,11 +14,11 @@
 
 	"github.com/jackc/pgx/v5/pgconn"
 
+	fakepostgres "onyxgate/internal/fake/postgres"
 	"onyxgate/internal/record"
 	"onyxgate/internal/record/postgres"
 	"onyxgate/internal/record/sqlite"
 	"onyxgate/internal/record/sqlstore"
-	"onyxgate/internal/standin/pgwire"
 )
 
 // pipes is a listener whose connections are made by dial.
@@ -41,8 +41,8 @@
 }
 
 // onPipes is a store at a stand-in, with a password.
-func onPipes(t testing.TB, file, password string) (*sqlstore.Store, *pgwire.Server) {
-	server, err := pgwire.New(file, "accounts", "right")
+func onPipes(t testing.TB, file, password string) (*sqlstore.Store, *fakepostgres.Server) {
+	server, err := fakepostgres.New(file, "accounts", "right")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -190,7 +190,7 @@
 					t.Error(err)
 				}
 			}
-			again, err := pgwire.New(file, "accounts", "right")
+			again, err := fakepostgres.New(file, "accounts", "right")
 			if err != nil || len(server.Entries) != 25 || len(again.Entries) != 25 {
 				t.Errorf("%d rows, %d after a restart, %v", len(server.Entries), len(again.Entries), err)
 			}
--- a/internal/setup/setup.go
+++ b/internal/siteconfig/siteconfig.go
@@ -1,7 +1,7 @@
-// Package setup owns the reading of what an agent is told at its start: it turns the settings JSON into the module's
+// Package siteconfig owns the reading of what an agent is told at its start: it turns the settings JSON into the module's
 // calls, once for the simulator's adapter and the live agent alike, and says what is wrong with a configuration. It
 // must never hold a decision or a tuned value, nor keep the settings in a record of its own.
-package setup
+package siteconfig
 
 import (
 	"fmt"
--- a/internal/setup/setup_test.go
+++ b/internal/siteconfig/siteconfig_test.go
@@ -1,4 +1,4 @@
-package setup
+package siteconfig
 
 import (
 	"strings"
--- a/internal/sources/host/host.go
+++ b/internal/sources/host/host.go
@@ -16,7 +16,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"onyxgate/internal/points"
+	"onyxgate/internal/failpoint"
 	"onyxgate/internal/sources"
 	"onyxgate/internal/sources/dns"
 	"onyxgate/internal/units"
@@ -121,7 +121,7 @@
 		var file State
 		if err := json.Unmarshal(text, &file); err != nil {
 			logrus.WithError(err).Warn("the state of sources can't be read, it starts anew")
-		} else if !points.Defect("forget-drains") {
+		} else if !failpoint.Defect("forget-drains") {
 			h.apply(h.merge.Recall(fleet.Now(), file.Memory), true, false)
 		}
 	}
@@ -269,7 +269,7 @@
 		h.merge.Fail(sources.SRV, "the service does not exist")
 	default:
 		h.lookup.Answered(now, server, float64(a.TTL)/1e6, false)
-		if points.Defect("undrain") {
+		if failpoint.Defect("undrain") {
 			h.merge.Forgive(a.Claims)
 		}
 		h.apply(h.merge.Answer(now, a.Claims), false, false)
