--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -139,7 +139,7 @@
 		"listen": a.listener.Addr().String(), "cpus": runtime.NumCPU(), "cores": runtime.GOMAXPROCS(0), "sockets": sockets,
 		"memory_mb": memoryMB, "agents": s.Get("balancers").Int(), "products": len(names),
 		"appliances": len(config.Get("known.servers").Array())}).Info("start")
-	a.core.Start(func(p policy.Port) *policy.Agent { return siteconfig.Module(p, seed, s, a.budget.Clients()) })
+	a.core.Start(func(p policy.Port) *policy.Instance { return siteconfig.Module(p, seed, s, a.budget.Clients()) })
 	if o.Tables.Sources.On() { // after the module: what is remembered goes to it at once
 		a.sources = host.New(o.Tables.Sources, a.core, a.upstream.Forget, int(s.Get("me").Int()),
 			int(s.Get("balancers").Int()), seed+3)
@@ -149,7 +149,7 @@
 		return nil, fmt.Errorf("known: %w", err)
 	}
 	news := config.Get("pipeline.news")
-	if err := a.platform.News(func(name string) string { return news.Get(name).String() }, policy.Unasked); err != nil {
+	if err := a.platform.News(func(name string) string { return news.Get(name).String() }, policy.NotAVote); err != nil {
 		return nil, fmt.Errorf("pipeline.news: %w", err)
 	}
 	return a, nil
@@ -335,13 +335,13 @@
 	cpu := usage.Utime.Nano()/1e6 + usage.Stime.Nano()/1e6
 	logrus.WithFields(logrus.Fields{"cpu_ms": cpu, "taken": n.Taken, "settled": n.Settled, "declined": n.Declined,
 		"voided": n.Voided, "gone": n.Gone, "bad_input": a.front.Refused.Load(), "open": n.Open, "out": n.Out,
-		"ends":    fmt.Sprint(n.Ends[policy.Settled:]),
+		"ends":    fmt.Sprint(n.Ends[policy.StatusServed:]),
 		"sockets": all, "clients": clients, "clients_idle": resting, "opened": opened, "idle": idle, "unsent": unsent,
 		"list": version, "listed": listed, "timers": n.Timers, "broken": invariant.Broken(), "withdrawn": n.Withdrawn}).Info("counts")
 	r := n.Releases
 	logrus.WithFields(logrus.Fields{"newest": r.Newest.Release, "phase": r.Newest.Phase.String(), "stage": r.Newest.Stage,
-		"cap": r.Newest.Cap, "trial": r.Trial, "keys": r.Keys, "withheld_closed": r.Withheld.Closed,
-		"withheld_cap": r.Withheld.Cap, "withheld_affinity": r.Withheld.Affinity}).Info("releases")
+		"cap": r.Newest.Cap, "trial": r.RollingOut, "keys": r.Keys, "withheld_closed": r.Skipped.Closed,
+		"withheld_cap": r.Skipped.CapReached, "withheld_affinity": r.Skipped.Affinity}).Info("releases")
 	if a.sources != nil {
 		n := a.sources.Counts()
 		logrus.WithFields(logrus.Fields{"lookups": n.Lookups, "questions": n.Questions, "failures": n.Failures,
@@ -388,11 +388,11 @@
 func (a *Agent) measureReleases(count func(name string, of func(core.Counts) int)) {
 	count("onyxgate_release_newest", func(n core.Counts) int { return n.Releases.Newest.Release })
 	count("onyxgate_release_stage", func(n core.Counts) int { return n.Releases.Newest.Stage })
-	count("onyxgate_release_on_trial", func(n core.Counts) int { return n.Releases.Trial })
+	count("onyxgate_release_on_trial", func(n core.Counts) int { return n.Releases.RollingOut })
 	count("onyxgate_affinity_keys", func(n core.Counts) int { return n.Releases.Keys })
-	count(`onyxgate_backends_withheld_total{reason="closed"}`, func(n core.Counts) int { return n.Releases.Withheld.Closed })
-	count(`onyxgate_backends_withheld_total{reason="cap"}`, func(n core.Counts) int { return n.Releases.Withheld.Cap })
-	count(`onyxgate_backends_withheld_total{reason="affinity"}`, func(n core.Counts) int { return n.Releases.Withheld.Affinity })
+	count(`onyxgate_backends_withheld_total{reason="closed"}`, func(n core.Counts) int { return n.Releases.Skipped.Closed })
+	count(`onyxgate_backends_withheld_total{reason="cap"}`, func(n core.Counts) int { return n.Releases.Skipped.CapReached })
+	count(`onyxgate_backends_withheld_total{reason="affinity"}`, func(n core.Counts) int { return n.Releases.Skipped.Affinity })
 	count("onyxgate_attempts_withdrawn_total", func(n core.Counts) int { return n.Withdrawn })
 }
 
--- a/internal/core/clock.go
+++ b/internal/core/clock.go
@@ -48,7 +48,7 @@
 func (c *Core) lookAtClock() {
 	c.enter("clock", func(now float64) {
 		if step := c.clock.step(); step != 0 && c.agent != nil {
-			c.agent.ClockStepped(now)
+			c.agent.OnClockStep(now)
 			(*port)(c).Log(fmt.Sprintf("wall clock stepped by %v: backends listed from here on count as just started", step.Round(time.Millisecond)))
 		}
 	})
--- a/internal/core/clock_test.go
+++ b/internal/core/clock_test.go
@@ -43,9 +43,9 @@
 	for _, stepped := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			core := New(&calls{})
-			core.Start(func(port policy.Port) *policy.Agent {
+			core.Start(func(port policy.Port) *policy.Instance {
 				a := policy.New(port, 7, 0, 1)
-				a.Serve([]policy.Product{{SLA: 1000, Expiry: 4000, Revenue: 1}}, 3, false, true)
+				a.Serve([]policy.RequestClass{{LatencyObjective: 1000, Timeout: 4000, Value: 1}}, 3, false, true)
 				a.Warm(0.4, 5000, 3, 1000)
 				return a
 			})
@@ -54,7 +54,7 @@
 			if wall := core.clock.wall; stepped {
 				core.clock.wall = func() int64 { return wall() - int64(time.Hour) }
 			}
-			core.List([]policy.Listed{{ID: "n", Build: 1, Rating: 1, Start: before - 10_000}}, false, false)
+			core.List([]policy.Endpoint{{ID: "n", Release: 1, Weight: 1, StartedAt: before - 10_000}}, false, false)
 			if core.Now() != before {
 				t.Errorf("the module's time moved by %v ms", core.Now()-before)
 			}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -34,7 +34,7 @@
 type Core struct {
 	mu       sync.Mutex
 	inside   bool // an event is being handled
-	agent    *policy.Agent
+	agent    *policy.Instance
 	calls    Calls
 	clock    clock
 	requests map[string]*Request
@@ -51,7 +51,7 @@
 // Counts are what has been since the start, and what is open now.
 type Counts struct {
 	Taken, Settled, Declined, Voided, Gone int
-	Ends                                   [policy.Moot + 1]int // attempts, by result
+	Ends                                   [policy.StatusNotSent + 1]int // attempts, by result
 	Open, Out, Timers                      int
 	Withdrawn                              int // attempts that might not go out any more when their connection was up
 	Releases                               policy.ReleaseStatus
@@ -64,7 +64,7 @@
 }
 
 // Start makes the module.
-func (c *Core) Start(module func(policy.Port) *policy.Agent) {
+func (c *Core) Start(module func(policy.Port) *policy.Instance) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.wake = time.AfterFunc(time.Hour, c.ring)
@@ -86,7 +86,7 @@
 	n := c.counts
 	n.Open, n.Timers = len(c.requests), len(c.timers)
 	if c.agent != nil {
-		n.Releases = c.agent.Releases()
+		n.Releases = c.agent.ReleaseStatus()
 	}
 	return n
 }
@@ -99,7 +99,7 @@
 		for _, t := range c.requests {
 			t.Expiry = min(t.Expiry, by)
 		}
-		c.agent.Leave(now, by)
+		c.agent.OnShutdown(now, by)
 	})
 }
 
@@ -121,20 +121,22 @@
 }
 
 // List, ListFailed, News and Probed pass on what was told.
-func (c *Core) List(entries []policy.Listed, whole, old bool) {
+func (c *Core) List(entries []policy.Endpoint, whole, old bool) {
 	c.lookAtClock()
 	c.carries(entries, whole)
-	c.enter("list", func(now float64) { c.agent.List(now, entries, whole, old) })
+	c.enter("list", func(now float64) { c.agent.OnEndpoints(now, entries, whole, old) })
 }
 
-func (c *Core) ListFailed() { c.enter("list failed", func(now float64) { c.agent.ListFailed(now) }) }
+func (c *Core) ListFailed() {
+	c.enter("list failed", func(now float64) { c.agent.OnEndpointsFailed(now) })
+}
 
-func (c *Core) News(build, stage int, phase policy.Phase, reply policy.Reply, limit, age float64, told bool) {
-	c.enter("news", func(now float64) { c.agent.News(now, build, stage, phase, reply, limit, age, told) })
+func (c *Core) News(build, stage int, phase policy.Phase, reply policy.VoteResponse, limit, age float64, told bool) {
+	c.enter("news", func(now float64) { c.agent.OnReleaseUpdate(now, build, stage, phase, reply, limit, age, told) })
 }
 
 func (c *Core) Probed(appliance string, ok bool, took, waiting, busy float64) {
-	c.enter("probed", func(now float64) { c.agent.Probed(now, appliance, ok, took, waiting, busy) })
+	c.enter("probed", func(now float64) { c.agent.OnProbeResult(now, appliance, ok, took, waiting, busy) })
 }
 
 // ---- timers: one clock timer for all, set to the earliest
@@ -142,7 +144,7 @@
 func (c *Core) ring() {
 	c.enter("timer", func(now float64) {
 		for len(c.timers) > 0 && c.timers[0].at <= now && c.timers[0].module() {
-			c.agent.Wake(now, heap.Pop(&c.timers).(timer).token)
+			c.agent.OnTimer(now, heap.Pop(&c.timers).(timer).token)
 		}
 	})
 	c.mu.Lock() // apart from the event: should that fail, the timers go on
@@ -225,7 +227,7 @@
 	reserved float64 // ms of the client's time, for the parts
 	said     bool    // its parts know that it is answered
 	by       *Attempt
-	last     policy.Result // of the attempt that ended last
+	last     policy.AttemptStatus // of the attempt that ended last
 	start    func(*Attempt)
 	under    *Attempt // that its handler carries out
 	bell     chan struct{}
@@ -261,7 +263,7 @@
 		if c.timers[0].request == t {
 			c.rewind(now)
 		}
-		c.agent.Txn(now, id, key, product, 0, again, t.Expiry-now, 0)
+		c.agent.OnRequest(now, id, key, product, 0, again, t.Expiry-now, 0)
 	})
 	return t
 }
@@ -329,11 +331,11 @@
 func (t *Request) late() {
 	t.core.enter("watchdog", func(now float64) {
 		if !t.over {
-			t.core.agent.Wake(now, 0)
+			t.core.agent.OnTimer(now, 0)
 		}
 		if !invariant.Hold(t.over, "every request is answered in time", t.ID) {
 			t.finish(Action{Do: Void, Reason: "watchdog"}, &t.core.counts.Voided)
-			t.core.agent.Hangup(now, t.ID)
+			t.core.agent.OnClientGone(now, t.ID)
 		}
 	})
 	t.core.mu.Lock()
@@ -349,7 +351,7 @@
 	t.core.enter("hangup", func(now float64) {
 		if !t.over {
 			t.finish(Action{Do: Leave}, &t.core.counts.Gone)
-			t.core.agent.Hangup(now, t.ID)
+			t.core.agent.OnClientGone(now, t.ID)
 			for _, s := range t.attempts {
 				if !s.over && !s.sent && !s.called {
 					s.called = true
@@ -375,7 +377,7 @@
 	}
 	for _, a := range mail {
 		if a.Do == Submit {
-			a.Sub.End(policy.Moot, nil, -1, -1)
+			a.Sub.End(policy.StatusNotSent, nil, -1, -1)
 		}
 	}
 }
@@ -422,7 +424,7 @@
 	c := s.request.core
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !s.called && !s.late && !c.agent.Sendable(s.request.ID, s.n) {
+	if !s.called && !s.late && !c.agent.MaySend(s.request.ID, s.n) {
 		s.called = true
 		c.counts.Withdrawn++
 	}
@@ -448,7 +450,7 @@
 }
 
 // End tells how an attempt ended; the first answer of all goes to the client.
-func (s *Attempt) End(r policy.Result, answer any, waiting, busy float64) {
+func (s *Attempt) End(r policy.AttemptStatus, answer any, waiting, busy float64) {
 	t, c := s.request, s.request.core
 	c.enter("outcome", func(now float64) {
 		if !invariant.Hold(!s.over, "one outcome for each attempt", t.ID, s.n) {
@@ -464,13 +466,13 @@
 		if !t.over {
 			t.last = r
 		}
-		if r == policy.Settled {
+		if r == policy.StatusServed {
 			if !t.over {
 				t.by = s
 			}
 			t.finish(Action{Do: Settle, Answer: answer}, &c.counts.Settled)
 		}
-		c.agent.Outcome(now, t.ID, s.n, r, t.over, now-s.at, waiting, busy)
+		c.agent.OnAttemptResult(now, t.ID, s.n, r, t.over, now-s.at, waiting, busy)
 		t.forget()
 	})
 }
@@ -484,7 +486,7 @@
 	return p.requests[id]
 }
 
-func (p *port) Submit(id, appliance string, limit float64) {
+func (p *port) SendAttempt(id, appliance string, limit float64) {
 	t, now := p.held(id), (*Core)(p).Now()
 	if t == nil {
 		invariant.Hold(false, "an attempt belongs to a request that is held", id)
@@ -500,43 +502,43 @@
 	t.out++
 	p.counts.Out++
 	if !invariant.Hold(!t.over, "no attempt after the end", id) {
-		go s.End(policy.Moot, nil, -1, -1)
+		go s.End(policy.StatusNotSent, nil, -1, -1)
 		return
 	}
 	t.post(Action{Do: Submit, Sub: s})
 }
 
-func (p *port) Decline(id string, wait float64) {
+func (p *port) Reject(id string, wait float64) {
 	if t := p.held(id); t != nil {
 		t.finish(Action{Do: Decline, Wait: wait}, &p.counts.Declined)
 	}
 }
 
-func (p *port) Void(id string) {
+func (p *port) Fail(id string) {
 	if t := p.held(id); t != nil {
 		t.finish(Action{Do: Void}, &p.counts.Voided)
 	}
 }
 
-func (p *port) Revoke(id string, attempt int) {
+func (p *port) CancelAttempt(id string, attempt int) {
 	if t := p.held(id); t != nil && attempt >= 0 && attempt < len(t.attempts) {
 		t.attempts[attempt].called = true
 		t.attempts[attempt].stop()
 	}
 }
 
-func (p *port) Vote(build int, verdict policy.Verdict, stage int) {
+func (p *port) SendVote(build int, verdict policy.Verdict, stage int) {
 	if !p.leaving {
 		p.calls.Vote(build, verdict, stage)
 	}
 }
 
-func (p *port) Probe(appliance string) { p.calls.Probe(appliance) }
+func (p *port) SendProbe(appliance string) { p.calls.Probe(appliance) }
 
-// Tell has no protocol yet: live agents share nothing.
-func (p *port) Tell(int, []byte) {}
+// SendMessage has no protocol yet: live agents share nothing.
+func (p *port) SendMessage(int, []byte) {}
 
-func (p *port) Timer(after float64, token uint64) {
+func (p *port) SetTimer(after float64, token uint64) {
 	now := (*Core)(p).Now()
 	heap.Push(&p.timers, timer{at: now + after, token: token})
 	if p.timers[0].module() && p.timers[0].token == token {
@@ -544,9 +546,9 @@
 	}
 }
 
-func (p *port) Subscribe() { p.calls.Subscribe() }
+func (p *port) WatchEndpoints() { p.calls.Subscribe() }
 
-func (p *port) FetchList() { p.calls.FetchList() }
+func (p *port) FetchEndpoints() { p.calls.FetchList() }
 
 func (p *port) Log(line string) {
 	select {
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -17,20 +17,20 @@
 func (c *calls) FetchList()                    {}
 
 // hosted starts a core whose module knows one product and so many appliances.
-func hosted(p policy.Product, appliances int) (*Core, *calls) {
+func hosted(p policy.RequestClass, appliances int) (*Core, *calls) {
 	does := &calls{}
 	c := New(does)
-	c.Start(func(port policy.Port) *policy.Agent {
+	c.Start(func(port policy.Port) *policy.Instance {
 		a := policy.New(port, 7, 0, 1)
-		p.SLA, p.Expiry, p.Revenue, p.Remember = 1000, 4000, 1, 9000
-		a.Serve([]policy.Product{p}, 3, false, true)
+		p.LatencyObjective, p.Timeout, p.Value, p.DedupWindow = 1000, 4000, 1, 9000
+		a.Serve([]policy.RequestClass{p}, 3, false, true)
 		a.Expose(2, []float64{0.1, 1}, 0, false, false)
-		a.Judge([]float64{0.1, 1}, policy.Single, 1, 4000)
+		a.Judge([]float64{0.1, 1}, policy.ControlSingleVote, 1, 4000)
 		return a
 	})
-	var list []policy.Listed
+	var list []policy.Endpoint
 	for k := range appliances {
-		list = append(list, policy.Listed{ID: fmt.Sprint("s", k), Build: 1, Rating: 1})
+		list = append(list, policy.Endpoint{ID: fmt.Sprint("s", k), Release: 1, Weight: 1})
 	}
 	c.List(list, true, true)
 	return c, does
@@ -44,25 +44,25 @@
 func TestRequest(t *testing.T) {
 	for _, c := range []struct {
 		name       string
-		effect     policy.Effect
+		effect     policy.Semantics
 		appliances int
-		ends       []policy.Result // of the attempts in turn; 0: it never ends by itself
+		ends       []policy.AttemptStatus // of the attempts in turn; 0: it never ends by itself
 		answer     Do
 		hangup     bool
 		within     time.Duration
 	}{
-		{"settled", policy.InquiryLike, 1, []policy.Result{policy.Settled}, Settle, false, 0},
-		{"settled at the second try", policy.InquiryLike, 3, []policy.Result{policy.Errored, policy.Settled}, Settle, false, 0},
-		{"tries used up", policy.InquiryLike, 3, []policy.Result{policy.Errored, policy.Broken, policy.Rejected}, Decline, false, 0},
-		{"once-only, may have run", policy.OnceOnly, 3, []policy.Result{policy.Broken}, Void, false, 0},
-		{"once-only, never ran", policy.OnceOnly, 3, []policy.Result{policy.Rejected, policy.Settled}, Settle, false, 0},
-		{"no appliance", policy.InquiryLike, 0, nil, Decline, false, 1002 * time.Millisecond},
-		{"silence", policy.OnceOnly, 1, []policy.Result{0}, Void, false, 2 * time.Second},
-		{"the client goes", policy.InquiryLike, 1, []policy.Result{0}, Leave, true, 0},
+		{"settled", policy.Safe, 1, []policy.AttemptStatus{policy.StatusServed}, Settle, false, 0},
+		{"settled at the second try", policy.Safe, 3, []policy.AttemptStatus{policy.StatusErrored, policy.StatusServed}, Settle, false, 0},
+		{"tries used up", policy.Safe, 3, []policy.AttemptStatus{policy.StatusErrored, policy.StatusReset, policy.StatusRejected}, Decline, false, 0},
+		{"once-only, may have run", policy.NonIdempotent, 3, []policy.AttemptStatus{policy.StatusReset}, Void, false, 0},
+		{"once-only, never ran", policy.NonIdempotent, 3, []policy.AttemptStatus{policy.StatusRejected, policy.StatusServed}, Settle, false, 0},
+		{"no appliance", policy.Safe, 0, nil, Decline, false, 1002 * time.Millisecond},
+		{"silence", policy.NonIdempotent, 1, []policy.AttemptStatus{0}, Void, false, 2 * time.Second},
+		{"the client goes", policy.Safe, 1, []policy.AttemptStatus{0}, Leave, true, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				core, _ := hosted(policy.Product{Effect: c.effect}, c.appliances)
+				core, _ := hosted(policy.RequestClass{Semantics: c.effect}, c.appliances)
 				from := time.Now()
 				x := core.Take(core.Now(), "t", "", "", 0, false, 2000, "", nil)
 				if core.Take(core.Now(), "t", "", "", 0, false, 2000, "", nil) != nil {
@@ -101,7 +101,7 @@
 					if called, _ := left.Begin(nil); !called {
 						t.Error("the attempt does not know")
 					}
-					left.End(policy.Revoked, nil, -1, -1)
+					left.End(policy.StatusCanceled, nil, -1, -1)
 				}
 				x.Close()
 				time.Sleep(10 * time.Second) // alarms that are still set find nothing to do
@@ -117,9 +117,9 @@
 // An attempt that nobody took up was never sent, and one wanted while another is under way starts by itself.
 func TestMail(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		core, does := hosted(policy.Product{}, 2)
+		core, does := hosted(policy.RequestClass{}, 2)
 		core.Take(core.Now(), "a", "", "", 0, false, 2000, "", nil).Close()
-		if n := core.Counts(); n.Ends[policy.Moot] != 1 || n.Open != 0 || n.Gone != 1 {
+		if n := core.Counts(); n.Ends[policy.StatusNotSent] != 1 || n.Open != 0 || n.Gone != 1 {
 			t.Errorf("unread: %+v", n)
 		}
 		started := make(chan *Attempt, 1)
@@ -127,7 +127,7 @@
 		first := x.Next().Sub
 		core.mu.Lock()
 		core.inside = true
-		(*port)(core).Submit("b", "s1", 500)
+		(*port)(core).SendAttempt("b", "s1", 500)
 		core.inside = false
 		core.mu.Unlock()
 		second := <-started
@@ -139,11 +139,11 @@
 		if got := stop.at.Sub(from); got < 500*time.Millisecond || got > 502*time.Millisecond {
 			t.Errorf("its own limit of 500 ms ended it after %v", got)
 		}
-		second.End(policy.TimedOut, nil, -1, -1)
-		first.End(policy.Settled, nil, -1, -1)
+		second.End(policy.StatusTimedOut, nil, -1, -1)
+		first.End(policy.StatusServed, nil, -1, -1)
 		x.Close()
-		core.News(2, 0, policy.OnTrial, policy.Unasked, 0.1, 0, true)
-		core.List([]policy.Listed{{ID: "n", Build: 2, Rating: 1, Start: core.Now()}}, false, false)
+		core.News(2, 0, policy.RollingOut, policy.NotAVote, 0.1, 0, true)
+		core.List([]policy.Endpoint{{ID: "n", Release: 2, Weight: 1, StartedAt: core.Now()}}, false, false)
 		core.Leave(core.Now() + 60000)
 		time.Sleep(20 * time.Second)
 		if does.voted != 0 {
--- a/internal/core/crossings_test.go
+++ b/internal/core/crossings_test.go
@@ -11,18 +11,18 @@
 // Two attempts wanted before the handler wakes go out side by side: the second waits for no end of the first.
 func TestPostedTogether(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		core, _ := hosted(policy.Product{}, 2)
+		core, _ := hosted(policy.RequestClass{}, 2)
 		started := make(chan *Attempt, 2)
 		x := core.Take(core.Now(), "t", "", "", 0, false, 3000, "", func(s *Attempt) { started <- s })
-		core.enter("two", func(float64) { (*port)(core).Submit("t", "s1", 0) }) // beside the module's own
+		core.enter("two", func(float64) { (*port)(core).SendAttempt("t", "s1", 0) }) // beside the module's own
 		first := x.Next()
 		synctest.Wait()
 		if first.Do != Submit || len(started) != 1 {
 			t.Fatalf("%v to carry out, %d started beside it", first.Do, len(started))
 		}
 		second := <-started
-		second.End(policy.Moot, nil, -1, -1)
-		first.Sub.End(policy.Settled, nil, -1, -1)
+		second.End(policy.StatusNotSent, nil, -1, -1)
+		first.Sub.End(policy.StatusServed, nil, -1, -1)
 		if a := x.Next(); a.Do != Settle {
 			t.Errorf("got %v", a.Do)
 		}
@@ -36,12 +36,12 @@
 	for _, sent := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			core := New(&calls{})
-			core.Start(func(port policy.Port) *policy.Agent {
+			core.Start(func(port policy.Port) *policy.Instance {
 				a := policy.New(port, 7, 0, 1)
-				a.Serve([]policy.Product{{SLA: 1000, Expiry: 4000, Revenue: 1}}, 3, false, false)
+				a.Serve([]policy.RequestClass{{LatencyObjective: 1000, Timeout: 4000, Value: 1}}, 3, false, false)
 				return a
 			})
-			core.List([]policy.Listed{{ID: "s", Build: 1, Rating: 1}}, true, true)
+			core.List([]policy.Endpoint{{ID: "s", Release: 1, Weight: 1}}, true, true)
 			x, h := core.Take(core.Now(), "t", "", "", 0, false, 3000, "", nil), &halted{}
 			s := x.Next().Sub
 			s.Begin(h) // it is being dialled
@@ -56,7 +56,7 @@
 			if called == sent || h.at.IsZero() != sent {
 				t.Errorf("sent %v: called off %v, halted %v", sent, called, !h.at.IsZero())
 			}
-			s.End(policy.Moot, nil, -1, -1)
+			s.End(policy.StatusNotSent, nil, -1, -1)
 			if a := x.Next(); a.Do != Leave {
 				t.Errorf("got %v", a.Do)
 			}
@@ -70,7 +70,7 @@
 // and one that waits for a place alike.
 func TestLeaveHolds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		core, _ := hosted(policy.Product{Effect: policy.OnceOnly}, 1)
+		core, _ := hosted(policy.RequestClass{Semantics: policy.NonIdempotent}, 1)
 		from := time.Now()
 		tried := core.Take(core.Now(), "t", "", "", 0, false, 9000, "", nil)
 		tried.Next()
@@ -89,7 +89,7 @@
 			}
 			for _, s := range x.attempts {
 				if !s.over {
-					s.End(policy.Revoked, nil, -1, -1)
+					s.End(policy.StatusCanceled, nil, -1, -1)
 				}
 			}
 			x.Close()
--- a/internal/core/parts.go
+++ b/internal/core/parts.go
@@ -47,17 +47,17 @@
 }
 
 // carries notes which build each appliance runs.
-func (c *Core) carries(entries []policy.Listed, whole bool) {
+func (c *Core) carries(entries []policy.Endpoint, whole bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if whole {
 		clear(c.builds)
 	}
 	for _, e := range entries {
-		if e.State == policy.Gone {
+		if e.State == policy.EndpointRemoved {
 			delete(c.builds, e.ID)
 		} else {
-			c.builds[e.ID] = e.Build
+			c.builds[e.ID] = e.Release
 		}
 	}
 }
@@ -89,9 +89,9 @@
 }
 
 // words are the reasons that attempts' ends give.
-var words = [...]string{policy.Settled: "answered", policy.Errored: "errored", policy.Rejected: "rejected",
-	policy.TimedOut: "timeout", policy.Unconnected: "unconnected", policy.Broken: "broken", policy.Revoked: "revoked",
-	policy.Moot: "unsent"}
+var words = [...]string{policy.StatusServed: "answered", policy.StatusErrored: "errored", policy.StatusRejected: "rejected",
+	policy.StatusTimedOut: "timeout", policy.StatusConnectFailed: "unconnected", policy.StatusReset: "broken", policy.StatusCanceled: "revoked",
+	policy.StatusNotSent: "unsent"}
 
 // reason is one word for why a request ended as it did; under the lock.
 func (t *Request) reason(a Action) string {
@@ -99,7 +99,7 @@
 	case a.Reason != "":
 		return a.Reason
 	case a.Do == Settle:
-		return words[policy.Settled]
+		return words[policy.StatusServed]
 	case len(t.attempts) == 0:
 		return "none" // nothing was tried
 	case t.out > 0 || t.last == 0:
--- a/internal/core/watchdog_test.go
+++ b/internal/core/watchdog_test.go
@@ -14,7 +14,7 @@
 // A module that fails costs its request an early answer, never the answer.
 func TestWatchdog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		core, _ := hosted(policy.Product{}, 1)
+		core, _ := hosted(policy.RequestClass{}, 1)
 		from, was := time.Now(), invariant.Broken()
 		x := core.Take(core.Now(), "t", "", "", 9, false, 300, "", nil) // a product that the module does not have
 		if a := x.Next(); a.Do != Void {
@@ -25,7 +25,7 @@
 		}
 		x.Close()
 		y := core.Take(core.Now(), "u", "", "", 0, false, 300, "", nil)
-		y.Next().Sub.End(policy.Settled, nil, -1, -1)
+		y.Next().Sub.End(policy.StatusServed, nil, -1, -1)
 		if a := y.Next(); a.Do != Settle {
 			t.Errorf("the next request got %v", a.Do)
 		}
--- a/internal/httpwire/crossings_test.go
+++ b/internal/httpwire/crossings_test.go
@@ -234,12 +234,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			s, asked, up := newAppliance(t), make(chan bool), make(chan bool)
 			l := newLoop(t, s.at(), barred(asked, up), c.revokes)
-			l.core.News(1, 0, policy.OnTrial, policy.Unasked, 1, 0, true)
+			l.core.News(1, 0, policy.RollingOut, policy.NotAVote, 1, 0, true)
 			client := l.client()
 			io.WriteString(client, get("r1"))
 			<-asked
 			if c.back {
-				l.core.News(1, 0, policy.GoingBack, policy.Unasked, 0, 0, true)
+				l.core.News(1, 0, policy.RollingBack, policy.NotAVote, 0, 0, true)
 			} else if c.leaves {
 				client.Close()
 				until(func() bool { return l.core.Counts().Gone == 1 })
@@ -263,7 +263,7 @@
 					t.Errorf("answered %d", status)
 				}
 			}
-			if n := l.core.Counts().Ends; n[policy.Moot] != 1 {
+			if n := l.core.Counts().Ends; n[policy.StatusNotSent] != 1 {
 				t.Errorf("told as %v, never sent wanted", n)
 			}
 			if n := l.core.Counts().Withdrawn; (n == 1) != c.back {
@@ -495,8 +495,8 @@
 		a := newAgent(n, NewSockets(0))
 		p := NewPlatform(a.core, n.dial, "control", 800, 1)
 		for want := 1; want <= 2; want++ {
-			got, leaf, err := p.cast(context.Background(), ballot{want, policy.On, 0})
-			if err != nil || got != policy.Counted || leaf("release") != fmt.Sprint(want) {
+			got, leaf, err := p.cast(context.Background(), ballot{want, policy.Promote, 0})
+			if err != nil || got != policy.VoteCounted || leaf("release") != fmt.Sprint(want) {
 				t.Errorf("vote %d: reply %v, build %s, %v", want, got, leaf("release"), err)
 			}
 		}
--- a/internal/httpwire/discovery.go
+++ b/internal/httpwire/discovery.go
@@ -46,7 +46,7 @@
 	zones, kinds []string
 	asked        bool
 	forget       func(address string)
-	tell         func(entries []policy.Listed, addresses []string, whole, old bool)
+	tell         func(entries []policy.Endpoint, addresses []string, whole, old bool)
 	lost         func()
 	chance       *rand.Rand
 	asks         chan bool // true: whole list, false: the watch
@@ -70,7 +70,7 @@
 // NewDiscovery makes one; where the list is only told to those who ask, the module opens the watch.
 func NewDiscovery(c *core.Core, dial Dial, address string, zones, kinds []string, asked bool, seed uint64) *Discovery {
 	return &Discovery{core: c, dial: dial, address: address, zones: zones, kinds: kinds, asked: asked,
-		forget: func(string) {}, lost: func() {}, tell: func(entries []policy.Listed, _ []string, whole, old bool) { c.List(entries, whole, old) }, chance: policy.Chance(seed), asks: make(chan bool, 16), moved: make(chan bool, 1), first: make(chan struct{}), order: make(chan bool, 1),
+		forget: func(string) {}, lost: func() {}, tell: func(entries []policy.Endpoint, _ []string, whole, old bool) { c.List(entries, whole, old) }, chance: policy.NewRand(seed), asks: make(chan bool, 16), moved: make(chan bool, 1), first: make(chan struct{}), order: make(chan bool, 1),
 		where: map[string]string{}, who: map[string]holder{}}
 }
 
@@ -79,7 +79,7 @@
 
 // Telling names who is told of lists and changes in place of the core: a merge with other sources.
 // lost is called whenever the watch breaks or falls silent.
-func (d *Discovery) Telling(tell func(entries []policy.Listed, addresses []string, whole, old bool), lost func()) {
+func (d *Discovery) Telling(tell func(entries []policy.Endpoint, addresses []string, whole, old bool), lost func()) {
 	d.tell, d.lost = tell, lost
 }
 
@@ -398,7 +398,7 @@
 	if version.Type != gjson.Number || !list.Get("full").IsBool() || !list.Get("servers").IsArray() {
 		return errors.New("a list without version, kind or entries")
 	}
-	var entries []policy.Listed
+	var entries []policy.Endpoint
 	var addresses []string
 	for _, e := range list.Get("servers").Array() {
 		entry, address, err := d.entry(e)
@@ -434,12 +434,12 @@
 		d.where, d.who = map[string]string{}, map[string]holder{}
 	}
 	for k, e := range entries {
-		address, now := addresses[k], holder{e.ID, e.Start}
-		if was, ok := d.where[e.ID]; ok && d.who[was].id == e.ID && (was != address || e.State == policy.Gone) {
+		address, now := addresses[k], holder{e.ID, e.StartedAt}
+		if was, ok := d.where[e.ID]; ok && d.who[was].id == e.ID && (was != address || e.State == policy.EndpointRemoved) {
 			left[was] = true
 			delete(d.who, was)
 		}
-		if e.State == policy.Gone {
+		if e.State == policy.EndpointRemoved {
 			delete(d.where, e.ID)
 			continue
 		}
@@ -468,24 +468,24 @@
 	return nil
 }
 
-var states = map[string]policy.State{"Ready": policy.Running, "Terminating": policy.Draining, "Gone": policy.Gone}
+var states = map[string]policy.EndpointState{"Ready": policy.EndpointRunning, "Terminating": policy.EndpointDraining, "Gone": policy.EndpointRemoved}
 
 // entry reads one entry. A word that is not on the page is noise, and the list with it.
-func (d *Discovery) entry(e gjson.Result) (policy.Listed, string, error) {
+func (d *Discovery) entry(e gjson.Result) (policy.Endpoint, string, error) {
 	id, address, build, weight, start := e.Get("id"), e.Get("addr").Str, e.Get("version_no"), 1.0, e.Get("started_ms")
 	state, known := states[e.Get("state").Str]
 	_, _, err := net.SplitHostPort(address)
 	number := func(v gjson.Result) bool { return v.Type == gjson.Number && v.Num >= 0 && v.Num < 1e15 }
 	switch {
 	case id.Type != gjson.String || id.Str == "" || !known:
-		return policy.Listed{}, "", fmt.Errorf("an entry that can't be read: %.99q", e.Raw)
-	case state != policy.Gone && (err != nil || !number(build) || start.Exists() && !number(start)):
-		return policy.Listed{}, "", fmt.Errorf("an entry that can't be used: %.99q", e.Raw)
+		return policy.Endpoint{}, "", fmt.Errorf("an entry that can't be read: %.99q", e.Raw)
+	case state != policy.EndpointRemoved && (err != nil || !number(build) || start.Exists() && !number(start)):
+		return policy.Endpoint{}, "", fmt.Errorf("an entry that can't be used: %.99q", e.Raw)
 	}
 	if w := e.Get("weight"); w.Type == gjson.Number {
 		weight = w.Num
 	}
-	return policy.Listed{ID: id.Str, Build: int(build.Int()), State: state, Rating: weight, Start: start.Num,
-		Zone: max(slices.Index(d.zones, e.Get("zone").Str), 0), Kind: max(slices.Index(d.kinds, e.Get("kind").Str), 0),
+	return policy.Endpoint{ID: id.Str, Release: int(build.Int()), State: state, Weight: weight, StartedAt: start.Num,
+		Zone: max(slices.Index(d.zones, e.Get("zone").Str), 0), HardwareClass: max(slices.Index(d.kinds, e.Get("kind").Str), 0),
 		Cell: int(e.Get("cell").Int())}, address, nil
 }
--- a/internal/httpwire/front.go
+++ b/internal/httpwire/front.go
@@ -53,7 +53,7 @@
 	up       *Upstream
 	sockets  *Sockets
 	products map[string]int
-	effects  []policy.Effect
+	effects  []policy.Semantics
 	revokes  bool  // an attempt may be called off
 	open     int   // requests at once; 0: no limit
 	room     int64 // bytes of bodies at once
@@ -69,15 +69,15 @@
 }
 
 // NewFront makes one for the products by name; bodies held at once may add up to room bytes.
-func NewFront(c *core.Core, up *Upstream, sockets *Sockets, names []string, products []policy.Product, revokes bool,
+func NewFront(c *core.Core, up *Upstream, sockets *Sockets, names []string, products []policy.RequestClass, revokes bool,
 	open int, room int64) *Front {
 	f := &Front{born: time.Now(), core: c, up: up, sockets: sockets, products: map[string]int{}, revokes: revokes, open: open,
 		room: room}
 	longest := 0.0
 	for i, name := range names {
-		longest = max(longest, products[i].Expiry)
+		longest = max(longest, products[i].Timeout)
 		f.products[name] = i
-		f.effects = append(f.effects, products[i].Effect)
+		f.effects = append(f.effects, products[i].Semantics)
 	}
 	f.kill = time.Duration(min(longest, leaveMost)*1e6) + leaveOpen
 	return f
@@ -156,7 +156,7 @@
 	mark, marked := only(r.Header, "Idempotency-Key")
 	left, ok := duration(wait)
 	method := http.MethodPost
-	if known && f.effects[product] == policy.InquiryLike {
+	if known && f.effects[product] == policy.Safe {
 		method = http.MethodGet
 	}
 	switch {
@@ -180,7 +180,7 @@
 	case !timed || !ok:
 		f.refuse(w, http.StatusBadRequest, "no deadline, or a malformed one")
 		return
-	case f.effects[product] == policy.Referenced && !(marked && word(mark)):
+	case f.effects[product] == policy.Idempotent && !(marked && word(mark)):
 		f.refuse(w, http.StatusBadRequest, "no mark against repeats")
 		return
 	case method == http.MethodGet && r.ContentLength != 0:
@@ -235,7 +235,7 @@
 		if failed := recover(); failed != nil {
 			logrus.WithField("panic", failed).Error("a request's handler failed")
 			if under != nil {
-				under.End(policy.Broken, nil, -1, -1)
+				under.End(policy.StatusReset, nil, -1, -1)
 			}
 			if !answered {
 				t.Fail()
--- a/internal/httpwire/httpwire_test.go
+++ b/internal/httpwire/httpwire_test.go
@@ -56,11 +56,11 @@
 
 func newAgent(n network, sockets *Sockets) *agent {
 	a := &agent{core: core.New(nothing{})}
-	products := []policy.Product{{Effect: policy.InquiryLike}, {Effect: policy.Referenced}, {Effect: policy.OnceOnly}}
+	products := []policy.RequestClass{{Semantics: policy.Safe}, {Semantics: policy.Idempotent}, {Semantics: policy.NonIdempotent}}
 	for k := range products {
-		products[k].SLA, products[k].Expiry, products[k].Revenue, products[k].Remember = 1000, 4000, 1, 9000
+		products[k].LatencyObjective, products[k].Timeout, products[k].Value, products[k].DedupWindow = 1000, 4000, 1, 9000
 	}
-	a.core.Start(func(port policy.Port) *policy.Agent {
+	a.core.Start(func(port policy.Port) *policy.Instance {
 		m := policy.New(port, 7, 0, 1)
 		m.Serve(products, 1, false, true)
 		m.Expose(2, []float64{1}, 0, false, false)
@@ -149,49 +149,49 @@
 	for _, c := range []struct {
 		name   string
 		peer   func(net.Conn)
-		result policy.Result
+		result policy.AttemptStatus
 		status int
 	}{
-		{"settled", once(ok), policy.Settled, 200},
-		{"after an interim answer", once("HTTP/1.1 100 Continue\r\n\r\n" + ok), policy.Settled, 200},
-		{"chunked", once("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nbod\r\n1\r\ny\r\n0\r\n\r\n"), policy.Settled, 200},
-		{"error", once("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"), policy.Errored, 503},
-		{"503 unmarked", once("HTTP/1.1 503 E\r\nContent-Length: 0\r\n\r\n"), policy.Errored, 503},
-		{"turned away", once("HTTP/1.1 503 E\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"), policy.Rejected, 503},
-		{"over already", once("HTTP/1.1 504 E\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"), policy.Rejected, 503},
-		{"another answer marked", once("HTTP/1.1 429 E\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"), policy.Errored, 503},
-		{"cut off", once("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nbody"), policy.Broken, 503},
-		{"cut off in a chunk", once("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nbody"), policy.Broken, 503},
-		{"no answer", once(""), policy.Broken, 503},
-		{"not HTTP", once("hello\r\n\r\n"), policy.Broken, 503},
-		{"two lengths", once("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\nbody"), policy.Broken, 503},
-		{"until its end", once("HTTP/1.1 200 OK\r\n\r\nbody"), policy.Broken, 503},
-		{"the same length twice", once("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 4\r\n\r\nbody"), policy.Broken, 503},
-		{"a length and a coding", once("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n"), policy.Broken, 503},
-		{"a length with a sign", once("HTTP/1.1 200 OK\r\nContent-Length: +4\r\n\r\nbody"), policy.Broken, 503},
-		{"no length", once("HTTP/1.1 200 OK\r\nContent-Length: \r\n\r\nbody"), policy.Broken, 503},
-		{"bare line feeds", once("HTTP/1.1 200 OK\nContent-Length: 4\n\nbody"), policy.Broken, 503},
-		{"a name that is none", once("HTTP/1.1 200 OK\r\nContent Length: 4\r\n\r\nbody"), policy.Broken, 503},
-		{"a value that is none", once("HTTP/1.1 200 OK\r\nA: \x01\r\nContent-Length: 4\r\n\r\nbody"), policy.Broken, 503},
-		{"another version", once("HTTP/1.0 200 OK\r\nContent-Length: 4\r\n\r\nbody"), policy.Broken, 503},
-		{"a status that is none", once("HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\nbody"), policy.Broken, 503},
-		{"other protocols", once("HTTP/1.1 101 S\r\nContent-Length: 4\r\n\r\nbody"), policy.Broken, 503},
-		{"trailers", once("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\nA: b\r\n\r\n"), policy.Broken, 503},
+		{"settled", once(ok), policy.StatusServed, 200},
+		{"after an interim answer", once("HTTP/1.1 100 Continue\r\n\r\n" + ok), policy.StatusServed, 200},
+		{"chunked", once("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nbod\r\n1\r\ny\r\n0\r\n\r\n"), policy.StatusServed, 200},
+		{"error", once("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"), policy.StatusErrored, 503},
+		{"503 unmarked", once("HTTP/1.1 503 E\r\nContent-Length: 0\r\n\r\n"), policy.StatusErrored, 503},
+		{"turned away", once("HTTP/1.1 503 E\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"), policy.StatusRejected, 503},
+		{"over already", once("HTTP/1.1 504 E\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"), policy.StatusRejected, 503},
+		{"another answer marked", once("HTTP/1.1 429 E\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"), policy.StatusErrored, 503},
+		{"cut off", once("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nbody"), policy.StatusReset, 503},
+		{"cut off in a chunk", once("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nbody"), policy.StatusReset, 503},
+		{"no answer", once(""), policy.StatusReset, 503},
+		{"not HTTP", once("hello\r\n\r\n"), policy.StatusReset, 503},
+		{"two lengths", once("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\nbody"), policy.StatusReset, 503},
+		{"until its end", once("HTTP/1.1 200 OK\r\n\r\nbody"), policy.StatusReset, 503},
+		{"the same length twice", once("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 4\r\n\r\nbody"), policy.StatusReset, 503},
+		{"a length and a coding", once("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n"), policy.StatusReset, 503},
+		{"a length with a sign", once("HTTP/1.1 200 OK\r\nContent-Length: +4\r\n\r\nbody"), policy.StatusReset, 503},
+		{"no length", once("HTTP/1.1 200 OK\r\nContent-Length: \r\n\r\nbody"), policy.StatusReset, 503},
+		{"bare line feeds", once("HTTP/1.1 200 OK\nContent-Length: 4\n\nbody"), policy.StatusReset, 503},
+		{"a name that is none", once("HTTP/1.1 200 OK\r\nContent Length: 4\r\n\r\nbody"), policy.StatusReset, 503},
+		{"a value that is none", once("HTTP/1.1 200 OK\r\nA: \x01\r\nContent-Length: 4\r\n\r\nbody"), policy.StatusReset, 503},
+		{"another version", once("HTTP/1.0 200 OK\r\nContent-Length: 4\r\n\r\nbody"), policy.StatusReset, 503},
+		{"a status that is none", once("HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\nbody"), policy.StatusReset, 503},
+		{"other protocols", once("HTTP/1.1 101 S\r\nContent-Length: 4\r\n\r\nbody"), policy.StatusReset, 503},
+		{"trailers", once("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\nA: b\r\n\r\n"), policy.StatusReset, 503},
 		{"chunks without end", once("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("4000\r\n"+
-			strings.Repeat("a", 0x4000)+"\r\n", 9)), policy.Broken, 503},
-		{"interim answers without end", once(strings.Repeat("HTTP/1.1 100 C\r\n\r\n", 99)), policy.Broken, 503},
-		{"part of a head, then silence", stays("HTTP/1.1 200 OK\r\nConte"), policy.Broken, 503},
-		{"part of a body, then silence", stays("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nbody"), policy.Broken, 503},
-		{"noise, then silence", stays("\x00\x01\x02 and so on"), policy.Broken, 503},
-		{"a few bytes, then silence", stays("HT"), policy.Broken, 503},
-		{"an interim answer and part of the next", stays("HTTP/1.1 100 C\r\n\r\nHTTP/1.1 2"), policy.Broken, 503},
-		{"3 GB", stays("HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nbody"), policy.Broken, 503},
-		{"too long", once("HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n"), policy.Broken, 503},
-		{"no end of lines", once("HTTP/1.1 200 OK\r\nA: " + strings.Repeat("a", 9000)), policy.Broken, 503},
-		{"too many lines", once("HTTP/1.1 200 OK\r\n" + strings.Repeat("A: b\r\n", 99) + "\r\n"), policy.Broken, 503},
-		{"breaks before the last byte", func(c net.Conn) { c.Read(make([]byte, 9)) }, policy.Unconnected, 503},
-		{"silent", func(c net.Conn) { io.Copy(io.Discard, c) }, policy.Revoked, 503},
-		{"refused", nil, policy.Unconnected, 503},
+			strings.Repeat("a", 0x4000)+"\r\n", 9)), policy.StatusReset, 503},
+		{"interim answers without end", once(strings.Repeat("HTTP/1.1 100 C\r\n\r\n", 99)), policy.StatusReset, 503},
+		{"part of a head, then silence", stays("HTTP/1.1 200 OK\r\nConte"), policy.StatusReset, 503},
+		{"part of a body, then silence", stays("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nbody"), policy.StatusReset, 503},
+		{"noise, then silence", stays("\x00\x01\x02 and so on"), policy.StatusReset, 503},
+		{"a few bytes, then silence", stays("HT"), policy.StatusReset, 503},
+		{"an interim answer and part of the next", stays("HTTP/1.1 100 C\r\n\r\nHTTP/1.1 2"), policy.StatusReset, 503},
+		{"3 GB", stays("HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nbody"), policy.StatusReset, 503},
+		{"too long", once("HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n"), policy.StatusReset, 503},
+		{"no end of lines", once("HTTP/1.1 200 OK\r\nA: " + strings.Repeat("a", 9000)), policy.StatusReset, 503},
+		{"too many lines", once("HTTP/1.1 200 OK\r\n" + strings.Repeat("A: b\r\n", 99) + "\r\n"), policy.StatusReset, 503},
+		{"breaks before the last byte", func(c net.Conn) { c.Read(make([]byte, 9)) }, policy.StatusConnectFailed, 503},
+		{"silent", func(c net.Conn) { io.Copy(io.Discard, c) }, policy.StatusCanceled, 503},
+		{"refused", nil, policy.StatusConnectFailed, 503},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -204,7 +204,7 @@
 				if n := a.core.Counts(); n.Ends[c.result] != 1 || n.Open != 0 || n.Out != 0 {
 					t.Errorf("counts %+v", n)
 				}
-				if took := time.Since(from); took > 2*time.Second || c.result == policy.Broken && took > restWait {
+				if took := time.Since(from); took > 2*time.Second || c.result == policy.StatusReset && took > restWait {
 					t.Errorf("after %v", took)
 				}
 				a.close()
@@ -449,7 +449,7 @@
 		a := newAgent(network{"app:1": once("")}, NewSockets(reserve+4))
 		a.front.sockets.used = 3 // the client's is the last
 		a.ask(t, good)
-		if n := a.core.Counts(); n.Ends[policy.Moot] != 1 {
+		if n := a.core.Counts(); n.Ends[policy.StatusNotSent] != 1 {
 			t.Errorf("%+v", n)
 		}
 		a.close()
@@ -669,23 +669,23 @@
 	for _, c := range []struct {
 		name  string
 		peer  func(net.Conn)
-		reply policy.Reply
+		reply policy.VoteResponse
 		state string
 	}{
-		{"counted", once(xml("200", state)), policy.Counted, "42 1 canary 0.28 310"},
-		{"full", once(xml("400", "<Error><Code>BUSY</Code></Error>")), policy.Refused, ""},
-		{"moot", once(xml("400", "<Error><Code>STALE</Code></Error>")), policy.Idle, ""},
-		{"error", once(xml("500", "<Error><Code>FAILED</Code></Error>")), policy.Refused, ""},
-		{"wrong field", once(xml("400", "<Error><Code>SYNTAX</Code></Error>")), policy.Refused, ""},
-		{"unknown code", once(xml("400", "<Error><Code>ODD</Code></Error>")), policy.Silent, ""},
-		{"not XML", once(xml("200", "<Response")), policy.Silent, ""},
-		{"a word that is not on the page", once(xml("200", strings.Replace(state, "canary", "cxnary", 1))), policy.Silent, ""},
-		{"a code with another status", once(xml("200", "<Error><Code>BUSY</Code></Error>")), policy.Silent, ""},
-		{"says nothing", once(xml("200", "")), policy.Silent, ""},
-		{"cut off", once("HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n<Resp"), policy.Silent, ""},
-		{"silent", func(c net.Conn) { io.Copy(io.Discard, c) }, policy.Silent, ""},
-		{"breaks before the last byte", func(c net.Conn) { c.Read(make([]byte, 5)) }, policy.Refused, ""},
-		{"refused", nil, policy.Refused, ""},
+		{"counted", once(xml("200", state)), policy.VoteCounted, "42 1 canary 0.28 310"},
+		{"full", once(xml("400", "<Error><Code>BUSY</Code></Error>")), policy.VoteRefused, ""},
+		{"moot", once(xml("400", "<Error><Code>STALE</Code></Error>")), policy.VoteOutdated, ""},
+		{"error", once(xml("500", "<Error><Code>FAILED</Code></Error>")), policy.VoteRefused, ""},
+		{"wrong field", once(xml("400", "<Error><Code>SYNTAX</Code></Error>")), policy.VoteRefused, ""},
+		{"unknown code", once(xml("400", "<Error><Code>ODD</Code></Error>")), policy.VoteUnanswered, ""},
+		{"not XML", once(xml("200", "<Response")), policy.VoteUnanswered, ""},
+		{"a word that is not on the page", once(xml("200", strings.Replace(state, "canary", "cxnary", 1))), policy.VoteUnanswered, ""},
+		{"a code with another status", once(xml("200", "<Error><Code>BUSY</Code></Error>")), policy.VoteUnanswered, ""},
+		{"says nothing", once(xml("200", "")), policy.VoteUnanswered, ""},
+		{"cut off", once("HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n<Resp"), policy.VoteUnanswered, ""},
+		{"silent", func(c net.Conn) { io.Copy(io.Discard, c) }, policy.VoteUnanswered, ""},
+		{"breaks before the last byte", func(c net.Conn) { c.Read(make([]byte, 5)) }, policy.VoteRefused, ""},
+		{"refused", nil, policy.VoteRefused, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -708,7 +708,7 @@
 				a := newAgent(network{}, NewSockets(0))
 				p := NewPlatform(a.core, n.dial, "control", 800, 1)
 				from := time.Now()
-				reply, field, _ := p.cast(context.Background(), ballot{42, policy.On, 1})
+				reply, field, _ := p.cast(context.Background(), ballot{42, policy.Promote, 1})
 				if took := time.Since(from); reply != c.reply || took > 800*time.Millisecond {
 					t.Errorf("reply %d after %v", reply, took)
 				}
--- a/internal/httpwire/lists_test.go
+++ b/internal/httpwire/lists_test.go
@@ -134,12 +134,12 @@
 		a := newAgent(network{}, NewSockets(0))
 		var got []int
 		inside, on := make(chan bool, 1), make(chan bool)
-		a.disc.Telling(func(entries []policy.Listed, _ []string, _, _ bool) {
-			if entries[0].Build == 2 {
+		a.disc.Telling(func(entries []policy.Endpoint, _ []string, _, _ bool) {
+			if entries[0].Release == 2 {
 				inside <- true
 				<-on
 			}
-			got = append(got, entries[0].Build)
+			got = append(got, entries[0].Release)
 		}, func() {})
 		entry := `{"id":"s","addr":"app:1","state":"Ready","version_no":%d}`
 		done := make(chan bool, 2)
--- a/internal/httpwire/platform.go
+++ b/internal/httpwire/platform.go
@@ -34,10 +34,10 @@
 )
 
 var (
-	phases = map[string]policy.Phase{"canary": policy.OnTrial, "reverting": policy.GoingBack,
+	phases = map[string]policy.Phase{"canary": policy.RollingOut, "reverting": policy.RollingBack,
 		"stable": policy.Released, "reverted": policy.Withdrawn}
-	rulings = map[policy.Verdict]string{policy.None: "abstain", policy.On: "promote", policy.Hold: "pause",
-		policy.Back: "abort"}
+	rulings = map[policy.Verdict]string{policy.NoVerdict: "abstain", policy.Promote: "promote", policy.Hold: "pause",
+		policy.Rollback: "abort"}
 )
 
 // Platform tells the news and takes the votes.
@@ -63,7 +63,7 @@
 // NewPlatform makes one; a vote is waited for so long (ms).
 func NewPlatform(c *core.Core, dial Dial, address string, wait float64, seed uint64) *Platform {
 	return &Platform{core: c, dial: dial, address: address, wait: time.Duration(wait * 1e6),
-		chance: policy.Chance(seed), votes: make(chan ballot, 64), moved: make(chan bool, 1)}
+		chance: policy.NewRand(seed), votes: make(chan ballot, 64), moved: make(chan bool, 1)}
 }
 
 // stand is where the newest build stands, as a notice, a vote's answer or the configuration says it.
@@ -92,14 +92,14 @@
 }
 
 // News hands a state of the newest build to the module, and says whether it could be read.
-func (p *Platform) News(field func(string) string, reply policy.Reply) error {
+func (p *Platform) News(field func(string) string, reply policy.VoteResponse) error {
 	s, err := news(field)
 	if err != nil {
 		return err
 	}
 	p.core.News(s.build, s.stage, s.phase, reply, s.limit, s.age, true)
 	logrus.WithFields(logrus.Fields{"build": s.build, "stage": s.stage, "phase": field("mode"), "cap": s.limit,
-		"age_ms": s.age, "vote": reply != policy.Unasked}).Info("news")
+		"age_ms": s.age, "vote": reply != policy.NotAVote}).Info("news")
 	return nil
 }
 
@@ -151,7 +151,7 @@
 			if event == "stage" {
 				form, err := url.ParseQuery(data)
 				if err == nil {
-					err = p.News(form.Get, policy.Unasked)
+					err = p.News(form.Get, policy.NotAVote)
 				}
 				if err != nil { // noise: the connection is of no further use
 					return fmt.Errorf("a notice that can't be read: %w: %.99q", err, data)
@@ -171,11 +171,11 @@
 	select {
 	case p.votes <- ballot{build, verdict, stage}:
 	default:
-		go p.reply(policy.Refused)
+		go p.reply(policy.VoteRefused)
 	}
 }
 
-func (p *Platform) reply(r policy.Reply) { p.core.News(0, 0, policy.OnTrial, r, 0, 0, false) }
+func (p *Platform) reply(r policy.VoteResponse) { p.core.News(0, 0, policy.RollingOut, r, 0, 0, false) }
 
 // Cast sends the votes in turn until ctx ends.
 func (p *Platform) Cast(ctx context.Context) {
@@ -191,7 +191,7 @@
 		case b := <-p.votes:
 			entry := logrus.WithFields(logrus.Fields{"build": b.build, "stage": b.stage, "ruling": rulings[b.verdict]})
 			reply, field, err := p.cast(ctx, b)
-			if reply == policy.Counted {
+			if reply == policy.VoteCounted {
 				p.News(field, reply)
 			} else {
 				p.reply(reply)
@@ -203,7 +203,7 @@
 }
 
 // cast sends one vote and reads its answer by the protocol's table.
-func (p *Platform) cast(ctx context.Context, b ballot) (policy.Reply, func(string) string, error) {
+func (p *Platform) cast(ctx context.Context, b ballot) (policy.VoteResponse, func(string) string, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.wait)
 	defer cancel()
 	address := p.at()
@@ -216,7 +216,7 @@
 	if p.conn == nil {
 		c, err := p.dial(ctx, address)
 		if err != nil {
-			return policy.Refused, nil, err
+			return policy.VoteRefused, nil, err
 		}
 		p.conn, p.connAt = newConn(c), address
 	}
@@ -228,7 +228,7 @@
 		"\r\n\r\n" + form))
 	reply, leaf, why := p.meaning(answer, err)
 	// A late answer must not pass for the next vote's, and after one that can't be read nothing can be told from noise.
-	if !stop() || reply == policy.Silent || answer.closes || c.in.Buffered() > 0 {
+	if !stop() || reply == policy.VoteUnanswered || answer.closes || c.in.Buffered() > 0 {
 		c.Close()
 		p.conn = nil
 	} else {
@@ -238,29 +238,29 @@
 }
 
 // meaning reads an answer by the protocol's table.
-func (p *Platform) meaning(answer reply, err error) (policy.Reply, func(string) string, error) {
+func (p *Platform) meaning(answer reply, err error) (policy.VoteResponse, func(string) string, error) {
 	if errors.Is(err, errUnsent) {
-		return policy.Refused, nil, err
+		return policy.VoteRefused, nil, err
 	}
 	if err != nil {
-		return policy.Silent, nil, err
+		return policy.VoteUnanswered, nil, err
 	}
 	leaf, err := leaves(answer.body)
 	switch {
 	case err != nil:
-		return policy.Silent, nil, err
+		return policy.VoteUnanswered, nil, err
 	case answer.status == http.StatusOK:
 		if _, err := news(leaf); err != nil { // what can't be read may have been carried out
-			return policy.Silent, nil, err
+			return policy.VoteUnanswered, nil, err
 		}
-		return policy.Counted, leaf, nil
+		return policy.VoteCounted, leaf, nil
 	case answer.status == http.StatusBadRequest && leaf("Code") == "STALE":
-		return policy.Idle, nil, errors.New("stale")
+		return policy.VoteOutdated, nil, errors.New("stale")
 	case answer.status == http.StatusBadRequest && (leaf("Code") == "BUSY" || leaf("Code") == "SYNTAX"),
 		answer.status == http.StatusInternalServerError && leaf("Code") == "FAILED":
-		return policy.Refused, nil, errors.New(leaf("Code"))
+		return policy.VoteRefused, nil, errors.New(leaf("Code"))
 	}
-	return policy.Silent, nil, fmt.Errorf("status %d, code %q", answer.status, leaf("Code"))
+	return policy.VoteUnanswered, nil, fmt.Errorf("status %d, code %q", answer.status, leaf("Code"))
 }
 
 // leaves reads the texts of a document by the name of their element.
--- a/internal/httpwire/trace.go
+++ b/internal/httpwire/trace.go
@@ -11,9 +11,9 @@
 )
 
 // resultNames are the words by which attempts' results appear in the log.
-var resultNames = [...]string{policy.Settled: "served", policy.Errored: "error", policy.Rejected: "rejected",
-	policy.TimedOut: "timeout", policy.Unconnected: "unconnected", policy.Broken: "reset", policy.Revoked: "canceled",
-	policy.Moot: "unsent"}
+var resultNames = [...]string{policy.StatusServed: "served", policy.StatusErrored: "error", policy.StatusRejected: "rejected",
+	policy.StatusTimedOut: "timeout", policy.StatusConnectFailed: "unconnected", policy.StatusReset: "reset", policy.StatusCanceled: "canceled",
+	policy.StatusNotSent: "unsent"}
 
 // answerNames are the words by which a request's end appears in the log.
 var answerNames = [...]string{core.Submit: "attempt", core.Settle: "served", core.Decline: "rejected", core.Void: "failed",
@@ -30,7 +30,7 @@
 }
 
 // traceAttempt logs how an attempt ended, and at which release's backend.
-func traceAttempt(s *core.Attempt, result policy.Result, err error) {
+func traceAttempt(s *core.Attempt, result policy.AttemptStatus, err error) {
 	if !tracing() {
 		return
 	}
--- a/internal/httpwire/upstream.go
+++ b/internal/httpwire/upstream.go
@@ -486,29 +486,29 @@
 )
 
 // submit follows the protocol's table of outcomes.
-func (u *Upstream) submit(s *core.Attempt, head, body []byte) (policy.Result, reply, error) {
+func (u *Upstream) submit(s *core.Attempt, head, body []byte) (policy.AttemptStatus, reply, error) {
 	address := u.address(s.Appliance)
 	if address == "" {
-		return policy.Unconnected, reply{}, errNoAddress
+		return policy.StatusConnectFailed, reply{}, errNoAddress
 	}
 	c, err := u.get(s, address)
 	if err != nil {
 		called, _ := s.Begin(nil)
 		if called || errors.Is(err, errNoSocket) { // the agent's own want must not pass for the appliance's
-			return policy.Moot, reply{}, err
+			return policy.StatusNotSent, reply{}, err
 		}
-		return policy.Unconnected, reply{}, err
+		return policy.StatusConnectFailed, reply{}, err
 	}
 	if !u.stands(c) { // what was to be called has left while this came up
 		u.end(c)
-		return policy.Moot, reply{}, errMoved
+		return policy.StatusNotSent, reply{}, errMoved
 	}
 	if called, late := s.Send(c); called || late { // it must not go out now
 		u.put(c)
 		if called {
-			return policy.Moot, reply{}, errCalledOff
+			return policy.StatusNotSent, reply{}, errCalledOff
 		}
-		return policy.Unconnected, reply{}, context.DeadlineExceeded
+		return policy.StatusConnectFailed, reply{}, context.DeadlineExceeded
 	}
 	call := make([]byte, 0, len(head)+len(body)+40)
 	call = append(append(call, head...), "Req-Deadline: "...)
@@ -522,21 +522,21 @@
 	}
 	switch {
 	case errors.Is(err, errUnsent) && called:
-		return policy.Moot, r, err
+		return policy.StatusNotSent, r, err
 	case err != nil && called:
-		return policy.Revoked, r, err
+		return policy.StatusCanceled, r, err
 	case errors.Is(err, errUnsent):
-		return policy.Unconnected, r, err
+		return policy.StatusConnectFailed, r, err
 	case err != nil && late:
-		return policy.TimedOut, r, err
+		return policy.StatusTimedOut, r, err
 	case err != nil:
-		return policy.Broken, r, err
+		return policy.StatusReset, r, err
 	case r.status == http.StatusOK:
-		return policy.Settled, r, err
+		return policy.StatusServed, r, err
 	case (r.status == http.StatusServiceUnavailable || r.status == http.StatusGatewayTimeout) && r.declined:
-		return policy.Rejected, r, err
+		return policy.StatusRejected, r, err
 	}
-	return policy.Errored, r, err
+	return policy.StatusErrored, r, err
 }
 
 // Probe asks an appliance how it is, on a connection like any other.
--- a/internal/simadapter/simadapter.go
+++ b/internal/simadapter/simadapter.go
@@ -17,10 +17,10 @@
 
 // The wire's words and numbers, in the module's terms.
 var (
-	results = [...]policy.Result{0, policy.Settled, policy.Errored, policy.Rejected, policy.TimedOut, policy.Unconnected, policy.Broken, policy.Revoked, policy.Moot}
-	replies = map[int64]policy.Reply{1: policy.Counted, 2: policy.Refused, 3: policy.Refused, 4: policy.Silent, 8: policy.Idle}
-	phases  = [...]policy.Phase{policy.OnTrial, policy.GoingBack, policy.Released, policy.Withdrawn}
-	states  = map[string]policy.State{"on": policy.Running, "fading": policy.Draining, "off": policy.Gone}
+	results = [...]policy.AttemptStatus{0, policy.StatusServed, policy.StatusErrored, policy.StatusRejected, policy.StatusTimedOut, policy.StatusConnectFailed, policy.StatusReset, policy.StatusCanceled, policy.StatusNotSent}
+	replies = map[int64]policy.VoteResponse{1: policy.VoteCounted, 2: policy.VoteRefused, 3: policy.VoteRefused, 4: policy.VoteUnanswered, 8: policy.VoteOutdated}
+	phases  = [...]policy.Phase{policy.RollingOut, policy.RollingBack, policy.Released, policy.Withdrawn}
+	states  = map[string]policy.EndpointState{"on": policy.EndpointRunning, "fading": policy.EndpointDraining, "off": policy.EndpointRemoved}
 )
 
 // Serve answers batches from r on w until r ends.
@@ -51,13 +51,13 @@
 
 type host struct {
 	agents map[string]*instance
-	pools  [16][]policy.Listed
+	pools  [16][]policy.Endpoint
 	reply  []byte
 }
 
 // instance is one agent's module and the port by which it writes actions.
 type instance struct {
-	agent *policy.Agent
+	agent *policy.Instance
 	out   []byte
 }
 
@@ -150,53 +150,53 @@
 	case "backends-changed":
 		form := f.Get("form").Str
 		if form == "X" {
-			a.ListFailed(now)
+			a.OnEndpointsFailed(now)
 			return nil
 		}
 		slot := f.Get("slot").Int()
 		if slot < 0 || slot >= int64(len(h.pools)) || form != "D" && form != "F" && form != "C" {
 			return fmt.Errorf("list form %q, slot %d", form, slot)
 		}
-		a.List(now, h.pools[slot], form != "D", form == "C")
+		a.OnEndpoints(now, h.pools[slot], form != "D", form == "C")
 	case "knock":
-		a.Txn(now, id, f.Get("affinity").Str, int(f.Get("kind").Int()), int(f.Get("owner").Int()),
+		a.OnRequest(now, id, f.Get("affinity").Str, int(f.Get("kind").Int()), int(f.Get("owner").Int()),
 			f.Get("is-retry").Bool(), siteconfig.Ms(f.Get("time-budget-us")), siteconfig.Ms(f.Get("hint-us")))
 	case "head-received":
-		a.Began(now, id, int(f.Get("copy").Int()))
+		a.OnStreamStarted(now, id, int(f.Get("copy").Int()))
 	case "done":
 		how := f.Get("how").Int()
 		if how < 1 || how >= int64(len(results)) {
 			return fmt.Errorf("outcome %d", how)
 		}
 		waiting, busy := load(f.Get("feedback"))
-		a.Outcome(now, id, int(f.Get("copy").Int()), results[how], f.Get("final").Bool(), siteconfig.Ms(f.Get("took-us")), waiting, busy)
+		a.OnAttemptResult(now, id, int(f.Get("copy").Int()), results[how], f.Get("final").Bool(), siteconfig.Ms(f.Get("took-us")), waiting, busy)
 	case "hangup":
-		a.Hangup(now, id)
+		a.OnClientGone(now, id)
 	case "wakeup":
-		a.Wake(now, f.Get("label").Uint())
+		a.OnTimer(now, f.Get("label").Uint())
 	case "checked":
 		waiting, busy := load(f.Get("feedback"))
-		a.Probed(now, app, f.Get("how").Int() == 1, siteconfig.Ms(f.Get("took-us")), waiting, busy)
+		a.OnProbeResult(now, app, f.Get("how").Int() == 1, siteconfig.Ms(f.Get("took-us")), waiting, busy)
 	case "mail":
 		if raw, err := base64.StdEncoding.DecodeString(f.Get("raw").Str); err == nil {
-			a.Told(now, raw)
+			a.OnMessage(now, raw)
 		}
 	case "promotion":
 		phase := f.Get("standing").Int()
 		if phase < 0 || phase >= int64(len(phases)) {
 			return fmt.Errorf("standing %d", phase)
 		}
-		reply := policy.Unasked
+		reply := policy.NotAVote
 		if f.Get("how").Int() == 1 {
 			reply = replies[f.Get("status").Int()]
 		}
-		a.News(now, int(f.Get("ver").Int()), int(f.Get("wave").Int()), phases[phase], reply,
+		a.OnReleaseUpdate(now, int(f.Get("ver").Int()), int(f.Get("wave").Int()), phases[phase], reply,
 			f.Get("ceiling").Num, siteconfig.Ms(f.Get("old-us")), f.Get("status").Int() == 1)
 	case "counts-by-build":
-		a.Counted(now, int(f.Get("ver").Int()), int(f.Get("kind").Int()), int(f.Get("many").Int()),
+		a.OnPlatformCounts(now, int(f.Get("ver").Int()), int(f.Get("kind").Int()), int(f.Get("many").Int()),
 			int(f.Get("bad").Int()), siteconfig.Ms(f.Get("took-us")))
 	case "reported-wrong":
-		a.ReportedWrong(now, app, int(f.Get("kind").Int()), siteconfig.Ms(f.Get("old-us")))
+		a.OnWrongAnswer(now, app, int(f.Get("kind").Int()), siteconfig.Ms(f.Get("old-us")))
 	default:
 		return errors.New("unknown event")
 	}
@@ -208,12 +208,12 @@
 	if slot < 0 || slot >= int64(len(h.pools)) {
 		return fmt.Errorf("slot %d", slot)
 	}
-	var list []policy.Listed
+	var list []policy.Endpoint
 	f.Get("items").ForEach(func(_, e gjson.Result) bool {
-		list = append(list, policy.Listed{
-			ID: e.Get("appliance").Str, Build: int(e.Get("ver").Num), State: states[e.Get("condition").Str],
-			Rating: e.Get("rating").Num, Start: siteconfig.Ms(e.Get("boot-time-us")), Zone: int(e.Get("site").Int()),
-			Kind: int(e.Get("machine").Int()), Cell: int(e.Get("stripe").Int()),
+		list = append(list, policy.Endpoint{
+			ID: e.Get("appliance").Str, Release: int(e.Get("ver").Num), State: states[e.Get("condition").Str],
+			Weight: e.Get("rating").Num, StartedAt: siteconfig.Ms(e.Get("boot-time-us")), Zone: int(e.Get("site").Int()),
+			HardwareClass: int(e.Get("machine").Int()), Cell: int(e.Get("stripe").Int()),
 		})
 		return true
 	})
@@ -262,37 +262,37 @@
 	in.out = append(in.out, "}}"...)
 }
 
-func (in *instance) Submit(txn, appliance string, limit float64) {
+func (in *instance) SendAttempt(txn, appliance string, limit float64) {
 	in.act("place", "request-id", txn, "appliance", appliance, "limit-us", limit)
 }
 
-func (in *instance) Decline(txn string, wait float64) {
+func (in *instance) Reject(txn string, wait float64) {
 	in.act("deny", "request-id", txn, "wait-us", wait)
 }
 
-func (in *instance) Void(txn string) { in.act("surrender", "request-id", txn) }
+func (in *instance) Fail(txn string) { in.act("surrender", "request-id", txn) }
 
-func (in *instance) Revoke(txn string, submission int) {
+func (in *instance) CancelAttempt(txn string, submission int) {
 	in.act("revoke", "request-id", txn, "copy", submission)
 }
 
-func (in *instance) Vote(build int, verdict policy.Verdict, stage int) {
-	word := map[policy.Verdict]int{policy.On: 1, policy.Hold: 2, policy.Back: 3}[verdict]
+func (in *instance) SendVote(build int, verdict policy.Verdict, stage int) {
+	word := map[policy.Verdict]int{policy.Promote: 1, policy.Hold: 2, policy.Rollback: 3}[verdict]
 	in.act("say-so", "ver", build, "how", word, "wave", stage)
 }
 
-func (in *instance) Probe(appliance string) { in.act("probe", "appliance", appliance) }
+func (in *instance) SendProbe(appliance string) { in.act("probe", "appliance", appliance) }
 
-func (in *instance) Tell(agent int, note []byte) {
+func (in *instance) SendMessage(agent int, note []byte) {
 	in.act("signal", "recipient", agent, "raw", base64.StdEncoding.EncodeToString(note))
 }
 
-func (in *instance) Timer(after float64, token uint64) {
+func (in *instance) SetTimer(after float64, token uint64) {
 	in.act("notify-me", "after-us", after, "label", token)
 }
 
-func (in *instance) Subscribe() { in.act("stream-changes", "active", true) }
+func (in *instance) WatchEndpoints() { in.act("stream-changes", "active", true) }
 
-func (in *instance) FetchList() { in.act("read-list") }
+func (in *instance) FetchEndpoints() { in.act("read-list") }
 
 func (in *instance) Log(line string) { in.act("log", "line", line) }
--- a/internal/siteconfig/siteconfig.go
+++ b/internal/siteconfig/siteconfig.go
@@ -15,15 +15,15 @@
 )
 
 var (
-	effects = map[string]policy.Effect{"repeatable": policy.InquiryLike, "by_key": policy.Referenced,
-		"once": policy.OnceOnly}
-	groups   = map[string]policy.Group{"all": policy.GroupAll, "zone": policy.GroupZone, "cell": policy.GroupCell}
-	controls = map[string]policy.Control{"single": policy.Single, "majority": policy.Majority,
-		"clocked": policy.Clocked}
+	effects = map[string]policy.Semantics{"repeatable": policy.Safe, "by_key": policy.Idempotent,
+		"once": policy.NonIdempotent}
+	groups   = map[string]policy.DedupScope{"all": policy.DedupAll, "zone": policy.DedupZone, "cell": policy.DedupCell}
+	controls = map[string]policy.RolloutControl{"single": policy.ControlSingleVote, "majority": policy.ControlMajority,
+		"clocked": policy.ControlTimed}
 )
 
 // Module hands each part of a new module its own settings; the agent can bear so many txns at once, 0: any number.
-func Module(port policy.Port, seed uint64, s gjson.Result, most int) *policy.Agent {
+func Module(port policy.Port, seed uint64, s gjson.Result, most int) *policy.Instance {
 	rules, fam, lim := s.Get("contract"), s.Get("family-info"), s.Get("limits")
 	a := policy.New(port, seed, int(s.Get("me").Int()), int(s.Get("balancers").Int()))
 	_, products := Products(s)
@@ -60,13 +60,13 @@
 }
 
 // Products are the products' names and figures, under one index.
-func Products(s gjson.Result) (names []string, products []policy.Product) {
+func Products(s gjson.Result) (names []string, products []policy.RequestClass) {
 	s.Get("grades").ForEach(func(_, g gjson.Result) bool {
 		names = append(names, g.Get("name").Str)
-		products = append(products, policy.Product{
-			SLA: Ms(g.Get("aim-us")), Stretch: g.Get("aim-stretch").Num, Expiry: Ms(g.Get("deadline-us")),
-			Revenue: g.Get("worth").Num, Late: g.Get("late-value").Num, Effect: effects[g.Get("effect").Str],
-			Group: groups[g.Get("key-scope").Str], Remember: Ms(g.Get("key-ttl-us")), Streamed: g.Get("streamed").Bool(),
+		products = append(products, policy.RequestClass{
+			LatencyObjective: Ms(g.Get("aim-us")), ObjectivePerWork: g.Get("aim-stretch").Num, Timeout: Ms(g.Get("deadline-us")),
+			Value: g.Get("worth").Num, LateValue: g.Get("late-value").Num, Semantics: effects[g.Get("effect").Str],
+			DedupScope: groups[g.Get("key-scope").Str], DedupWindow: Ms(g.Get("key-ttl-us")), Streamed: g.Get("streamed").Bool(),
 		})
 		return true
 	})
@@ -141,7 +141,7 @@
 		wrong(names[i] == "", "settings.grades.%d has no name", i)
 		_, known := effects[s.Get(fmt.Sprintf("grades.%d.effect", i)).Str]
 		wrong(!known, "settings.grades.%d.effect is unknown", i)
-		wrong(p.SLA <= 0 || p.Expiry <= 0, "settings.grades.%d has no aim-us or deadline-us", i)
+		wrong(p.LatencyObjective <= 0 || p.Timeout <= 0, "settings.grades.%d has no aim-us or deadline-us", i)
 	}
 	wrong(s.Get("limits.max-attempts").Int() < 1, "settings.limits.max-attempts allows no submission")
 	up, idle := Connecting(s)
--- a/internal/sources/host/host.go
+++ b/internal/sources/host/host.go
@@ -81,7 +81,7 @@
 
 // Fleet is the core's side of it.
 type Fleet interface {
-	List(entries []policy.Listed, whole, old bool)
+	List(entries []policy.Endpoint, whole, old bool)
 	Now() float64
 }
 
@@ -147,12 +147,12 @@
 		changes = h.choose(changes)
 	}
 	var left []string
-	entries := make([]policy.Listed, 0, len(changes))
+	entries := make([]policy.Endpoint, 0, len(changes))
 	for _, e := range changes {
-		if was, ok := h.view.Load().Get(e.ID); ok && (e.State == policy.Gone || was.Address != e.Address || was.Start != e.Start) {
+		if was, ok := h.view.Load().Get(e.ID); ok && (e.State == policy.EndpointRemoved || was.Address != e.Address || was.StartedAt != e.StartedAt) {
 			left = append(left, was.Address)
 		}
-		entries = append(entries, e.Listed)
+		entries = append(entries, e.Endpoint)
 		h.counts.ByRule[slices.Index(ruleNames, e.Rule)]++
 	}
 	h.counts.Changes += uint64(len(changes))
@@ -183,7 +183,7 @@
 			out = append(out, e)
 		}
 		if !in[e.ID] && h.chosen[e.ID] { // it runs on, for others
-			e.State = policy.Gone
+			e.State = policy.EndpointRemoved
 			out = append(out, e)
 		}
 	}
@@ -193,10 +193,10 @@
 }
 
 // List takes discovery's word.
-func (h *Host) List(entries []policy.Listed, addresses []string, whole, old bool) {
+func (h *Host) List(entries []policy.Endpoint, addresses []string, whole, old bool) {
 	told := make([]sources.Entry, len(entries))
 	for i, e := range entries {
-		told[i] = sources.Entry{Listed: e, Address: addresses[i]}
+		told[i] = sources.Entry{Endpoint: e, Address: addresses[i]}
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -317,8 +317,8 @@
 	h.mu.Lock()
 	s := State{At: h.fleet.Now(), Doubt: h.merge.Doubt, Memory: h.merge.Remember()}
 	h.merge.Fleet().Each(func(id string, e sources.Entry) {
-		s.Appliances = append(s.Appliances, Shown{id, e.Address, [...]string{"running", "draining", "gone"}[e.State], e.Build,
-			e.Rating, e.Rule, h.merge.Explain(id, e.Address)})
+		s.Appliances = append(s.Appliances, Shown{id, e.Address, [...]string{"running", "draining", "gone"}[e.State], e.Release,
+			e.Weight, e.Rule, h.merge.Explain(id, e.Address)})
 	})
 	h.mu.Unlock()
 	slices.SortFunc(s.Appliances, func(a, b Shown) int { return cmp.Compare(a.ID, b.ID) })
--- a/internal/sources/host/host_test.go
+++ b/internal/sources/host/host_test.go
@@ -28,20 +28,20 @@
 type fleet struct {
 	from  time.Time
 	calls int
-	has   map[string]policy.Listed
+	has   map[string]policy.Endpoint
 }
 
-func newFleet() *fleet { return &fleet{from: time.Now(), has: map[string]policy.Listed{}} }
+func newFleet() *fleet { return &fleet{from: time.Now(), has: map[string]policy.Endpoint{}} }
 
 func (f *fleet) Now() float64 { return 1e12 + float64(time.Since(f.from))/1e6 }
 
-func (f *fleet) List(entries []policy.Listed, whole, _ bool) {
+func (f *fleet) List(entries []policy.Endpoint, whole, _ bool) {
 	f.calls++
 	if whole {
 		clear(f.has)
 	}
 	for _, e := range entries {
-		if e.State == policy.Gone {
+		if e.State == policy.EndpointRemoved {
 			delete(f.has, e.ID)
 		} else {
 			f.has[e.ID] = e
@@ -49,9 +49,9 @@
 	}
 }
 
-func listed(from, to int, state policy.State) (entries []policy.Listed, addresses []string) {
+func listed(from, to int, state policy.EndpointState) (entries []policy.Endpoint, addresses []string) {
 	for i := from; i < to; i++ {
-		entries = append(entries, policy.Listed{ID: fmt.Sprint("a", i), Build: 1, State: state, Rating: 1})
+		entries = append(entries, policy.Endpoint{ID: fmt.Sprint("a", i), Release: 1, State: state, Weight: 1})
 		addresses = append(addresses, fmt.Sprint("10.0.0.1:", i+1))
 	}
 	return entries, addresses
@@ -100,8 +100,8 @@
 		name(1, 2, 3, 9)
 		h := New(table, f, func(string) {}, 0, 1, 1)
 		h.dns = dns.New(answering(func() []int { return *named.Load() }), rand.New(rand.NewPCG(1, 1)), 100*time.Millisecond)
-		h.List(func() ([]policy.Listed, []string, bool, bool) {
-			e, a := listed(0, 3, policy.Running)
+		h.List(func() ([]policy.Endpoint, []string, bool, bool) {
+			e, a := listed(0, 3, policy.EndpointRunning)
 			return e, a, true, true
 		}())
 		ctx, stop := context.WithCancel(context.Background())
@@ -109,7 +109,7 @@
 		go func() { h.Run(ctx); close(ended) }()
 		for k := range 300 { // 30 s
 			time.Sleep(100 * time.Millisecond)
-			state := policy.State(k % 2)
+			state := policy.EndpointState(k % 2)
 			e, a := listed(1, 2, state)
 			h.List(e, a, false, false)
 			if k%2 == 0 {
@@ -122,10 +122,10 @@
 		if f.calls > 300+70 {
 			t.Errorf("%d calls to the core in 30 s", f.calls)
 		}
-		if len(f.has) != 4 || f.has["a1"].State != policy.Draining || h.Address("srv:10.0.0.1:9") != "10.0.0.1:9" {
+		if len(f.has) != 4 || f.has["a1"].State != policy.EndpointDraining || h.Address("srv:10.0.0.1:9") != "10.0.0.1:9" {
 			t.Errorf("%+v", f.has)
 		}
-		e, a := listed(1, 2, policy.Gone)
+		e, a := listed(1, 2, policy.EndpointRemoved)
 		h.List(e, a, false, false)
 		name(1, 2, 3, 9)
 		time.Sleep(5 * time.Second)
@@ -142,7 +142,7 @@
 		if len(f.has) != 3 || h.Address("srv:10.0.0.1:2") != "" || h.Address("srv:10.0.0.1:3") == "" {
 			t.Errorf("remembered: %+v", f.has)
 		}
-		e, a = listed(0, 3, policy.Running)
+		e, a = listed(0, 3, policy.EndpointRunning)
 		if h.List(e[:1], a[:1], true, true); f.has["a0"].ID == "" || len(f.has) != 3 {
 			t.Errorf("with the known list: %+v", f.has)
 		}
@@ -178,20 +178,20 @@
 	f := newFleet()
 	left := 0
 	h := New(table, f, func(string) { left++ }, 3, 10, 1)
-	list := func(from, to int, state policy.State, whole bool) {
+	list := func(from, to int, state policy.EndpointState, whole bool) {
 		e, a := listed(from, to, state)
 		h.List(e, a, whole, false)
 	}
-	list(0, 500, policy.Running, true)
+	list(0, 500, policy.EndpointRunning, true)
 	if len(f.has) < 20 || len(f.has) > 24 {
 		t.Errorf("%d of 500", len(f.has))
 	}
 	for i := range 500 {
-		list(i, i+1, policy.Draining, false)
+		list(i, i+1, policy.EndpointDraining, false)
 		if i == 250 {
 			running := 0
 			for _, e := range f.has {
-				if e.State == policy.Running {
+				if e.State == policy.EndpointRunning {
 					running++
 				}
 			}
@@ -199,9 +199,9 @@
 				t.Errorf("%d run in the subset when half of the fleet drains", running)
 			}
 		}
-		list(i, i+1, policy.Gone, false)
+		list(i, i+1, policy.EndpointRemoved, false)
 	}
-	list(500, 1000, policy.Running, false) // all renamed
+	list(500, 1000, policy.EndpointRunning, false) // all renamed
 	if len(f.has) < 20 || len(f.has) > 24 {
 		t.Errorf("%d of 500 after all were renamed", len(f.has))
 	}
--- a/internal/sources/merge.go
+++ b/internal/sources/merge.go
@@ -42,7 +42,7 @@
 
 // Entry is an appliance as the module is told of it, and where it listens.
 type Entry struct {
-	policy.Listed
+	policy.Endpoint
 	Address string
 	Rule    string // that decided
 }
@@ -126,7 +126,7 @@
 			for i := m.list.Iterator(); !i.Done(); {
 				id, t, _ := i.Next()
 				if !names[id] {
-					t.State = policy.Gone
+					t.State = policy.EndpointRemoved
 					changes = m.word(now, changes, t.Entry)
 				}
 			}
@@ -181,7 +181,7 @@
 	if known && was.Address != e.Address { // whoever is at the old address now is somebody else
 		changes = m.leave(now, changes, was, false)
 	}
-	if other, ok := m.at.Get(e.Address); ok && other != e.ID && e.State != policy.Gone { // the address went over to this one
+	if other, ok := m.at.Get(e.Address); ok && other != e.ID && e.State != policy.EndpointRemoved { // the address went over to this one
 		if o, ok := m.list.Get(other); ok {
 			m.list = m.list.Delete(other)
 			changes = m.leave(now, changes, o, false)
@@ -189,12 +189,12 @@
 		}
 	}
 	switch e.State {
-	case policy.Gone:
+	case policy.EndpointRemoved:
 		m.list = m.list.Delete(e.ID)
 		if e.Address != "" {
 			changes = m.leave(now, changes, told{Entry: e}, true)
 		}
-	case policy.Draining:
+	case policy.EndpointDraining:
 		m.list, m.at = m.list.Set(e.ID, told{e, now}), m.at.Set(e.Address, e.ID)
 		m.ended = m.ended.Set(e.Address, now)
 	default:
@@ -298,7 +298,10 @@
 	then func(m *Merge, id, address string) Entry
 }{
 	{"draining", // binds at once, whatever SRV says, and stays when discovery falls silent
-		func(m *Merge, id, _ string) bool { t, ok := m.list.Get(id); return ok && t.State == policy.Draining },
+		func(m *Merge, id, _ string) bool {
+			t, ok := m.list.Get(id)
+			return ok && t.State == policy.EndpointDraining
+		},
 		func(m *Merge, id, _ string) Entry { t, _ := m.list.Get(id); return t.Entry }},
 	{"listed",
 		func(m *Merge, id, _ string) bool { _, ok := m.list.Get(id); return ok },
@@ -348,12 +351,12 @@
 	if m.mean > 0 {
 		rating = min(max(float64(c.Weight)/m.mean, ratingLeast), ratingMost)
 	}
-	return Entry{Listed: policy.Listed{ID: id, Build: policy.UnknownRelease, State: policy.Running, Rating: rating, Start: c.first},
+	return Entry{Endpoint: policy.Endpoint{ID: id, Release: policy.UnknownRelease, State: policy.EndpointRunning, Weight: rating, StartedAt: c.first},
 		Address: address}
 }
 
 func gone(_ *Merge, id, address string) Entry {
-	return Entry{Listed: policy.Listed{ID: id, State: policy.Gone}, Address: address}
+	return Entry{Endpoint: policy.Endpoint{ID: id, State: policy.EndpointRemoved}, Address: address}
 }
 
 // decide goes through the rules for one appliance and notes what the module has to be told.
@@ -367,12 +370,12 @@
 		}
 	}
 	was, in := m.fleet.entries.Get(id)
-	running := in && was.State == policy.Running
-	if e.State == policy.Gone && e.Rule == "unnamed" && running && m.fleet.Running == 1 && id == srvID(address) {
+	running := in && was.State == policy.EndpointRunning
+	if e.State == policy.EndpointRemoved && e.Rule == "unnamed" && running && m.fleet.Running == 1 && id == srvID(address) {
 		m.kept = address // the last one is not taken away by a name that is missing, but once another runs
 		return changes
 	}
-	if e.State == policy.Gone {
+	if e.State == policy.EndpointRemoved {
 		if !in {
 			return changes
 		}
@@ -387,7 +390,7 @@
 		m.fleet.Running--
 		m.firm -= firm(was)
 	}
-	if e.State == policy.Running {
+	if e.State == policy.EndpointRunning {
 		m.fleet.Running++
 		m.firm += firm(e)
 	}
@@ -467,7 +470,7 @@
 func (m *Merge) Explain(id, address string) (words []Word) {
 	states := [...]string{"running", "draining", "gone"}
 	if t, ok := m.list.Get(id); ok {
-		words = append(words, Word{"discovery", fmt.Sprintf("%s, build %d", states[t.State], t.Build), t.at})
+		words = append(words, Word{"discovery", fmt.Sprintf("%s, build %d", states[t.State], t.Release), t.at})
 	}
 	if at, ok := m.ended.Get(address); ok {
 		words = append(words, Word{"discovery", "drained or gone at this address", at})
@@ -485,7 +488,7 @@
 	for _, c := range claims {
 		m.ended = m.ended.Delete(c.Address)
 		if id, ok := m.at.Get(c.Address); ok {
-			if t, ok := m.list.Get(id); ok && t.State == policy.Draining {
+			if t, ok := m.list.Get(id); ok && t.State == policy.EndpointDraining {
 				m.list, m.at = m.list.Delete(id), m.at.Delete(c.Address)
 			}
 		}
--- a/internal/sources/merge_test.go
+++ b/internal/sources/merge_test.go
@@ -14,8 +14,8 @@
 
 func address(i int) string { return fmt.Sprint("10.0.0.", i, ":1") }
 
-func entry(id, at int, state policy.State) Entry {
-	return Entry{Listed: policy.Listed{ID: fmt.Sprint("a", id), Build: 1, State: state, Rating: 1}, Address: address(at)}
+func entry(id, at int, state policy.EndpointState) Entry {
+	return Entry{Endpoint: policy.Endpoint{ID: fmt.Sprint("a", id), Release: 1, State: state, Weight: 1}, Address: address(at)}
 }
 
 func claims(which ...int) (out []Claim) {
@@ -37,7 +37,7 @@
 
 // The rule, row by row.
 func TestRules(t *testing.T) {
-	run, drain, gone := policy.Running, policy.Draining, policy.Gone
+	run, drain, gone := policy.EndpointRunning, policy.EndpointDraining, policy.EndpointRemoved
 	list := func(whole bool, e ...Entry) func(*Merge) { return func(m *Merge) { m.List(1, e, whole) } }
 	srv := func(which ...int) func(*Merge) { return func(m *Merge) { m.Answer(1, claims(which...)) } }
 	at := func(now float64, which ...int) func(*Merge) {
@@ -94,7 +94,7 @@
 		t.Fatalf("%d changes", len(changes))
 	}
 	for i, rating := range []float64{2.25, 0.75, ratingLeast} {
-		if e := changes[i]; e.Build != policy.UnknownRelease || e.Start != 7 || e.Rating != rating {
+		if e := changes[i]; e.Release != policy.UnknownRelease || e.StartedAt != 7 || e.Weight != rating {
 			t.Errorf("%+v, want a rating of %v", e, rating)
 		}
 	}
@@ -115,7 +115,7 @@
 	n := world{m: w.m, reader: maps.Clone(w.reader), closed: maps.Clone(w.closed)}
 	before := n.m.fleet.Running
 	for _, e := range event(&n.m, n.closed) {
-		if e.State == policy.Gone {
+		if e.State == policy.EndpointRemoved {
 			delete(n.reader, e.ID)
 		} else {
 			n.reader[e.ID] = e
@@ -127,7 +127,7 @@
 		if n.reader[id] != e {
 			err = fmt.Errorf("a reader of the changes has %+v, the fleet %+v", n.reader[id], e)
 		}
-		if e.State != policy.Running {
+		if e.State != policy.EndpointRunning {
 			return
 		}
 		running++
@@ -179,9 +179,9 @@
 // events are all that can happen to n appliances at as many addresses.
 func events(n int) (all []event) {
 	for i := range n {
-		for _, state := range []policy.State{policy.Running, policy.Draining, policy.Gone} {
+		for _, state := range []policy.EndpointState{policy.EndpointRunning, policy.EndpointDraining, policy.EndpointRemoved} {
 			all = append(all, event{fmt.Sprint("discovery ", i, " ", state), false, func(m *Merge, closed map[string]bool) []Entry {
-				if state == policy.Running {
+				if state == policy.EndpointRunning {
 					delete(closed, address(i))
 				} else {
 					closed[address(i)] = true
@@ -196,7 +196,7 @@
 		for i := range n {
 			if set>>i&1 == 1 {
 				which = append(which, i)
-				list = append(list, entry(i, i, policy.Running))
+				list = append(list, entry(i, i, policy.EndpointRunning))
 			}
 		}
 		all = append(all, event{fmt.Sprint("srv ", which), set == 0, func(m *Merge, _ map[string]bool) []Entry {
@@ -293,7 +293,7 @@
 		var list []Entry
 		var named []Claim
 		for i := range n {
-			e := Entry{Listed: policy.Listed{ID: fmt.Sprint("a", i), Build: 1, Rating: 1}, Address: fmt.Sprint("10.1.0.1:", i)}
+			e := Entry{Endpoint: policy.Endpoint{ID: fmt.Sprint("a", i), Release: 1, Weight: 1}, Address: fmt.Sprint("10.1.0.1:", i)}
 			list, named = append(list, e), append(named, Claim{e.Address, 0, 1})
 		}
 		m.List(1, list, true)
@@ -301,7 +301,7 @@
 		b.Run(fmt.Sprint("one change of ", n), func(b *testing.B) {
 			for k := 0; b.Loop(); k++ {
 				e := list[k%n]
-				e.State = policy.State(k / n % 2)
+				e.State = policy.EndpointState(k / n % 2)
 				m.List(2, []Entry{e}, false)
 			}
 		})
--- a/internal/sources/subset.go
+++ b/internal/sources/subset.go
@@ -29,13 +29,13 @@
 	groups := map[group][]place{}
 	var order []group
 	for _, e := range fleet {
-		if e.State != policy.Running {
+		if e.State != policy.EndpointRunning {
 			in[e.ID] = true
 			continue
 		}
 		p := place{xxhash.Sum64String(e.ID), e.ID}
 		ring = append(ring, p)
-		g := group{e.Build, e.Zone}
+		g := group{e.Release, e.Zone}
 		if groups[g] == nil {
 			order = append(order, g)
 		}
--- a/internal/sources/subset_test.go
+++ b/internal/sources/subset_test.go
@@ -17,7 +17,7 @@
 		if i%50 == 0 {
 			build = 2 // on trial
 		}
-		out = append(out, Entry{Listed: policy.Listed{ID: fmt.Sprint("s-", i), Build: build, Zone: i % 2}})
+		out = append(out, Entry{Endpoint: policy.Endpoint{ID: fmt.Sprint("s-", i), Release: build, Zone: i % 2}})
 	}
 	return out
 }
@@ -26,7 +26,7 @@
 func TestSubset(t *testing.T) {
 	const agents, size, least = 50, 40, 3
 	fleet := fleetOf(1000)
-	fleet[7].State = policy.Draining
+	fleet[7].State = policy.EndpointDraining
 	load, before := map[string]int{}, make([]map[string]bool, agents)
 	for me := range agents {
 		in := Subset(me, agents, size, least, fleet)
@@ -35,7 +35,7 @@
 		for _, e := range fleet {
 			if in[e.ID] {
 				load[e.ID]++
-				if e.Build == 2 {
+				if e.Release == 2 {
 					trial++
 				}
 			}
@@ -45,7 +45,7 @@
 		}
 	}
 	for _, e := range fleet {
-		if e.Build == 1 && e.State == policy.Running && (load[e.ID] < 2 || load[e.ID] > 3) {
+		if e.Release == 1 && e.State == policy.EndpointRunning && (load[e.ID] < 2 || load[e.ID] > 3) {
 			t.Errorf("%s has %d agents, due are 2", e.ID, load[e.ID])
 		}
 	}
--- a/policy/decision_bench_test.go
+++ b/policy/decision_bench_test.go
@@ -8,7 +8,9 @@
 // quiet is a port that keeps nothing.
 type quiet struct{ record }
 
-func (q *quiet) Submit(txn, appliance string, limit float64) { q.did = append(q.did[:0], appliance) }
+func (q *quiet) SendAttempt(txn, appliance string, limit float64) {
+	q.did = append(q.did[:0], appliance)
+}
 
 // One decision, from a request to the end of its attempt, at so many backends, one in ten of a release on trial.
 func BenchmarkDecision(b *testing.B) {
@@ -16,19 +18,19 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			q := &quiet{}
 			a := New(q, 7, 0, 300)
-			a.Serve([]Product{{SLA: 1000, Expiry: 4000, Revenue: 1}}, 5, true, true)
+			a.Serve([]RequestClass{{LatencyObjective: 1000, Timeout: 4000, Value: 1}}, 5, true, true)
 			a.Expose(2, []float64{0.1, 0.5, 1}, 0, true, true)
-			a.Judge([]float64{0.1, 0.5, 1}, Majority, 1, 4000)
-			a.News(1, 2, 0, OnTrial, Unasked, 0.1, 0, true)
-			var list []Listed
+			a.Judge([]float64{0.1, 0.5, 1}, ControlMajority, 1, 4000)
+			a.OnReleaseUpdate(1, 2, 0, RollingOut, NotAVote, 0.1, 0, true)
+			var list []Endpoint
 			for i := range n {
 				build := 1
 				if i%10 == 0 {
 					build = 2
 				}
-				list = append(list, Listed{ID: fmt.Sprint("s", i), Build: build, Rating: 1})
+				list = append(list, Endpoint{ID: fmt.Sprint("s", i), Release: build, Weight: 1})
 			}
-			a.List(1, list, true, false)
+			a.OnEndpoints(1, list, true, false)
 			keys := make([]string, 4096)
 			ids := make([]string, 4096)
 			for k := range keys {
@@ -39,8 +41,8 @@
 			for k := range b.N {
 				now := 10 + float64(k)*0.5
 				id := ids[k&4095]
-				a.Txn(now, id, keys[(k*7)&4095], 0, 0, false, 4000, 0)
-				a.Outcome(now+0.2, id, 0, Settled, true, 10, -1, -1)
+				a.OnRequest(now, id, keys[(k*7)&4095], 0, 0, false, 4000, 0)
+				a.OnAttemptResult(now+0.2, id, 0, StatusServed, true, 10, -1, -1)
 			}
 		})
 	}
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -5,13 +5,13 @@
 	"math/rand/v2"
 )
 
-func (a *Agent) arm() {
+func (a *Instance) arm() {
 	a.token++
 	a.armed = a.alarms[0].at
-	a.port.Timer(max(a.armed-a.now, 0.001), a.token)
+	a.port.SetTimer(max(a.armed-a.now, 0.001), a.token)
 }
 
-func (a *Agent) look(at float64, t *txn) { heap.Push(&a.alarms, alarm{at, t}) }
+func (a *Instance) look(at float64, t *txn) { heap.Push(&a.alarms, alarm{at, t}) }
 
 func (h alarms) Len() int           { return len(h) }
 func (h alarms) Less(i, j int) bool { return h[i].at < h[j].at }
@@ -39,8 +39,8 @@
 	return g.x
 }
 
-// Chance is a generator started from a seed.
-func Chance(seed uint64) *rand.Rand {
+// NewRand is a generator started from a seed.
+func NewRand(seed uint64) *rand.Rand {
 	return rand.New(&mwc{x: seed&0xffffffff | 1, c: seed >> 32 % 4294957664})
 }
 
@@ -50,11 +50,11 @@
 // rule is a condition and an effect that makes the condition false.
 type rule struct {
 	name string
-	when func(*Agent) bool
-	do   func(*Agent)
+	when func(*Instance) bool
+	do   func(*Instance)
 }
 
-func (a *Agent) settle() {
+func (a *Instance) settle() {
 	for i := 0; i < len(rules); i++ {
 		if rules[i].when(a) {
 			rules[i].do(a)
@@ -63,10 +63,10 @@
 	}
 }
 
-func (a *Agent) ring() {
+func (a *Instance) ring() {
 	if t := heap.Pop(&a.alarms).(alarm).t; t != nil && !t.ended {
 		a.todo = append(a.todo, t)
 	}
 }
 
-func (a *Agent) next() { a.todo = a.todo[1:] }
+func (a *Instance) next() { a.todo = a.todo[1:] }
--- a/policy/exposure/affinity.go
+++ b/policy/exposure/affinity.go
@@ -69,8 +69,8 @@
 // Changes counts what may have moved a floor.
 func (f *Affinity) Changes() uint64 { return f.changes }
 
-// Sent notes an attempt at a release: its answer may bind the key before it is seen.
-func (f *Affinity) Sent(key Key, release int) {
+// AttemptStarted notes an attempt at a release: its answer may bind the key before it is seen.
+func (f *Affinity) AttemptStarted(key Key, release int) {
 	if key == 0 {
 		return
 	}
@@ -81,8 +81,8 @@
 	f.changes++
 }
 
-// Ended notes the end of an attempt that Sent has noted.
-func (f *Affinity) Ended(key Key, release int) {
+// AttemptEnded notes the end of an attempt that Sent has noted.
+func (f *Affinity) AttemptEnded(key Key, release int) {
 	keys := f.pending[release]
 	switch n := keys[key]; {
 	case n > 1:
@@ -112,16 +112,16 @@
 	}
 }
 
-// Free ends what a release binds: it goes back.
-func (f *Affinity) Free(release int) {
+// ReleaseKeys ends what a release binds: it goes back.
+func (f *Affinity) ReleaseKeys(release int) {
 	delete(f.answered, release)
 	delete(f.pending, release)
 	f.changes++
 }
 
-// SettleBefore lets the keys of all releases before one go, for none of these is to return. Should a backend of an even earlier
+// ForgetBefore lets the keys of all releases before one go, for none of these is to return. Should a backend of an even earlier
 // one do so all the same, it gets no key at all.
-func (f *Affinity) SettleBefore(release int) {
+func (f *Affinity) ForgetBefore(release int) {
 	for r := range f.answered {
 		if r < release {
 			f.settled = max(f.settled, r)
--- a/policy/exposure/allowance.go
+++ b/policy/exposure/allowance.go
@@ -15,8 +15,8 @@
 	return &Allowance{free: free, lanes: max(lanes, 1), balances: map[int][]float64{}}
 }
 
-// Hold keeps the free attempts back until a time (ms): the process before this one may have used them inside the same window.
-func (w *Allowance) Hold(until float64) { w.from = until }
+// HoldUntil keeps the free attempts back until a time (ms): the process before this one may have used them inside the same window.
+func (w *Allowance) HoldUntil(until float64) { w.from = until }
 
 // balance is a release's; it is opened on first use.
 func (w *Allowance) balance(release int, now float64) []float64 {
@@ -46,8 +46,8 @@
 	Cap(release int) (limit float64, limited bool)
 }
 
-// Taken counts one request that was taken.
-func (w *Allowance) Taken(lane int, caps Caps) {
+// OnRequest counts one request that was taken.
+func (w *Allowance) OnRequest(lane int, caps Caps) {
 	for release, b := range w.balances { // each by itself, so that the order does not matter
 		if share, limited := caps.Cap(release); limited {
 			b[lane] = min(b[lane]+share, w.free)
--- a/policy/exposure/exposure_test.go
+++ b/policy/exposure/exposure_test.go
@@ -16,17 +16,17 @@
 		{"nothing seen", func(f *Affinity) {}, 0},
 		{"answered", func(f *Affinity) { f.Bind(k, 3) }, 3},
 		{"answered by two, the earlier last", func(f *Affinity) { f.Bind(k, 3); f.Bind(k, 2) }, 3},
-		{"the later one goes back", func(f *Affinity) { f.Bind(k, 2); f.Bind(k, 3); f.Free(3) }, 2},
-		{"an attempt is out", func(f *Affinity) { f.Sent(k, 3) }, 3},
-		{"it has ended", func(f *Affinity) { f.Sent(k, 3); f.Ended(k, 3) }, 0},
-		{"one of two has ended", func(f *Affinity) { f.Sent(k, 3); f.Sent(k, 3); f.Ended(k, 3) }, 3},
-		{"the later of two has ended", func(f *Affinity) { f.Sent(k, 2); f.Sent(k, 3); f.Ended(k, 3) }, 2},
-		{"out as its release goes back", func(f *Affinity) { f.Sent(k, 3); f.Free(3); f.Ended(k, 3) }, 0},
-		{"settled: no earlier one than the last of them", func(f *Affinity) { f.Bind(k, 2); f.Bind(k, 1); f.SettleBefore(3) }, 2},
-		{"settled, and another key", func(f *Affinity) { f.Bind(KeyOf("other"), 2); f.SettleBefore(3) }, 2},
-		{"an attempt is out as it settles", func(f *Affinity) { f.Sent(k, 2); f.SettleBefore(3) }, 2},
-		{"another key", func(f *Affinity) { f.Bind(KeyOf("other"), 3); f.Sent(KeyOf("other"), 3) }, 0},
-		{"no key", func(f *Affinity) { f.Bind(KeyOf(""), 3); f.Sent(KeyOf(""), 3) }, 0},
+		{"the later one goes back", func(f *Affinity) { f.Bind(k, 2); f.Bind(k, 3); f.ReleaseKeys(3) }, 2},
+		{"an attempt is out", func(f *Affinity) { f.AttemptStarted(k, 3) }, 3},
+		{"it has ended", func(f *Affinity) { f.AttemptStarted(k, 3); f.AttemptEnded(k, 3) }, 0},
+		{"one of two has ended", func(f *Affinity) { f.AttemptStarted(k, 3); f.AttemptStarted(k, 3); f.AttemptEnded(k, 3) }, 3},
+		{"the later of two has ended", func(f *Affinity) { f.AttemptStarted(k, 2); f.AttemptStarted(k, 3); f.AttemptEnded(k, 3) }, 2},
+		{"out as its release goes back", func(f *Affinity) { f.AttemptStarted(k, 3); f.ReleaseKeys(3); f.AttemptEnded(k, 3) }, 0},
+		{"settled: no earlier one than the last of them", func(f *Affinity) { f.Bind(k, 2); f.Bind(k, 1); f.ForgetBefore(3) }, 2},
+		{"settled, and another key", func(f *Affinity) { f.Bind(KeyOf("other"), 2); f.ForgetBefore(3) }, 2},
+		{"an attempt is out as it settles", func(f *Affinity) { f.AttemptStarted(k, 2); f.ForgetBefore(3) }, 2},
+		{"another key", func(f *Affinity) { f.Bind(KeyOf("other"), 3); f.AttemptStarted(KeyOf("other"), 3) }, 0},
+		{"no key", func(f *Affinity) { f.Bind(KeyOf(""), 3); f.AttemptStarted(KeyOf(""), 3) }, 0},
 	} {
 		f := NewAffinity()
 		c.do(f)
@@ -69,14 +69,14 @@
 		for seed := range uint64(50) {
 			chance := rand.New(rand.NewPCG(seed, 1))
 			w := NewAllowance(2, 1)
-			w.Hold(c.hold)
+			w.HoldUntil(c.hold)
 			w.Allows(3, 0, 1000) // its balance is opened
 			limit, allowed, left := 0.5, c.free, 0.0
 			for n := range 400 {
 				if n%100 == 99 {
 					limit = chance.Float64()
 				}
-				w.Taken(0, always(limit))
+				w.OnRequest(0, always(limit))
 				allowed += limit
 				for chance.IntN(3) == 0 && w.Allows(3, 0, 1000) {
 					w.Use(3, 0, 1000)
--- a/policy/helper_test.go
+++ b/policy/helper_test.go
@@ -10,17 +10,19 @@
 
 func (r *record) add(format string, args ...any) { r.did = append(r.did, fmt.Sprintf(format, args...)) }
 
-func (r *record) Submit(txn, appliance string, limit float64) { r.add("submit %s %s", txn, appliance) }
-func (r *record) Decline(txn string, wait float64)            { r.add("decline %s", txn) }
-func (r *record) Void(txn string)                             { r.add("void %s", txn) }
-func (r *record) Revoke(txn string, submission int)           { r.add("revoke %s %d", txn, submission) }
-func (r *record) Vote(build int, v Verdict, stage int)        { r.add("vote %d %d %d", build, v, stage) }
-func (r *record) Probe(appliance string)                      { r.add("probe %s", appliance) }
-func (r *record) Tell(agent int, note []byte)                 { r.add("tell %d %x", agent, note) }
-func (r *record) Timer(after float64, token uint64)           {}
-func (r *record) Subscribe()                                  { r.add("subscribe") }
-func (r *record) FetchList()                                  {}
-func (r *record) Log(line string)                             {}
+func (r *record) SendAttempt(txn, appliance string, limit float64) {
+	r.add("submit %s %s", txn, appliance)
+}
+func (r *record) Reject(txn string, wait float64)          { r.add("decline %s", txn) }
+func (r *record) Fail(txn string)                          { r.add("void %s", txn) }
+func (r *record) CancelAttempt(txn string, submission int) { r.add("revoke %s %d", txn, submission) }
+func (r *record) SendVote(build int, v Verdict, stage int) { r.add("vote %d %d %d", build, v, stage) }
+func (r *record) SendProbe(appliance string)               { r.add("probe %s", appliance) }
+func (r *record) SendMessage(agent int, note []byte)       { r.add("tell %d %x", agent, note) }
+func (r *record) SetTimer(after float64, token uint64)     {}
+func (r *record) WatchEndpoints()                          { r.add("subscribe") }
+func (r *record) FetchEndpoints()                          {}
+func (r *record) Log(line string)                          {}
 
 // take returns what was done since the last call.
 func (r *record) take() []string {
@@ -30,21 +32,21 @@
 }
 
 // tier starts an agent with one product on appliances of build 1 called a, b, c and so on.
-func tier(p Product, appliances int) (*Agent, *record) {
+func tier(p RequestClass, appliances int) (*Instance, *record) {
 	r := &record{}
 	a := New(r, 12345, 0, 2)
-	if p.SLA == 0 {
-		p.SLA, p.Expiry, p.Revenue, p.Remember = 1000, 4000, 1, 2000
+	if p.LatencyObjective == 0 {
+		p.LatencyObjective, p.Timeout, p.Value, p.DedupWindow = 1000, 4000, 1, 2000
 	}
-	a.Serve([]Product{p}, 5, true, true)
+	a.Serve([]RequestClass{p}, 5, true, true)
 	a.Warm(0.4, 5000, 3, 1000)
 	a.Expose(2, []float64{0.1, 0.5, 1}, 0, false, false)
-	a.Judge([]float64{0.1, 0.5, 1}, Majority, 1, 4000)
-	var list []Listed
+	a.Judge([]float64{0.1, 0.5, 1}, ControlMajority, 1, 4000)
+	var list []Endpoint
 	for i := range appliances {
-		list = append(list, Listed{ID: string(rune('a' + i)), Build: 1, Rating: 1, Zone: i % 2, Cell: i % 2})
+		list = append(list, Endpoint{ID: string(rune('a' + i)), Release: 1, Weight: 1, Zone: i % 2, Cell: i % 2})
 	}
-	a.List(1, list, true, false)
+	a.OnEndpoints(1, list, true, false)
 	return a, r
 }
 
--- a/policy/notes.go
+++ b/policy/notes.go
@@ -17,7 +17,7 @@
 	return h.Sum32()
 }
 
-func (a *Agent) jot(o outcome, build, product int) {
+func (a *Instance) jot(o outcome, build, product int) {
 	flags := byte(0)
 	if o.bad {
 		flags = 1
@@ -33,7 +33,7 @@
 }
 
 // packed empties the notes into messages.
-func (a *Agent) packed(most int) (out [][]byte) {
+func (a *Instance) packed(most int) (out [][]byte) {
 	for k, b := range a.notes {
 		if k%(most/noteSize) == 0 {
 			out = append(out, nil)
@@ -46,19 +46,19 @@
 }
 
 // tell sends the outcomes of late to those who judge.
-func (a *Agent) tell() {
+func (a *Instance) tell() {
 	a.tellAt = a.now + tellPause
 	for _, note := range a.packed(noteMost) {
 		for k := range min(judges, a.agents) {
 			if k != a.me {
-				a.port.Tell(k, note)
+				a.port.SendMessage(k, note)
 			}
 		}
 	}
 }
 
-// Told takes another agent's outcomes; what names an unknown appliance or product is passed over.
-func (a *Agent) Told(now float64, raw []byte) {
+// OnMessage takes another agent's outcomes; what names an unknown appliance or product is passed over.
+func (a *Instance) OnMessage(now float64, raw []byte) {
 	a.at(now)
 	for ; len(raw) >= noteSize; raw = raw[noteSize:] {
 		i, ok := a.hashes[binary.LittleEndian.Uint32(raw)]
@@ -75,7 +75,7 @@
 }
 
 // file keeps evidence in order of time.
-func (a *Agent) file(build, product int, o outcome) {
+func (a *Instance) file(build, product int, o outcome) {
 	u := &a.usualLat[product]
 	if *u == 0 {
 		*u = o.lat
@@ -83,7 +83,7 @@
 	*u += usualStep * (o.lat - *u)
 	o.rel = o.lat / max(*u, 1e-9)
 	o.steady = !o.bad && a.steady(o.app, o.rel)
-	if !a.book.Judged(build) { // of a release whose news is to come, or one that has been taken off
+	if !a.book.IsEvaluated(build) { // of a release whose news is to come, or one that has been taken off
 		return
 	}
 	arm := index(build >= a.newest)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -90,26 +90,26 @@
 
 func init() {
 	rules = []rule{
-		{"survey", func(a *Agent) bool { return a.now >= a.surveyAt }, (*Agent).survey},
-		{"ring", func(a *Agent) bool { return len(a.alarms) > 0 && a.alarms[0].at <= a.now }, (*Agent).ring},
-		{"pass over", func(a *Agent) bool { return len(a.todo) > 0 && a.todo[0].ended }, (*Agent).next},
-		{"last moment", func(a *Agent) bool {
+		{"survey", func(a *Instance) bool { return a.now >= a.surveyAt }, (*Instance).survey},
+		{"ring", func(a *Instance) bool { return len(a.alarms) > 0 && a.alarms[0].at <= a.now }, (*Instance).ring},
+		{"pass over", func(a *Instance) bool { return len(a.todo) > 0 && a.todo[0].ended }, (*Instance).next},
+		{"last moment", func(a *Instance) bool {
 			return len(a.todo) > 0 && !a.todo[0].took && a.now >= a.todo[0].expiry-endGuard
-		}, func(a *Agent) { a.end(a.todo[0]) }},
-		{"route", func(a *Agent) bool { return len(a.todo) > 0 && a.todo[0].out == 0 }, (*Agent).route},
-		{"recall", func(a *Agent) bool { return a.now >= a.recallAt && len(a.held) > 0 }, (*Agent).recall},
-		{"overdue", func(a *Agent) bool { return len(a.todo) > 0 }, (*Agent).overdue},
-		{"ask", func(a *Agent) bool { return a.asked && !a.subscribed && a.now >= a.askAt }, (*Agent).ask},
-		{"judge", func(a *Agent) bool { return a.now >= a.judgeAt }, (*Agent).judge},
-		{"tell", func(a *Agent) bool { return len(a.notes) > 0 && a.now >= a.tellAt }, (*Agent).tell},
-		{"vote", (*Agent).voteDue, (*Agent).vote},
-		{"arm", func(a *Agent) bool { return len(a.alarms) > 0 && a.alarms[0].at < a.armed }, (*Agent).arm},
+		}, func(a *Instance) { a.end(a.todo[0]) }},
+		{"route", func(a *Instance) bool { return len(a.todo) > 0 && a.todo[0].out == 0 }, (*Instance).route},
+		{"recall", func(a *Instance) bool { return a.now >= a.recallAt && len(a.held) > 0 }, (*Instance).recall},
+		{"overdue", func(a *Instance) bool { return len(a.todo) > 0 }, (*Instance).overdue},
+		{"ask", func(a *Instance) bool { return a.asked && !a.subscribed && a.now >= a.askAt }, (*Instance).ask},
+		{"judge", func(a *Instance) bool { return a.now >= a.judgeAt }, (*Instance).judge},
+		{"tell", func(a *Instance) bool { return len(a.notes) > 0 && a.now >= a.tellAt }, (*Instance).tell},
+		{"vote", (*Instance).voteDue, (*Instance).vote},
+		{"arm", func(a *Instance) bool { return len(a.alarms) > 0 && a.alarms[0].at < a.armed }, (*Instance).arm},
 	}
 }
 
 // retryList: a failure does not say which call it was, so the subscription is asked for again, later each
 // time and scattered, yet well before the agent would be taken to know what it was not told.
-func (a *Agent) retryList() {
+func (a *Instance) retryList() {
 	part := min(askFirst*math.Pow(2, a.failures), askMost) * (1 + a.rnd.Float64())
 	a.subscribed, a.askAt, a.failures = false, a.now+a.within*part, a.failures+1
 	a.look(a.askAt, nil)
@@ -118,19 +118,19 @@
 // ---- guards: every submission passes mayGo and send, every final answer passes end
 
 // mayGo guards rules 2 to 5 for one submission of t to appliance i.
-func (a *Agent) mayGo(t *txn, i int) bool {
+func (a *Instance) mayGo(t *txn, i int) bool {
 	if t.ended || a.now >= t.expiry || len(t.subs) >= a.maxSubs || t.out > 1 || t.out == 1 && !a.copies ||
-		a.state[i] != Running { // stricter than the grace: nothing goes where the list shows a drain
+		a.state[i] != EndpointRunning { // stricter than the grace: nothing goes where the list shows a drain
 		return false
 	}
 	p := &a.products[t.product]
 	for _, s := range t.subs {
-		if s.unrun || p.Effect == InquiryLike {
+		if s.unrun || p.Semantics == Safe {
 			continue
 		}
-		if p.Effect == OnceOnly || a.now >= s.at+p.Remember ||
-			p.Group == GroupZone && a.zones[s.app] != a.zones[i] ||
-			p.Group == GroupCell && a.cells[s.app] != a.cells[i] {
+		if p.Semantics == NonIdempotent || a.now >= s.at+p.DedupWindow ||
+			p.DedupScope == DedupZone && a.zones[s.app] != a.zones[i] ||
+			p.DedupScope == DedupCell && a.cells[s.app] != a.cells[i] {
 			return false
 		}
 		break // the first that may have run binds
@@ -139,14 +139,14 @@
 }
 
 // warmEnough keeps the cold budget: a part, by the least warmth, of what warm appliances are seen to serve.
-func (a *Agent) warmEnough(t *txn, i int) bool {
+func (a *Instance) warmEnough(t *txn, i int) bool {
 	c := a.coldness(i)
 	if c >= 1 {
 		return true
 	}
 	pace := a.pace / paceTime / max(1-math.Exp(-a.paceAge/paceTime), 0.05) * a.rating[i]
 	// One core at the least bears one txn per latency, shared by all: the floor where nothing warm is seen.
-	mean := cmp.Or(a.meanMs, a.products[t.product].SLA)
+	mean := cmp.Or(a.meanMs, a.products[t.product].LatencyObjective)
 	rate := coldMargin * a.multiple * c * max(pace, 1/(mean*float64(a.agents)))
 	a.level[i] = min(a.level[i]+rate*(a.now-a.levelAt[i]), max(rate*a.fall*coldDepth, 1))
 	a.levelAt[i] = a.now
@@ -154,44 +154,44 @@
 }
 
 // end gives the one final answer: a decline where nothing can have run or a repeat does no harm, else a void.
-func (a *Agent) end(t *txn) {
+func (a *Instance) end(t *txn) {
 	if t.ended {
 		return
 	}
 	t.ended = true
 	p := &a.products[t.product]
 	mayHaveRun := slices.ContainsFunc(t.subs, func(s submission) bool { return !s.unrun })
-	if !mayHaveRun || p.Effect == InquiryLike || p.Effect == Referenced && p.Group == GroupAll {
-		a.port.Decline(t.id, a.maxWait*(adviseLeast+adviseSpread*a.rnd.Float64()))
+	if !mayHaveRun || p.Semantics == Safe || p.Semantics == Idempotent && p.DedupScope == DedupAll {
+		a.port.Reject(t.id, a.maxWait*(adviseLeast+adviseSpread*a.rnd.Float64()))
 	} else {
-		a.port.Void(t.id)
+		a.port.Fail(t.id)
 	}
 	a.drop(t)
 }
 
 // admit sets a new txn's SLA time and counts it where the cap, the reserve for the dear and the heat need it.
-func (a *Agent) admit(t *txn, again bool, left, hint float64) {
+func (a *Instance) admit(t *txn, again bool, left, hint float64) {
 	p := &a.products[t.product]
-	t.sla = t.came + p.SLA + p.Stretch*hint
+	t.sla = t.came + p.LatencyObjective + p.ObjectivePerWork*hint
 	// A repeat's SLA time began with the first try: what is left of the expiry tells, once less than usual.
 	a.longest[t.product] = max(a.longest[t.product], left)
 	if again && left < a.longest[t.product]-1 {
-		t.sla -= p.Expiry - left
+		t.sla -= p.Timeout - left
 	}
 	t.sla = min(t.sla, t.expiry)
-	t.revenue = p.Revenue
+	t.revenue = p.Value
 	if t.tenant < len(a.quotas) && a.overQuota(t) {
 		t.revenue *= a.overWorth
 	}
 	a.worth += (t.revenue - a.worth) * max(usualStep, 1/a.taken)
-	a.allowance.Taken(a.lane(t.product), a.book)
+	a.allowance.OnRequest(a.lane(t.product), a.book)
 	a.todo, a.spares = append(a.todo, t), min(a.spares+giveUp, giveUpMost)
 	a.look(t.expiry-endGuard, t)
 }
 
 // room tells that own open submissions, at the appliance and in all, are fewer than those lately answered in
 // time: it keeps queues short where agents are few. The dear may use the last of them.
-func (a *Agent) room(t *txn, i int) bool {
+func (a *Instance) room(t *txn, i int) bool {
 	part := [2]float64{1, dearOnly}[index(t.revenue < a.worth)]
 	here, all := max(a.limit[i]*part, 1), max(a.limitAll*part, 2)
 	return a.now >= a.restUntil[i] && float64(a.open[i]) < here && float64(a.openAll) < all
@@ -199,10 +199,12 @@
 
 // due is when an answer is late by its appliance's doing. What the txn waited here is not: where few machines
 // may serve a key all come to them at the last moment, and limits would fall until nothing gets there.
-func (a *Agent) due(t *txn) float64 { return max(t.sla, a.now+blameFrom*a.products[t.product].SLA) }
+func (a *Instance) due(t *txn) float64 {
+	return max(t.sla, a.now+blameFrom*a.products[t.product].LatencyObjective)
+}
 
 // press moves the limit: up while answers are in time and it binds, down for late ones.
-func (a *Agent) press(i int, good bool) {
+func (a *Instance) press(i int, good bool) {
 	was := a.limit[i]
 	if good && float64(a.open[i])+1 > limitBinds*a.limit[i] {
 		a.limit[i] += limitUp
@@ -214,11 +216,11 @@
 
 // rest lets an appliance be after a quick failure, longer for each in a row. One that fails at once never has
 // much open and would draw all work to it: a dead process, a full one, a build that breaks, a list that lags.
-func (a *Agent) rest(i int, r Result) {
+func (a *Instance) rest(i int, r AttemptStatus) {
 	switch r {
-	case Settled:
+	case StatusServed:
 		a.inRow[i] = 0
-	case Rejected, Unconnected, Errored, Broken:
+	case StatusRejected, StatusConnectFailed, StatusErrored, StatusReset:
 		pause := min(restFirst*math.Pow(2, a.inRow[i]), restMost) * (0.5 + a.rnd.Float64())
 		a.inRow[i], a.restUntil[i] = a.inRow[i]+1, max(a.restUntil[i], a.now+pause)
 	}
@@ -226,7 +228,7 @@
 
 // feel moves the part of the txns that is taken on, and of those whose probes went unanswered: down for late
 // answers, up for good ones and with time. Limits on open work bind nothing where each agent has little.
-func (a *Agent) feel(blind bool, short float64) {
+func (a *Instance) feel(blind bool, short float64) {
 	for k := range a.flow {
 		if k == 0 || blind {
 			flow := a.flowNow(k) * (1 - flowDown*short)
@@ -239,14 +241,14 @@
 }
 
 // flows draws whether a txn goes on, the dear sooner.
-func (a *Agent) flows(k int, t *txn) bool {
+func (a *Instance) flows(k int, t *txn) bool {
 	return a.rnd.Float64() < math.Pow(a.flowNow(k)/flowFull, a.worth/max(t.revenue, 1e-9))
 }
 
-func (a *Agent) route() {
+func (a *Instance) route() {
 	t := a.todo[0]
 	a.next()
-	inTime := a.now+a.least(t) < t.sla || a.products[t.product].Late > 0 && len(t.subs) > 0
+	inTime := a.now+a.least(t) < t.sla || a.products[t.product].LateValue > 0 && len(t.subs) > 0
 	many := a.agents >= manyAgents && !t.held
 	mute := many && a.flowNow(1) >= flowFull && a.rnd.Float64() < 2*a.mute-1 // probes fail, txns do not
 	racing := many && a.probes && racers*a.probePrice <= raceGain && t.races < racers && !mute
@@ -273,28 +275,28 @@
 	}
 }
 
-func (a *Agent) lastHold(t *txn) float64 { return t.came + holdMost*(t.expiry-t.came) }
+func (a *Instance) lastHold(t *txn) float64 { return t.came + holdMost*(t.expiry-t.came) }
 
 // least: what an answer takes. Bounded, or a product sent no more would keep its worst hour's for ever.
-func (a *Agent) least(t *txn) float64 {
-	return min(a.usual[t.product], usualMost*a.products[t.product].SLA)
+func (a *Instance) least(t *txn) float64 {
+	return min(a.usual[t.product], usualMost*a.products[t.product].LatencyObjective)
 }
 
 // race probes some appliances for a txn and gives it to the first that answers. Where many agents see little
 // each, own open work tells nothing of the load; what stands still, is slow, unreachable or reports falsely
 // loses the race. Where probes fail though txns are served, the pick goes on without them.
-func (a *Agent) race(t *txn) {
+func (a *Instance) race(t *txn) {
 	t.races++
 	for range racers {
 		if i := a.pick(t); i >= 0 && !slices.Contains(a.racing, racer{t, i}) {
 			a.racing = append(a.racing, racer{t, i})
-			a.port.Probe(a.id[i])
+			a.port.SendProbe(a.id[i])
 		}
 	}
-	a.look(a.now+raceTime*a.products[t.product].SLA, t)
+	a.look(a.now+raceTime*a.products[t.product].LatencyObjective, t)
 }
 
-func (a *Agent) raced(i int) {
+func (a *Instance) raced(i int) {
 	if t := a.waiting(i); t != nil && a.now < t.sla && a.mayGo(t, i) {
 		a.place(t, i)
 	}
@@ -302,7 +304,7 @@
 
 // recall lets the longest-held txns try again once an outcome, the list or the passing of a little time may
 // have made room: oldest first, or newer ones would starve them past their SLA time.
-func (a *Agent) recall() {
+func (a *Instance) recall() {
 	a.recallAt = math.Inf(1)
 	held, misses := a.held, 0
 	a.held = nil
@@ -326,7 +328,7 @@
 
 // overdue holds a late submission against its appliance at once, and gives up one past hope to try elsewhere:
 // answers get lost on any way. No second copy goes out, and only a part is given up: both feed shortages.
-func (a *Agent) overdue() {
+func (a *Instance) overdue() {
 	t := a.todo[0]
 	a.next()
 	for k := range t.subs {
@@ -341,13 +343,13 @@
 			a.press(s.app, false)
 		} else {
 			s.called, a.spares = true, a.spares-1
-			a.port.Revoke(t.id, k)
+			a.port.CancelAttempt(t.id, k)
 		}
 	}
 }
 
 // share is the part of the txns for the newest build: its machines' share, within the cap.
-func (a *Agent) share() float64 {
+func (a *Instance) share() float64 {
 	limit, all := a.trialCap*capPart, a.bear[0]+a.bear[1]
 	if limit >= capPart {
 		limit = 1
@@ -360,12 +362,12 @@
 }
 
 // last: earlier machines that stay are idle in a stage over all places, and latencies are not compared.
-func (a *Agent) last() bool {
+func (a *Instance) last() bool {
 	return a.stage == len(a.stages)-1 && a.placed > 0 && a.trialRelease <= a.newest
 }
 
 // pick chooses the arm, then of some random appliances in it the one with least to do for its size.
-func (a *Agent) pick(t *txn) int {
+func (a *Instance) pick(t *txn) int {
 	// What failed on the trial build is tried elsewhere.
 	failed := len(t.subs) > 0 && a.limited(t.subs[len(t.subs)-1].build)
 	trial := !failed && a.draw(t) < a.share()
@@ -381,7 +383,7 @@
 
 // draw is a txn's place in [0,1): by key where keys stay with a release. The trial's keys are the same ones from the first
 // listing of its release on, before its news, after it and in a process that starts anew.
-func (a *Agent) draw(t *txn) float64 {
+func (a *Instance) draw(t *txn) float64 {
 	if t.affinity != 0 {
 		return spot(t.key, a.salt^uint64(max(a.trialRelease, a.newest)))
 	}
@@ -390,7 +392,7 @@
 
 // pickIn draws appliances of one arm by what each can bear, compared by own open work: agents that see little
 // would else all find the same few best. Drawn first, tested after: cost must not grow with the fleet.
-func (a *Agent) pickIn(t *txn, trial bool) int {
+func (a *Instance) pickIn(t *txn, trial bool) int {
 	in := a.members[index(trial)]
 	best, bestLoad := -1, math.Inf(1)
 	for n, tries := 0, 0; n < choices && tries < mostTries && len(in) > 0; tries++ {
@@ -422,7 +424,7 @@
 }
 
 // bears is what an appliance can bear, as far as is known.
-func (a *Agent) bears(i int) float64 {
+func (a *Instance) bears(i int) float64 {
 	w := a.rating[i] * a.coldness(i) / a.rel[i]
 	if a.zonePriced && a.zones[i] != a.home {
 		w /= crossZone
@@ -431,7 +433,7 @@
 }
 
 // doubted draws an appliance's chance of an answer in time from its posterior, held against the fleet's.
-func (a *Agent) doubted(i int) bool {
+func (a *Instance) doubted(i int) bool {
 	f, all := math.Exp(-(a.now-a.seenAt[i])/doubtTime), math.Exp(-(a.now-a.notedAt)/doubtTime)
 	good, poor := a.goodAll*all, a.poorAll*all
 	if a.poor[i]*f < 0.5 {
@@ -442,43 +444,43 @@
 }
 
 // ended draws the conclusions from one submission's end.
-func (a *Agent) ended(t *txn, s *submission, r Result, took float64) {
-	good := r == Settled && a.now <= s.due
+func (a *Instance) ended(t *txn, s *submission, r AttemptStatus, took float64) {
+	good := r == StatusServed && a.now <= s.due
 	a.rest(s.app, r)
-	if a.now == a.wokeAt && r == Settled {
+	if a.now == a.wokeAt && r == StatusServed {
 		// What took so long may be the agent's own pause: no word on the appliance, the load or the build.
 		took, good = math.Inf(1), true
 	}
 	switch {
 	case a.zones[s.app] != a.home: // the way there may be at fault
-	case r == Rejected || r == Settled && !good:
+	case r == StatusRejected || r == StatusServed && !good:
 		a.feel(t.blind, 1)
-	case r == Settled:
+	case r == StatusServed:
 		a.feel(t.blind, 0)
-	case r == TimedOut:
+	case r == StatusTimedOut:
 		a.feel(t.blind, unanswered)
 	}
-	if r != Revoked && r != Moot && !s.late {
+	if r != StatusCanceled && r != StatusNotSent && !s.late {
 		a.note(s.app, good)
-		if r != Unconnected && r != Errored && r != Broken { // what breaks on the way is no word on the load
+		if r != StatusConnectFailed && r != StatusErrored && r != StatusReset { // what breaks on the way is no word on the load
 			a.press(s.app, good)
 		}
 	}
-	if r == Settled {
+	if r == StatusServed {
 		a.learn(s.app, t, took)
 	}
 	// An answer that was spoilt on its way, or came when nobody read it, has bound its key all the same.
-	if r != Errored && !s.unrun {
+	if r != StatusErrored && !s.unrun {
 		a.bind(t, s)
 	}
 	// Proven not run, called off: no word on the build.
-	if a.known && !math.IsInf(took, 1) && !s.unrun && r != Revoked {
+	if a.known && !math.IsInf(took, 1) && !s.unrun && r != StatusCanceled {
 		a.witness(s, t, r, took)
 	}
 	switch {
 	case t.ended:
 		a.drop(t)
-	case t.out == 0 && (s.unrun || a.products[t.product].Effect != OnceOnly):
+	case t.out == 0 && (s.unrun || a.products[t.product].Semantics != NonIdempotent):
 		t.races, t.blind = 0, false
 		a.todo = append(a.todo, t)
 	case t.out == 0:
@@ -490,24 +492,24 @@
 
 // answered reads the platform's answer to the vote that is out. What was asked of a release before the newest one says nothing
 // of votes on that.
-func (a *Agent) answered(reply Reply) {
+func (a *Instance) answered(reply VoteResponse) {
 	a.pending = false
 	if a.askingRelease != a.newest {
 		return
 	}
-	if reply == Counted {
+	if reply == VoteCounted {
 		a.stands, a.standsStage = a.asking, a.askingStage
 		a.renew = a.now + a.life*(renewAt+renewSpread*a.rnd.Float64())
 		return
 	}
 	// Idle: the stage has moved on and the news is late, asking again tells nothing.
-	pause := [2]float64{votePause, idlePause}[index(reply == Idle)]
+	pause := [2]float64{votePause, idlePause}[index(reply == VoteOutdated)]
 	a.voteAt = a.now + pause*(0.5+a.rnd.Float64())
 	a.look(a.voteAt, nil)
 }
 
 // steady is gate one's check of a machine: halves of its recent outcomes agree, or its told warm-up is over.
-func (a *Agent) steady(i int, rel float64) bool {
+func (a *Instance) steady(i int, rel float64) bool {
 	a.recent[i] = append(a.recent[i], rel)
 	if len(a.recent[i]) > steadyLeast {
 		a.recent[i] = a.recent[i][1:]
@@ -520,14 +522,14 @@
 }
 
 // judge runs the gates and says what the agent wants.
-func (a *Agent) judge() {
+func (a *Instance) judge() {
 	a.judgeAt = a.now + judgePause
 	a.look(a.judgeAt, nil)
-	gone := !a.known || a.phase == GoingBack || a.phase == Withdrawn
-	if a.want == Back && !gone { // stands until the news says that the build goes
+	gone := !a.known || a.phase == RollingBack || a.phase == Withdrawn
+	if a.want == Rollback && !gone { // stands until the news says that the build goes
 		return
 	}
-	a.want = None
+	a.want = NoVerdict
 	neu := a.newMachines()
 	if gone || a.stage < 0 || a.stage >= len(a.stages) || neu == 0 {
 		return
@@ -543,7 +545,7 @@
 		worse = "old and new alike are slower since it came"
 	}
 	if a.reason = worse; worse != "" {
-		a.want = Back
+		a.want = Rollback
 	}
 	// An inconclusive comparison blocks nothing: with the least sample seen the floor alone is waited for.
 	ready := max(a.lastStart, a.phaseAt) + floorOn + floorRoom
@@ -551,17 +553,17 @@
 	if few {
 		ready = max(ready, a.lastStart+wait)
 	}
-	if !a.judging() || few && a.control == Single {
+	if !a.judging() || few && a.control == ControlSingleVote {
 		ready += alone
 	}
-	if a.want != Back && a.phase == OnTrial && a.control != Clocked && a.now >= ready && !hot {
-		a.want = On
+	if a.want != Rollback && a.phase == RollingOut && a.control != ControlTimed && a.now >= ready && !hot {
+		a.want = Promote
 	}
 }
 
 // gates compares the builds product by product, and all products at once by latency over the product's usual
 // one, which sees a slow build sooner and hides no single product.
-func (a *Agent) gates() (earned bool, worse string) {
+func (a *Instance) gates() (earned bool, worse string) {
 	arms := [2][][]outcome{}
 	for k := range arms {
 		arms[k] = append(slices.Clone(a.evidence[k]), pooled(a.evidence[k]))
@@ -578,11 +580,11 @@
 
 // judging: where agents may send messages, all tell their outcomes to a few, always the same, since what came
 // before a build counts too. These go through the same gates; the others step in where they stay silent.
-func (a *Agent) judging() bool { return !a.peers || a.me < judges }
+func (a *Instance) judging() bool { return !a.peers || a.me < judges }
 
 // err is the chance to be wrong that one agent may take: small where few of many undo a build, larger where
 // many must agree, each of whom sees little.
-func (a *Agent) err() float64 {
+func (a *Instance) err() float64 {
 	looking := a.agents
 	if a.peers && a.judging() {
 		looking = min(looking, judges)
@@ -592,7 +594,7 @@
 
 // heat is the whole fleet's latency of late over what it was before the build came: it stands in for a
 // comparison where a build slows old and new alike. 0 where too little is seen, or more is asked than before.
-func (a *Agent) heat() float64 {
+func (a *Instance) heat() float64 {
 	if a.before.typical == 0 || a.demandNow() > demandMore*a.before.demand {
 		return 0
 	}
@@ -602,7 +604,7 @@
 // burning follows the heat. What began before the build had a share worth the name, or after its release, is
 // not its doing and counts only for what it grows by: a build's own heat grows by stage. Heat holds 'on' back
 // and earns 'back' once it has outlasted most outside trouble. It may hurt a good build in a long slowness.
-func (a *Agent) burning() (hot, long bool) {
+func (a *Instance) burning() (hot, long bool) {
 	h := a.heat()
 	outside := a.stage < 1 || a.phase == Released && a.now > a.phaseAt+releaseTail
 	switch {
@@ -693,18 +695,18 @@
 	return f >= max(4-backs, 1) && beyond > 1-err
 }
 
-func (a *Agent) voteDue() bool {
-	if a.pending || a.now < a.voteAt || a.want == None {
+func (a *Instance) voteDue() bool {
+	if a.pending || a.now < a.voteAt || a.want == NoVerdict {
 		return false
 	}
-	same := a.stands == a.want && (a.want == Back || a.standsStage == a.stage)
+	same := a.stands == a.want && (a.want == Rollback || a.standsStage == a.stage)
 	return !same || a.now >= a.renew
 }
 
-func (a *Agent) vote() {
+func (a *Instance) vote() {
 	a.pending, a.asking, a.askingStage, a.askingRelease = true, a.want, a.stage, a.newest
-	a.port.Vote(a.newest, a.want, a.stage)
-	if a.want == Back { // many agents that say 'on' would fill any log
+	a.port.SendVote(a.newest, a.want, a.stage)
+	if a.want == Rollback { // many agents that say 'on' would fill any log
 		a.port.Log(fmt.Sprintf("vote back on build %d stage %d: %s", a.newest, a.stage, a.reason))
 	}
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -12,34 +12,34 @@
 func TestEffects(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		effect Effect
-		group  Group
-		result Result
+		effect Semantics
+		group  DedupScope
+		result AttemptStatus
 		after  float64 // time of the outcome
 		want   string  // the action that follows
 		where  string  // appliances that it may name; empty: any
 	}{
-		{"inquiry-like goes again", InquiryLike, GroupAll, Errored, 100, "submit", ""},
-		{"once-only, may have run", OnceOnly, GroupAll, Errored, 100, "void", ""},
-		{"once-only, broken off", OnceOnly, GroupAll, Broken, 100, "void", ""},
-		{"once-only, proven not to have run", OnceOnly, GroupAll, Rejected, 100, "submit", ""},
-		{"once-only, never connected", OnceOnly, GroupAll, Unconnected, 100, "submit", ""},
-		{"referenced, all drop repeats", Referenced, GroupAll, Errored, 100, "submit", ""},
-		{"referenced, its zone only", Referenced, GroupZone, Errored, 100, "submit", "same"},
-		{"referenced, its cell only", Referenced, GroupCell, Broken, 100, "submit", "same"},
-		{"referenced, not run: any zone", Referenced, GroupZone, Rejected, 100, "submit", ""},
-		{"referenced, past the memory of all", Referenced, GroupAll, Errored, 300, "decline", ""},
-		{"referenced, past the memory of a zone", Referenced, GroupZone, Errored, 300, "void", ""},
+		{"inquiry-like goes again", Safe, DedupAll, StatusErrored, 100, "submit", ""},
+		{"once-only, may have run", NonIdempotent, DedupAll, StatusErrored, 100, "void", ""},
+		{"once-only, broken off", NonIdempotent, DedupAll, StatusReset, 100, "void", ""},
+		{"once-only, proven not to have run", NonIdempotent, DedupAll, StatusRejected, 100, "submit", ""},
+		{"once-only, never connected", NonIdempotent, DedupAll, StatusConnectFailed, 100, "submit", ""},
+		{"referenced, all drop repeats", Idempotent, DedupAll, StatusErrored, 100, "submit", ""},
+		{"referenced, its zone only", Idempotent, DedupZone, StatusErrored, 100, "submit", "same"},
+		{"referenced, its cell only", Idempotent, DedupCell, StatusReset, 100, "submit", "same"},
+		{"referenced, not run: any zone", Idempotent, DedupZone, StatusRejected, 100, "submit", ""},
+		{"referenced, past the memory of all", Idempotent, DedupAll, StatusErrored, 300, "decline", ""},
+		{"referenced, past the memory of a zone", Idempotent, DedupZone, StatusErrored, 300, "void", ""},
 	} {
 		for n := range 20 { // the pick is by chance
-			p := Product{SLA: 1000, Expiry: 4000, Revenue: 1, Effect: c.effect, Group: c.group, Remember: 250}
+			p := RequestClass{LatencyObjective: 1000, Timeout: 4000, Value: 1, Semantics: c.effect, DedupScope: c.group, DedupWindow: 250}
 			a, r := tier(p, 8)
 			a.rnd.IntN(n + 1)
-			a.Txn(10, "t", "", 0, 0, false, 4000, 0)
+			a.OnRequest(10, "t", "", 0, 0, false, 4000, 0)
 			first := r.take()[0]
-			a.Outcome(10+c.after, "t", 0, c.result, false, c.after, -1, -1)
+			a.OnAttemptResult(10+c.after, "t", 0, c.result, false, c.after, -1, -1)
 			for now := 10 + c.after; len(r.did) == 0 && now < 5000; now += 10 {
-				a.Wake(now, a.token)
+				a.OnTimer(now, a.token)
 			}
 			got := r.take()
 			if len(got) != 1 || !strings.HasPrefix(got[0], c.want) {
@@ -55,18 +55,18 @@
 // Every txn gets one final answer before its expiry, whatever its effect, and nothing after it.
 func TestLastMoment(t *testing.T) {
 	for _, c := range []struct {
-		effect Effect
+		effect Semantics
 		want   string
-	}{{InquiryLike, "[decline t revoke t 0]"}, {Referenced, "[decline t revoke t 0]"}, {OnceOnly, "[void t revoke t 0]"}} {
-		a, r := tier(Product{SLA: 1000, Expiry: 4000, Revenue: 1, Effect: c.effect, Remember: 9000}, 2)
-		a.Txn(10, "t", "", 0, 0, false, 500, 0)
+	}{{Safe, "[decline t revoke t 0]"}, {Idempotent, "[decline t revoke t 0]"}, {NonIdempotent, "[void t revoke t 0]"}} {
+		a, r := tier(RequestClass{LatencyObjective: 1000, Timeout: 4000, Value: 1, Semantics: c.effect, DedupWindow: 9000}, 2)
+		a.OnRequest(10, "t", "", 0, 0, false, 500, 0)
 		r.take()
 		for now := 15.0; now < 510; now += 5 {
-			a.Wake(now, a.token)
+			a.OnTimer(now, a.token)
 		}
 		expect(t, "at the expiry", r.take(), c.want)
-		a.Outcome(520, "t", 0, TimedOut, true, 510, -1, -1)
-		a.Hangup(521, "t")
+		a.OnAttemptResult(520, "t", 0, StatusTimedOut, true, 510, -1, -1)
+		a.OnClientGone(521, "t")
 		expect(t, "afterwards", r.take(), "[]")
 		expect(t, "still held", len(a.txns), 0)
 	}
@@ -76,31 +76,31 @@
 func TestList(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		entry Listed
+		entry Endpoint
 		whole bool
 		want  string
 	}{
-		{"drains", Listed{ID: "a", Build: 1, State: Draining, Rating: 1}, false, "[]"},
-		{"gone", Listed{ID: "a", Build: 1, State: Gone, Rating: 1}, false, "[]"},
-		{"not in a whole list", Listed{ID: "b", Build: 1, Rating: 1}, true, "[submit t b]"},
-		{"runs", Listed{ID: "a", Build: 1, Rating: 1}, false, "[submit t a]"},
+		{"drains", Endpoint{ID: "a", Release: 1, State: EndpointDraining, Weight: 1}, false, "[]"},
+		{"gone", Endpoint{ID: "a", Release: 1, State: EndpointRemoved, Weight: 1}, false, "[]"},
+		{"not in a whole list", Endpoint{ID: "b", Release: 1, Weight: 1}, true, "[submit t b]"},
+		{"runs", Endpoint{ID: "a", Release: 1, Weight: 1}, false, "[submit t a]"},
 	} {
-		a, r := tier(Product{}, 1)
-		a.List(5, []Listed{c.entry}, c.whole, false)
-		a.Txn(10, "t", "", 0, 0, false, 4000, 0)
+		a, r := tier(RequestClass{}, 1)
+		a.OnEndpoints(5, []Endpoint{c.entry}, c.whole, false)
+		a.OnRequest(10, "t", "", 0, 0, false, 4000, 0)
 		expect(t, c.name, r.take(), c.want)
 	}
-	a, r := tier(Product{}, 1)
+	a, r := tier(RequestClass{}, 1)
 	a.Watch(true, 1000, 10000)
-	a.Wake(2, 0)
-	a.ListFailed(3)
+	a.OnTimer(2, 0)
+	a.OnEndpointsFailed(3)
 	expect(t, "asked once", r.take(), "[subscribe]")
 	var asked []float64
 	for now := 3.0; now < 60000; now += 5 {
-		a.Wake(now, a.token)
+		a.OnTimer(now, a.token)
 		if len(r.take()) > 0 {
 			asked = append(asked, now)
-			a.ListFailed(now)
+			a.OnEndpointsFailed(now)
 		}
 	}
 	for k := 1; k < len(asked); k++ {
@@ -120,32 +120,32 @@
 		limit       float64
 		phase       Phase
 		guarded     int
-		effect      Effect
+		effect      Semantics
 		news        int // build of the news; the machines run 2
 		most, least int // submissions at it of 100 txns, each settled at once
 	}{
-		{"cap 0", 0, OnTrial, 0, InquiryLike, 2, 0, 0},
-		{"cap 0.1", 0.1, OnTrial, 0, InquiryLike, 2, 12, 2},
-		{"withdrawn", 0, Withdrawn, 0, InquiryLike, 2, 0, 0},
-		{"guarded stage, with an effect", 0.5, OnTrial, 1, OnceOnly, 2, 0, 0},
-		{"guarded stage, inquiry-like", 0.5, OnTrial, 1, InquiryLike, 2, 52, 20},
-		{"not announced: first stage", 1, Released, 0, InquiryLike, 1, 12, 2},
-		{"released", 1, Released, 0, InquiryLike, 2, 100, 30},
+		{"cap 0", 0, RollingOut, 0, Safe, 2, 0, 0},
+		{"cap 0.1", 0.1, RollingOut, 0, Safe, 2, 12, 2},
+		{"withdrawn", 0, Withdrawn, 0, Safe, 2, 0, 0},
+		{"guarded stage, with an effect", 0.5, RollingOut, 1, NonIdempotent, 2, 0, 0},
+		{"guarded stage, inquiry-like", 0.5, RollingOut, 1, Safe, 2, 52, 20},
+		{"not announced: first stage", 1, Released, 0, Safe, 1, 12, 2},
+		{"released", 1, Released, 0, Safe, 2, 100, 30},
 	} {
-		a, r := tier(Product{SLA: 1000, Expiry: 4000, Revenue: 1, Effect: c.effect}, 4)
+		a, r := tier(RequestClass{LatencyObjective: 1000, Timeout: 4000, Value: 1, Semantics: c.effect}, 4)
 		a.Expose(2, []float64{0.1, 0.5, 1}, c.guarded, false, false)
-		a.News(2, c.news, 0, c.phase, Unasked, c.limit, 0, true)
-		a.List(3, []Listed{{ID: "x", Build: 2, Rating: 1}, {ID: "y", Build: 2, Rating: 1}, {ID: "z", Build: 2, Rating: 4}}, false, false)
+		a.OnReleaseUpdate(2, c.news, 0, c.phase, NotAVote, c.limit, 0, true)
+		a.OnEndpoints(3, []Endpoint{{ID: "x", Release: 2, Weight: 1}, {ID: "y", Release: 2, Weight: 1}, {ID: "z", Release: 2, Weight: 4}}, false, false)
 		n := 0
 		for k := range 100 {
 			id, now := fmt.Sprint(k), 10+float64(k)*20
-			a.Txn(now, id, "", 0, 0, false, 4000, 0)
+			a.OnRequest(now, id, "", 0, 0, false, 4000, 0)
 			for _, did := range r.take() {
 				if strings.ContainsAny(did[len(did)-1:], "xyz") {
 					n++
 				}
 			}
-			a.Outcome(now+10, id, 0, Settled, true, 10, -1, -1)
+			a.OnAttemptResult(now+10, id, 0, StatusServed, true, 10, -1, -1)
 		}
 		if n > c.most || n < c.least {
 			t.Errorf("%s: %d submissions, want %d to %d", c.name, n, c.least, c.most)
@@ -158,17 +158,17 @@
 	for _, c := range []struct {
 		phase Phase
 		open  bool // an earlier build may serve the key
-	}{{OnTrial, false}, {Released, false}, {GoingBack, true}, {Withdrawn, true}} {
-		a, r := tier(Product{}, 1)
+	}{{RollingOut, false}, {Released, false}, {RollingBack, true}, {Withdrawn, true}} {
+		a, r := tier(RequestClass{}, 1)
 		a.Expose(2, []float64{1}, 0, false, true)
-		a.News(2, 2, 0, OnTrial, Unasked, 1, 0, true)
-		a.List(3, []Listed{{ID: "x", Build: 2, Rating: 1}, {ID: "a", Build: 1, State: Draining, Rating: 1}}, false, false)
-		a.Txn(10, "t", "k", 0, 0, false, 4000, 0)
-		a.Outcome(20, "t", 0, Settled, true, 10, -1, -1)
+		a.OnReleaseUpdate(2, 2, 0, RollingOut, NotAVote, 1, 0, true)
+		a.OnEndpoints(3, []Endpoint{{ID: "x", Release: 2, Weight: 1}, {ID: "a", Release: 1, State: EndpointDraining, Weight: 1}}, false, false)
+		a.OnRequest(10, "t", "k", 0, 0, false, 4000, 0)
+		a.OnAttemptResult(20, "t", 0, StatusServed, true, 10, -1, -1)
 		expect(t, "first", r.take(), "[submit t x]")
-		a.List(30, []Listed{{ID: "x", Build: 2, State: Draining, Rating: 1}, {ID: "a", Build: 1, Rating: 1}}, false, false)
-		a.News(31, 2, 0, c.phase, Unasked, 1, 0, true)
-		a.Txn(40, "u", "k", 0, 0, false, 4000, 0)
+		a.OnEndpoints(30, []Endpoint{{ID: "x", Release: 2, State: EndpointDraining, Weight: 1}, {ID: "a", Release: 1, Weight: 1}}, false, false)
+		a.OnReleaseUpdate(31, 2, 0, c.phase, NotAVote, 1, 0, true)
+		a.OnRequest(40, "u", "k", 0, 0, false, 4000, 0)
 		expect(t, fmt.Sprint("phase ", c.phase), len(r.take()) == 1, c.open)
 	}
 }
@@ -177,56 +177,56 @@
 // nothing, nor does one that ends after its build was called back.
 func TestKeysUnread(t *testing.T) {
 	for _, c := range []struct {
-		result Result // 0: still out
+		result AttemptStatus // 0: still out
 		phase  Phase
 		open   bool // an earlier build may serve the key
-	}{{Settled, OnTrial, false}, {Broken, OnTrial, false}, {TimedOut, OnTrial, false}, {Revoked, OnTrial, false},
-		{0, OnTrial, false}, {Errored, OnTrial, true}, {Rejected, OnTrial, true}, {Unconnected, OnTrial, true},
-		{0, GoingBack, true}, {Settled, GoingBack, true}} {
-		a, r := tier(Product{}, 1)
+	}{{StatusServed, RollingOut, false}, {StatusReset, RollingOut, false}, {StatusTimedOut, RollingOut, false}, {StatusCanceled, RollingOut, false},
+		{0, RollingOut, false}, {StatusErrored, RollingOut, true}, {StatusRejected, RollingOut, true}, {StatusConnectFailed, RollingOut, true},
+		{0, RollingBack, true}, {StatusServed, RollingBack, true}} {
+		a, r := tier(RequestClass{}, 1)
 		a.Expose(2, []float64{1}, 0, false, true)
-		a.News(2, 2, 0, OnTrial, Unasked, 1, 0, true)
-		a.List(3, []Listed{{ID: "x", Build: 2, Rating: 1}, {ID: "a", Build: 1, State: Draining, Rating: 1}}, false, false)
-		a.Txn(10, "t", "k", 0, 0, false, 400, 0)
-		a.News(15, 2, 0, c.phase, Unasked, 1, 0, true)
+		a.OnReleaseUpdate(2, 2, 0, RollingOut, NotAVote, 1, 0, true)
+		a.OnEndpoints(3, []Endpoint{{ID: "x", Release: 2, Weight: 1}, {ID: "a", Release: 1, State: EndpointDraining, Weight: 1}}, false, false)
+		a.OnRequest(10, "t", "k", 0, 0, false, 400, 0)
+		a.OnReleaseUpdate(15, 2, 0, c.phase, NotAVote, 1, 0, true)
 		if c.result != 0 {
-			a.Outcome(20, "t", 0, c.result, true, 10, -1, -1)
+			a.OnAttemptResult(20, "t", 0, c.result, true, 10, -1, -1)
 		}
 		expect(t, "first", r.take()[0], "submit t x")
-		a.List(30, []Listed{{ID: "x", Build: 2, State: Draining, Rating: 1}, {ID: "a", Build: 1, Rating: 1}}, false, false)
-		a.Txn(40, "u", "k", 0, 0, false, 4000, 0)
+		a.OnEndpoints(30, []Endpoint{{ID: "x", Release: 2, State: EndpointDraining, Weight: 1}, {ID: "a", Release: 1, Weight: 1}}, false, false)
+		a.OnRequest(40, "u", "k", 0, 0, false, 4000, 0)
 		expect(t, fmt.Sprint("result ", c.result, ", phase ", c.phase), len(r.take()) == 1, c.open)
 	}
 }
 
 // What comes and goes for good leaves nothing behind, and an id that returns is new in all that is believed of it.
 func TestTurnover(t *testing.T) {
-	a, r := tier(Product{}, 3)
+	a, r := tier(RequestClass{}, 3)
 	a.Expose(2, []float64{1}, 0, false, true)
 	now := 10.0
 	for k := range 40000 {
 		now += 4
 		if k%20 == 0 {
 			id := fmt.Sprint("x", k)
-			a.List(now, []Listed{{ID: id, Build: 1 + k/400, Rating: 1}}, false, false)
+			a.OnEndpoints(now, []Endpoint{{ID: id, Release: 1 + k/400, Weight: 1}}, false, false)
 			if k >= 200 {
-				a.List(now, []Listed{{ID: fmt.Sprint("x", k-200), State: Gone}}, false, false)
+				a.OnEndpoints(now, []Endpoint{{ID: fmt.Sprint("x", k-200), State: EndpointRemoved}}, false, false)
 			}
 		}
 		if k%400 == 0 {
-			a.News(now, 1+k/400, 0, Released, Unasked, 1, 0, true)
+			a.OnReleaseUpdate(now, 1+k/400, 0, Released, NotAVote, 1, 0, true)
 		}
 		id := fmt.Sprint(k)
-		a.Txn(now, id, "key"+id, 0, 0, false, 400, 0)
+		a.OnRequest(now, id, "key"+id, 0, 0, false, 400, 0)
 		for _, did := range r.take() {
 			if strings.HasPrefix(did, "submit "+id+" ") {
-				a.Outcome(now+2, id, 0, Settled, true, 2, -1, -1)
+				a.OnAttemptResult(now+2, id, 0, StatusServed, true, 2, -1, -1)
 			}
 		}
 		if k == 39999 {
 			for range 100 { // alarms that are still set
 				now += 10
-				a.Wake(now, a.token)
+				a.OnTimer(now, a.token)
 			}
 		}
 	}
@@ -241,11 +241,11 @@
 			t.Errorf("%s: %d left, %d at the most", c.name, c.got, c.most)
 		}
 	}
-	a.List(now, []Listed{{ID: "y", Build: 500, Rating: 1}}, true, false)
-	a.Wake(now+judgePause, 0)
+	a.OnEndpoints(now, []Endpoint{{ID: "y", Release: 500, Weight: 1}}, true, false)
+	a.OnTimer(now+judgePause, 0)
 	i := a.index["y"]
 	a.good[i], a.poor[i], a.rel[i], a.inRow[i], a.told[i], a.limit[i] = 5, 9, 4, 3, 7, 1
-	a.List(now+1, []Listed{{ID: "y", Build: 501, Rating: 1}}, false, false)
+	a.OnEndpoints(now+1, []Endpoint{{ID: "y", Release: 501, Weight: 1}}, false, false)
 	expect(t, "believed", []float64{a.good[i], a.poor[i], a.rel[i], a.inRow[i], a.told[i], a.limit[i]}, "[0 0 1 0 0 4]")
 }
 
@@ -253,12 +253,12 @@
 func TestHopeless(t *testing.T) {
 	for _, c := range []struct {
 		name        string
-		effect      Effect
+		effect      Semantics
 		lost        int // of 100 txns: whose first submission is never answered
 		least, most int // of them that are settled in time all the same
-	}{{"some answers lost", InquiryLike, 8, 100, 100}, {"repeats known", Referenced, 8, 100, 100},
-		{"never to run twice", OnceOnly, 8, 92, 92}, {"most answers lost", InquiryLike, 60, 40, 70}} {
-		a, r := tier(Product{SLA: 1000, Expiry: 4000, Revenue: 1, Effect: c.effect, Remember: 9000}, 20)
+	}{{"some answers lost", Safe, 8, 100, 100}, {"repeats known", Idempotent, 8, 100, 100},
+		{"never to run twice", NonIdempotent, 8, 92, 92}, {"most answers lost", Safe, 60, 40, 70}} {
+		a, r := tier(RequestClass{LatencyObjective: 1000, Timeout: 4000, Value: 1, Semantics: c.effect, DedupWindow: 9000}, 20)
 		type answer struct {
 			at  float64
 			id  string
@@ -268,24 +268,24 @@
 		tries, settled := map[string]int{}, 0
 		for now := 10.0; now < 7000; now++ {
 			if k := int(now) / 10; int(now)%10 == 0 && k <= 600 {
-				a.Txn(now, fmt.Sprint(k), "", 0, 0, false, 4000, 0)
+				a.OnRequest(now, fmt.Sprint(k), "", 0, 0, false, 4000, 0)
 			}
 			for len(coming) > 0 && coming[0].at <= now {
 				if t := a.txns[coming[0].id]; t != nil {
-					a.Outcome(now, coming[0].id, coming[0].sub, Settled, true, 20, -1, -1)
+					a.OnAttemptResult(now, coming[0].id, coming[0].sub, StatusServed, true, 20, -1, -1)
 					if k, _ := strconv.Atoi(coming[0].id); k > 500 {
 						settled++
 					}
 				}
 				coming = coming[1:]
 			}
-			a.Wake(now, a.token)
+			a.OnTimer(now, a.token)
 			for did := r.take(); len(did) > 0; did = append(did[1:], r.take()...) {
 				var what, id, x string
 				fmt.Sscan(did[0], &what, &id, &x)
 				k, _ := strconv.Atoi(id)
 				if what == "revoke" {
-					a.Outcome(now, id, tries[id]-1, Revoked, false, 150, -1, -1)
+					a.OnAttemptResult(now, id, tries[id]-1, StatusCanceled, false, 150, -1, -1)
 				}
 				if what == "submit" {
 					if k <= 500 || tries[id] > 0 || k*c.lost/100 == (k-1)*c.lost/100 {
@@ -304,11 +304,11 @@
 // A txn for which there is no place is declined while its client still has time to go elsewhere.
 func TestHalfGone(t *testing.T) {
 	for _, c := range []struct{ left, after float64 }{{4000, 1000}, {1600, 720}, {300, 135}} {
-		a, r := tier(Product{}, 0)
-		a.Txn(10, "t", "", 0, 0, false, c.left, 0)
+		a, r := tier(RequestClass{}, 0)
+		a.OnRequest(10, "t", "", 0, 0, false, c.left, 0)
 		for now := 10.0; now < 5000; now++ {
 			if len(a.alarms) > 0 && a.alarms[0].at <= now {
-				a.Wake(now, a.token)
+				a.OnTimer(now, a.token)
 			}
 			if len(r.did) > 0 {
 				if took := now - 10; took > c.after+retryPause || took < c.after-retryPause {
@@ -329,22 +329,22 @@
 		txns int // one each 5 ms, answered at once by the cold appliance alone
 		most int // submissions at it
 	}{{"among warm", 4, 100, 30}, {"alone", 0, 600, 30}} {
-		a, r := tier(Product{}, c.warm)
+		a, r := tier(RequestClass{}, c.warm)
 		for k := range 400 {
 			id, now := fmt.Sprint("w", k), 10+float64(k)*5
-			a.Txn(now, id, "", 0, 0, false, 4000, 0)
-			a.Outcome(now+4, id, 0, Settled, true, 50, -1, -1)
+			a.OnRequest(now, id, "", 0, 0, false, 4000, 0)
+			a.OnAttemptResult(now+4, id, 0, StatusServed, true, 50, -1, -1)
 		}
-		a.List(2100, []Listed{{ID: "x", Build: 1, Rating: 1, Start: 2050}}, false, false)
+		a.OnEndpoints(2100, []Endpoint{{ID: "x", Release: 1, Weight: 1, StartedAt: 2050}}, false, false)
 		r.take()
 		n := 0
 		for k := range c.txns {
 			id, now := fmt.Sprint(k), 2101+float64(k)*5
-			a.Txn(now, id, "", 0, 0, false, 4000, 0)
+			a.OnRequest(now, id, "", 0, 0, false, 4000, 0)
 			for _, did := range r.take() {
 				if strings.HasSuffix(did, " x") {
 					n++
-					a.Outcome(now+4, strings.Fields(did)[1], 0, Settled, true, 50, -1, -1)
+					a.OnAttemptResult(now+4, strings.Fields(did)[1], 0, StatusServed, true, 50, -1, -1)
 				}
 			}
 		}
@@ -398,28 +398,28 @@
 func TestVotes(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		control Control
-		replies []Reply // to the votes in turn; the last holds on
+		control RolloutControl
+		replies []VoteResponse // to the votes in turn; the last holds on
 		slow    float64
 		fail    int // every so manieth at the newest build fails
 		want    string
 		from    float64 // no vote sooner
 		votes   int     // at the most until 20 s
 	}{
-		{"a good build", Majority, []Reply{Counted}, 1, 0, "vote 2 1 0", 4000, 6},
-		{"a clock gets no on", Clocked, []Reply{Counted}, 1, 0, "", 0, 0},
-		{"a bad build", Majority, []Reply{Counted}, 1, 2, "vote 2 3 0", 1000, 9},
-		{"a bad build on a clock", Clocked, []Reply{Counted}, 1, 2, "vote 2 3 0", 1000, 9},
-		{"full, then counted", Majority, []Reply{Refused, Silent, Counted}, 1, 0, "vote 2 1 0", 4000, 8},
+		{"a good build", ControlMajority, []VoteResponse{VoteCounted}, 1, 0, "vote 2 1 0", 4000, 6},
+		{"a clock gets no on", ControlTimed, []VoteResponse{VoteCounted}, 1, 0, "", 0, 0},
+		{"a bad build", ControlMajority, []VoteResponse{VoteCounted}, 1, 2, "vote 2 3 0", 1000, 9},
+		{"a bad build on a clock", ControlTimed, []VoteResponse{VoteCounted}, 1, 2, "vote 2 3 0", 1000, 9},
+		{"full, then counted", ControlMajority, []VoteResponse{VoteRefused, VoteUnanswered, VoteCounted}, 1, 0, "vote 2 1 0", 4000, 8},
 	} {
-		a, r := tier(Product{}, 9)
+		a, r := tier(RequestClass{}, 9)
 		a.Judge([]float64{0.1, 1}, c.control, 1, 4000)
-		a.News(900, 2, 0, OnTrial, Unasked, 0.3, 0, true)
-		a.List(1001, []Listed{{ID: "x", Build: 2, Rating: 1, Start: 1000}}, false, false)
+		a.OnReleaseUpdate(900, 2, 0, RollingOut, NotAVote, 0.3, 0, true)
+		a.OnEndpoints(1001, []Endpoint{{ID: "x", Release: 2, Weight: 1, StartedAt: 1000}}, false, false)
 		votes, first, at := 0, "", 0.0
 		for k := range 1900 {
 			now, id := 1010+float64(k)*10, fmt.Sprint(k)
-			a.Txn(now, id, "", 0, 0, false, 4000, 0)
+			a.OnRequest(now, id, "", 0, 0, false, 4000, 0)
 			for _, did := range r.take() {
 				switch {
 				case strings.HasPrefix(did, "vote"):
@@ -428,11 +428,11 @@
 					}
 					reply := c.replies[min(votes, len(c.replies)-1)]
 					votes++
-					a.News(now, 2, 0, OnTrial, reply, 0.3, now-900, reply == Counted)
+					a.OnReleaseUpdate(now, 2, 0, RollingOut, reply, 0.3, now-900, reply == VoteCounted)
 				case strings.HasPrefix(did, "submit "+id+" x") && c.fail > 0 && k%c.fail == 0:
-					a.Outcome(now+5, id, 0, Errored, true, 5, -1, -1)
+					a.OnAttemptResult(now+5, id, 0, StatusErrored, true, 5, -1, -1)
 				case strings.HasPrefix(did, "submit"):
-					a.Outcome(now+5, id, 0, Settled, true, 50+float64(k*37%101), -1, -1)
+					a.OnAttemptResult(now+5, id, 0, StatusServed, true, 50+float64(k*37%101), -1, -1)
 				}
 			}
 		}
@@ -444,29 +444,29 @@
 
 // Work is refused by a machine that fails at once, and found again when it recovers.
 func TestQuickFailures(t *testing.T) {
-	for _, result := range []Result{Rejected, Unconnected, Errored} {
-		one, did := tier(Product{}, 1)
-		one.Txn(10, "t", "", 0, 0, false, 4000, 0)
-		one.Outcome(11, "t", 0, result, false, 1, -1, -1)
+	for _, result := range []AttemptStatus{StatusRejected, StatusConnectFailed, StatusErrored} {
+		one, did := tier(RequestClass{}, 1)
+		one.OnRequest(10, "t", "", 0, 0, false, 4000, 0)
+		one.OnAttemptResult(11, "t", 0, result, false, 1, -1, -1)
 		expect(t, "sent, and not again at once", did.take(), "[submit t a]")
-		a, r := tier(Product{}, 4)
+		a, r := tier(RequestClass{}, 4)
 		n, late := 0, 0
 		for k := range 900 {
 			id, now := fmt.Sprint(k), 10+float64(k)*10
-			a.Txn(now, id, "", 0, 0, false, 4000, 0)
+			a.OnRequest(now, id, "", 0, 0, false, 4000, 0)
 			for s := 0; s < 5; s++ {
 				did := r.take()
 				if len(did) == 0 {
 					break
 				}
 				if !strings.HasSuffix(did[0], " a") {
-					a.Outcome(now+9, id, s, Settled, true, 9, -1, -1)
+					a.OnAttemptResult(now+9, id, s, StatusServed, true, 9, -1, -1)
 				} else if k < 300 {
 					n++
-					a.Outcome(now+1, id, s, result, false, 1, -1, -1)
+					a.OnAttemptResult(now+1, id, s, result, false, 1, -1, -1)
 				} else {
 					late++
-					a.Outcome(now+9, id, s, Settled, true, 9, -1, -1)
+					a.OnAttemptResult(now+9, id, s, StatusServed, true, 9, -1, -1)
 				}
 			}
 		}
@@ -483,10 +483,10 @@
 	run := func(seed uint64) string {
 		r := &record{}
 		a := New(r, seed, 0, 1)
-		a.Serve([]Product{{SLA: 1000, Expiry: 4000, Revenue: 1}}, 5, true, true)
-		a.List(1, []Listed{{ID: "a", Rating: 1}, {ID: "b", Rating: 1}, {ID: "c", Rating: 1}}, true, false)
+		a.Serve([]RequestClass{{LatencyObjective: 1000, Timeout: 4000, Value: 1}}, 5, true, true)
+		a.OnEndpoints(1, []Endpoint{{ID: "a", Weight: 1}, {ID: "b", Weight: 1}, {ID: "c", Weight: 1}}, true, false)
 		for k := range 50 {
-			a.Txn(float64(k), fmt.Sprint(k), "", 0, 0, false, 4000, 0)
+			a.OnRequest(float64(k), fmt.Sprint(k), "", 0, 0, false, 4000, 0)
 		}
 		return fmt.Sprint(r.did)
 	}
@@ -498,20 +498,20 @@
 func TestGuard(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		spoil func(a *Agent, x *txn)
+		spoil func(a *Instance, x *txn)
 	}{
-		{"once-only, may have run", func(a *Agent, x *txn) { a.products[0].Effect = OnceOnly; x.subs = []submission{{}} }},
-		{"too many submissions", func(a *Agent, x *txn) { x.subs = make([]submission, 5) }},
-		{"past its expiry", func(a *Agent, x *txn) { a.now = x.expiry }},
-		{"two out", func(a *Agent, x *txn) { x.out = 2 }},
-		{"one out, no copies allowed", func(a *Agent, x *txn) { x.out, a.copies = 1, false }},
-		{"ended", func(a *Agent, x *txn) { x.ended = true }},
-		{"allowance used up", func(a *Agent, x *txn) { a.allowance.Use(1, 0, a.now); a.allowance.Use(1, 0, a.now) }},
-		{"draining", func(a *Agent, x *txn) { a.state[0] = Draining }},
-		{"its release goes back", func(a *Agent, x *txn) { a.News(3, 1, 1, GoingBack, Unasked, 0, 0, true) }},
+		{"once-only, may have run", func(a *Instance, x *txn) { a.products[0].Semantics = NonIdempotent; x.subs = []submission{{}} }},
+		{"too many submissions", func(a *Instance, x *txn) { x.subs = make([]submission, 5) }},
+		{"past its expiry", func(a *Instance, x *txn) { a.now = x.expiry }},
+		{"two out", func(a *Instance, x *txn) { x.out = 2 }},
+		{"one out, no copies allowed", func(a *Instance, x *txn) { x.out, a.copies = 1, false }},
+		{"ended", func(a *Instance, x *txn) { x.ended = true }},
+		{"allowance used up", func(a *Instance, x *txn) { a.allowance.Use(1, 0, a.now); a.allowance.Use(1, 0, a.now) }},
+		{"draining", func(a *Instance, x *txn) { a.state[0] = EndpointDraining }},
+		{"its release goes back", func(a *Instance, x *txn) { a.OnReleaseUpdate(3, 1, 1, RollingBack, NotAVote, 0, 0, true) }},
 	} {
-		a, _ := tier(Product{}, 1)
-		a.News(2, 1, 1, OnTrial, Unasked, 0.5, 0, true)
+		a, _ := tier(RequestClass{}, 1)
+		a.OnReleaseUpdate(2, 1, 1, RollingOut, NotAVote, 0.5, 0, true)
 		x := &txn{expiry: 100, work: 1}
 		expect(t, "before: "+c.name, a.mayGo(x, 0), true)
 		c.spoil(a, x)
@@ -548,9 +548,9 @@
 		rated, told float64 // of appliance a; the others are rated 1 and tell 0.8
 		least, most int     // of 1000 picks among 5
 	}{{"alike", 1, 0.8, 150, 250}, {"rated higher", 1.5, 0.8, 220, 340}, {"tells no load", 1, 0, 150, 250}} {
-		a, _ := tier(Product{}, 5)
+		a, _ := tier(RequestClass{}, 5)
 		a.agents, a.rating[0], a.surveyAt = 300, c.rated, 0
-		a.Wake(2, 0)
+		a.OnTimer(2, 0)
 		a.told, a.toldAt = []float64{c.told, 0.8, 0.8, 0.8, 0.8}, []float64{2, 2, 2, 2, 2}
 		n := 0
 		for range 1000 {
@@ -577,24 +577,24 @@
 		{"answered with an error", true, false, "", "submit"},
 		{"unanswered", false, false, "", "submit"},
 	} {
-		a, r := tier(Product{}, 8)
+		a, r := tier(RequestClass{}, 8)
 		a.agents = 300
 		a.Probing(true, 0.01)
-		a.Txn(10, "t", "", 0, 0, false, 4000, 0)
+		a.OnRequest(10, "t", "", 0, 0, false, 4000, 0)
 		probed := r.take()
 		if len(probed) == 0 || !strings.HasPrefix(probed[0], "probe") {
 			t.Fatalf("%s: %v", c.name, probed)
 		}
 		last := strings.Fields(probed[len(probed)-1])[1]
 		if c.answer {
-			a.Probed(12, last, c.ok, 2, -1, -1)
+			a.OnProbeResult(12, last, c.ok, 2, -1, -1)
 		}
 		got := fmt.Sprint(r.take())
 		if c.want != "" && got != "[submit t "+last+"]" || c.want == "" && got != "[]" {
 			t.Errorf("%s: %s", c.name, got)
 		}
-		a.Wake(140, a.token) // a second race
-		a.Wake(270, a.token)
+		a.OnTimer(140, a.token) // a second race
+		a.OnTimer(270, a.token)
 		if did := r.take(); c.later != "" && (len(did) == 0 || !strings.HasPrefix(did[len(did)-1], c.later)) {
 			t.Errorf("%s, later: %v", c.name, did)
 		}
@@ -607,29 +607,29 @@
 	for _, c := range []struct {
 		name                  string
 		old, before, new      int // appliances of builds 1 and 2, and of build 3
-		oldState, beforeState State
+		oldState, beforeState EndpointState
 		want                  int
 	}{
-		{"nothing else", 0, 6, 0, Running, Running, 6},
-		{"the one before has replaced all", 6, 6, 0, Draining, Running, 6},
-		{"the one before goes back", 6, 3, 0, Running, Draining, 6},
-		{"the new one drains some already", 0, 6, 2, Running, Running, 6},
+		{"nothing else", 0, 6, 0, EndpointRunning, EndpointRunning, 6},
+		{"the one before has replaced all", 6, 6, 0, EndpointDraining, EndpointRunning, 6},
+		{"the one before goes back", 6, 3, 0, EndpointRunning, EndpointDraining, 6},
+		{"the new one drains some already", 0, 6, 2, EndpointRunning, EndpointRunning, 6},
 	} {
-		a, _ := tier(Product{}, 0)
-		var list []Listed
-		add := func(n, build int, state State) {
+		a, _ := tier(RequestClass{}, 0)
+		var list []Endpoint
+		add := func(n, build int, state EndpointState) {
 			for k := range n {
-				list = append(list, Listed{ID: fmt.Sprint(build, "-", k), Build: build, Rating: 1, State: state})
+				list = append(list, Endpoint{ID: fmt.Sprint(build, "-", k), Release: build, Weight: 1, State: state})
 			}
 		}
 		add(c.old, 1, c.oldState)
 		add(c.before, 2, c.beforeState)
 		for k := range c.new {
-			list[k].State = Draining
+			list[k].State = EndpointDraining
 		}
-		add(c.new, 3, Running)
-		a.List(5, list, true, false)
-		a.News(10, 3, 0, OnTrial, Unasked, 0.1, 0, true)
+		add(c.new, 3, EndpointRunning)
+		a.OnEndpoints(5, list, true, false)
+		a.OnReleaseUpdate(10, 3, 0, RollingOut, NotAVote, 0.1, 0, true)
 		expect(t, c.name, a.places, c.want)
 	}
 }
@@ -640,10 +640,10 @@
 		price float64
 		first string
 	}{{0, "probe"}, {0.02, "probe"}, {0.03, "submit"}, {0.08, "submit"}} {
-		a, r := tier(Product{}, 4)
+		a, r := tier(RequestClass{}, 4)
 		a.agents = manyAgents
 		a.Probing(true, c.price)
-		a.Txn(10, "t", "", 0, 0, false, 4000, 0)
+		a.OnRequest(10, "t", "", 0, 0, false, 4000, 0)
 		if did := r.take(); len(did) == 0 || !strings.HasPrefix(did[0], c.first) {
 			t.Errorf("at %v: %v", c.price, did)
 		}
@@ -662,7 +662,7 @@
 		{"a machine in trouble", 1, 5, 1, 0, 2}, {"two machines only", 2.3, 2, 0, 0, 60}} {
 		backs := 0
 		for seed := range uint64(100) {
-			rnd := Chance(seed * 7919)
+			rnd := NewRand(seed * 7919)
 			arm := func(n, machines int, times float64, ailing func(app int) bool) (out []outcome) {
 				for k := range n {
 					o := outcome{at: float64(k) / float64(n), lat: 70 * times * math.Exp(0.7*rnd.NormFloat64()), app: k % machines, steady: true}
@@ -706,7 +706,7 @@
 		{"few agents: errors among resets that all have", 4, 1, 6, 0, 3, 12, 100, 10, true},
 		{"few agents: one error is not", 4, 1, 1, 0, 1, 1, 24, 0, false},
 	} {
-		a, _ := tier(Product{}, 3)
+		a, _ := tier(RequestClass{}, 3)
 		a.agents, a.backs = c.agents, c.backs
 		neu, old := make([]outcome, c.n), make([]outcome, c.old)
 		for k := range neu {
@@ -724,7 +724,7 @@
 
 // Late answers lower what is taken on, the cheap first; time forgets; no product is locked out for ever.
 func TestShortage(t *testing.T) {
-	a, r := tier(Product{}, 3)
+	a, r := tier(RequestClass{}, 3)
 	a.agents = 300
 	for range 8 {
 		a.feel(false, 1)
@@ -743,7 +743,7 @@
 		t.Errorf("flow %.2f, then %.2f; %d dear and %d cheap of 1000", low, a.flowNow(0), dear, cheap)
 	}
 	a.usual[0] = 5000 // past the SLA time of 1000
-	a.Txn(a.now, "t", "", 0, 0, false, 4000, 0)
+	a.OnRequest(a.now, "t", "", 0, 0, false, 4000, 0)
 	expect(t, "sent all the same", strings.HasPrefix(fmt.Sprint(r.take()), "[submit t"), true)
 }
 
@@ -754,14 +754,14 @@
 		stood  bool
 		proofs int
 	}{{"awake", false, 1}, {"stood still", true, 0}} {
-		a, r := tier(Product{}, 1)
-		a.News(2, 1, 0, OnTrial, Unasked, 1, 0, true)
-		a.Txn(10, "t", "", 0, 0, false, 4000, 0)
+		a, r := tier(RequestClass{}, 1)
+		a.OnReleaseUpdate(2, 1, 0, RollingOut, NotAVote, 1, 0, true)
+		a.OnRequest(10, "t", "", 0, 0, false, 4000, 0)
 		r.take()
 		for now := 20.0; now < 900 && !c.stood; now += 20 {
-			a.Wake(now, a.token)
+			a.OnTimer(now, a.token)
 		}
-		a.Outcome(900, "t", 0, Settled, true, 890, -1, -1)
+		a.OnAttemptResult(900, "t", 0, StatusServed, true, 890, -1, -1)
 		expect(t, c.name, len(a.evidence[1][0]), c.proofs)
 	}
 }
@@ -774,7 +774,7 @@
 		hot           bool
 	}{{"none", 1, 1, false}, {"comes with the second stage", 1, 1.8, true}, {"was there before", 1.9, 2, false},
 		{"was there, and grows", 1.9, 3.2, true}} {
-		a, _ := tier(Product{}, 4)
+		a, _ := tier(RequestClass{}, 4)
 		a.known, a.before.typical, a.before.usual[0], a.before.demand = true, 1, 1, 1
 		hot := false
 		for k, heat := range []float64{c.first, c.second} {
@@ -790,12 +790,12 @@
 
 // Outcomes told by other agents count like own ones; what cannot be read is passed over.
 func TestNotes(t *testing.T) {
-	teller, r := tier(Product{}, 3)
+	teller, r := tier(RequestClass{}, 3)
 	teller.agents, teller.me = 300, 7
 	teller.Share(true)
-	teller.News(2, 1, 0, OnTrial, Unasked, 1, 0, true)
-	teller.Txn(10, "t", "", 0, 0, false, 4000, 0)
-	teller.Outcome(60, "t", 0, Settled, true, 50, -1, -1)
+	teller.OnReleaseUpdate(2, 1, 0, RollingOut, NotAVote, 1, 0, true)
+	teller.OnRequest(10, "t", "", 0, 0, false, 4000, 0)
+	teller.OnAttemptResult(60, "t", 0, StatusServed, true, 50, -1, -1)
 	var note []byte
 	for _, did := range r.take() {
 		if strings.HasPrefix(did, "tell 0 ") {
@@ -809,9 +809,9 @@
 	}{{"told", note, 1}, {"cut short", note[:9], 0}, {"nothing", nil, 0},
 		{"unknown appliance", append([]byte{1, 2, 3, 4}, note[4:]...), 0},
 		{"unknown product", append(append([]byte{}, note[:6]...), append([]byte{9}, note[7:]...)...), 0}} {
-		judge, _ := tier(Product{}, 3)
-		judge.News(2, 1, 0, OnTrial, Unasked, 1, 0, true)
-		judge.Told(70, c.note)
+		judge, _ := tier(RequestClass{}, 3)
+		judge.OnReleaseUpdate(2, 1, 0, RollingOut, NotAVote, 1, 0, true)
+		judge.OnMessage(70, c.note)
 		expect(t, c.name, len(judge.evidence[1][0]), c.want)
 	}
 }
@@ -823,13 +823,13 @@
 	for k := range agents {
 		r := &record{}
 		a := New(r, uint64(k)*977+1, k, agents)
-		a.Serve([]Product{{SLA: 1000, Expiry: 4000, Revenue: 1}}, 5, true, true)
+		a.Serve([]RequestClass{{LatencyObjective: 1000, Timeout: 4000, Value: 1}}, 5, true, true)
 		a.Warm(0.4, 5000, 3, 1000)
-		a.List(1, []Listed{{ID: "x", Build: 1, Rating: 1, Start: 1}}, true, false)
+		a.OnEndpoints(1, []Endpoint{{ID: "x", Release: 1, Weight: 1, StartedAt: 1}}, true, false)
 		for _, now := range []float64{5, 1000} {
-			a.Txn(now, fmt.Sprint(now), "", 0, 0, false, 300, 0)
+			a.OnRequest(now, fmt.Sprint(now), "", 0, 0, false, 300, 0)
 			at[now] += len(r.take())
-			a.Hangup(now, fmt.Sprint(now))
+			a.OnClientGone(now, fmt.Sprint(now))
 			r.take()
 		}
 	}
@@ -846,11 +846,11 @@
 		taken   int
 		decline int
 	}{{math.Inf(1), 30, 0}, {20, 12, 0}, {20, 30, 18}} {
-		a, r := tier(Product{}, 1)
+		a, r := tier(RequestClass{}, 1)
 		a.Hold(c.most)
 		declined := 0
 		for k := range c.taken {
-			a.Txn(2+float64(k)/1000, fmt.Sprint(k), "", 0, 0, false, 4000, 0)
+			a.OnRequest(2+float64(k)/1000, fmt.Sprint(k), "", 0, 0, false, 4000, 0)
 			for _, did := range r.take() {
 				if did == fmt.Sprintf("decline %d", k) {
 					declined++
@@ -864,15 +864,15 @@
 // Connections that break on the way do not shut an appliance's door; late answers do.
 func TestBroken(t *testing.T) {
 	for _, c := range []struct {
-		result Result
+		result AttemptStatus
 		falls  bool
-	}{{Broken, false}, {Errored, false}, {Unconnected, false}, {Rejected, true}, {TimedOut, true}} {
-		a, _ := tier(Product{}, 1)
+	}{{StatusReset, false}, {StatusErrored, false}, {StatusConnectFailed, false}, {StatusRejected, true}, {StatusTimedOut, true}} {
+		a, _ := tier(RequestClass{}, 1)
 		for k := range 20 {
 			a.now = float64(10 + 1000*k)
-			a.Txn(a.now, fmt.Sprint(k), "", 0, 0, false, 4000, 0)
+			a.OnRequest(a.now, fmt.Sprint(k), "", 0, 0, false, 4000, 0)
 			if len(a.txns[fmt.Sprint(k)].subs) > 0 {
-				a.Outcome(a.now+1, fmt.Sprint(k), 0, c.result, true, 1, -1, -1)
+				a.OnAttemptResult(a.now+1, fmt.Sprint(k), 0, c.result, true, 1, -1, -1)
 			}
 		}
 		expect(t, fmt.Sprint("after result ", c.result, " the limit fell"), a.limit[0] < limitFirst, c.falls)
@@ -887,14 +887,14 @@
 		lowers, raises bool
 	}{{"in time", 0, 300, false, true}, {"late by the wait here", 950, 100, false, true},
 		{"slow after a wait", 950, 400, true, false}, {"slow", 0, 1100, true, false}} {
-		a, r := tier(Product{}, 1)
-		a.Txn(2, "t", "", 0, 0, false, 4000, 0)
+		a, r := tier(RequestClass{}, 1)
+		a.OnRequest(2, "t", "", 0, 0, false, 4000, 0)
 		a.txns["t"].sla -= c.waited
 		a.txns["t"].subs[0].due = a.due(a.txns["t"])
 		a.limit[0] = 1.5
 		was := a.limit[0]
-		a.Wake(2+c.took, 0)
-		a.Outcome(2+c.took, "t", 0, Settled, true, c.took, -1, -1)
+		a.OnTimer(2+c.took, 0)
+		a.OnAttemptResult(2+c.took, "t", 0, StatusServed, true, c.took, -1, -1)
 		r.take()
 		if got := a.limit[0]; got < was != c.lowers || got > was != c.raises {
 			t.Errorf("%s: the limit went from %.1f to %.1f", c.name, was, got)
--- a/policy/port.go
+++ b/policy/port.go
@@ -5,91 +5,91 @@
 
 // Port is how the module acts. The bench's adapter and a live agent each bring one; times are milliseconds.
 type Port interface {
-	Submit(txn, appliance string, limit float64)
-	Decline(txn string, wait float64)
-	Void(txn string)
-	Revoke(txn string, submission int)
-	Vote(build int, verdict Verdict, stage int)
-	Probe(appliance string)
-	Tell(agent int, note []byte)
-	Timer(after float64, token uint64)
-	Subscribe()
-	FetchList()
+	SendAttempt(txn, appliance string, limit float64)
+	Reject(txn string, wait float64)
+	Fail(txn string)
+	CancelAttempt(txn string, submission int)
+	SendVote(build int, verdict Verdict, stage int)
+	SendProbe(appliance string)
+	SendMessage(agent int, note []byte)
+	SetTimer(after float64, token uint64)
+	WatchEndpoints()
+	FetchEndpoints()
 	Log(line string)
 }
 
-// Effect says what a second run of a txn would do.
-type Effect uint8
+// Semantics says what a second run of a txn would do.
+type Semantics uint8
 
 const (
-	InquiryLike Effect = iota // may run again
-	Referenced                // repeats are known by a mark
-	OnceOnly                  // must never run twice
+	Safe          Semantics = iota // may run again
+	Idempotent                     // repeats are known by a mark
+	NonIdempotent                  // must never run twice
 )
 
-// Group is the set of appliances that drop each other's repeats of a referenced txn.
-type Group uint8
+// DedupScope is the set of appliances that drop each other's repeats of a referenced txn.
+type DedupScope uint8
 
 const (
-	GroupAll Group = iota
-	GroupZone
-	GroupCell
+	DedupAll DedupScope = iota
+	DedupZone
+	DedupCell
 )
 
-// Product is one class of txn.
-type Product struct {
-	SLA      float64 // an answer within it earns the whole revenue
-	Stretch  float64 // the SLA time grows by so many times the txn's own work
-	Expiry   float64 // what a client waits for all its tries
-	Revenue  float64
-	Late     float64 // share of the revenue for an answer past the SLA time
-	Effect   Effect
-	Group    Group
-	Remember float64 // how long the group drops repeats
-	Streamed bool
+// RequestClass is one class of txn.
+type RequestClass struct {
+	LatencyObjective float64 // an answer within it earns the whole revenue
+	ObjectivePerWork float64 // the SLA time grows by so many times the txn's own work
+	Timeout          float64 // what a client waits for all its tries
+	Value            float64
+	LateValue        float64 // share of the revenue for an answer past the SLA time
+	Semantics        Semantics
+	DedupScope       DedupScope
+	DedupWindow      float64 // how long the group drops repeats
+	Streamed         bool
 }
 
-// State is what the list says of an appliance.
-type State uint8
+// EndpointState is what the list says of an appliance.
+type EndpointState uint8
 
 const (
-	Running State = iota
-	Draining
-	Gone
+	EndpointRunning EndpointState = iota
+	EndpointDraining
+	EndpointRemoved
 )
 
-// Listed is one appliance as the list shows it.
-type Listed struct {
-	ID               string
-	Build            int
-	State            State
-	Rating           float64
-	Start            float64 // time of its last start; 0: long ago
-	Zone, Kind, Cell int
+// Endpoint is one appliance as the list shows it.
+type Endpoint struct {
+	ID                        string
+	Release                   int
+	State                     EndpointState
+	Weight                    float64
+	StartedAt                 float64 // time of its last start; 0: long ago
+	Zone, HardwareClass, Cell int
 }
 
-// Result is how a submission ended.
-type Result uint8
+// AttemptStatus is how a submission ended.
+type AttemptStatus uint8
 
 const (
-	Settled     Result = iota + 1
-	Errored            // may have run
-	Rejected           // never ran
-	TimedOut           // may still run
-	Unconnected        // never ran
-	Broken             // may have run
-	Revoked            // may have run
-	Moot               // never sent
+	StatusServed        AttemptStatus = iota + 1
+	StatusErrored                     // may have run
+	StatusRejected                    // never ran
+	StatusTimedOut                    // may still run
+	StatusConnectFailed               // never ran
+	StatusReset                       // may have run
+	StatusCanceled                    // may have run
+	StatusNotSent                     // never sent
 )
 
 // Verdict is what a vote says of a build.
 type Verdict uint8
 
 const (
-	None Verdict = iota
-	On
+	NoVerdict Verdict = iota
+	Promote
 	Hold
-	Back
+	Rollback
 )
 
 // UnknownRelease is the release of a backend of which no source has told one.
@@ -99,36 +99,36 @@
 type Phase = release.Phase
 
 const (
-	OnTrial   = release.OnTrial
-	GoingBack = release.GoingBack
-	Released  = release.Released
-	Withdrawn = release.Withdrawn
+	RollingOut  = release.RollingOut
+	RollingBack = release.RollingBack
+	Released    = release.Released
+	Withdrawn   = release.Withdrawn
 )
 
-// Reply is how the platform answered a vote.
-type Reply uint8
+// VoteResponse is how the platform answered a vote.
+type VoteResponse uint8
 
 const (
-	Unasked Reply = iota // news, not an answer
-	Counted
-	Refused // full or in error: it does not count
-	Silent  // no answer: it may count
-	Idle    // not the present build or stage
+	NotAVote VoteResponse = iota // news, not an answer
+	VoteCounted
+	VoteRefused    // full or in error: it does not count
+	VoteUnanswered // no answer: it may count
+	VoteOutdated   // not the present build or stage
 )
 
 // String says by what a release's state was told.
-func (r Reply) String() string {
-	if r == Unasked {
+func (r VoteResponse) String() string {
+	if r == NotAVote {
 		return "news"
 	}
 	return "a vote's answer"
 }
 
-// Control says what moves a stage on.
-type Control uint8
+// RolloutControl says what moves a stage on.
+type RolloutControl uint8
 
 const (
-	Single   Control = iota // one vote
-	Majority                // a share of the agents
-	Clocked                 // time; votes can only hold or send back
+	ControlSingleVote RolloutControl = iota // one vote
+	ControlMajority                         // a share of the agents
+	ControlTimed                            // time; votes can only hold or send back
 )
--- a/policy/release/release.go
+++ b/policy/release/release.go
@@ -16,18 +16,20 @@
 type Phase uint8
 
 const (
-	OnTrial Phase = iota
-	GoingBack
+	RollingOut Phase = iota
+	RollingBack
 	Released
 	Withdrawn
 )
 
-var phaseNames = [...]string{OnTrial: "on trial", GoingBack: "going back", Released: "released", Withdrawn: "withdrawn"}
+var phaseNames = [...]string{RollingOut: "on trial", RollingBack: "going back", Released: "released", Withdrawn: "withdrawn"}
 
 func (p Phase) String() string { return phaseNames[p] }
 
 // rank orders the phases: a release moves to a higher one only. A released one may still be sent back.
-func (p Phase) rank() int { return [...]int{OnTrial: 0, Released: 1, GoingBack: 2, Withdrawn: 3}[p] }
+func (p Phase) rank() int {
+	return [...]int{RollingOut: 0, Released: 1, RollingBack: 2, Withdrawn: 3}[p]
+}
 
 // Update is one telling of where a release stands.
 type Update struct {
@@ -50,8 +52,8 @@
 type Change uint8
 
 const (
-	Stale Change = iota // it would have moved the release back
-	Same
+	StaleUpdate Change = iota // it would have moved the release back
+	NoChange
 	Moved
 )
 
@@ -77,19 +79,19 @@
 	return *b.records[b.newest], true
 }
 
-// Oldest tells the oldest release that is listed: as long as nothing is announced, that one is the fleet's.
-func (b *Book) Oldest(release int) { b.oldest = release }
+// SetOldestListed tells the oldest release that is listed: as long as nothing is announced, that one is the fleet's.
+func (b *Book) SetOldestListed(release int) { b.oldest = release }
 
-// Serves is the release by which it is judged which keys a backend may serve: its own, or the oldest where that is unknown.
-func (b *Book) Serves(release int) int {
+// ServesAs is the release by which it is judged which keys a backend may serve: its own, or the oldest where that is unknown.
+func (b *Book) ServesAs(release int) int {
 	if release == Unknown {
 		return b.oldest
 	}
 	return release
 }
 
-// Binds is the release to which an answer of a backend binds its key: its own, or the latest that is known of.
-func (b *Book) Binds(release int) int {
+// BindsAs is the release to which an answer of a backend binds its key: its own, or the latest that is known of.
+func (b *Book) BindsAs(release int) int {
 	if release != Unknown {
 		return release
 	}
@@ -100,12 +102,12 @@
 	return latest
 }
 
-// Of is what is known of a release.
-func (b *Book) Of(release int) Record {
+// Record is what is known of a release.
+func (b *Book) Record(release int) Record {
 	if r := b.records[release]; r != nil {
 		return *r
 	}
-	first := Update{Release: release, Phase: OnTrial, Cap: b.firstCap}
+	first := Update{Release: release, Phase: RollingOut, Cap: b.firstCap}
 	if b.before(release) {
 		first.Phase, first.Cap = Released, 1
 	}
@@ -118,8 +120,8 @@
 	return b.known && release < b.newest || !b.known && release <= b.oldest
 }
 
-// Tell takes an update and says what it did to its release's record.
-func (b *Book) Tell(u Update) Change {
+// Apply takes an update and says what it did to its release's record.
+func (b *Book) Apply(u Update) Change {
 	r := b.records[u.Release]
 	if r == nil || !r.Announced {
 		b.announce(u)
@@ -132,13 +134,13 @@
 	return change
 }
 
-// Listed notes that a backend of a release is listed; it tells whether nothing was known of that release and something
+// OnListed notes that a backend of a release is listed; it tells whether nothing was known of that release and something
 // should have been, its news being still to come.
-func (b *Book) Listed(release int) (early bool) {
+func (b *Book) OnListed(release int) (early bool) {
 	if release == Unknown || b.records[release] != nil || !b.known || release <= b.newest {
 		return false
 	}
-	b.records[release] = &Record{Update: Update{Release: release, Phase: OnTrial, Cap: b.firstCap}}
+	b.records[release] = &Record{Update: Update{Release: release, Phase: RollingOut, Cap: b.firstCap}}
 	return true
 }
 
@@ -164,16 +166,16 @@
 // move takes a later update of the same release.
 func (r *Record) move(u Update) Change {
 	switch from, to := r.Phase.rank(), u.Phase.rank(); {
-	case to < from, to == from && u.Phase == OnTrial && u.Stage < r.Stage:
-		return Stale
-	case to == from && (u.Phase != OnTrial || u.Stage == r.Stage):
+	case to < from, to == from && u.Phase == RollingOut && u.Stage < r.Stage:
+		return StaleUpdate
+	case to == from && (u.Phase != RollingOut || u.Stage == r.Stage):
 		if u.Cap >= r.Cap {
-			return Same
+			return NoChange
 		}
 		r.Cap = u.Cap
 		return Moved
 	}
-	if u.Phase == GoingBack {
+	if u.Phase == RollingBack {
 		u.Cap = min(u.Cap, r.Cap) // it only ever falls on the way back
 	}
 	if u.Phase == Withdrawn {
@@ -187,15 +189,15 @@
 // good as withdrawn, and where it was on trial its last cap stays.
 func (r *Record) supersede() {
 	r.Superseded = r.Phase != Released && r.Phase != Withdrawn
-	if r.Phase == GoingBack {
+	if r.Phase == RollingBack {
 		r.Phase, r.Cap = Withdrawn, 0
 	}
 }
 
-// Prevails tells that a superseded release runs on most of the backends of earlier releases: it was released, and that news
+// MarkPrevailing tells that a superseded release runs on most of the backends of earlier releases: it was released, and that news
 // missed, for one that is taken off never gets there.
-func (b *Book) Prevails(release int) {
-	if r := b.records[release]; r != nil && r.Superseded && r.Phase == OnTrial {
+func (b *Book) MarkPrevailing(release int) {
+	if r := b.records[release]; r != nil && r.Superseded && r.Phase == RollingOut {
 		r.Phase, r.Cap, r.Superseded = Released, 1, false
 	}
 }
@@ -212,19 +214,19 @@
 	return b.firstCap, true
 }
 
-// Closed tells that a release goes back or has gone: its answers bind no key.
-func (b *Book) Closed(release int) bool {
-	p := b.Of(release).Phase
-	return p == GoingBack || p == Withdrawn
+// IsClosed tells that a release goes back or has gone: its answers bind no key.
+func (b *Book) IsClosed(release int) bool {
+	p := b.Record(release).Phase
+	return p == RollingBack || p == Withdrawn
 }
 
-// Judged tells that outcomes of a release are evidence: it is the newest one, or runs in the fleet without a limit.
-func (b *Book) Judged(release int) bool {
-	return b.known && (release == b.newest || release < b.newest && b.Of(release).Phase == Released)
+// IsEvaluated tells that outcomes of a release are evidence: it is the newest one, or runs in the fleet without a limit.
+func (b *Book) IsEvaluated(release int) bool {
+	return b.known && (release == b.newest || release < b.newest && b.Record(release).Phase == Released)
 }
 
-// Base is the newest release that is out without a limit, before the newest announced one; 0: none is known by name.
-func (b *Book) Base() (base int) {
+// Baseline is the newest release that is out without a limit, before the newest announced one; 0: none is known by name.
+func (b *Book) Baseline() (base int) {
 	for release, r := range b.records {
 		if release < b.newest && r.Phase == Released {
 			base = max(base, release)
--- a/policy/release/release_test.go
+++ b/policy/release/release_test.go
@@ -9,9 +9,9 @@
 
 // Where a release stands after updates in this order, told of it and of others.
 func TestTell(t *testing.T) {
-	trial := func(release, stage int, limit float64) Update { return Update{release, stage, OnTrial, limit} }
+	trial := func(release, stage int, limit float64) Update { return Update{release, stage, RollingOut, limit} }
 	out := func(release int) Update { return Update{release, 2, Released, 1} }
-	back := func(release int, limit float64) Update { return Update{release, 0, GoingBack, limit} }
+	back := func(release int, limit float64) Update { return Update{release, 0, RollingBack, limit} }
 	gone := func(release int) Update { return Update{release, 0, Withdrawn, 0} }
 	for _, c := range []struct {
 		name    string
@@ -23,37 +23,37 @@
 		limited bool
 		last    Change
 	}{
-		{"on trial", []Update{out(1), trial(2, 0, 0.1)}, 2, OnTrial, 0, 0.1, true, Moved},
-		{"the next stage", []Update{trial(2, 0, 0.1), trial(2, 1, 0.5)}, 2, OnTrial, 1, 0.5, true, Moved},
-		{"a stage before, late", []Update{trial(2, 1, 0.5), trial(2, 0, 0.1)}, 2, OnTrial, 1, 0.5, true, Stale},
-		{"told again", []Update{trial(2, 1, 0.5), trial(2, 1, 0.5)}, 2, OnTrial, 1, 0.5, true, Same},
-		{"a lower cap in a stage", []Update{trial(2, 1, 0.5), trial(2, 1, 0.3)}, 2, OnTrial, 1, 0.3, true, Moved},
-		{"a higher cap in a stage", []Update{trial(2, 1, 0.3), trial(2, 1, 0.5)}, 2, OnTrial, 1, 0.3, true, Same},
+		{"on trial", []Update{out(1), trial(2, 0, 0.1)}, 2, RollingOut, 0, 0.1, true, Moved},
+		{"the next stage", []Update{trial(2, 0, 0.1), trial(2, 1, 0.5)}, 2, RollingOut, 1, 0.5, true, Moved},
+		{"a stage before, late", []Update{trial(2, 1, 0.5), trial(2, 0, 0.1)}, 2, RollingOut, 1, 0.5, true, StaleUpdate},
+		{"told again", []Update{trial(2, 1, 0.5), trial(2, 1, 0.5)}, 2, RollingOut, 1, 0.5, true, NoChange},
+		{"a lower cap in a stage", []Update{trial(2, 1, 0.5), trial(2, 1, 0.3)}, 2, RollingOut, 1, 0.3, true, Moved},
+		{"a higher cap in a stage", []Update{trial(2, 1, 0.3), trial(2, 1, 0.5)}, 2, RollingOut, 1, 0.3, true, NoChange},
 		{"released", []Update{trial(2, 1, 0.5), out(2)}, 2, Released, 2, 1, false, Moved},
-		{"on trial, late, when released", []Update{out(2), trial(2, 1, 0.5)}, 2, Released, 2, 1, false, Stale},
-		{"released, then sent back", []Update{out(2), back(2, 0.2)}, 2, GoingBack, 0, 0.2, true, Moved},
-		{"released, late, when going back", []Update{back(2, 0.2), out(2)}, 2, GoingBack, 0, 0.2, true, Stale},
-		{"on trial, late, when going back", []Update{trial(2, 0, 0.1), back(2, 0), trial(2, 0, 0.1)}, 2, GoingBack, 0, 0, true, Stale},
-		{"a cap that rises on the way back", []Update{trial(2, 0, 0.1), back(2, 0.2)}, 2, GoingBack, 0, 0.1, true, Moved},
-		{"a cap that falls on the way back", []Update{out(2), back(2, 0.2), back(2, 0), back(2, 0.2)}, 2, GoingBack, 0, 0, true, Same},
+		{"on trial, late, when released", []Update{out(2), trial(2, 1, 0.5)}, 2, Released, 2, 1, false, StaleUpdate},
+		{"released, then sent back", []Update{out(2), back(2, 0.2)}, 2, RollingBack, 0, 0.2, true, Moved},
+		{"released, late, when going back", []Update{back(2, 0.2), out(2)}, 2, RollingBack, 0, 0.2, true, StaleUpdate},
+		{"on trial, late, when going back", []Update{trial(2, 0, 0.1), back(2, 0), trial(2, 0, 0.1)}, 2, RollingBack, 0, 0, true, StaleUpdate},
+		{"a cap that rises on the way back", []Update{trial(2, 0, 0.1), back(2, 0.2)}, 2, RollingBack, 0, 0.1, true, Moved},
+		{"a cap that falls on the way back", []Update{out(2), back(2, 0.2), back(2, 0), back(2, 0.2)}, 2, RollingBack, 0, 0, true, NoChange},
 		{"withdrawn", []Update{trial(2, 0, 0.1), back(2, 0), gone(2)}, 2, Withdrawn, 0, 0, true, Moved},
-		{"going back, late, when withdrawn", []Update{gone(2), back(2, 0.2)}, 2, Withdrawn, 0, 0, true, Stale},
+		{"going back, late, when withdrawn", []Update{gone(2), back(2, 0.2)}, 2, Withdrawn, 0, 0, true, StaleUpdate},
 		{"withdrawn, and the next one comes", []Update{gone(2), trial(3, 0, 0.1)}, 2, Withdrawn, 0, 0, true, Moved},
 		{"going back, and the next one comes", []Update{back(2, 0.2), trial(3, 0, 0.1)}, 2, Withdrawn, 0, 0, true, Moved},
-		{"on trial, and the next one comes", []Update{trial(2, 0, 0.2), trial(3, 0, 0.1)}, 2, OnTrial, 0, 0.2, true, Moved},
+		{"on trial, and the next one comes", []Update{trial(2, 0, 0.2), trial(3, 0, 0.1)}, 2, RollingOut, 0, 0.2, true, Moved},
 		{"its end told late", []Update{trial(2, 0, 0.2), trial(3, 0, 0.1), out(2)}, 2, Released, 2, 1, false, Moved},
 		{"its withdrawal told late", []Update{trial(2, 0, 0.2), trial(3, 0, 0.1), back(2, 0.2)}, 2, Withdrawn, 0, 0, true, Moved},
-		{"first told of after the next one", []Update{trial(3, 0, 0.1), trial(2, 0, 0.2)}, 2, OnTrial, 0, 0.2, true, Moved},
-		{"an answer on the one before", []Update{out(2), trial(3, 0, 0.1), out(2)}, 3, OnTrial, 0, 0.1, true, Same},
+		{"first told of after the next one", []Update{trial(3, 0, 0.1), trial(2, 0, 0.2)}, 2, RollingOut, 0, 0.2, true, Moved},
+		{"an answer on the one before", []Update{out(2), trial(3, 0, 0.1), out(2)}, 3, RollingOut, 0, 0.1, true, NoChange},
 		{"nothing told, an earlier one", []Update{trial(3, 0, 0.1)}, 2, Released, 0, 1, false, Moved},
-		{"nothing told, a later one", []Update{gone(2)}, 3, OnTrial, 0, 0.08, true, Moved},
+		{"nothing told, a later one", []Update{gone(2)}, 3, RollingOut, 0, 0.08, true, Moved},
 	} {
 		b := NewBook(0.08)
 		var last Change
 		for _, u := range c.updates {
-			last = b.Tell(u)
+			last = b.Apply(u)
 		}
-		r := b.Of(c.of)
+		r := b.Record(c.of)
 		limit, limited := b.Cap(c.of)
 		got := fmt.Sprint(r.Phase, r.Stage, limit, limited, last)
 		if want := fmt.Sprint(c.phase, c.stage, c.limit, c.limited, c.last); got != want {
@@ -66,27 +66,27 @@
 // the announcement of one behind it.
 func TestListed(t *testing.T) {
 	b := NewBook(0.08)
-	if b.Listed(7) {
+	if b.OnListed(7) {
 		t.Error("before any news everything is as it was")
 	}
-	b.Tell(Update{2, 0, Withdrawn, 0})
+	b.Apply(Update{2, 0, Withdrawn, 0})
 	for _, c := range []struct {
 		release int
 		early   bool
 	}{{1, false}, {2, false}, {3, true}, {3, false}} {
-		if early := b.Listed(c.release); early != c.early {
+		if early := b.OnListed(c.release); early != c.early {
 			t.Errorf("release %d: early %v", c.release, early)
 		}
 	}
-	b.Tell(Update{4, 0, OnTrial, 0.1})
+	b.Apply(Update{4, 0, RollingOut, 0.1})
 	if limit, limited := b.Cap(3); !limited || limit != 0.08 {
 		t.Errorf("never told of, with 4 announced: cap %v, limited %v", limit, limited)
 	}
-	b.Prevails(3)
+	b.MarkPrevailing(3)
 	if _, limited := b.Cap(3); limited {
 		t.Error("it runs on most backends, and is still limited")
 	}
-	b.Prevails(2)
+	b.MarkPrevailing(2)
 	if limit, limited := b.Cap(2); !limited || limit != 0 {
 		t.Error("a withdrawn release was opened by what runs")
 	}
@@ -95,7 +95,7 @@
 // Before any news the oldest listed release is the fleet's, and later ones stand in the first stage.
 func TestNothingTold(t *testing.T) {
 	b := NewBook(0.08)
-	b.Oldest(4)
+	b.SetOldestListed(4)
 	if _, limited := b.Cap(4); limited {
 		t.Error("the fleet's own release is limited")
 	}
@@ -115,9 +115,9 @@
 			u := Update{Release: rapid.IntRange(1, 4).Draw(t, "release"), Stage: rapid.IntRange(0, 2).Draw(t, "stage"),
 				Phase: Phase(rapid.IntRange(0, 3).Draw(t, "phase")), Cap: float64(rapid.IntRange(0, 4).Draw(t, "cap")) / 4}
 			if rapid.Bool().Draw(t, "listed first") {
-				b.Listed(u.Release)
+				b.OnListed(u.Release)
 			}
-			b.Tell(u)
+			b.Apply(u)
 			if was, told := furthest[u.Release]; !told || u.Phase.rank() > was.rank() {
 				furthest[u.Release] = u.Phase
 			}
@@ -127,7 +127,7 @@
 				t.Fatalf("newest is %d, not %d", n.Release, newest)
 			}
 			for release, phase := range furthest {
-				if got := b.Of(release).Phase; got.rank() < phase.rank() {
+				if got := b.Record(release).Phase; got.rank() < phase.rank() {
 					t.Fatalf("release %d: %v after %v", release, got, phase)
 				}
 				if limit, limited := b.Cap(release); closed[release] && (!limited || limit > 0) {
