--- a/policy/releases_test.go
+++ b/policy/releases_test.go
@@ -9,10 +9,10 @@
 )
 
 // keyed starts an agent whose keys stay, on so many backends of release 1, with news of that and a cap for the first stage.
-func keyed(backends int, limit float64) (*Agent, *record) {
-	a, r := tier(Product{}, backends)
+func keyed(backends int, limit float64) (*Instance, *record) {
+	a, r := tier(RequestClass{}, backends)
 	a.Expose(2, []float64{limit, 1}, 0, false, true)
-	a.News(2, 1, 2, Released, Unasked, 1, 0, true)
+	a.OnReleaseUpdate(2, 1, 2, Released, NotAVote, 1, 0, true)
 	return a, r
 }
 
@@ -28,73 +28,73 @@
 
 // A key that a release has answered, or may be answering, goes to no earlier one, whichever came first, the list or the news.
 func TestAffinityCrossings(t *testing.T) {
-	trial := func(a *Agent, now float64, release int) {
-		a.News(now, release, 0, OnTrial, Unasked, 1, 0, true)
+	trial := func(a *Instance, now float64, release int) {
+		a.OnReleaseUpdate(now, release, 0, RollingOut, NotAVote, 1, 0, true)
 	}
-	listed := func(a *Agent, now float64, id string, release int, state State) {
-		a.List(now, []Listed{{ID: id, Build: release, Rating: 1, State: state}}, false, false)
+	listed := func(a *Instance, now float64, id string, release int, state EndpointState) {
+		a.OnEndpoints(now, []Endpoint{{ID: id, Release: release, Weight: 1, State: state}}, false, false)
 	}
-	withdrawn := func(a *Agent, now float64, release int) {
-		a.News(now, release, 0, OnTrial, Unasked, 1, 0, true)
-		a.News(now+1, release, 0, Withdrawn, Unasked, 0, 0, true)
+	withdrawn := func(a *Instance, now float64, release int) {
+		a.OnReleaseUpdate(now, release, 0, RollingOut, NotAVote, 1, 0, true)
+		a.OnReleaseUpdate(now+1, release, 0, Withdrawn, NotAVote, 0, 0, true)
 	}
 	for _, c := range []struct {
 		name   string
-		before func(a *Agent) // up to the first answer: only x is there to give it
-		after  func(a *Agent) // then, before the key comes again: only a is there
-		open   bool           // a may serve the key
+		before func(a *Instance) // up to the first answer: only x is there to give it
+		after  func(a *Instance) // then, before the key comes again: only a is there
+		open   bool              // a may serve the key
 	}{
-		{"news, list", func(a *Agent) { trial(a, 5, 2); listed(a, 6, "x", 2, Running) }, nil, false},
-		{"list, no news", func(a *Agent) { listed(a, 6, "x", 2, Running) }, nil, false},
-		{"list, then news", func(a *Agent) { listed(a, 6, "x", 2, Running) }, func(a *Agent) { trial(a, 25, 2) }, false},
-		{"the one before withdrawn, list, no news", func(a *Agent) { withdrawn(a, 3, 2); listed(a, 6, "x", 3, Running) }, nil, false},
-		{"the one before withdrawn, list, then news", func(a *Agent) { withdrawn(a, 3, 2); listed(a, 6, "x", 3, Running) },
-			func(a *Agent) { trial(a, 25, 3) }, false},
-		{"the one before going back is told on", func(a *Agent) { withdrawn(a, 3, 2); listed(a, 6, "x", 3, Running) },
-			func(a *Agent) { a.News(25, 2, 0, GoingBack, Unasked, 0, 0, true) }, false},
-		{"two unannounced", func(a *Agent) { listed(a, 6, "x", 2, Running) }, func(a *Agent) { trial(a, 25, 3) }, false},
-		{"released, and an earlier one's fresh backend before the word", func(a *Agent) { trial(a, 5, 2); listed(a, 6, "x", 2, Running) },
-			func(a *Agent) {
-				a.News(25, 2, 1, Released, Unasked, 1, 0, true)
-				a.List(26, []Listed{{ID: "x", Build: 2, Rating: 1}}, true, false) // nothing earlier is listed
-				a.Wake(26+2*judgePause, 0)
+		{"news, list", func(a *Instance) { trial(a, 5, 2); listed(a, 6, "x", 2, EndpointRunning) }, nil, false},
+		{"list, no news", func(a *Instance) { listed(a, 6, "x", 2, EndpointRunning) }, nil, false},
+		{"list, then news", func(a *Instance) { listed(a, 6, "x", 2, EndpointRunning) }, func(a *Instance) { trial(a, 25, 2) }, false},
+		{"the one before withdrawn, list, no news", func(a *Instance) { withdrawn(a, 3, 2); listed(a, 6, "x", 3, EndpointRunning) }, nil, false},
+		{"the one before withdrawn, list, then news", func(a *Instance) { withdrawn(a, 3, 2); listed(a, 6, "x", 3, EndpointRunning) },
+			func(a *Instance) { trial(a, 25, 3) }, false},
+		{"the one before going back is told on", func(a *Instance) { withdrawn(a, 3, 2); listed(a, 6, "x", 3, EndpointRunning) },
+			func(a *Instance) { a.OnReleaseUpdate(25, 2, 0, RollingBack, NotAVote, 0, 0, true) }, false},
+		{"two unannounced", func(a *Instance) { listed(a, 6, "x", 2, EndpointRunning) }, func(a *Instance) { trial(a, 25, 3) }, false},
+		{"released, and an earlier one's fresh backend before the word", func(a *Instance) { trial(a, 5, 2); listed(a, 6, "x", 2, EndpointRunning) },
+			func(a *Instance) {
+				a.OnReleaseUpdate(25, 2, 1, Released, NotAVote, 1, 0, true)
+				a.OnEndpoints(26, []Endpoint{{ID: "x", Release: 2, Weight: 1}}, true, false) // nothing earlier is listed
+				a.OnTimer(26+2*judgePause, 0)
 			}, false},
-		{"goes back, told after the list", func(a *Agent) { trial(a, 5, 2); listed(a, 6, "x", 2, Running) },
-			func(a *Agent) { a.News(25, 2, 0, GoingBack, Unasked, 0, 0, true) }, true},
-		{"goes back, and an answer on its trial comes late", func(a *Agent) { trial(a, 5, 2); listed(a, 6, "x", 2, Running) },
-			func(a *Agent) {
-				a.News(25, 2, 0, GoingBack, Unasked, 0, 0, true)
-				a.News(26, 2, 0, OnTrial, Counted, 1, 0, true)
+		{"goes back, told after the list", func(a *Instance) { trial(a, 5, 2); listed(a, 6, "x", 2, EndpointRunning) },
+			func(a *Instance) { a.OnReleaseUpdate(25, 2, 0, RollingBack, NotAVote, 0, 0, true) }, true},
+		{"goes back, and an answer on its trial comes late", func(a *Instance) { trial(a, 5, 2); listed(a, 6, "x", 2, EndpointRunning) },
+			func(a *Instance) {
+				a.OnReleaseUpdate(25, 2, 0, RollingBack, NotAVote, 0, 0, true)
+				a.OnReleaseUpdate(26, 2, 0, RollingOut, VoteCounted, 1, 0, true)
 			}, true},
-		{"the later of two goes back", func(a *Agent) {
+		{"the later of two goes back", func(a *Instance) {
 			trial(a, 3, 2)
-			a.News(4, 2, 1, Released, Unasked, 1, 0, true)
-			listed(a, 6, "x", 2, Running)
-		}, func(a *Agent) {
+			a.OnReleaseUpdate(4, 2, 1, Released, NotAVote, 1, 0, true)
+			listed(a, 6, "x", 2, EndpointRunning)
+		}, func(a *Instance) {
 			trial(a, 25, 3)
-			a.List(26, []Listed{{ID: "x", Build: 2, State: Draining}, {ID: "y", Build: 3, Rating: 1}}, false, false)
-			a.Txn(30, "t2", "k", 0, 0, false, 4000, 0)
-			a.Outcome(31, "t2", 0, Settled, true, 1, -1, -1)
-			a.News(32, 3, 0, GoingBack, Unasked, 0, 0, true)
+			a.OnEndpoints(26, []Endpoint{{ID: "x", Release: 2, State: EndpointDraining}, {ID: "y", Release: 3, Weight: 1}}, false, false)
+			a.OnRequest(30, "t2", "k", 0, 0, false, 4000, 0)
+			a.OnAttemptResult(31, "t2", 0, StatusServed, true, 1, -1, -1)
+			a.OnReleaseUpdate(32, 3, 0, RollingBack, NotAVote, 0, 0, true)
 		}, false},
 	} {
 		a, r := keyed(1, 1)
-		listed(a, 2, "a", 1, Draining)
+		listed(a, 2, "a", 1, EndpointDraining)
 		c.before(a)
 		now := 10.0
 		// The first of a process's attempts at a release on trial needs no more than the free ones.
-		a.Txn(now, "t", "k", 0, 0, false, 4000, 0)
+		a.OnRequest(now, "t", "k", 0, 0, false, 4000, 0)
 		if got := where(r.take()); got != "x" {
 			t.Fatalf("%s: first %q", c.name, got)
 		}
-		a.Outcome(now+5, "t", 0, Settled, true, 5, -1, -1)
+		a.OnAttemptResult(now+5, "t", 0, StatusServed, true, 5, -1, -1)
 		if c.after != nil {
 			c.after(a)
 		}
 		now = 1000
-		a.List(now, []Listed{{ID: "a", Build: 1, Rating: 1, Start: 0}, {ID: "x", Build: 2, State: Gone}, {ID: "y", Build: 3, State: Gone}}, false, false)
+		a.OnEndpoints(now, []Endpoint{{ID: "a", Release: 1, Weight: 1, StartedAt: 0}, {ID: "x", Release: 2, State: EndpointRemoved}, {ID: "y", Release: 3, State: EndpointRemoved}}, false, false)
 		r.take()
-		a.Txn(now+1, "u", "k", 0, 0, false, 4000, 0)
+		a.OnRequest(now+1, "u", "k", 0, 0, false, 4000, 0)
 		if got := where(r.take()); (got == "a") != c.open {
 			t.Errorf("%s: the key goes to %q, open %v", c.name, got, c.open)
 		}
@@ -104,31 +104,31 @@
 // An id that returns with another release while its answer is out: either may have given it.
 func TestAnswerAcrossReleases(t *testing.T) {
 	a, r := keyed(2, 1)
-	a.List(3, []Listed{{ID: "b", State: Gone}}, false, false)
-	a.Txn(10, "t", "k", 0, 0, false, 4000, 0)
+	a.OnEndpoints(3, []Endpoint{{ID: "b", State: EndpointRemoved}}, false, false)
+	a.OnRequest(10, "t", "k", 0, 0, false, 4000, 0)
 	expect(t, "first", where(r.take()), "a")
-	a.List(12, []Listed{{ID: "a", Build: 2, Rating: 1}}, false, false)
-	a.Outcome(15, "t", 0, Settled, true, 5, -1, -1)
-	a.List(16, []Listed{{ID: "a", Build: 2, Rating: 1, State: Draining}, {ID: "b", Build: 1, Rating: 1}}, false, false)
-	a.Txn(20, "u", "k", 0, 0, false, 4000, 0)
+	a.OnEndpoints(12, []Endpoint{{ID: "a", Release: 2, Weight: 1}}, false, false)
+	a.OnAttemptResult(15, "t", 0, StatusServed, true, 5, -1, -1)
+	a.OnEndpoints(16, []Endpoint{{ID: "a", Release: 2, Weight: 1, State: EndpointDraining}, {ID: "b", Release: 1, Weight: 1}}, false, false)
+	a.OnRequest(20, "u", "k", 0, 0, false, 4000, 0)
 	expect(t, "again, with only the earlier release there", where(r.take()), "")
-	a.Txn(21, "v", "other", 0, 0, false, 4000, 0)
+	a.OnRequest(21, "v", "other", 0, 0, false, 4000, 0)
 	expect(t, "another key", where(r.take()), "b")
 }
 
 // With the next release announced, the one before still binds the keys that it has answered, and no others.
 func TestKeysOfReleaseBefore(t *testing.T) {
 	a, r := keyed(1, 1)
-	a.News(3, 2, 0, OnTrial, Unasked, 1, 0, true)
-	a.List(4, []Listed{{ID: "a", Build: 1, Rating: 1, State: Draining}, {ID: "x", Build: 2, Rating: 1}}, false, false)
-	a.Txn(10, "t", "k", 0, 0, false, 4000, 0)
-	a.Outcome(15, "t", 0, Settled, true, 5, -1, -1)
-	a.News(20, 2, 1, Released, Unasked, 1, 0, true)
-	a.News(21, 3, 0, OnTrial, Unasked, 1, 0, true)
-	a.List(22, []Listed{{ID: "a", Build: 1, Rating: 1}, {ID: "x", Build: 2, Rating: 1, State: Draining}}, false, false)
+	a.OnReleaseUpdate(3, 2, 0, RollingOut, NotAVote, 1, 0, true)
+	a.OnEndpoints(4, []Endpoint{{ID: "a", Release: 1, Weight: 1, State: EndpointDraining}, {ID: "x", Release: 2, Weight: 1}}, false, false)
+	a.OnRequest(10, "t", "k", 0, 0, false, 4000, 0)
+	a.OnAttemptResult(15, "t", 0, StatusServed, true, 5, -1, -1)
+	a.OnReleaseUpdate(20, 2, 1, Released, NotAVote, 1, 0, true)
+	a.OnReleaseUpdate(21, 3, 0, RollingOut, NotAVote, 1, 0, true)
+	a.OnEndpoints(22, []Endpoint{{ID: "a", Release: 1, Weight: 1}, {ID: "x", Release: 2, Weight: 1, State: EndpointDraining}}, false, false)
 	r.take()
 	for key, want := range map[string]string{"k": "", "other": "a"} {
-		a.Txn(30, key, key, 0, 0, false, 4000, 0)
+		a.OnRequest(30, key, key, 0, 0, false, 4000, 0)
 		expect(t, key, where(r.take()), want)
 	}
 }
@@ -137,40 +137,42 @@
 func TestSendable(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		mean  func(a *Agent)
+		mean  func(a *Instance)
 		want  bool
 		trial bool // the attempt is at the release on trial
 	}{
-		{"nothing", func(a *Agent) {}, true, false},
-		{"its backend drains", func(a *Agent) { a.List(11, []Listed{{ID: "a", Build: 1, Rating: 1, State: Draining}}, false, false) }, false, false},
-		{"its backend has another release", func(a *Agent) { a.List(11, []Listed{{ID: "a", Build: 2, Rating: 1}}, false, false) }, false, false},
-		{"a later release answers the key", func(a *Agent) {
-			a.List(11, []Listed{{ID: "a", Build: 1, Rating: 1, State: Draining}, {ID: "x", Build: 2, Rating: 1}}, false, false)
-			a.Txn(12, "other", "k", 0, 0, false, 4000, 0)
-			a.Outcome(13, "other", 0, Settled, true, 1, -1, -1)
-			a.List(14, []Listed{{ID: "a", Build: 1, Rating: 1}}, false, false)
+		{"nothing", func(a *Instance) {}, true, false},
+		{"its backend drains", func(a *Instance) {
+			a.OnEndpoints(11, []Endpoint{{ID: "a", Release: 1, Weight: 1, State: EndpointDraining}}, false, false)
 		}, false, false},
-		{"an attempt at a later release is out", func(a *Agent) {
-			a.List(11, []Listed{{ID: "a", Build: 1, Rating: 1, State: Draining}, {ID: "x", Build: 2, Rating: 1}}, false, false)
-			a.Txn(12, "other", "k", 0, 0, false, 4000, 0)
-			a.List(14, []Listed{{ID: "a", Build: 1, Rating: 1}}, false, false)
+		{"its backend has another release", func(a *Instance) { a.OnEndpoints(11, []Endpoint{{ID: "a", Release: 2, Weight: 1}}, false, false) }, false, false},
+		{"a later release answers the key", func(a *Instance) {
+			a.OnEndpoints(11, []Endpoint{{ID: "a", Release: 1, Weight: 1, State: EndpointDraining}, {ID: "x", Release: 2, Weight: 1}}, false, false)
+			a.OnRequest(12, "other", "k", 0, 0, false, 4000, 0)
+			a.OnAttemptResult(13, "other", 0, StatusServed, true, 1, -1, -1)
+			a.OnEndpoints(14, []Endpoint{{ID: "a", Release: 1, Weight: 1}}, false, false)
 		}, false, false},
-		{"on trial, nothing", func(a *Agent) {}, true, true},
-		{"its release goes back", func(a *Agent) { a.News(11, 2, 0, GoingBack, Unasked, 0, 0, true) }, false, true},
+		{"an attempt at a later release is out", func(a *Instance) {
+			a.OnEndpoints(11, []Endpoint{{ID: "a", Release: 1, Weight: 1, State: EndpointDraining}, {ID: "x", Release: 2, Weight: 1}}, false, false)
+			a.OnRequest(12, "other", "k", 0, 0, false, 4000, 0)
+			a.OnEndpoints(14, []Endpoint{{ID: "a", Release: 1, Weight: 1}}, false, false)
+		}, false, false},
+		{"on trial, nothing", func(a *Instance) {}, true, true},
+		{"its release goes back", func(a *Instance) { a.OnReleaseUpdate(11, 2, 0, RollingBack, NotAVote, 0, 0, true) }, false, true},
 	} {
 		a, r := keyed(1, 1)
 		want := "a"
 		if c.trial {
 			want = "x"
-			a.News(3, 2, 0, OnTrial, Unasked, 1, 0, true)
-			a.List(4, []Listed{{ID: "a", Build: 1, Rating: 1, State: Draining}, {ID: "x", Build: 2, Rating: 1}}, false, false)
+			a.OnReleaseUpdate(3, 2, 0, RollingOut, NotAVote, 1, 0, true)
+			a.OnEndpoints(4, []Endpoint{{ID: "a", Release: 1, Weight: 1, State: EndpointDraining}, {ID: "x", Release: 2, Weight: 1}}, false, false)
 		}
-		a.Txn(10, "t", "k", 0, 0, false, 4000, 0)
+		a.OnRequest(10, "t", "k", 0, 0, false, 4000, 0)
 		if got := where(r.take()); got != want {
 			t.Fatalf("%s: first %q", c.name, got)
 		}
 		c.mean(a)
-		expect(t, c.name, a.Sendable("t", 0), c.want)
+		expect(t, c.name, a.MaySend("t", 0), c.want)
 	}
 }
 
@@ -178,12 +180,12 @@
 func TestTrialKeys(t *testing.T) {
 	drawn := func(seed uint64, me int, told bool) (set string) {
 		a := New(&record{}, seed, me, 2)
-		a.Serve([]Product{{SLA: 1000, Expiry: 4000, Revenue: 1}}, 5, true, true)
+		a.Serve([]RequestClass{{LatencyObjective: 1000, Timeout: 4000, Value: 1}}, 5, true, true)
 		a.Expose(2, []float64{0.5, 1}, 0, false, true)
-		a.News(1, 2, 0, Withdrawn, Unasked, 0, 0, true)
-		a.List(2, []Listed{{ID: "a", Build: 1, Rating: 1}, {ID: "x", Build: 3, Rating: 1}}, true, false)
+		a.OnReleaseUpdate(1, 2, 0, Withdrawn, NotAVote, 0, 0, true)
+		a.OnEndpoints(2, []Endpoint{{ID: "a", Release: 1, Weight: 1}, {ID: "x", Release: 3, Weight: 1}}, true, false)
 		if told {
-			a.News(3, 3, 0, OnTrial, Unasked, 0.5, 0, true)
+			a.OnReleaseUpdate(3, 3, 0, RollingOut, NotAVote, 0.5, 0, true)
 		}
 		for k := range 64 {
 			x := &txn{key: fmt.Sprint(k), affinity: 1}
@@ -200,30 +202,30 @@
 // A backend whose release no source tells may run any: its answers bind a key as the latest release's would, it serves only keys
 // that the oldest one may, and the trial's keys are not drawn anew for it.
 func TestUnknownRelease(t *testing.T) {
-	only := func(a *Agent, now float64, id string) {
-		list := []Listed{{ID: "a", Build: 1, Rating: 1}, {ID: "x", Build: 2, Rating: 1}, {ID: "u", Build: UnknownRelease, Rating: 1}}
+	only := func(a *Instance, now float64, id string) {
+		list := []Endpoint{{ID: "a", Release: 1, Weight: 1}, {ID: "x", Release: 2, Weight: 1}, {ID: "u", Release: UnknownRelease, Weight: 1}}
 		for k := range list {
 			if list[k].ID != id {
-				list[k].State = Draining
+				list[k].State = EndpointDraining
 			}
 		}
-		a.List(now, list, false, false)
+		a.OnEndpoints(now, list, false, false)
 	}
 	for _, c := range []struct {
 		first, then string
 		serves      bool
 	}{{"a", "u", true}, {"x", "u", false}, {"u", "x", true}, {"u", "a", false}, {"u", "u", false}} {
 		a, r := keyed(1, 1)
-		a.News(3, 2, 0, OnTrial, Unasked, 1, 0, true)
+		a.OnReleaseUpdate(3, 2, 0, RollingOut, NotAVote, 1, 0, true)
 		only(a, 4, "")
 		drawn := a.draw(&txn{key: "k", affinity: 1})
 		only(a, 5, c.first)
 		expect(t, "drawn", a.draw(&txn{key: "k", affinity: 1}), drawn)
-		a.Txn(10, "t", "k", 0, 0, false, 4000, 0)
+		a.OnRequest(10, "t", "k", 0, 0, false, 4000, 0)
 		expect(t, "first", where(r.take()), c.first)
-		a.Outcome(15, "t", 0, Settled, true, 5, -1, -1)
+		a.OnAttemptResult(15, "t", 0, StatusServed, true, 5, -1, -1)
 		only(a, 20, c.then)
-		a.Txn(30, "v", "k", 0, 0, false, 4000, 0)
+		a.OnRequest(30, "v", "k", 0, 0, false, 4000, 0)
 		expect(t, fmt.Sprint(c.first, " has answered, ", c.then, " is there"), where(r.take()) == c.then, c.serves)
 	}
 }
@@ -232,16 +234,16 @@
 func TestEvidenceByRelease(t *testing.T) {
 	for _, c := range []struct {
 		name       string
-		news       func(a *Agent)
+		news       func(a *Instance)
 		release    int
 		old, newer int // outcomes on record
 	}{
-		{"the newest", func(a *Agent) { a.News(5, 2, 0, OnTrial, Unasked, 0.5, 0, true) }, 2, 0, 1},
-		{"the one before", func(a *Agent) { a.News(5, 2, 0, OnTrial, Unasked, 0.5, 0, true) }, 1, 1, 0},
-		{"its news is to come", func(a *Agent) {}, 2, 0, 0},
-		{"it was withdrawn, and the next one came", func(a *Agent) {
-			a.News(5, 2, 0, Withdrawn, Unasked, 0, 0, true)
-			a.News(6, 3, 0, OnTrial, Unasked, 0.5, 0, true)
+		{"the newest", func(a *Instance) { a.OnReleaseUpdate(5, 2, 0, RollingOut, NotAVote, 0.5, 0, true) }, 2, 0, 1},
+		{"the one before", func(a *Instance) { a.OnReleaseUpdate(5, 2, 0, RollingOut, NotAVote, 0.5, 0, true) }, 1, 1, 0},
+		{"its news is to come", func(a *Instance) {}, 2, 0, 0},
+		{"it was withdrawn, and the next one came", func(a *Instance) {
+			a.OnReleaseUpdate(5, 2, 0, Withdrawn, NotAVote, 0, 0, true)
+			a.OnReleaseUpdate(6, 3, 0, RollingOut, NotAVote, 0.5, 0, true)
 		}, 2, 0, 0},
 	} {
 		a, _ := keyed(1, 0.5)
@@ -254,18 +256,18 @@
 // An answer to a vote on the release before is no vote on the one that has come meanwhile.
 func TestVoteOnReleaseBefore(t *testing.T) {
 	a, r := keyed(1, 0.5)
-	a.News(5, 2, 0, OnTrial, Unasked, 0.5, 0, true)
-	a.want = On
-	a.Wake(6, 0)
+	a.OnReleaseUpdate(5, 2, 0, RollingOut, NotAVote, 0.5, 0, true)
+	a.want = Promote
+	a.OnTimer(6, 0)
 	if did := fmt.Sprint(r.take()); !strings.Contains(did, "vote 2") {
 		t.Fatalf("no vote: %s", did)
 	}
-	a.News(7, 3, 0, OnTrial, Unasked, 0.5, 0, true)
-	a.News(8, 2, 0, OnTrial, Counted, 0.5, 0, true)
-	expect(t, "stands for release 3", a.stands, None)
+	a.OnReleaseUpdate(7, 3, 0, RollingOut, NotAVote, 0.5, 0, true)
+	a.OnReleaseUpdate(8, 2, 0, RollingOut, VoteCounted, 0.5, 0, true)
+	expect(t, "stands for release 3", a.stands, NoVerdict)
 	expect(t, "newest", a.newest, 3)
-	a.want = On
-	a.Wake(9, 0)
+	a.want = Promote
+	a.OnTimer(9, 0)
 	if did := fmt.Sprint(r.take()); !strings.Contains(did, "vote 3") {
 		t.Errorf("no vote on release 3: %s", did)
 	}
@@ -287,7 +289,7 @@
 func (x *exposureRule) capped(release int) (limit float64, capped bool) {
 	phase, told := x.phase[release]
 	switch {
-	case told && (phase == GoingBack || phase == Withdrawn):
+	case told && (phase == RollingBack || phase == Withdrawn):
 		return 0, true
 	case release < x.newest || told && phase == Released:
 		return 1, false
@@ -329,9 +331,9 @@
 				}
 			}
 		}
-		tell := func(release int, phase Phase, stage int, limit float64, reply Reply) {
+		tell := func(release int, phase Phase, stage int, limit float64, reply VoteResponse) {
 			was, told := rule.phase[release]
-			rank := map[Phase]int{OnTrial: 0, Released: 1, GoingBack: 2, Withdrawn: 3}
+			rank := map[Phase]int{RollingOut: 0, Released: 1, RollingBack: 2, Withdrawn: 3}
 			if !told || rank[phase] >= rank[was] {
 				if limitWas, capped := rule.capped(release); !told || !capped || limit < limitWas || phase != was {
 					// Since when attempts are counted anew, and never more than was told.
@@ -342,7 +344,7 @@
 				}
 				rule.phase[release], rule.limit[release] = phase, limit
 			}
-			if rule.phase[release] == GoingBack || rule.phase[release] == Withdrawn {
+			if rule.phase[release] == RollingBack || rule.phase[release] == Withdrawn {
 				for key, by := range rule.answered {
 					kept := []int(nil)
 					for _, one := range by {
@@ -354,7 +356,7 @@
 				}
 			}
 			rule.newest = max(rule.newest, release)
-			a.News(now, release, stage, phase, reply, limit, 0, true)
+			a.OnReleaseUpdate(now, release, stage, phase, reply, limit, 0, true)
 		}
 		for range rapid.IntRange(20, 120).Draw(t, "events") {
 			now += float64(rapid.IntRange(1, 300).Draw(t, "after"))
@@ -362,28 +364,28 @@
 			case 0, 1: // a backend is listed, drains, goes or comes back with another release
 				id := string(rune('a' + rapid.IntRange(0, 4).Draw(t, "backend")))
 				release := rapid.IntRange(1, 4).Draw(t, "release")
-				state := State(rapid.IntRange(0, 5).Draw(t, "state") % 4 % 3)
-				if state != Gone {
+				state := EndpointState(rapid.IntRange(0, 5).Draw(t, "state") % 4 % 3)
+				if state != EndpointRemoved {
 					runs[id] = release
 				}
-				a.List(now, []Listed{{ID: id, Build: release, State: state, Rating: 1}}, false, false)
+				a.OnEndpoints(now, []Endpoint{{ID: id, Release: release, State: state, Weight: 1}}, false, false)
 			case 2: // the platform tells a state, in any order
 				release := rapid.IntRange(1, 4).Draw(t, "release")
 				phase := Phase(rapid.IntRange(0, 3).Draw(t, "phase"))
-				limit := [...]float64{OnTrial: 0.5, GoingBack: 0, Released: 1, Withdrawn: 0}[phase]
-				tell(release, phase, 0, limit, Reply(rapid.IntRange(0, 1).Draw(t, "reply")))
+				limit := [...]float64{RollingOut: 0.5, RollingBack: 0, Released: 1, Withdrawn: 0}[phase]
+				tell(release, phase, 0, limit, VoteResponse(rapid.IntRange(0, 1).Draw(t, "reply")))
 			case 3, 4, 5, 6: // a request
 				ids++
 				id, key := fmt.Sprint(ids), fmt.Sprint("k", rapid.IntRange(0, 5).Draw(t, "key"))
 				at[id] = [2]string{key}
 				rule.taken++
-				a.Txn(now, id, key, 0, 0, false, 2000, 0)
+				a.OnRequest(now, id, key, 0, 0, false, 2000, 0)
 			case 7, 8: // an attempt ends
 				if len(out) > 0 {
 					k := rapid.IntRange(0, len(out)-1).Draw(t, "which")
 					id := out[k]
 					out = append(out[:k], out[k+1:]...)
-					result := []Result{Settled, Settled, Settled, Errored, Rejected, Broken}[rapid.IntRange(0, 5).Draw(t, "result")]
+					result := []AttemptStatus{StatusServed, StatusServed, StatusServed, StatusErrored, StatusRejected, StatusReset}[rapid.IntRange(0, 5).Draw(t, "result")]
 					x := a.txns[id]
 					if x == nil {
 						continue
@@ -393,13 +395,13 @@
 						sub--
 					}
 					release := x.subs[sub].build
-					if phase, told := rule.phase[release]; result == Settled && !(told && (phase == GoingBack || phase == Withdrawn)) {
+					if phase, told := rule.phase[release]; result == StatusServed && !(told && (phase == RollingBack || phase == Withdrawn)) {
 						rule.answered[at[id][0]] = append(rule.answered[at[id][0]], release)
 					}
-					a.Outcome(now, id, sub, result, result == Settled, 10, -1, -1)
+					a.OnAttemptResult(now, id, sub, result, result == StatusServed, 10, -1, -1)
 				}
 			case 9:
-				a.Wake(now, a.token)
+				a.OnTimer(now, a.token)
 			}
 			attempts()
 		}
--- a/policy/replay_test.go
+++ b/policy/replay_test.go
@@ -22,21 +22,21 @@
 	}
 }
 
-func (p *replayPort) Decline(id string, wait float64) { p.add("decline %s %v", id, wait) }
-func (p *replayPort) Tell(instance int, note []byte) {
+func (p *replayPort) Reject(id string, wait float64) { p.add("decline %s %v", id, wait) }
+func (p *replayPort) SendMessage(instance int, note []byte) {
 	p.sent = append(p.sent, note)
-	p.record.Tell(instance, note)
+	p.record.SendMessage(instance, note)
 }
-func (p *replayPort) Timer(after float64, token uint64) {
+func (p *replayPort) SetTimer(after float64, token uint64) {
 	p.timer = token
 	p.add("timer %v %d", after, token)
 }
-func (p *replayPort) FetchList() { p.add("fetch list") }
+func (p *replayPort) FetchEndpoints() { p.add("fetch list") }
 
 // schedule is a random order of events for one instance, whatever sense they make together.
 type schedule struct {
 	rng      *rand.Rand
-	a        *Agent
+	a        *Instance
 	port     *replayPort
 	now      float64
 	ids      int
@@ -65,18 +65,18 @@
 	now := s.now
 	switch s.rng.IntN(22) {
 	case 0:
-		id, release, state, start := s.backend(), s.release(), State(s.rng.IntN(6)%4%3), 0.0
+		id, release, state, start := s.backend(), s.release(), EndpointState(s.rng.IntN(6)%4%3), 0.0
 		if s.rng.IntN(2) == 0 {
 			start = now - s.rng.Float64()*40000
 		}
 		whole := s.rng.IntN(30) == 0
-		s.a.List(now, []Listed{{ID: id, Build: release, State: state, Rating: 1 + s.rng.Float64(), Start: start, Zone: s.rng.IntN(2), Cell: s.rng.IntN(2)}}, whole, s.rng.IntN(50) == 0)
+		s.a.OnEndpoints(now, []Endpoint{{ID: id, Release: release, State: state, Weight: 1 + s.rng.Float64(), StartedAt: start, Zone: s.rng.IntN(2), Cell: s.rng.IntN(2)}}, whole, s.rng.IntN(50) == 0)
 		return fmt.Sprint("list ", id, release, int(state), start, whole)
 	case 1:
-		release, stage, phase, reply := 1+s.rng.IntN(5), s.rng.IntN(3), Phase(s.rng.IntN(4)), Reply(s.rng.IntN(5))
+		release, stage, phase, reply := 1+s.rng.IntN(5), s.rng.IntN(3), Phase(s.rng.IntN(4)), VoteResponse(s.rng.IntN(5))
 		limit := []float64{0.5, 0, 1, 0}[phase]
 		told := s.rng.IntN(3) > 0
-		s.a.News(now, release, stage, phase, reply, limit, s.rng.Float64()*100, told)
+		s.a.OnReleaseUpdate(now, release, stage, phase, reply, limit, s.rng.Float64()*100, told)
 		return fmt.Sprint("news ", release, stage, int(phase), int(reply), told)
 	case 2, 3, 4, 5, 6, 7:
 		s.ids++
@@ -86,68 +86,68 @@
 		}
 		s.open = append(s.open, id)
 		class, left, hint := s.rng.IntN(4), 100+s.rng.Float64()*4000, s.rng.Float64()*20-5
-		s.a.Txn(now, id, key, class, s.rng.IntN(3), s.rng.IntN(6) == 0, left, hint)
+		s.a.OnRequest(now, id, key, class, s.rng.IntN(3), s.rng.IntN(6) == 0, left, hint)
 		return fmt.Sprint("request ", id, key, class, left, hint)
 	case 8, 9, 10, 11, 12, 13, 14:
 		id, attempt := s.request(), s.rng.IntN(3)
-		result := []Result{Settled, Settled, Settled, Settled, Errored, Rejected, TimedOut, Unconnected, Broken, Revoked, Moot}[s.rng.IntN(11)]
+		result := []AttemptStatus{StatusServed, StatusServed, StatusServed, StatusServed, StatusErrored, StatusRejected, StatusTimedOut, StatusConnectFailed, StatusReset, StatusCanceled, StatusNotSent}[s.rng.IntN(11)]
 		took, waiting := s.rng.Float64()*300, float64(s.rng.IntN(4)-1)
-		s.a.Outcome(now, id, attempt, result, result == Settled, took, waiting, waiting/2)
+		s.a.OnAttemptResult(now, id, attempt, result, result == StatusServed, took, waiting, waiting/2)
 		return fmt.Sprint("outcome ", id, attempt, int(result), took, waiting)
 	case 15:
 		id := s.request()
-		s.a.Hangup(now, id)
+		s.a.OnClientGone(now, id)
 		return "hangup " + id
 	case 16:
 		id := s.backend()
-		s.a.Probed(now, id, s.rng.IntN(3) > 0, s.rng.Float64()*50, float64(s.rng.IntN(4)-1), -1)
+		s.a.OnProbeResult(now, id, s.rng.IntN(3) > 0, s.rng.Float64()*50, float64(s.rng.IntN(4)-1), -1)
 		return "probed " + id
 	case 17:
 		if len(s.port.sent) > 0 {
 			note := s.port.sent[s.rng.IntN(len(s.port.sent))]
-			s.a.Told(now, note[:s.rng.IntN(len(note)+1)])
+			s.a.OnMessage(now, note[:s.rng.IntN(len(note)+1)])
 		}
 		return "told"
 	case 18:
-		s.a.ReportedWrong(now, s.backend(), s.rng.IntN(4), s.rng.Float64()*1000)
+		s.a.OnWrongAnswer(now, s.backend(), s.rng.IntN(4), s.rng.Float64()*1000)
 		return "reported wrong"
 	case 19:
 		switch s.rng.IntN(12) {
 		case 0:
-			s.a.ClockStepped(now)
+			s.a.OnClockStep(now)
 			return "clock stepped"
 		case 1:
-			s.a.ListFailed(now)
+			s.a.OnEndpointsFailed(now)
 			return "list failed"
 		case 2:
-			s.a.Counted(now, 2, 0, 100, 3, 20)
+			s.a.OnPlatformCounts(now, 2, 0, 100, 3, 20)
 			return "counted"
 		}
-		s.a.Began(now, s.request(), 0)
+		s.a.OnStreamStarted(now, s.request(), 0)
 		return "began"
 	case 20:
 		id, attempt := s.request(), s.rng.IntN(3)
-		s.port.add("sendable %v", s.a.Sendable(id, attempt))
+		s.port.add("sendable %v", s.a.MaySend(id, attempt))
 		return fmt.Sprint("sendable ", id, attempt)
 	}
-	s.a.Wake(now, s.port.timer)
+	s.a.OnTimer(now, s.port.timer)
 	return "wake"
 }
 
 func (s *schedule) status() {
-	r := s.a.Releases()
+	r := s.a.ReleaseStatus()
 	newest := r.Newest
 	s.port.add("releases %d %d %d %v %v %v", newest.Release, newest.Stage, newest.Phase, newest.Cap, newest.Announced, newest.Superseded)
-	s.port.add("releases %d %d %d %d %d", r.Trial, r.Keys, r.Withheld.Closed, r.Withheld.Cap, r.Withheld.Affinity)
+	s.port.add("releases %d %d %d %d %d", r.RollingOut, r.Keys, r.Skipped.Closed, r.Skipped.CapReached, r.Skipped.Affinity)
 }
 
 // configured is an instance of a kind drawn from the schedule's seed.
-func configured(s *schedule) *Agent {
+func configured(s *schedule) *Instance {
 	agents := []int{1, 2, 8, 40, 300}[s.rng.IntN(5)]
 	a := New(s.port, s.rng.Uint64(), s.rng.IntN(min(agents, 4)), agents)
-	classes := []Product{{SLA: 1000, Expiry: 4000, Revenue: 1}, {SLA: 800, Expiry: 3000, Revenue: 3, Effect: Referenced, Remember: 2000},
-		{SLA: 1000, Expiry: 4000, Revenue: 5, Effect: OnceOnly, Late: 0.2},
-		{SLA: 500, Stretch: 2, Expiry: 4000, Revenue: 2, Effect: Referenced, Group: Group(1 + s.rng.IntN(2)), Remember: 1500}}
+	classes := []RequestClass{{LatencyObjective: 1000, Timeout: 4000, Value: 1}, {LatencyObjective: 800, Timeout: 3000, Value: 3, Semantics: Idempotent, DedupWindow: 2000},
+		{LatencyObjective: 1000, Timeout: 4000, Value: 5, Semantics: NonIdempotent, LateValue: 0.2},
+		{LatencyObjective: 500, ObjectivePerWork: 2, Timeout: 4000, Value: 2, Semantics: Idempotent, DedupScope: DedupScope(1 + s.rng.IntN(2)), DedupWindow: 1500}}
 	a.Serve(classes, 2+s.rng.IntN(4), s.rng.IntN(2) == 0, s.rng.IntN(2) == 0)
 	a.Hold(float64(20 + s.rng.IntN(200)))
 	a.Share(s.rng.IntN(2) == 0)
@@ -158,7 +158,7 @@
 	a.Warm(0.4, 5000, 3, 1000)
 	a.Expose(2, []float64{0.1, 0.5, 1}, s.rng.IntN(2), s.rng.IntN(2) == 0, s.rng.IntN(3) > 0)
 	a.CountOver(float64(s.rng.IntN(2) * 3000))
-	a.Judge([]float64{0.1, 0.5, 1}, Control(s.rng.IntN(3)), 1+s.rng.IntN(5), 4000)
+	a.Judge([]float64{0.1, 0.5, 1}, RolloutControl(s.rng.IntN(3)), 1+s.rng.IntN(5), 4000)
 	a.Tenants([]float64{0.02, 0.005}, 0.1)
 	return a
 }
@@ -180,10 +180,10 @@
 			s.port.flush()
 		}
 		s.status()
-		s.a.Leave(s.now, s.now+500)
+		s.a.OnShutdown(s.now, s.now+500)
 		for range 50 {
 			s.now += 20
-			s.a.Wake(s.now, s.port.timer)
+			s.a.OnTimer(s.now, s.port.timer)
 		}
 		s.status()
 		s.port.flush()
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -7,8 +7,8 @@
 // outage included. One that was up for longer is told by another clock. It trades the warm-up of backends after a very long outage.
 const listingLate = 20000
 
-// ClockStepped tells that the wall clock was stepped since this process started.
-func (a *Agent) ClockStepped(now float64) {
+// OnClockStep tells that the wall clock was stepped since this process started.
+func (a *Instance) OnClockStep(now float64) {
 	a.at(now)
 	a.clockStepped = true
 	a.settle()
@@ -18,7 +18,7 @@
 // a warm one. So the start is believed only as long as no step of the clock was seen and where it can be true of a backend that is listed
 // just now; else it has been up since now, which is later than its start by the list's delay and never too soon. In a process's first
 // list there is nothing else to go by.
-func (a *Agent) upSince(start float64) float64 {
+func (a *Instance) upSince(start float64) float64 {
 	switch {
 	case start <= 0:
 		return 0
@@ -29,7 +29,7 @@
 }
 
 // coldness is the part of its capacity that a backend has at the least.
-func (a *Agent) coldness(i int) float64 {
+func (a *Instance) coldness(i int) float64 {
 	up := a.now - a.up[i]
 	if a.up[i] <= 0 || a.warmTime <= 0 || up >= a.warmTime {
 		return 1
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -30,16 +30,16 @@
 		{"in the first list, in the future, warm by now", false, false, now + hour, now + 5_000, 1, 1},
 		{"long ago", true, false, 0, now, 1, 1},
 	} {
-		a, _ := tier(Product{}, 0)
+		a, _ := tier(RequestClass{}, 0)
 		a.listed = false
 		if c.listed {
-			a.List(1, []Listed{{ID: "a", Build: 1, Rating: 1}}, true, false)
+			a.OnEndpoints(1, []Endpoint{{ID: "a", Release: 1, Weight: 1}}, true, false)
 		}
 		if c.seen {
-			a.ClockStepped(2)
+			a.OnClockStep(2)
 		}
-		a.List(now, []Listed{{ID: "x", Build: 1, Rating: 1, Start: c.start}}, false, false)
-		a.Wake(c.at, 0)
+		a.OnEndpoints(now, []Endpoint{{ID: "x", Release: 1, Weight: 1, StartedAt: c.start}}, false, false)
+		a.OnTimer(c.at, 0)
 		if got := a.coldness(a.index["x"]); got < c.minimum-1e-9 || got > c.maximum+1e-9 {
 			t.Errorf("%s: %.2f of its capacity, want %.2f to %.2f", c.name, got, c.minimum, c.maximum)
 		}
@@ -48,9 +48,9 @@
 
 // A start that is told in the future keeps no stage waiting for it.
 func TestFutureStartVotes(t *testing.T) {
-	a, _ := tier(Product{}, 3)
-	a.News(10, 2, 0, OnTrial, Unasked, 0.5, 0, true)
-	a.List(1000, []Listed{{ID: "x", Build: 2, Rating: 1, Start: 3600_000}}, false, false)
+	a, _ := tier(RequestClass{}, 3)
+	a.OnReleaseUpdate(10, 2, 0, RollingOut, NotAVote, 0.5, 0, true)
+	a.OnEndpoints(1000, []Endpoint{{ID: "x", Release: 2, Weight: 1, StartedAt: 3600_000}}, false, false)
 	a.newMachines()
 	expect(t, "last start", a.lastStart, 1000.0)
 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -70,7 +70,7 @@
 	hashes                      map[uint32]int
 	id                          []string
 	builds, zones, kinds, cells []int
-	state                       []State
+	state                       []EndpointState
 	rating, start               []float64
 	up                          []float64 // since when, at the latest, it has been up; 0: long ago
 	clockStepped                bool      // the wall clock, since the start
@@ -125,8 +125,8 @@
 	askingRelease int
 }
 
-// Agent is one instance of the decisions.
-type Agent struct {
+// Instance is one instance of the decisions.
+type Instance struct {
 	port           Port
 	now            float64
 	rnd            *rand.Rand
@@ -136,7 +136,7 @@
 	notes          [][]byte
 	notedTimes     []float64
 	tellAt         float64
-	products       []Product
+	products       []RequestClass
 	most           float64 // txns that the agent can bear at once
 	maxSubs        int
 	copies, revoke bool
@@ -150,14 +150,14 @@
 	book                               *release.Book
 	allowance                          *exposure.Allowance
 	affinity                           *exposure.Affinity
-	withheld                           Withheld
+	withheld                           SkippedBackends
 	window                             float64 // over which attempts are counted
 	started                            bool    // an event has come
 	sightings                          map[string]float64
 	taken                              float64
 
 	stages  []float64
-	control Control
+	control RolloutControl
 	backs   int
 	life    float64
 
@@ -191,8 +191,8 @@
 }
 
 // New makes an agent; seed starts its generator.
-func New(port Port, seed uint64, me, agents int) *Agent {
-	a := &Agent{port: port, rnd: Chance(seed), agents: max(agents, 1), txns: map[string]*txn{}}
+func New(port Port, seed uint64, me, agents int) *Instance {
+	a := &Instance{port: port, rnd: NewRand(seed), agents: max(agents, 1), txns: map[string]*txn{}}
 	a.most, a.armed, a.recallAt, a.flow = math.Inf(1), math.Inf(1), math.Inf(1), [2]float64{1, 1}
 	a.salt = uint64(me+1) << 32 // not by the seed: a process that starts anew draws the same keys for a trial
 	a.sightings = map[string]float64{}
@@ -203,7 +203,7 @@
 	return a
 }
 
-func (a *Agent) Serve(products []Product, maxSubs int, copies, revoke bool) {
+func (a *Instance) Serve(products []RequestClass, maxSubs int, copies, revoke bool) {
 	a.products, a.maxSubs, a.copies, a.revoke = products, maxSubs, copies, revoke
 	a.usualLat, a.tail = make([]float64, len(products)), make([]float64, len(products))
 	a.usual, a.longest = make([]float64, len(products)), make([]float64, len(products))
@@ -217,28 +217,28 @@
 }
 
 // Hold: so many txns can be open at once, by the agent's connections or its memory.
-func (a *Agent) Hold(most float64) { a.most = most }
+func (a *Instance) Hold(most float64) { a.most = most }
 
 // Share: agents may send each other messages.
-func (a *Agent) Share(allowed bool) { a.peers = allowed }
+func (a *Instance) Share(allowed bool) { a.peers = allowed }
 
 // Probing: a probe costs so much of a request's worth.
-func (a *Agent) Probing(allowed bool, price float64) { a.probes, a.probePrice = allowed, price }
+func (a *Instance) Probing(allowed bool, price float64) { a.probes, a.probePrice = allowed, price }
 
-func (a *Agent) Advise(maxWait float64) { a.maxWait = maxWait }
+func (a *Instance) Advise(maxWait float64) { a.maxWait = maxWait }
 
-func (a *Agent) Zone(zone int, priced bool) { a.home, a.zonePriced = zone, priced }
+func (a *Instance) Zone(zone int, priced bool) { a.home, a.zonePriced = zone, priced }
 
-func (a *Agent) Watch(asked bool, grace, within float64) {
+func (a *Instance) Watch(asked bool, grace, within float64) {
 	a.asked, a.grace, a.within = asked, grace, within
 }
 
-func (a *Agent) Warm(from, time, multiple, fall float64) {
+func (a *Instance) Warm(from, time, multiple, fall float64) {
 	a.coldFrom, a.warmTime, a.multiple, a.fall = from, time, multiple, fall
 }
 
 // Expose: within any window the free attempts and the cap's share may go to a release on trial. Serve comes before it.
-func (a *Agent) Expose(free float64, caps []float64, guarded int, perProduct, keysStay bool) {
+func (a *Instance) Expose(free float64, caps []float64, guarded int, perProduct, keysStay bool) {
 	a.guarded, a.perProduct, a.keysStay = guarded, perProduct, keysStay
 	first := 0.0
 	if len(caps) > 0 {
@@ -249,15 +249,15 @@
 }
 
 // CountOver: attempts at a release on trial are counted within so long (ms).
-func (a *Agent) CountOver(window float64) { a.window = window }
+func (a *Instance) CountOver(window float64) { a.window = window }
 
 // Judge: backs is how many agents undo a build.
-func (a *Agent) Judge(stages []float64, control Control, backs int, life float64) {
+func (a *Instance) Judge(stages []float64, control RolloutControl, backs int, life float64) {
 	a.stages, a.control, a.backs, a.life = stages, control, max(backs, 1), life
 }
 
 // Tenants: quotas are txns per millisecond, by all agents together.
-func (a *Agent) Tenants(quotas []float64, overWorth float64) {
+func (a *Instance) Tenants(quotas []float64, overWorth float64) {
 	a.quotas, a.overWorth = quotas, overWorth
 	a.purse, a.purseAt = make([]float64, len(quotas)), make([]float64, len(quotas))
 }
@@ -270,10 +270,10 @@
 }
 
 // newMachines counts the newest build's and tells when the last of them started.
-func (a *Agent) newMachines() (n int) {
+func (a *Instance) newMachines() (n int) {
 	a.lastStart = 0
 	for i := range a.id {
-		if a.state[i] == Running && a.builds[i] == a.newest {
+		if a.state[i] == EndpointRunning && a.builds[i] == a.newest {
 			n++
 			a.lastStart = max(a.lastStart, min(a.start[i], a.up[i]))
 		}
@@ -282,7 +282,7 @@
 }
 
 // waiting is the first txn without a place for which this appliance was probed.
-func (a *Agent) waiting(i int) *txn {
+func (a *Instance) waiting(i int) *txn {
 	for _, r := range a.racing {
 		if r.app == i && !r.t.ended && r.t.out == 0 {
 			return r.t
@@ -291,19 +291,19 @@
 	return nil
 }
 
-func (a *Agent) ask() {
-	a.port.Subscribe()
+func (a *Instance) ask() {
+	a.port.WatchEndpoints()
 	a.subscribed = true // until a failure is told
 }
 
 // survey sums over the fleet what choosing a place needs.
-func (a *Agent) survey() {
+func (a *Instance) survey() {
 	a.surveyAt = a.now + judgePause
 	a.members[0], a.members[1] = a.members[0][:0], a.members[1][:0]
 	a.bear, a.limitAll, a.warm, a.heaviest, a.trialCap, a.trialRelease = [2]float64{}, 0, 0, 0, 0, 0
 	a.concluded()
 	for i := range a.id {
-		if a.state[i] != Running {
+		if a.state[i] != EndpointRunning {
 			continue
 		}
 		arm, w := 0, a.rating[i]*a.coldness(i)
@@ -326,37 +326,37 @@
 }
 
 // at sets the time of an input and sees whether the agent stood still before it: its own timers tell.
-func (a *Agent) at(now float64) {
+func (a *Instance) at(now float64) {
 	if len(a.alarms) > 0 && now-a.alarms[0].at > stoodStill {
 		a.wokeAt = now
 	}
 	a.now = now
 	if !a.started {
 		a.started = true
-		a.allowance.Hold(now + a.window)
+		a.allowance.HoldUntil(now + a.window)
 	}
 }
 
 // send submits; the caller has asked mayGo.
-func (a *Agent) send(t *txn, i int) {
+func (a *Instance) send(t *txn, i int) {
 	if a.limited(a.builds[i]) {
 		a.allowance.Use(a.builds[i], a.lane(t.product), a.now)
 	}
 	if a.coldness(i) < 1 {
 		a.level[i] -= t.work
 	}
-	binds := a.book.Binds(a.builds[i])
+	binds := a.book.BindsAs(a.builds[i])
 	t.subs = append(t.subs, submission{app: i, build: a.builds[i], binds: binds, at: a.now, due: a.due(t), out: true})
 	t.out++
-	if !a.book.Closed(binds) {
-		a.affinity.Sent(t.affinity, binds)
+	if !a.book.IsClosed(binds) {
+		a.affinity.AttemptStarted(t.affinity, binds)
 	}
 	a.open[i]++
 	a.openAll++
-	a.port.Submit(t.id, a.id[i], 0)
+	a.port.SendAttempt(t.id, a.id[i], 0)
 }
 
-func (a *Agent) place(t *txn, i int) {
+func (a *Instance) place(t *txn, i int) {
 	t.held = false
 	a.send(t, i)
 	a.look(t.subs[len(t.subs)-1].due, t)
@@ -365,21 +365,21 @@
 	}
 }
 
-func (a *Agent) tried(t *txn, i int) bool {
+func (a *Instance) tried(t *txn, i int) bool {
 	return slices.ContainsFunc(t.subs, func(s submission) bool { return s.app == i })
 }
 
-func (a *Agent) flowNow(k int) float64 {
+func (a *Instance) flowNow(k int) float64 {
 	return 1 - (1-a.flow[k])*math.Exp(-(a.now-a.flowAt[k])/flowTime)
 }
 
-// List takes entries as the list shows them; whole lists drop what they no longer name.
-func (a *Agent) List(now float64, entries []Listed, whole, old bool) {
+// OnEndpoints takes entries as the list shows them; whole lists drop what they no longer name.
+func (a *Instance) OnEndpoints(now float64, entries []Endpoint, whole, old bool) {
 	a.at(now)
 	if whole {
 		for i := range a.state {
-			if a.state[i] != Gone {
-				a.state[i], a.goneAt[i] = Gone, now
+			if a.state[i] != EndpointRemoved {
+				a.state[i], a.goneAt[i] = EndpointRemoved, now
 			}
 		}
 	}
@@ -390,20 +390,20 @@
 			a.index[e.ID], a.hashes[hash(e.ID)], a.id[i] = i, i, e.ID
 			a.open[i], a.seenAt[i], a.start[i], a.builds[i] = 0, 0, -1, 0
 		}
-		if a.start[i] != e.Start || a.builds[i] != e.Build {
+		if a.start[i] != e.StartedAt || a.builds[i] != e.Release {
 			// A re-used id or a restart: nothing learned of the former process holds, and it is cold.
 			a.good[i], a.poor[i], a.rel[i], a.recent[i], a.level[i], a.levelAt[i] = 0, 0, 1, nil, 0, now
 			a.inRow[i], a.restUntil[i], a.told[i], a.toldAt[i], a.limit[i] = 0, 0, 0, now, limitFirst
-			a.up[i] = a.upSince(e.Start)
-			if a.agents >= manyAgents && e.Start > 0 { // by chance, or all would start at once, and none soon
+			a.up[i] = a.upSince(e.StartedAt)
+			if a.agents >= manyAgents && e.StartedAt > 0 { // by chance, or all would start at once, and none soon
 				a.level[i] = a.rnd.Float64()
 			}
 		}
-		if e.State != Gone {
-			a.releaseListed(e.Build)
+		if e.State != EndpointRemoved {
+			a.releaseListed(e.Release)
 		}
-		a.builds[i], a.zones[i], a.kinds[i], a.cells[i] = e.Build, e.Zone, e.Kind, e.Cell
-		a.state[i], a.rating[i], a.start[i], a.goneAt[i] = e.State, max(e.Rating, 0.01), e.Start, now
+		a.builds[i], a.zones[i], a.kinds[i], a.cells[i] = e.Release, e.Zone, e.HardwareClass, e.Cell
+		a.state[i], a.rating[i], a.start[i], a.goneAt[i] = e.State, max(e.Weight, 0.01), e.StartedAt, now
 	}
 	if !old {
 		a.failures, a.listed = 0, true
@@ -413,9 +413,9 @@
 }
 
 // spare is a place in the arrays: a new one, or where there are many that of an appliance long gone.
-func (a *Agent) spare() int {
+func (a *Instance) spare() int {
 	for i := range a.id {
-		if len(a.id) >= appsMost && a.state[i] == Gone && a.open[i] == 0 && a.now > a.goneAt[i]+longGone {
+		if len(a.id) >= appsMost && a.state[i] == EndpointRemoved && a.open[i] == 0 && a.now > a.goneAt[i]+longGone {
 			delete(a.index, a.id[i])
 			delete(a.hashes, hash(a.id[i]))
 			for arm := range a.evidence {
@@ -433,26 +433,26 @@
 		&a.up, &a.told, &a.toldAt, &a.inRow, &a.restUntil, &a.goneAt} {
 		*x = append(*x, 0)
 	}
-	a.id, a.state, a.recent = append(a.id, ""), append(a.state, Gone), append(a.recent, nil)
+	a.id, a.state, a.recent = append(a.id, ""), append(a.state, EndpointRemoved), append(a.recent, nil)
 	return len(a.id) - 1
 }
 
-func (a *Agent) lane(product int) int {
+func (a *Instance) lane(product int) int {
 	if a.perProduct {
 		return product
 	}
 	return 0
 }
 
-// ListFailed tells that a list call failed or the subscription broke.
-func (a *Agent) ListFailed(now float64) {
+// OnEndpointsFailed tells that a list call failed or the subscription broke.
+func (a *Instance) OnEndpointsFailed(now float64) {
 	a.at(now)
 	a.retryList()
 	a.settle()
 }
 
-// Began: the stream belongs to the client now; no expiry holds.
-func (a *Agent) Began(now float64, id string, sub int) {
+// OnStreamStarted: the stream belongs to the client now; no expiry holds.
+func (a *Instance) OnStreamStarted(now float64, id string, sub int) {
 	a.at(now)
 	if t := a.txns[id]; t != nil {
 		t.took = true
@@ -460,7 +460,7 @@
 	a.settle()
 }
 
-func (a *Agent) Wake(now float64, token uint64) {
+func (a *Instance) OnTimer(now float64, token uint64) {
 	a.at(now)
 	if token == a.token {
 		a.armed = math.Inf(1)
@@ -468,7 +468,7 @@
 	a.settle()
 }
 
-func (a *Agent) Probed(now float64, app string, ok bool, took, waiting, busy float64) {
+func (a *Instance) OnProbeResult(now float64, app string, ok bool, took, waiting, busy float64) {
 	a.at(now)
 	i, known := a.index[app]
 	if known && a.zones[i] == a.home { // else the way may be at fault
@@ -487,12 +487,14 @@
 	a.settle()
 }
 
-// Counted are the platform's own figures; the vote's evidence is the agent's own outcomes, so they decide
+// OnPlatformCounts are the platform's own figures; the vote's evidence is the agent's own outcomes, so they decide
 // nothing.
-func (a *Agent) Counted(now float64, build, product, many, bad int, took float64) { a.at(now) }
+func (a *Instance) OnPlatformCounts(now float64, build, product, many, bad int, took float64) {
+	a.at(now)
+}
 
 // drop calls off what is still out for an ended txn and forgets it once nothing is.
-func (a *Agent) drop(t *txn) {
+func (a *Instance) drop(t *txn) {
 	t.ended = true
 	if t.out == 0 {
 		delete(a.txns, t.id)
@@ -501,12 +503,12 @@
 	for k := range t.subs {
 		if s := &t.subs[k]; s.out && a.revoke && !s.called {
 			s.late, s.called = true, true
-			a.port.Revoke(t.id, k)
+			a.port.CancelAttempt(t.id, k)
 		}
 	}
 }
 
-func (a *Agent) note(i int, good bool) {
+func (a *Instance) note(i int, good bool) {
 	f := math.Exp(-(a.now - a.notedAt) / doubtTime)
 	a.goodAll, a.poorAll, a.notedAt = a.goodAll*f, a.poorAll*f, a.now
 	f = math.Exp(-(a.now - a.seenAt[i]) / doubtTime)
@@ -520,8 +522,8 @@
 	}
 }
 
-// Hangup: the client has gone; an id no longer held is passed over.
-func (a *Agent) Hangup(now float64, id string) {
+// OnClientGone: the client has gone; an id no longer held is passed over.
+func (a *Instance) OnClientGone(now float64, id string) {
 	a.at(now)
 	if t := a.txns[id]; t != nil && !t.ended {
 		a.drop(t)
@@ -530,7 +532,7 @@
 }
 
 // learn keeps the usual latencies and the load that warm appliances bear.
-func (a *Agent) learn(i int, t *txn, took float64) {
+func (a *Instance) learn(i int, t *txn, took float64) {
 	if math.IsInf(took, 1) {
 		return
 	}
@@ -541,7 +543,7 @@
 	*u += usualStep * (took - *u)
 	// Up by each answer beyond it and down by the others, so that tailPart of them stay under it.
 	q := &a.tail[t.product]
-	if math.IsInf(*q, 1) && a.revoke && a.products[t.product].Effect != OnceOnly { // else nothing is ever past hope
+	if math.IsInf(*q, 1) && a.revoke && a.products[t.product].Semantics != NonIdempotent { // else nothing is ever past hope
 		*q = relMost * took
 	}
 	if took > *q {
@@ -564,9 +566,9 @@
 }
 
 // offered turns the page: what a released build has shown becomes the earlier build's record.
-func (a *Agent) offered(build int) {
+func (a *Instance) offered(build int) {
 	was := [2][][]outcome{slices.Clone(a.evidence[0]), slices.Clone(a.evidence[1])}
-	if a.known && a.book.Of(a.newest).Phase == Released {
+	if a.known && a.book.Record(a.newest).Phase == Released {
 		a.evidence[0], a.evidence[1] = a.evidence[1], a.evidence[0]
 	}
 	for p := range a.evidence[1] {
@@ -577,12 +579,12 @@
 	base := a.prevailing(build)
 	for i := range a.id {
 		// Also what its successor already drains, but nothing that the build before it, or its withdrawal, has replaced.
-		if a.state[i] == Running && a.builds[i] < build || a.state[i] == Draining && a.builds[i] == base {
+		if a.state[i] == EndpointRunning && a.builds[i] < build || a.state[i] == EndpointDraining && a.builds[i] == base {
 			a.places++
 			a.placed += a.rating[i]
 		}
 	}
-	a.begun, a.want, a.stands, a.stage, a.hotSince, a.excuse = false, None, None, -1, math.Inf(1), 1
+	a.begun, a.want, a.stands, a.stage, a.hotSince, a.excuse = false, NoVerdict, NoVerdict, -1, math.Inf(1), 1
 	a.before.demand = a.demandNow()
 	for p := range a.before.usual {
 		var lat []float64
@@ -603,10 +605,10 @@
 }
 
 // prevailing is the build that most of the running appliances have, of those before a build; the newest of such.
-func (a *Agent) prevailing(build int) (base int) {
+func (a *Instance) prevailing(build int) (base int) {
 	counts, most := map[int]int{}, 0
 	for i := range a.id {
-		if b := a.builds[i]; a.state[i] == Running && b < build {
+		if b := a.builds[i]; a.state[i] == EndpointRunning && b < build {
 			if counts[b]++; counts[b] > most || counts[b] == most && b > base {
 				base, most = b, counts[b]
 			}
@@ -616,7 +618,7 @@
 }
 
 // fade forgets keys seen long ago: popularity is of late, and the record must not grow for ever.
-func (a *Agent) fade() {
+func (a *Instance) fade() {
 	for k, n := range a.sightings {
 		if a.sightings[k] = n / 2; n < 2 {
 			delete(a.sightings, k)
@@ -626,8 +628,8 @@
 }
 
 // witness files a submission's end as evidence.
-func (a *Agent) witness(s *submission, t *txn, r Result, took float64) {
-	o := outcome{at: a.now, lat: took / t.cost, bad: r == Errored || r == Broken, broken: r == Broken, app: s.app}
+func (a *Instance) witness(s *submission, t *txn, r AttemptStatus, took float64) {
+	o := outcome{at: a.now, lat: took / t.cost, bad: r == StatusErrored || r == StatusReset, broken: r == StatusReset, app: s.app}
 	a.file(s.build, t.product, o)
 	if a.peers {
 		a.jot(o, s.build, t.product)
@@ -636,7 +638,7 @@
 
 // typical is a low latency of a machine of the faster part, over the usual of each product: low, since queues
 // touch it least, and of the faster part, so that trouble of some machines does not pass for trouble of all.
-func (a *Agent) typical(evidence [2][][]outcome, span float64) float64 {
+func (a *Instance) typical(evidence [2][][]outcome, span float64) float64 {
 	by := make([][]float64, len(a.id))
 	for _, arm := range evidence {
 		for p, e := range arm {
@@ -662,8 +664,8 @@
 	return quantile(lowPart, each)
 }
 
-// ReportedWrong corrects the agent's own outcome.
-func (a *Agent) ReportedWrong(now float64, app string, product int, age float64) {
+// OnWrongAnswer corrects the agent's own outcome.
+func (a *Instance) OnWrongAnswer(now float64, app string, product int, age float64) {
 	a.at(now)
 	i, ok := a.index[app]
 	if !ok {
@@ -681,8 +683,8 @@
 	}
 }
 
-// Txn takes a txn; left is the time of this try, hint its told cost.
-func (a *Agent) Txn(now float64, id, key string, product, tenant int, again bool, left, hint float64) {
+// OnRequest takes a txn; left is the time of this try, hint its told cost.
+func (a *Instance) OnRequest(now float64, id, key string, product, tenant int, again bool, left, hint float64) {
 	a.at(now)
 	t := &txn{id: id, key: key, product: product, tenant: tenant, came: now, expiry: now + left, work: 1, cost: 1}
 	if a.keysStay {
@@ -710,7 +712,7 @@
 }
 
 // asks counts what is asked for.
-func (a *Agent) asks(now float64) {
+func (a *Instance) asks(now float64) {
 	a.demand = a.demand*math.Exp(-(now-a.demandAt)/heatTime) + 1
 	a.demandAt = now
 	if a.demandFrom == 0 {
@@ -718,15 +720,15 @@
 	}
 }
 
-// Outcome ends one submission; one that is not held is passed over.
-func (a *Agent) Outcome(now float64, id string, sub int, r Result, final bool, took, waiting, busy float64) {
+// OnAttemptResult ends one submission; one that is not held is passed over.
+func (a *Instance) OnAttemptResult(now float64, id string, sub int, r AttemptStatus, final bool, took, waiting, busy float64) {
 	a.at(now)
 	if t := a.txns[id]; t != nil && sub >= 0 && sub < len(t.subs) && t.subs[sub].out {
 		s := &t.subs[sub]
-		s.out, s.unrun = false, r == Rejected || r == Unconnected || r == Moot
+		s.out, s.unrun = false, r == StatusRejected || r == StatusConnectFailed || r == StatusNotSent
 		t.out--
 		t.ended = t.ended || final
-		a.affinity.Ended(t.affinity, s.binds)
+		a.affinity.AttemptEnded(t.affinity, s.binds)
 		a.open[s.app]--
 		a.openAll--
 		a.recallAt = now
@@ -738,21 +740,21 @@
 	a.settle()
 }
 
-// News tells where the newest build stands; reply is set when it answers a vote, and told when the rest is
+// OnReleaseUpdate tells where the newest build stands; reply is set when it answers a vote, and told when the rest is
 // true.
-func (a *Agent) News(now float64, build, stage int, phase Phase, reply Reply, limit, age float64, told bool) {
+func (a *Instance) OnReleaseUpdate(now float64, build, stage int, phase Phase, reply VoteResponse, limit, age float64, told bool) {
 	a.at(now)
-	if reply != Unasked && a.pending {
+	if reply != NotAVote && a.pending {
 		a.answered(reply)
 	}
-	if reply == Unasked || told {
+	if reply == NotAVote || told {
 		a.releaseTold(release.Update{Release: build, Stage: stage, Phase: phase, Cap: limit}, age, reply)
 	}
 	a.settle()
 }
 
-// Leave: the agent ends, and whatever it holds has its final answer by then.
-func (a *Agent) Leave(now, by float64) {
+// OnShutdown: the agent ends, and whatever it holds has its final answer by then.
+func (a *Instance) OnShutdown(now, by float64) {
 	a.at(now)
 	for _, id := range slices.Sorted(maps.Keys(a.txns)) {
 		if t := a.txns[id]; !t.ended && t.expiry > by {
@@ -765,7 +767,7 @@
 
 // overQuota tells that a tenant asks for more than its share, of which an agent takes its part to be like
 // others'.
-func (a *Agent) overQuota(t *txn) bool {
+func (a *Instance) overQuota(t *txn) bool {
 	rate := a.quotas[t.tenant] / float64(a.agents)
 	a.purse[t.tenant] = min(a.purse[t.tenant]+rate*(t.came-a.purseAt[t.tenant]), rate*purseTime) - 1
 	a.purseAt[t.tenant] = t.came
@@ -777,11 +779,11 @@
 }
 
 // demandNow is the first tries of late, right also soon after the start, when few can have been counted.
-func (a *Agent) demandNow() float64 {
+func (a *Instance) demandNow() float64 {
 	return a.demand * math.Exp(-(a.now-a.demandAt)/heatTime) / max(1-math.Exp(-(a.now-a.demandFrom)/heatTime), 0.05)
 }
 
 // reported is an appliance's load by its last report, txns waiting and how busy it is, fading with its age.
-func (a *Agent) reported(i int) float64 {
+func (a *Instance) reported(i int) float64 {
 	return a.told[i] * math.Exp(-(a.now-a.toldAt[i])/reportTime)
 }
