--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -110,7 +110,7 @@
 		if a.keeper, err = recorder.New(o.Tables.Record, a.told(o.Name, "name"), names, a.core.Now, seed+2); err != nil {
 			return nil, err
 		}
-		a.core.Join(a.keeper)
+		a.core.AddInterceptor(a.keeper)
 	}
 	if a.listener, err = listen(a.told(o.Listen, "listen")); err != nil {
 		return nil, err
@@ -317,7 +317,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case line := <-a.core.Lines():
+		case line := <-a.core.LogLines():
 			logrus.Info(line)
 		case <-tick.C:
 			a.line()
@@ -333,11 +333,11 @@
 	var usage syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	cpu := usage.Utime.Nano()/1e6 + usage.Stime.Nano()/1e6
-	logrus.WithFields(logrus.Fields{"cpu_ms": cpu, "taken": n.Taken, "settled": n.Settled, "declined": n.Declined,
-		"voided": n.Voided, "gone": n.Gone, "bad_input": a.front.Refused.Load(), "open": n.Open, "out": n.Out,
-		"ends":    fmt.Sprint(n.Ends[policy.StatusServed:]),
+	logrus.WithFields(logrus.Fields{"cpu_ms": cpu, "taken": n.Accepted, "settled": n.Served, "declined": n.Rejected,
+		"voided": n.Failed, "gone": n.ClientGone, "bad_input": a.front.Refused.Load(), "open": n.OpenRequests, "out": n.OpenAttempts,
+		"ends":    fmt.Sprint(n.AttemptsByStatus[policy.StatusServed:]),
 		"sockets": all, "clients": clients, "clients_idle": resting, "opened": opened, "idle": idle, "unsent": unsent,
-		"list": version, "listed": listed, "timers": n.Timers, "broken": invariant.Broken(), "withdrawn": n.Withdrawn}).Info("counts")
+		"list": version, "listed": listed, "timers": n.Timers, "broken": invariant.Broken(), "withdrawn": n.AttemptsWithheld}).Info("counts")
 	r := n.Releases
 	logrus.WithFields(logrus.Fields{"newest": r.Newest.Release, "phase": r.Newest.Phase.String(), "stage": r.Newest.Stage,
 		"cap": r.Newest.Cap, "trial": r.RollingOut, "keys": r.Keys, "withheld_closed": r.Skipped.Closed,
@@ -393,7 +393,7 @@
 	count(`onyxgate_backends_withheld_total{reason="closed"}`, func(n core.Counts) int { return n.Releases.Skipped.Closed })
 	count(`onyxgate_backends_withheld_total{reason="cap"}`, func(n core.Counts) int { return n.Releases.Skipped.CapReached })
 	count(`onyxgate_backends_withheld_total{reason="affinity"}`, func(n core.Counts) int { return n.Releases.Skipped.Affinity })
-	count("onyxgate_attempts_withdrawn_total", func(n core.Counts) int { return n.Withdrawn })
+	count("onyxgate_attempts_withdrawn_total", func(n core.Counts) int { return n.AttemptsWithheld })
 }
 
 // measure names what can be scraped.
@@ -402,13 +402,13 @@
 	count := func(name string, of func(core.Counts) int) {
 		a.meter.Gauge(name, func() float64 { return float64(of(a.core.Counts())) })
 	}
-	count("onyxgate_txns_taken_total", func(n core.Counts) int { return n.Taken })
-	count(`onyxgate_txns_ended_total{outcome="settled"}`, func(n core.Counts) int { return n.Settled })
-	count(`onyxgate_txns_ended_total{outcome="declined"}`, func(n core.Counts) int { return n.Declined })
-	count(`onyxgate_txns_ended_total{outcome="voided"}`, func(n core.Counts) int { return n.Voided })
-	count(`onyxgate_txns_ended_total{outcome="gone"}`, func(n core.Counts) int { return n.Gone })
-	count("onyxgate_txns_open", func(n core.Counts) int { return n.Open })
-	count("onyxgate_submissions_out", func(n core.Counts) int { return n.Out })
+	count("onyxgate_txns_taken_total", func(n core.Counts) int { return n.Accepted })
+	count(`onyxgate_txns_ended_total{outcome="settled"}`, func(n core.Counts) int { return n.Served })
+	count(`onyxgate_txns_ended_total{outcome="declined"}`, func(n core.Counts) int { return n.Rejected })
+	count(`onyxgate_txns_ended_total{outcome="voided"}`, func(n core.Counts) int { return n.Failed })
+	count(`onyxgate_txns_ended_total{outcome="gone"}`, func(n core.Counts) int { return n.ClientGone })
+	count("onyxgate_txns_open", func(n core.Counts) int { return n.OpenRequests })
+	count("onyxgate_submissions_out", func(n core.Counts) int { return n.OpenAttempts })
 	a.meter.Gauge("onyxgate_broken_total", func() float64 { return float64(invariant.Broken()) })
 	a.measureReleases(count)
 	if a.sources != nil {
--- a/internal/assembly/crossings_test.go
+++ b/internal/assembly/crossings_test.go
@@ -332,8 +332,8 @@
 				return r
 			}
 			check := func(r *running, taken int) {
-				if n := r.core.Counts(); n.Taken != taken || n.Settled != taken || r.front.Refused.Load() != int64(taken) {
-					t.Errorf("%d taken, %d settled, %d refused; %d wanted of each", n.Taken, n.Settled, r.front.Refused.Load(), taken)
+				if n := r.core.Counts(); n.Accepted != taken || n.Served != taken || r.front.Refused.Load() != int64(taken) {
+					t.Errorf("%d taken, %d settled, %d refused; %d wanted of each", n.Accepted, n.Served, r.front.Refused.Load(), taken)
 				}
 				if _, listed := r.discovery.Version(); listed != 1 {
 					t.Errorf("%d appliances listed", listed)
--- a/internal/core/clock.go
+++ b/internal/core/clock.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// stepLeast is the least step that matters to a backend's warm-up. A reading that a pause of the process tore apart is made again.
-const stepLeast = 250 * time.Millisecond
+// minClockStep is the least step that matters to a backend's warm-up. A reading that a pause of the process tore apart is made again.
+const minClockStep = 250 * time.Millisecond
 
 // clock reads both clocks.
 type clock struct {
@@ -35,7 +35,7 @@
 // step is by how much the wall clock was stepped since the last look; 0: by nothing that matters.
 func (c *clock) step() time.Duration {
 	for range 2 {
-		if (c.difference() - c.offset).Abs() < stepLeast {
+		if (c.difference() - c.offset).Abs() < minClockStep {
 			return 0
 		}
 	}
@@ -44,11 +44,11 @@
 	return c.offset - was
 }
 
-// lookAtClock tells the module of a step of the wall clock; under no lock.
-func (c *Core) lookAtClock() {
-	c.enter("clock", func(now float64) {
-		if step := c.clock.step(); step != 0 && c.agent != nil {
-			c.agent.OnClockStep(now)
+// checkClockStep tells the module of a step of the wall clock; under no lock.
+func (c *Core) checkClockStep() {
+	c.handleEvent("clock", func(now float64) {
+		if step := c.clock.step(); step != 0 && c.instance != nil {
+			c.instance.OnClockStep(now)
 			(*port)(c).Log(fmt.Sprintf("wall clock stepped by %v: backends listed from here on count as just started", step.Round(time.Millisecond)))
 		}
 	})
--- a/internal/core/clock_test.go
+++ b/internal/core/clock_test.go
@@ -49,29 +49,29 @@
 				a.Warm(0.4, 5000, 3, 1000)
 				return a
 			})
-			core.List(nil, true, false)
+			core.UpdateEndpoints(nil, true, false)
 			before := core.Now()
 			if wall := core.clock.wall; stepped {
 				core.clock.wall = func() int64 { return wall() - int64(time.Hour) }
 			}
-			core.List([]policy.Endpoint{{ID: "n", Release: 1, Weight: 1, StartedAt: before - 10_000}}, false, false)
+			core.UpdateEndpoints([]policy.Endpoint{{ID: "n", Release: 1, Weight: 1, StartedAt: before - 10_000}}, false, false)
 			if core.Now() != before {
 				t.Errorf("the module's time moved by %v ms", core.Now()-before)
 			}
-			x := core.Take(core.Now(), "t", "", "", 0, false, 3000, "", nil)
-			if out := core.Counts().Out; (out == 0) != stepped {
+			x := core.Accept(core.Now(), "t", "", "", 0, false, 3000, "", nil)
+			if out := core.Counts().OpenAttempts; (out == 0) != stepped {
 				t.Errorf("stepped %v: %d attempts at once", stepped, out)
 			}
 			if stepped {
-				if line := <-core.Lines(); !strings.HasPrefix(line, "wall clock stepped by -1h0m0s") {
+				if line := <-core.LogLines(); !strings.HasPrefix(line, "wall clock stepped by -1h0m0s") {
 					t.Errorf("logged %q", line)
 				}
 			}
-			if len(core.Lines()) != 0 {
-				t.Errorf("told again: %q", <-core.Lines())
+			if len(core.LogLines()) != 0 {
+				t.Errorf("told again: %q", <-core.LogLines())
 			}
 			x.Close()
-			core.wake.Stop()
+			core.wakeTimer.Stop()
 		})
 	}
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -14,8 +14,8 @@
 	"onyxgate/policy"
 )
 
-// Calls are the module's actions that belong to no request. Each starts something and returns at once.
-type Calls interface {
+// Transport are the module's actions that belong to no request. Each starts something and returns at once.
+type Transport interface {
 	Vote(build int, verdict policy.Verdict, stage int)
 	Probe(appliance string)
 	Subscribe()
@@ -23,95 +23,95 @@
 }
 
 const (
-	// watchdogLate (ms) is how far past a request's time the watchdog looks: the module answers before it, and a client's time is
+	// watchdogDelay (ms) is how far past a request's time the watchdog looks: the module answers before it, and a client's time is
 	// kept within some tens of milliseconds more.
-	watchdogLate = 15.0
-	// ringApart: two alarms a request would else wake the agent ten thousand times a second, a few at a time.
-	ringApart = time.Millisecond
+	watchdogDelay = 15.0
+	// minTimerInterval: two alarms a request would else wake the agent ten thousand times a second, a few at a time.
+	minTimerInterval = time.Millisecond
 )
 
 // Core is one live agent's module with all that it needs to run.
 type Core struct {
-	mu       sync.Mutex
-	inside   bool // an event is being handled
-	agent    *policy.Instance
-	calls    Calls
-	clock    clock
-	requests map[string]*Request
-	timers   timers
-	wake     *time.Timer
-	lines    chan string
-	leaving  bool
-	by       float64 // while leaving: when everything has its answer
-	counts   Counts
-	parts    []Part         // never changed once requests come
-	builds   map[string]int // appliances' builds as listed
+	mu               sync.Mutex
+	inEvent          bool // an event is being handled
+	instance         *policy.Instance
+	transport        Transport
+	clock            clock
+	requests         map[string]*Request
+	timers           timers
+	wakeTimer        *time.Timer
+	logLines         chan string
+	leaving          bool
+	shutdownDeadline float64 // while leaving: when everything has its answer
+	counts           Counts
+	interceptors     []Interceptor  // never changed once requests come
+	releases         map[string]int // appliances' builds as listed
 }
 
 // Counts are what has been since the start, and what is open now.
 type Counts struct {
-	Taken, Settled, Declined, Voided, Gone int
-	Ends                                   [policy.StatusNotSent + 1]int // attempts, by result
-	Open, Out, Timers                      int
-	Withdrawn                              int // attempts that might not go out any more when their connection was up
-	Releases                               policy.ReleaseStatus
+	Accepted, Served, Rejected, Failed, ClientGone int
+	AttemptsByStatus                               [policy.StatusNotSent + 1]int // attempts, by result
+	OpenRequests, OpenAttempts, Timers             int
+	AttemptsWithheld                               int // attempts that might not go out any more when their connection was up
+	Releases                                       policy.ReleaseStatus
 }
 
 // New starts the clock; no event may come before Start.
-func New(calls Calls) *Core {
-	return &Core{calls: calls, clock: newClock(), requests: map[string]*Request{},
-		builds: map[string]int{}, lines: make(chan string, 256)}
+func New(calls Transport) *Core {
+	return &Core{transport: calls, clock: newClock(), requests: map[string]*Request{},
+		releases: map[string]int{}, logLines: make(chan string, 256)}
 }
 
 // Start makes the module.
 func (c *Core) Start(module func(policy.Port) *policy.Instance) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.wake = time.AfterFunc(time.Hour, c.ring)
-	c.agent = module((*port)(c))
+	c.wakeTimer = time.AfterFunc(time.Hour, c.timerFired)
+	c.instance = module((*port)(c))
 }
 
 // Now is Unix time in milliseconds at the start and runs on evenly from there: a step of the machine's clock must not
 // reach the module.
 func (c *Core) Now() float64 { return c.clock.now() }
 
-// Lines are the module's own log lines.
-func (c *Core) Lines() <-chan string { return c.lines }
+// LogLines are the module's own log lines.
+func (c *Core) LogLines() <-chan string { return c.logLines }
 
 // Counts are the counts now. They are asked for every second, so the clock is looked at too.
 func (c *Core) Counts() Counts {
-	c.lookAtClock()
+	c.checkClockStep()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := c.counts
-	n.Open, n.Timers = len(c.requests), len(c.timers)
-	if c.agent != nil {
-		n.Releases = c.agent.ReleaseStatus()
+	n.OpenRequests, n.Timers = len(c.requests), len(c.timers)
+	if c.instance != nil {
+		n.Releases = c.instance.ReleaseStatus()
 	}
 	return n
 }
 
-// Leave ends the votes: what an agent that goes has seen is no longer its to judge by. What is held now, and what is taken
+// Shutdown ends the votes: what an agent that goes has seen is no longer its to judge by. What is held now, and what is taken
 // from here on, has its answer by then.
-func (c *Core) Leave(by float64) {
-	c.enter("leave", func(now float64) {
-		c.leaving, c.by = true, by
+func (c *Core) Shutdown(by float64) {
+	c.handleEvent("leave", func(now float64) {
+		c.leaving, c.shutdownDeadline = true, by
 		for _, t := range c.requests {
-			t.Expiry = min(t.Expiry, by)
+			t.Deadline = min(t.Deadline, by)
 		}
-		c.agent.OnShutdown(now, by)
+		c.instance.OnShutdown(now, by)
 	})
 }
 
-// enter hands one event to the module with the time read under the lock. A panic there must cost one event, not all
+// handleEvent hands one event to the module with the time read under the lock. A panic there must cost one event, not all
 // the requests that the agent holds.
-func (c *Core) enter(what string, event func(now float64)) {
+func (c *Core) handleEvent(what string, event func(now float64)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.inside = true
+	c.inEvent = true
 	whole := false
 	defer func() {
-		c.inside = false
+		c.inEvent = false
 		if !whole {
 			invariant.Hold(false, "the module handles every event", what, recover(), string(debug.Stack()))
 		}
@@ -120,53 +120,53 @@
 	whole = true
 }
 
-// List, ListFailed, News and Probed pass on what was told.
-func (c *Core) List(entries []policy.Endpoint, whole, old bool) {
-	c.lookAtClock()
-	c.carries(entries, whole)
-	c.enter("list", func(now float64) { c.agent.OnEndpoints(now, entries, whole, old) })
+// UpdateEndpoints, ListFailed, News and Probed pass on what was told.
+func (c *Core) UpdateEndpoints(entries []policy.Endpoint, whole, old bool) {
+	c.checkClockStep()
+	c.noteReleases(entries, whole)
+	c.handleEvent("list", func(now float64) { c.instance.OnEndpoints(now, entries, whole, old) })
 }
 
-func (c *Core) ListFailed() {
-	c.enter("list failed", func(now float64) { c.agent.OnEndpointsFailed(now) })
+func (c *Core) EndpointsFailed() {
+	c.handleEvent("list failed", func(now float64) { c.instance.OnEndpointsFailed(now) })
 }
 
-func (c *Core) News(build, stage int, phase policy.Phase, reply policy.VoteResponse, limit, age float64, told bool) {
-	c.enter("news", func(now float64) { c.agent.OnReleaseUpdate(now, build, stage, phase, reply, limit, age, told) })
+func (c *Core) UpdateRelease(build, stage int, phase policy.Phase, reply policy.VoteResponse, limit, age float64, told bool) {
+	c.handleEvent("news", func(now float64) { c.instance.OnReleaseUpdate(now, build, stage, phase, reply, limit, age, told) })
 }
 
-func (c *Core) Probed(appliance string, ok bool, took, waiting, busy float64) {
-	c.enter("probed", func(now float64) { c.agent.OnProbeResult(now, appliance, ok, took, waiting, busy) })
+func (c *Core) ReportProbe(appliance string, ok bool, took, waiting, busy float64) {
+	c.handleEvent("probed", func(now float64) { c.instance.OnProbeResult(now, appliance, ok, took, waiting, busy) })
 }
 
 // ---- timers: one clock timer for all, set to the earliest
 
-func (c *Core) ring() {
-	c.enter("timer", func(now float64) {
-		for len(c.timers) > 0 && c.timers[0].at <= now && c.timers[0].module() {
-			c.agent.OnTimer(now, heap.Pop(&c.timers).(timer).token)
+func (c *Core) timerFired() {
+	c.handleEvent("timer", func(now float64) {
+		for len(c.timers) > 0 && c.timers[0].at <= now && c.timers[0].ofInstance() {
+			c.instance.OnTimer(now, heap.Pop(&c.timers).(timer).token)
 		}
 	})
 	c.mu.Lock() // apart from the event: should that fail, the timers go on
 	now, late := c.Now(), []*Request(nil)
-	for len(c.timers) > 0 && c.timers[0].at <= now && !c.timers[0].module() {
+	for len(c.timers) > 0 && c.timers[0].at <= now && !c.timers[0].ofInstance() {
 		e := heap.Pop(&c.timers).(timer)
-		if e.sub != nil {
-			e.sub.timeOut()
-		} else if !e.request.over || e.request.out > 0 {
+		if e.attempt != nil {
+			e.attempt.expire()
+		} else if !e.request.ended || e.request.openAttempts > 0 {
 			late = append(late, e.request)
 		}
 	}
-	c.rewind(now)
+	c.rescheduleTimers(now)
 	c.mu.Unlock()
 	for _, t := range late {
-		t.late()
+		t.watchdog()
 	}
 }
 
-func (c *Core) rewind(now float64) {
+func (c *Core) rescheduleTimers(now float64) {
 	if len(c.timers) > 0 {
-		c.wake.Reset(max(time.Duration((c.timers[0].at-now)*1e6)+time.Microsecond, ringApart))
+		c.wakeTimer.Reset(max(time.Duration((c.timers[0].at-now)*1e6)+time.Microsecond, minTimerInterval))
 	}
 }
 
@@ -175,10 +175,10 @@
 	at      float64
 	token   uint64
 	request *Request
-	sub     *Attempt
+	attempt *Attempt
 }
 
-func (e timer) module() bool { return e.request == nil && e.sub == nil }
+func (e timer) ofInstance() bool { return e.request == nil && e.attempt == nil }
 
 type timers []timer
 
@@ -195,115 +195,115 @@
 
 // ---- a request
 
-// Do is what a request's handler is asked to do.
-type Do uint8
+// ActionKind is what a request's handler is asked to do.
+type ActionKind uint8
 
 const (
-	Submit  Do = iota
-	Settle     // answer with Answer
-	Decline    // trying again is harmless, after Wait
-	Void
-	Leave // the client has gone: no answer
+	ActionSendAttempt ActionKind = iota
+	ActionServe                  // answer with Answer
+	ActionReject                 // trying again is harmless, after Wait
+	ActionFail
+	ActionAbandon // the client has gone: no answer
 )
 
 // Action is one entry of a request's mailbox.
 type Action struct {
-	Do     Do
-	Sub    *Attempt
-	Wait   float64
-	Answer any
-	Reason string // one word: why the request ended so
+	Kind       ActionKind
+	Attempt    *Attempt
+	RetryAfter float64
+	Answer     any
+	Reason     string // one word: why the request ended so
 }
 
 // Request is one request from its arrival to its last attempt's end.
 type Request struct {
-	ID       string
-	Mark     string // against repeats, where the product has one
-	Product  int
-	Came     float64
-	Expiry   float64
-	core     *Core
-	kept     []any   // what each part keeps of it
-	reserved float64 // ms of the client's time, for the parts
-	said     bool    // its parts know that it is answered
-	by       *Attempt
-	last     policy.AttemptStatus // of the attempt that ended last
-	start    func(*Attempt)
-	under    *Attempt // that its handler carries out
-	bell     chan struct{}
-	mail     []Action
-	attempts []*Attempt
-	out      int
-	over     bool // answered, or the client has gone
-}
-
-// Take hands a new request to the module; left runs from the time at which it came. An attempt that is wanted while the
+	ID                   string
+	IdempotencyKey       string // against repeats, where the product has one
+	Class                int
+	ArrivedAt            float64
+	Deadline             float64
+	core                 *Core
+	interceptorState     []any   // what each part keeps of it
+	reservedTime         float64 // ms of the client's time, for the parts
+	interceptorsNotified bool    // its parts know that it is answered
+	servedBy             *Attempt
+	lastStatus           policy.AttemptStatus // of the attempt that ended last
+	startAttempt         func(*Attempt)
+	current              *Attempt // that its handler carries out
+	wakeup               chan struct{}
+	actions              []Action
+	attempts             []*Attempt
+	openAttempts         int
+	ended                bool // answered, or the client has gone
+}
+
+// Accept hands a new request to the module; left runs from the time at which it came. An attempt that is wanted while the
 // handler carries out another goes to start, in a goroutine of its own. A front that has no room for a request says so by a
 // word, full: it is then declined like any other, without the module. Nil: that id is held already.
-func (c *Core) Take(came float64, id, key, mark string, product int, again bool, left float64, full string,
+func (c *Core) Accept(came float64, id, key, mark string, product int, again bool, left float64, full string,
 	start func(*Attempt)) (t *Request) {
-	t = &Request{ID: id, Mark: mark, Product: product, Came: came, Expiry: came + left, core: c, start: start}
+	t = &Request{ID: id, IdempotencyKey: mark, Class: product, ArrivedAt: came, Deadline: came + left, core: c, startAttempt: start}
 	if full == "" {
-		full = t.ask(left)
+		full = t.admit(left)
 	}
 	if full != "" {
-		t.turnAway(full)
+		t.rejectUnadmitted(full)
 		return t
 	}
-	c.enter("request", func(now float64) {
+	c.handleEvent("request", func(now float64) {
 		if c.requests[id] != nil {
 			t = nil
 			return
 		}
 		if c.requests[id] = t; c.leaving { // under the lock: a request that crosses the signal is either held by then, or sees it
-			t.Expiry = min(t.Expiry, c.by)
+			t.Deadline = min(t.Deadline, c.shutdownDeadline)
 		}
-		c.counts.Taken++
-		heap.Push(&c.timers, timer{at: t.Expiry + watchdogLate, request: t})
+		c.counts.Accepted++
+		heap.Push(&c.timers, timer{at: t.Deadline + watchdogDelay, request: t})
 		if c.timers[0].request == t {
-			c.rewind(now)
+			c.rescheduleTimers(now)
 		}
-		c.agent.OnRequest(now, id, key, product, 0, again, t.Expiry-now, 0)
+		c.instance.OnRequest(now, id, key, product, 0, again, t.Deadline-now, 0)
 	})
 	return t
 }
 
 // Age is how long (ms) ago the request came.
-func (t *Request) Age() float64 { return t.core.Now() - t.Came }
+func (t *Request) Age() float64 { return t.core.Now() - t.ArrivedAt }
 
-// Next waits for the next action.
-func (t *Request) Next() Action {
+// NextAction waits for the next action.
+func (t *Request) NextAction() Action {
 	for {
 		t.core.mu.Lock()
-		if t.under = nil; len(t.mail) > 0 {
-			a := t.mail[0]
-			t.mail = t.mail[1:]
-			for a.Do == Submit && len(t.mail) > 0 && t.mail[0].Do == Submit { // none waits for another's end
-				go t.start(t.mail[0].Sub)
-				t.mail = t.mail[1:]
+		if t.current = nil; len(t.actions) > 0 {
+			a := t.actions[0]
+			t.actions = t.actions[1:]
+			for a.Kind == ActionSendAttempt && len(t.actions) > 0 && t.actions[0].Kind == ActionSendAttempt { // none waits for another's end
+				go t.startAttempt(t.actions[0].Attempt)
+				t.actions = t.actions[1:]
 			}
-			t.under = a.Sub
+			t.current = a.Attempt
 			t.core.mu.Unlock()
-			t.join(&a)
+			t.beforeResponse(&a)
 			return a
 		}
-		if t.bell == nil {
-			t.bell = make(chan struct{}, 1)
+		if t.wakeup == nil {
+			t.wakeup = make(chan struct{}, 1)
 		}
 		t.core.mu.Unlock()
-		<-t.bell
+		<-t.wakeup
 	}
 }
 
 func (t *Request) post(a Action) {
-	if a.Do == Submit && t.under != nil {
-		go t.start(a.Sub)
+	if a.Kind == ActionSendAttempt && t.current != nil {
+		go t.startAttempt(a.Attempt)
 		return
 	}
-	t.mail = append(t.mail, a)
-	if t.bell != nil {
+	t.actions = append(t.actions, a)
+	if t.wakeup != nil {
 		select {
-		case t.bell <- struct{}{}:
+		case t.wakeup <- struct{}{}:
 		default:
 		}
 	}
@@ -311,8 +311,8 @@
 
 // finish is the one place where a request gets its final answer.
 func (t *Request) finish(a Action, count *int) {
-	if !t.over {
-		t.over = true
+	if !t.ended {
+		t.ended = true
 		a.Reason = t.reason(a)
 		*count++
 		t.post(a)
@@ -321,41 +321,41 @@
 }
 
 func (t *Request) forget() {
-	if t.over && t.out == 0 && t.core.requests[t.ID] == t {
+	if t.ended && t.openAttempts == 0 && t.core.requests[t.ID] == t {
 		delete(t.core.requests, t.ID)
 	}
 }
 
-// late is the standing watchdog: whatever failed, a request taken is answered and its attempts end. The module is woken
+// watchdog is the standing watchdog: whatever failed, a request taken is answered and its attempts end. The module is woken
 // first, for its own timer may only be as late as this one.
-func (t *Request) late() {
-	t.core.enter("watchdog", func(now float64) {
-		if !t.over {
-			t.core.agent.OnTimer(now, 0)
+func (t *Request) watchdog() {
+	t.core.handleEvent("watchdog", func(now float64) {
+		if !t.ended {
+			t.core.instance.OnTimer(now, 0)
 		}
-		if !invariant.Hold(t.over, "every request is answered in time", t.ID) {
-			t.finish(Action{Do: Void, Reason: "watchdog"}, &t.core.counts.Voided)
-			t.core.agent.OnClientGone(now, t.ID)
+		if !invariant.Hold(t.ended, "every request is answered in time", t.ID) {
+			t.finish(Action{Kind: ActionFail, Reason: "watchdog"}, &t.core.counts.Failed)
+			t.core.instance.OnClientGone(now, t.ID)
 		}
 	})
 	t.core.mu.Lock()
 	defer t.core.mu.Unlock()
 	for _, s := range t.attempts {
-		s.timeOut()
+		s.expire()
 	}
 }
 
-// Hangup tells that the client has gone. What has not been written yet stays unwritten, whether or not an attempt under
+// ClientGone tells that the client has gone. What has not been written yet stays unwritten, whether or not an attempt under
 // way may be called off: nobody waits for it.
-func (t *Request) Hangup() {
-	t.core.enter("hangup", func(now float64) {
-		if !t.over {
-			t.finish(Action{Do: Leave}, &t.core.counts.Gone)
-			t.core.agent.OnClientGone(now, t.ID)
+func (t *Request) ClientGone() {
+	t.core.handleEvent("hangup", func(now float64) {
+		if !t.ended {
+			t.finish(Action{Kind: ActionAbandon}, &t.core.counts.ClientGone)
+			t.core.instance.OnClientGone(now, t.ID)
 			for _, s := range t.attempts {
-				if !s.over && !s.sent && !s.called {
-					s.called = true
-					s.stop()
+				if !s.ended && !s.sent && !s.canceled {
+					s.canceled = true
+					s.cancelCall()
 				}
 			}
 		}
@@ -366,113 +366,113 @@
 // never sent.
 func (t *Request) Close() {
 	t.core.mu.Lock()
-	over, mail := t.over, t.mail
-	t.mail = nil
+	over, mail := t.ended, t.actions
+	t.actions = nil
 	t.core.mu.Unlock()
-	if !t.said {
-		t.gone()
+	if !t.interceptorsNotified {
+		t.closeInterceptors()
 	}
 	if !over {
-		t.Hangup()
+		t.ClientGone()
 	}
 	for _, a := range mail {
-		if a.Do == Submit {
-			a.Sub.End(policy.StatusNotSent, nil, -1, -1)
+		if a.Kind == ActionSendAttempt {
+			a.Attempt.Finish(policy.StatusNotSent, nil, -1, -1)
 		}
 	}
 }
 
-// Halter is a call under way that can be interrupted without waiting.
-type Halter interface{ Halt() }
+// Canceler is a call under way that can be interrupted without waiting.
+type Canceler interface{ Cancel() }
 
 // Attempt is one try at an appliance.
 type Attempt struct {
-	Appliance string
-	Build     int // as listed when it went out
-	Until     float64
+	Backend   string
+	Release   int // as listed when it went out
+	Deadline  float64
 	request   *Request
-	n         int
-	at        float64
-	over      bool
-	called    bool // off, by the module, or before it was sent since its client has gone
-	late      bool // its time is up
+	number    int
+	startedAt float64
+	ended     bool
+	canceled  bool // off, by the module, or before it was sent since its client has gone
+	timedOut  bool // its time is up
 	sent      bool // its bytes may be on their way
-	halt      Halter
+	canceler  Canceler
 }
 
-// Request is the id of the request that it belongs to.
-func (s *Attempt) Request() string { return s.request.ID }
+// RequestID is the id of the request that it belongs to.
+func (s *Attempt) RequestID() string { return s.request.ID }
 
 // Number counts a request's attempts from 0.
-func (s *Attempt) Number() int { return s.n }
+func (s *Attempt) Number() int { return s.number }
 
-// Took is how long (ms) ago it was decided.
-func (s *Attempt) Took() float64 { return s.request.core.Now() - s.at }
+// Elapsed is how long (ms) ago it was decided.
+func (s *Attempt) Elapsed() float64 { return s.request.core.Now() - s.startedAt }
 
-// Begin names what is to be interrupted when the attempt is called off, or nothing any more; it tells how it stands.
-func (s *Attempt) Begin(halt Halter) (called, late bool) {
+// SetCanceler names what is to be interrupted when the attempt is called off, or nothing any more; it tells how it stands.
+func (s *Attempt) SetCanceler(halt Canceler) (called, late bool) {
 	c := s.request.core
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s.halt = halt
-	return s.called, s.late
+	s.canceler = halt
+	return s.canceled, s.timedOut
 }
 
-// Send is Begin for the moment at which the call's bytes go out: unless it has been called off or is late, it counts as
+// MarkSent is Begin for the moment at which the call's bytes go out: unless it has been called off or is late, it counts as
 // sent from here on. What was decided before its connection came up may not hold any more: the module is asked once again.
-func (s *Attempt) Send(halt Halter) (called, late bool) {
+func (s *Attempt) MarkSent(halt Canceler) (called, late bool) {
 	c := s.request.core
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !s.called && !s.late && !c.agent.MaySend(s.request.ID, s.n) {
-		s.called = true
-		c.counts.Withdrawn++
+	if !s.canceled && !s.timedOut && !c.instance.MaySend(s.request.ID, s.number) {
+		s.canceled = true
+		c.counts.AttemptsWithheld++
 	}
-	if s.called || s.late {
-		s.halt = nil
+	if s.canceled || s.timedOut {
+		s.canceler = nil
 	} else {
-		s.halt, s.sent = halt, true
+		s.canceler, s.sent = halt, true
 	}
-	return s.called, s.late
+	return s.canceled, s.timedOut
 }
 
-func (s *Attempt) timeOut() {
-	if !s.over && !s.called {
-		s.late = true
-		s.stop()
+func (s *Attempt) expire() {
+	if !s.ended && !s.canceled {
+		s.timedOut = true
+		s.cancelCall()
 	}
 }
 
-func (s *Attempt) stop() {
-	if s.halt != nil {
-		s.halt.Halt()
+func (s *Attempt) cancelCall() {
+	if s.canceler != nil {
+		s.canceler.Cancel()
 	}
 }
 
-// End tells how an attempt ended; the first answer of all goes to the client.
-func (s *Attempt) End(r policy.AttemptStatus, answer any, waiting, busy float64) {
+// Finish tells how an attempt ended; the first answer of all goes to the client.
+func (s *Attempt) Finish(r policy.AttemptStatus, answer any, waiting, busy float64) {
 	t, c := s.request, s.request.core
-	c.enter("outcome", func(now float64) {
-		if !invariant.Hold(!s.over, "one outcome for each attempt", t.ID, s.n) {
+	c.handleEvent("outcome", func(now float64) {
+		if !invariant.Hold(!s.ended, "one outcome for each attempt", t.ID, s.number) {
 			return
 		}
-		s.over = true
-		if t.under == s {
-			t.under = nil
+		s.ended = true
+		if t.current == s {
+			t.current = nil
 		}
-		t.out--
-		c.counts.Out--
-		c.counts.Ends[r]++
-		if !t.over {
-			t.last = r
+		t.openAttempts--
+		c.counts.OpenAttempts--
+		c.counts.AttemptsByStatus[r]++
+		if !t.ended {
+			t.lastStatus = r
 		}
 		if r == policy.StatusServed {
-			if !t.over {
-				t.by = s
+			if !t.ended {
+				t.servedBy = s
 			}
-			t.finish(Action{Do: Settle, Answer: answer}, &c.counts.Settled)
+			t.finish(Action{Kind: ActionServe, Answer: answer}, &c.counts.Served)
 		}
-		c.agent.OnAttemptResult(now, t.ID, s.n, r, t.over, now-s.at, waiting, busy)
+		c.instance.OnAttemptResult(now, t.ID, s.number, r, t.ended, now-s.startedAt, waiting, busy)
 		t.forget()
 	})
 }
@@ -481,59 +481,59 @@
 
 type port Core
 
-func (p *port) held(id string) *Request {
-	invariant.Hold(p.inside, "the lock is held when the module acts", id)
+func (p *port) heldRequest(id string) *Request {
+	invariant.Hold(p.inEvent, "the lock is held when the module acts", id)
 	return p.requests[id]
 }
 
 func (p *port) SendAttempt(id, appliance string, limit float64) {
-	t, now := p.held(id), (*Core)(p).Now()
+	t, now := p.heldRequest(id), (*Core)(p).Now()
 	if t == nil {
 		invariant.Hold(false, "an attempt belongs to a request that is held", id)
 		return
 	}
-	s := &Attempt{Appliance: appliance, Build: p.builds[appliance], Until: t.Expiry, request: t, n: len(t.attempts), at: now}
-	if limit > 0 && now+limit < s.Until {
-		s.Until = now + limit
-		heap.Push(&p.timers, timer{at: s.Until, sub: s})
-		(*Core)(p).rewind(now)
+	s := &Attempt{Backend: appliance, Release: p.releases[appliance], Deadline: t.Deadline, request: t, number: len(t.attempts), startedAt: now}
+	if limit > 0 && now+limit < s.Deadline {
+		s.Deadline = now + limit
+		heap.Push(&p.timers, timer{at: s.Deadline, attempt: s})
+		(*Core)(p).rescheduleTimers(now)
 	}
 	t.attempts = append(t.attempts, s)
-	t.out++
-	p.counts.Out++
-	if !invariant.Hold(!t.over, "no attempt after the end", id) {
-		go s.End(policy.StatusNotSent, nil, -1, -1)
+	t.openAttempts++
+	p.counts.OpenAttempts++
+	if !invariant.Hold(!t.ended, "no attempt after the end", id) {
+		go s.Finish(policy.StatusNotSent, nil, -1, -1)
 		return
 	}
-	t.post(Action{Do: Submit, Sub: s})
+	t.post(Action{Kind: ActionSendAttempt, Attempt: s})
 }
 
 func (p *port) Reject(id string, wait float64) {
-	if t := p.held(id); t != nil {
-		t.finish(Action{Do: Decline, Wait: wait}, &p.counts.Declined)
+	if t := p.heldRequest(id); t != nil {
+		t.finish(Action{Kind: ActionReject, RetryAfter: wait}, &p.counts.Rejected)
 	}
 }
 
 func (p *port) Fail(id string) {
-	if t := p.held(id); t != nil {
-		t.finish(Action{Do: Void}, &p.counts.Voided)
+	if t := p.heldRequest(id); t != nil {
+		t.finish(Action{Kind: ActionFail}, &p.counts.Failed)
 	}
 }
 
 func (p *port) CancelAttempt(id string, attempt int) {
-	if t := p.held(id); t != nil && attempt >= 0 && attempt < len(t.attempts) {
-		t.attempts[attempt].called = true
-		t.attempts[attempt].stop()
+	if t := p.heldRequest(id); t != nil && attempt >= 0 && attempt < len(t.attempts) {
+		t.attempts[attempt].canceled = true
+		t.attempts[attempt].cancelCall()
 	}
 }
 
 func (p *port) SendVote(build int, verdict policy.Verdict, stage int) {
 	if !p.leaving {
-		p.calls.Vote(build, verdict, stage)
+		p.transport.Vote(build, verdict, stage)
 	}
 }
 
-func (p *port) SendProbe(appliance string) { p.calls.Probe(appliance) }
+func (p *port) SendProbe(appliance string) { p.transport.Probe(appliance) }
 
 // SendMessage has no protocol yet: live agents share nothing.
 func (p *port) SendMessage(int, []byte) {}
@@ -541,18 +541,18 @@
 func (p *port) SetTimer(after float64, token uint64) {
 	now := (*Core)(p).Now()
 	heap.Push(&p.timers, timer{at: now + after, token: token})
-	if p.timers[0].module() && p.timers[0].token == token {
-		(*Core)(p).rewind(now)
+	if p.timers[0].ofInstance() && p.timers[0].token == token {
+		(*Core)(p).rescheduleTimers(now)
 	}
 }
 
-func (p *port) WatchEndpoints() { p.calls.Subscribe() }
+func (p *port) WatchEndpoints() { p.transport.Subscribe() }
 
-func (p *port) FetchEndpoints() { p.calls.FetchList() }
+func (p *port) FetchEndpoints() { p.transport.FetchList() }
 
 func (p *port) Log(line string) {
 	select {
-	case p.lines <- line:
+	case p.logLines <- line:
 	default: // a full log must not hold the lock
 	}
 }
--- a/internal/core/crossings_test.go
+++ b/internal/core/crossings_test.go
@@ -13,21 +13,21 @@
 	synctest.Test(t, func(t *testing.T) {
 		core, _ := hosted(policy.RequestClass{}, 2)
 		started := make(chan *Attempt, 2)
-		x := core.Take(core.Now(), "t", "", "", 0, false, 3000, "", func(s *Attempt) { started <- s })
-		core.enter("two", func(float64) { (*port)(core).SendAttempt("t", "s1", 0) }) // beside the module's own
-		first := x.Next()
+		x := core.Accept(core.Now(), "t", "", "", 0, false, 3000, "", func(s *Attempt) { started <- s })
+		core.handleEvent("two", func(float64) { (*port)(core).SendAttempt("t", "s1", 0) }) // beside the module's own
+		first := x.NextAction()
 		synctest.Wait()
-		if first.Do != Submit || len(started) != 1 {
-			t.Fatalf("%v to carry out, %d started beside it", first.Do, len(started))
+		if first.Kind != ActionSendAttempt || len(started) != 1 {
+			t.Fatalf("%v to carry out, %d started beside it", first.Kind, len(started))
 		}
 		second := <-started
-		second.End(policy.StatusNotSent, nil, -1, -1)
-		first.Sub.End(policy.StatusServed, nil, -1, -1)
-		if a := x.Next(); a.Do != Settle {
-			t.Errorf("got %v", a.Do)
+		second.Finish(policy.StatusNotSent, nil, -1, -1)
+		first.Attempt.Finish(policy.StatusServed, nil, -1, -1)
+		if a := x.NextAction(); a.Kind != ActionServe {
+			t.Errorf("got %v", a.Kind)
 		}
 		x.Close()
-		core.wake.Stop()
+		core.wakeTimer.Stop()
 	})
 }
 
@@ -41,27 +41,27 @@
 				a.Serve([]policy.RequestClass{{LatencyObjective: 1000, Timeout: 4000, Value: 1}}, 3, false, false)
 				return a
 			})
-			core.List([]policy.Endpoint{{ID: "s", Release: 1, Weight: 1}}, true, true)
-			x, h := core.Take(core.Now(), "t", "", "", 0, false, 3000, "", nil), &halted{}
-			s := x.Next().Sub
-			s.Begin(h) // it is being dialled
+			core.UpdateEndpoints([]policy.Endpoint{{ID: "s", Release: 1, Weight: 1}}, true, true)
+			x, h := core.Accept(core.Now(), "t", "", "", 0, false, 3000, "", nil), &halted{}
+			s := x.NextAction().Attempt
+			s.SetCanceler(h) // it is being dialled
 			if sent {
-				s.Send(h)
+				s.MarkSent(h)
 			}
-			x.Hangup()
-			called, _ := s.Begin(nil)
+			x.ClientGone()
+			called, _ := s.SetCanceler(nil)
 			if !sent {
-				called, _ = s.Send(h)
+				called, _ = s.MarkSent(h)
 			}
 			if called == sent || h.at.IsZero() != sent {
 				t.Errorf("sent %v: called off %v, halted %v", sent, called, !h.at.IsZero())
 			}
-			s.End(policy.StatusNotSent, nil, -1, -1)
-			if a := x.Next(); a.Do != Leave {
-				t.Errorf("got %v", a.Do)
+			s.Finish(policy.StatusNotSent, nil, -1, -1)
+			if a := x.NextAction(); a.Kind != ActionAbandon {
+				t.Errorf("got %v", a.Kind)
 			}
 			x.Close()
-			core.wake.Stop()
+			core.wakeTimer.Stop()
 		})
 	}
 }
@@ -72,28 +72,28 @@
 	synctest.Test(t, func(t *testing.T) {
 		core, _ := hosted(policy.RequestClass{Semantics: policy.NonIdempotent}, 1)
 		from := time.Now()
-		tried := core.Take(core.Now(), "t", "", "", 0, false, 9000, "", nil)
-		tried.Next()
+		tried := core.Accept(core.Now(), "t", "", "", 0, false, 9000, "", nil)
+		tried.NextAction()
 		var waits []*Request
 		for _, id := range []string{"u", "v", "w", "x", "y"} {
-			waits = append(waits, core.Take(core.Now(), id, "", "", 0, false, 9000, "", nil))
+			waits = append(waits, core.Accept(core.Now(), id, "", "", 0, false, 9000, "", nil))
 		}
-		core.Leave(core.Now() + 700)
-		waits = append(waits, core.Take(core.Now(), "z", "", "", 0, false, 9000, "", nil)) // it crossed the signal
+		core.Shutdown(core.Now() + 700)
+		waits = append(waits, core.Accept(core.Now(), "z", "", "", 0, false, 9000, "", nil)) // it crossed the signal
 		for _, x := range append(waits, tried) {
-			a := x.Next()
-			for ; a.Do == Submit; a = x.Next() {
+			a := x.NextAction()
+			for ; a.Kind == ActionSendAttempt; a = x.NextAction() {
 			}
-			if took := time.Since(from); a.Do != Decline && a.Do != Void || took > 700*time.Millisecond {
-				t.Errorf("%s: %v after %v", x.ID, a.Do, took)
+			if took := time.Since(from); a.Kind != ActionReject && a.Kind != ActionFail || took > 700*time.Millisecond {
+				t.Errorf("%s: %v after %v", x.ID, a.Kind, took)
 			}
 			for _, s := range x.attempts {
-				if !s.over {
-					s.End(policy.StatusCanceled, nil, -1, -1)
+				if !s.ended {
+					s.Finish(policy.StatusCanceled, nil, -1, -1)
 				}
 			}
 			x.Close()
 		}
-		core.wake.Stop()
+		core.wakeTimer.Stop()
 	})
 }
--- a/internal/core/watchdog_test.go
+++ b/internal/core/watchdog_test.go
@@ -16,20 +16,20 @@
 	synctest.Test(t, func(t *testing.T) {
 		core, _ := hosted(policy.RequestClass{}, 1)
 		from, was := time.Now(), invariant.Broken()
-		x := core.Take(core.Now(), "t", "", "", 9, false, 300, "", nil) // a product that the module does not have
-		if a := x.Next(); a.Do != Void {
-			t.Errorf("got %v", a.Do)
+		x := core.Accept(core.Now(), "t", "", "", 9, false, 300, "", nil) // a product that the module does not have
+		if a := x.NextAction(); a.Kind != ActionFail {
+			t.Errorf("got %v", a.Kind)
 		}
 		if took := time.Since(from); took > 320*time.Millisecond || invariant.Broken() <= was {
 			t.Errorf("after %v, %d breaches", took, invariant.Broken()-was)
 		}
 		x.Close()
-		y := core.Take(core.Now(), "u", "", "", 0, false, 300, "", nil)
-		y.Next().Sub.End(policy.StatusServed, nil, -1, -1)
-		if a := y.Next(); a.Do != Settle {
-			t.Errorf("the next request got %v", a.Do)
+		y := core.Accept(core.Now(), "u", "", "", 0, false, 300, "", nil)
+		y.NextAction().Attempt.Finish(policy.StatusServed, nil, -1, -1)
+		if a := y.NextAction(); a.Kind != ActionServe {
+			t.Errorf("the next request got %v", a.Kind)
 		}
 		y.Close()
-		core.wake.Stop()
+		core.wakeTimer.Stop()
 	})
 }
--- a/internal/httpwire/crossings_test.go
+++ b/internal/httpwire/crossings_test.go
@@ -234,15 +234,15 @@
 		t.Run(c.name, func(t *testing.T) {
 			s, asked, up := newAppliance(t), make(chan bool), make(chan bool)
 			l := newLoop(t, s.at(), barred(asked, up), c.revokes)
-			l.core.News(1, 0, policy.RollingOut, policy.NotAVote, 1, 0, true)
+			l.core.UpdateRelease(1, 0, policy.RollingOut, policy.NotAVote, 1, 0, true)
 			client := l.client()
 			io.WriteString(client, get("r1"))
 			<-asked
 			if c.back {
-				l.core.News(1, 0, policy.RollingBack, policy.NotAVote, 0, 0, true)
+				l.core.UpdateRelease(1, 0, policy.RollingBack, policy.NotAVote, 0, 0, true)
 			} else if c.leaves {
 				client.Close()
-				until(func() bool { return l.core.Counts().Gone == 1 })
+				until(func() bool { return l.core.Counts().ClientGone == 1 })
 			} else {
 				l.lists(t, 3, `{"id":"s","addr":"127.0.0.1:1","state":"Terminating","weight":1,"version_no":1}`)
 			}
@@ -250,7 +250,7 @@
 			end := make(chan bool)
 			go func() { // what is kept of it is closed, so that the appliance sees an end
 				defer close(end)
-				until(func() bool { return l.core.Counts().Out == 0 })
+				until(func() bool { return l.core.Counts().OpenAttempts == 0 })
 				l.up.Forget(s.at())
 			}()
 			p := <-s.conns
@@ -263,10 +263,10 @@
 					t.Errorf("answered %d", status)
 				}
 			}
-			if n := l.core.Counts().Ends; n[policy.StatusNotSent] != 1 {
+			if n := l.core.Counts().AttemptsByStatus; n[policy.StatusNotSent] != 1 {
 				t.Errorf("told as %v, never sent wanted", n)
 			}
-			if n := l.core.Counts().Withdrawn; (n == 1) != c.back {
+			if n := l.core.Counts().AttemptsWithheld; (n == 1) != c.back {
 				t.Errorf("%d attempts asked for again and kept back", n)
 			}
 		})
--- a/internal/httpwire/discovery.go
+++ b/internal/httpwire/discovery.go
@@ -70,7 +70,7 @@
 // NewDiscovery makes one; where the list is only told to those who ask, the module opens the watch.
 func NewDiscovery(c *core.Core, dial Dial, address string, zones, kinds []string, asked bool, seed uint64) *Discovery {
 	return &Discovery{core: c, dial: dial, address: address, zones: zones, kinds: kinds, asked: asked,
-		forget: func(string) {}, lost: func() {}, tell: func(entries []policy.Endpoint, _ []string, whole, old bool) { c.List(entries, whole, old) }, chance: policy.NewRand(seed), asks: make(chan bool, 16), moved: make(chan bool, 1), first: make(chan struct{}), order: make(chan bool, 1),
+		forget: func(string) {}, lost: func() {}, tell: func(entries []policy.Endpoint, _ []string, whole, old bool) { c.UpdateEndpoints(entries, whole, old) }, chance: policy.NewRand(seed), asks: make(chan bool, 16), moved: make(chan bool, 1), first: make(chan struct{}), order: make(chan bool, 1),
 		where: map[string]string{}, who: map[string]holder{}}
 }
 
@@ -157,7 +157,7 @@
 		case <-ended:
 			if ctx.Err() == nil { // the module says when to ask again
 				open = false
-				d.core.ListFailed()
+				d.core.EndpointsFailed()
 			}
 		}
 	}
@@ -367,7 +367,7 @@
 	}
 	if err != nil && ctx.Err() == nil {
 		logrus.WithError(err).Warn("whole list not had")
-		d.core.ListFailed()
+		d.core.EndpointsFailed()
 	}
 }
 
--- a/internal/httpwire/front.go
+++ b/internal/httpwire/front.go
@@ -224,7 +224,7 @@
 
 	first := head(r, len(body))
 	submit := func(s *core.Attempt) { f.up.Submit(s, first, body) }
-	t := f.core.Take(came, id, key, mark, product, r.Header.Get("Req-Retry") == "1", left, full, submit)
+	t := f.core.Accept(came, id, key, mark, product, r.Header.Get("Req-Retry") == "1", left, full, submit)
 	if t == nil {
 		f.refuse(w, http.StatusBadRequest, "this id is held already")
 		return
@@ -235,43 +235,43 @@
 		if failed := recover(); failed != nil {
 			logrus.WithField("panic", failed).Error("a request's handler failed")
 			if under != nil {
-				under.End(policy.StatusReset, nil, -1, -1)
+				under.Finish(policy.StatusReset, nil, -1, -1)
 			}
 			if !answered {
 				t.Fail()
-				t.Answered(void(w, t))
+				t.ResponseWritten(void(w, t))
 			}
 		}
 		t.Close()
 	}()
-	defer context.AfterFunc(r.Context(), t.Hangup)() // the client has gone
+	defer context.AfterFunc(r.Context(), t.ClientGone)() // the client has gone
 	for {
-		a := t.Next()
-		if a.Do != core.Submit {
+		a := t.NextAction()
+		if a.Kind != core.ActionSendAttempt {
 			traceAnswer(t, a)
 		}
-		switch a.Do {
-		case core.Submit:
+		switch a.Kind {
+		case core.ActionSendAttempt:
 			if f.revokes {
-				under = a.Sub
-				submit(a.Sub) // here: what the module wants meanwhile interrupts it
+				under = a.Attempt
+				submit(a.Attempt) // here: what the module wants meanwhile interrupts it
 				under = nil
 			} else {
-				go submit(a.Sub)
+				go submit(a.Attempt)
 			}
-		case core.Settle:
+		case core.ActionServe:
 			answered = true
-			t.Answered(settle(w, t, a.Answer.(answer)))
+			t.ResponseWritten(settle(w, t, a.Answer.(answer)))
 			return
-		case core.Decline:
+		case core.ActionReject:
 			answered = true
-			t.Answered(decline(w, t, a.Wait))
+			t.ResponseWritten(decline(w, t, a.RetryAfter))
 			return
-		case core.Void:
+		case core.ActionFail:
 			answered = true
-			t.Answered(void(w, t))
+			t.ResponseWritten(void(w, t))
 			return
-		case core.Leave:
+		case core.ActionAbandon:
 			return
 		}
 	}
@@ -304,7 +304,7 @@
 }
 
 func say(w http.ResponseWriter, t *core.Request, status int, why string) bool {
-	if !t.Followed() {
+	if !t.Intercepted() {
 		http.Error(w, why, status)
 		return true
 	}
@@ -317,7 +317,7 @@
 
 // out sends what the server still holds.
 func out(w http.ResponseWriter, t *core.Request) bool {
-	return !t.Followed() || http.NewResponseController(w).Flush() == nil
+	return !t.Intercepted() || http.NewResponseController(w).Flush() == nil
 }
 
 // refuse ends a connection with an error: nothing more is read on it, neither a body that may never come nor what
@@ -364,7 +364,7 @@
 func (f *Front) Leave(ctx context.Context, listener net.Listener) {
 	from := time.Now()
 	f.leaving.Store(true)
-	f.core.Leave(f.core.Now() + float64(f.kill-leaveAnswer)/1e6)
+	f.core.Shutdown(f.core.Now() + float64(f.kill-leaveAnswer)/1e6)
 	for tick := time.NewTicker(20 * time.Millisecond); ctx.Err() == nil; <-tick.C {
 		since := time.Since(from)
 		if since < leaveOpen {
--- a/internal/httpwire/httpwire_test.go
+++ b/internal/httpwire/httpwire_test.go
@@ -201,7 +201,7 @@
 				if resp.StatusCode != c.status || c.status == 200 && body != "body" {
 					t.Errorf("the client got %d %q", resp.StatusCode, body)
 				}
-				if n := a.core.Counts(); n.Ends[c.result] != 1 || n.Open != 0 || n.Out != 0 {
+				if n := a.core.Counts(); n.AttemptsByStatus[c.result] != 1 || n.OpenRequests != 0 || n.OpenAttempts != 0 {
 					t.Errorf("counts %+v", n)
 				}
 				if took := time.Since(from); took > 2*time.Second || c.result == policy.StatusReset && took > restWait {
@@ -264,7 +264,7 @@
 				a := newAgent(network{"app:1": once("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")}, NewSockets(0))
 				from := time.Now()
 				resp, _ := a.ask(t, c.text)
-				if n := a.core.Counts(); resp.StatusCode != c.status || n.Taken != c.taken || n.Open != 0 {
+				if n := a.core.Counts(); resp.StatusCode != c.status || n.Accepted != c.taken || n.OpenRequests != 0 {
 					t.Errorf("got %d, %+v", resp.StatusCode, n)
 				}
 				if c.status != 200 && (!resp.Close && c.status != 503 || time.Since(from) > newWait) {
@@ -309,7 +309,7 @@
 		a := newAgent(network{}, NewSockets(0))
 		a.up.address = func(string) string { panic("lost its map") }
 		resp, _ := a.ask(t, good)
-		if n := a.core.Counts(); resp.StatusCode != http.StatusBadGateway || n.Open != 0 || n.Out != 0 {
+		if n := a.core.Counts(); resp.StatusCode != http.StatusBadGateway || n.OpenRequests != 0 || n.OpenAttempts != 0 {
 			t.Errorf("%d, %+v", resp.StatusCode, n)
 		}
 		a.close()
@@ -449,7 +449,7 @@
 		a := newAgent(network{"app:1": once("")}, NewSockets(reserve+4))
 		a.front.sockets.used = 3 // the client's is the last
 		a.ask(t, good)
-		if n := a.core.Counts(); n.Ends[policy.StatusNotSent] != 1 {
+		if n := a.core.Counts(); n.AttemptsByStatus[policy.StatusNotSent] != 1 {
 			t.Errorf("%+v", n)
 		}
 		a.close()
--- a/internal/httpwire/parts_test.go
+++ b/internal/httpwire/parts_test.go
@@ -25,25 +25,25 @@
 	core    *core.Core
 }
 
-func (f *follower) Enter(float64) (float64, string) { return 40, f.refuses }
+func (f *follower) Admit(float64) (float64, string) { return 40, f.refuses }
 
-func (f *follower) Answering(e core.Ending, until float64) any {
+func (f *follower) BeforeResponse(e core.Completion, until float64) any {
 	wait := min(f.holds, time.Duration((until-f.core.Now())*1e6))
 	time.Sleep(wait)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.over = append(f.over, f.core.Now()-until)
-	f.said = append(f.said, fmt.Sprintf("%s %d %s %s %d %d %s", e.Request, e.Do, e.Reason, e.Appliance, e.Build, e.Attempts, e.Body))
-	return e.Request
+	f.said = append(f.said, fmt.Sprintf("%s %d %s %s %d %d %s", e.RequestID, e.Kind, e.Reason, e.Backend, e.Release, e.Attempts, e.Body))
+	return e.RequestID
 }
 
-func (f *follower) Answered(kept any, _ float64, whole bool) {
+func (f *follower) AfterResponse(kept any, _ float64, whole bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.said = append(f.said, fmt.Sprint(kept, " ", whole))
 }
 
-func (f *follower) Gone(float64) {
+func (f *follower) Closed(float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.said = append(f.said, "gone")
@@ -61,19 +61,19 @@
 		want    string
 		status  int
 	}{
-		{"settled", ok, "", 0, 0, fmt.Sprintf("r1 %d answered s 1 1 body|r1 true", core.Settle), 200},
-		{"settled and held", ok, "", 500 * time.Millisecond, 0, fmt.Sprintf("r1 %d answered s 1 1 body|r1 true", core.Settle), 200},
-		{"held for longer than the client waits", ok, "", time.Hour, 0, fmt.Sprintf("r1 %d answered s 1 1 body|r1 true", core.Settle), 200},
-		{"errored", once("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"), "", 0, 0, fmt.Sprintf("r1 %d errored  0 1 |r1 true", core.Decline), 503},
-		{"nobody there", nil, "", 0, 0, fmt.Sprintf("r1 %d unconnected  0 1 |r1 true", core.Decline), 503},
-		{"silence", func(c net.Conn) { io.Copy(io.Discard, c) }, "", 0, 0, fmt.Sprintf("r1 %d late  0 1 |r1 true", core.Decline), 503},
-		{"turned away by a part", ok, "unrecorded", 0, 0, fmt.Sprintf("r1 %d unrecorded  0 0 |r1 true", core.Decline), 503},
+		{"settled", ok, "", 0, 0, fmt.Sprintf("r1 %d answered s 1 1 body|r1 true", core.ActionServe), 200},
+		{"settled and held", ok, "", 500 * time.Millisecond, 0, fmt.Sprintf("r1 %d answered s 1 1 body|r1 true", core.ActionServe), 200},
+		{"held for longer than the client waits", ok, "", time.Hour, 0, fmt.Sprintf("r1 %d answered s 1 1 body|r1 true", core.ActionServe), 200},
+		{"errored", once("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"), "", 0, 0, fmt.Sprintf("r1 %d errored  0 1 |r1 true", core.ActionReject), 503},
+		{"nobody there", nil, "", 0, 0, fmt.Sprintf("r1 %d unconnected  0 1 |r1 true", core.ActionReject), 503},
+		{"silence", func(c net.Conn) { io.Copy(io.Discard, c) }, "", 0, 0, fmt.Sprintf("r1 %d late  0 1 |r1 true", core.ActionReject), 503},
+		{"turned away by a part", ok, "unrecorded", 0, 0, fmt.Sprintf("r1 %d unrecorded  0 0 |r1 true", core.ActionReject), 503},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				a := newAgent(network{"app:1": c.peer}, NewSockets(0))
 				f := &follower{refuses: c.refuses, holds: c.holds, core: a.core}
-				a.core.Join(f)
+				a.core.AddInterceptor(f)
 				a.disc.Take([]byte(told(2, true, `{"id":"s","addr":"app:1","state":"Ready","weight":1,"version_no":1}`)), Watched, func() {})
 				from := time.Now()
 				resp, body := a.ask(t, good)
@@ -104,7 +104,7 @@
 			once("HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + big)(c)
 		}}, NewSockets(0))
 		f := &follower{core: a.core}
-		a.core.Join(f)
+		a.core.AddInterceptor(f)
 		in := make(pipes, 1)
 		server := a.front.Server()
 		served := make(chan bool)
@@ -144,22 +144,22 @@
 	synctest.Test(t, func(t *testing.T) {
 		a := newAgent(network{"app:1": func(c net.Conn) { io.Copy(io.Discard, c) }}, NewSockets(0))
 		f := &follower{core: a.core}
-		a.core.Join(f)
-		x := a.core.Take(a.core.Now(), "t", "", "", 0, false, 500, "", nil)
-		x.Next()
-		x.Hangup()
-		if x.Next().Do != core.Leave {
+		a.core.AddInterceptor(f)
+		x := a.core.Accept(a.core.Now(), "t", "", "", 0, false, 500, "", nil)
+		x.NextAction()
+		x.ClientGone()
+		if x.NextAction().Kind != core.ActionAbandon {
 			t.Error("no end")
 		}
 		x.Close()
-		y := a.core.Take(a.core.Now(), "u", "", "", 0, false, 500, "", nil)
+		y := a.core.Accept(a.core.Now(), "u", "", "", 0, false, 500, "", nil)
 		y.Fail()
-		y.Answered(true)
+		y.ResponseWritten(true)
 		y.Close()
-		if want := fmt.Sprintf("gone|u %d failed  0 1 |u true", core.Void); strings.Join(f.said, "|") != want {
+		if want := fmt.Sprintf("gone|u %d failed  0 1 |u true", core.ActionFail); strings.Join(f.said, "|") != want {
 			t.Errorf("told %v", f.said)
 		}
-		if n := a.core.Counts(); n.Gone != 1 || n.Voided != 1 {
+		if n := a.core.Counts(); n.ClientGone != 1 || n.Failed != 1 {
 			t.Errorf("%+v", n)
 		}
 		time.Sleep(time.Minute)
--- a/internal/httpwire/platform.go
+++ b/internal/httpwire/platform.go
@@ -97,7 +97,7 @@
 	if err != nil {
 		return err
 	}
-	p.core.News(s.build, s.stage, s.phase, reply, s.limit, s.age, true)
+	p.core.UpdateRelease(s.build, s.stage, s.phase, reply, s.limit, s.age, true)
 	logrus.WithFields(logrus.Fields{"build": s.build, "stage": s.stage, "phase": field("mode"), "cap": s.limit,
 		"age_ms": s.age, "vote": reply != policy.NotAVote}).Info("news")
 	return nil
@@ -175,7 +175,9 @@
 	}
 }
 
-func (p *Platform) reply(r policy.VoteResponse) { p.core.News(0, 0, policy.RollingOut, r, 0, 0, false) }
+func (p *Platform) reply(r policy.VoteResponse) {
+	p.core.UpdateRelease(0, 0, policy.RollingOut, r, 0, 0, false)
+}
 
 // Cast sends the votes in turn until ctx ends.
 func (p *Platform) Cast(ctx context.Context) {
@@ -222,7 +224,7 @@
 	}
 	c := p.conn
 	form := fmt.Sprintf("Action=CastVote&release=%d&tranche=%d&ruling=%s", b.build, b.stage, rulings[b.verdict])
-	stop := context.AfterFunc(ctx, c.Halt)
+	stop := context.AfterFunc(ctx, c.Cancel)
 	answer, err := c.exchange([]byte("POST / HTTP/1.1\r\nHost: " + address +
 		"\r\nContent-Type: application/x-www-form-urlencoded\r\nContent-Length: " + strconv.Itoa(len(form)) +
 		"\r\n\r\n" + form))
--- a/internal/httpwire/trace.go
+++ b/internal/httpwire/trace.go
@@ -16,8 +16,8 @@
 	policy.StatusNotSent: "unsent"}
 
 // answerNames are the words by which a request's end appears in the log.
-var answerNames = [...]string{core.Submit: "attempt", core.Settle: "served", core.Decline: "rejected", core.Void: "failed",
-	core.Leave: "client left"}
+var answerNames = [...]string{core.ActionSendAttempt: "attempt", core.ActionServe: "served", core.ActionReject: "rejected", core.ActionFail: "failed",
+	core.ActionAbandon: "client left"}
 
 func tracing() bool { return logrus.IsLevelEnabled(logrus.DebugLevel) }
 
@@ -34,8 +34,8 @@
 	if !tracing() {
 		return
 	}
-	entry := logrus.WithFields(logrus.Fields{"request": s.Request(), "attempt": s.Number(), "backend": s.Appliance,
-		"release": s.Build, "result": resultNames[result], "took_ms": int(s.Took())})
+	entry := logrus.WithFields(logrus.Fields{"request": s.RequestID(), "attempt": s.Number(), "backend": s.Backend,
+		"release": s.Release, "result": resultNames[result], "took_ms": int(s.Elapsed())})
 	if err != nil {
 		entry = entry.WithError(err)
 	}
@@ -45,7 +45,7 @@
 // traceAnswer logs a request's one final answer and the reason for it.
 func traceAnswer(t *core.Request, a core.Action) {
 	if tracing() {
-		logrus.WithFields(logrus.Fields{"request": t.ID, "answer": answerNames[a.Do], "reason": a.Reason,
+		logrus.WithFields(logrus.Fields{"request": t.ID, "answer": answerNames[a.Kind], "reason": a.Reason,
 			"took_ms": int(t.Age())}).Debug("answer")
 	}
 }
--- a/internal/httpwire/upstream.go
+++ b/internal/httpwire/upstream.go
@@ -91,8 +91,8 @@
 
 func newConn(c net.Conn) *conn { return &conn{Conn: c, in: bufio.NewReader(c)} }
 
-// Halt interrupts the call under way, for good.
-func (c *conn) Halt() {
+// Cancel interrupts the call under way, for good.
+func (c *conn) Cancel() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.halted = true
@@ -116,7 +116,7 @@
 // dialling is a connection that is not up yet.
 type dialling context.CancelFunc
 
-func (d dialling) Halt() { d() }
+func (d dialling) Cancel() { d() }
 
 // get takes an idle connection that has settled and still stands, the last used first, or opens one.
 func (u *Upstream) get(s *core.Attempt, address string) (*conn, error) {
@@ -163,7 +163,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), u.up)
 	defer cancel()
 	if s != nil {
-		if called, late := s.Begin(dialling(cancel)); called || late {
+		if called, late := s.SetCanceler(dialling(cancel)); called || late {
 			return nil, context.Canceled
 		}
 	}
@@ -476,7 +476,7 @@
 	if u.onAnswers && r.load != "" {
 		waiting, busy = load(r.load)
 	}
-	s.End(result, answer{r.kind, r.body}, waiting, busy)
+	s.Finish(result, answer{r.kind, r.body}, waiting, busy)
 }
 
 var (
@@ -487,13 +487,13 @@
 
 // submit follows the protocol's table of outcomes.
 func (u *Upstream) submit(s *core.Attempt, head, body []byte) (policy.AttemptStatus, reply, error) {
-	address := u.address(s.Appliance)
+	address := u.address(s.Backend)
 	if address == "" {
 		return policy.StatusConnectFailed, reply{}, errNoAddress
 	}
 	c, err := u.get(s, address)
 	if err != nil {
-		called, _ := s.Begin(nil)
+		called, _ := s.SetCanceler(nil)
 		if called || errors.Is(err, errNoSocket) { // the agent's own want must not pass for the appliance's
 			return policy.StatusNotSent, reply{}, err
 		}
@@ -503,7 +503,7 @@
 		u.end(c)
 		return policy.StatusNotSent, reply{}, errMoved
 	}
-	if called, late := s.Send(c); called || late { // it must not go out now
+	if called, late := s.MarkSent(c); called || late { // it must not go out now
 		u.put(c)
 		if called {
 			return policy.StatusNotSent, reply{}, errCalledOff
@@ -512,9 +512,9 @@
 	}
 	call := make([]byte, 0, len(head)+len(body)+40)
 	call = append(append(call, head...), "Req-Deadline: "...)
-	call = strconv.AppendInt(call, max(int64(s.Until-u.core.Now()), 1), 10)
+	call = strconv.AppendInt(call, max(int64(s.Deadline-u.core.Now()), 1), 10)
 	r, err := c.exchange(append(append(call, "m\r\n\r\n"...), body...))
-	called, late := s.Begin(nil)
+	called, late := s.SetCanceler(nil)
 	if c.allow(0); called || late || err != nil || r.closes || c.in.Buffered() > 0 {
 		u.end(c)
 	} else {
@@ -549,7 +549,7 @@
 	waiting, busy := -1.0, -1.0
 	if c, err := u.get(nil, address); err == nil {
 		c.report = nil // of two probes' answers either will do
-		wait := time.AfterFunc(probeWait, c.Halt)
+		wait := time.AfterFunc(probeWait, c.Cancel)
 		r, err := c.exchange([]byte("GET " + path + " HTTP/1.1\r\nHost: " + address + "\r\n\r\n"))
 		if c.allow(0); !wait.Stop() || err != nil || r.closes || c.in.Buffered() > 0 {
 			u.end(c)
@@ -563,7 +563,7 @@
 			waiting, busy = load(string(r.body))
 		}
 	}
-	u.core.Probed(appliance, ok, u.core.Now()-from, waiting, busy)
+	u.core.ReportProbe(appliance, ok, u.core.Now()-from, waiting, busy)
 }
 
 // load reads what a load report may tell, whole or not at all; -1 stands for a figure that is not there. The settings
--- a/internal/record/recorder/recorder.go
+++ b/internal/record/recorder/recorder.go
@@ -74,8 +74,8 @@
 	return k, nil
 }
 
-// Enter declines while the spool takes nothing, where that is what the settings say.
-func (k *Keeper) Enter(now float64) (reserve float64, why string) {
+// Admit declines while the spool takes nothing, where that is what the settings say.
+func (k *Keeper) Admit(now float64) (reserve float64, why string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.ledger.Refuses(now) {
@@ -84,18 +84,18 @@
 	return k.table.Reserve.Ms(), ""
 }
 
-var outcomes = map[core.Do]record.Outcome{core.Settle: record.Settled, core.Decline: record.Declined,
-	core.Void: record.Voided}
+var outcomes = map[core.ActionKind]record.Outcome{core.ActionServe: record.Settled, core.ActionReject: record.Declined,
+	core.ActionFail: record.Voided}
 
-// Answering holds an answer until its entry is durable, or until that is no longer to be expected in time.
-func (k *Keeper) Answering(e core.Ending, until float64) any {
+// BeforeResponse holds an answer until its entry is durable, or until that is no longer to be expected in time.
+func (k *Keeper) BeforeResponse(e core.Completion, until float64) any {
 	product := ""
-	if e.Product >= 0 && e.Product < len(k.products) {
-		product = k.products[e.Product]
+	if e.Class >= 0 && e.Class < len(k.products) {
+		product = k.products[e.Class]
 	}
-	entry := record.Entry{Txn: e.Request, Product: product, Outcome: outcomes[e.Do], Reason: e.Reason, Build: e.Build,
-		Appliance: e.Appliance, Submissions: e.Attempts, Taken: e.Taken, Answered: e.Now,
-		Body: record.Digested(e.Body), Mark: record.Digested([]byte(e.Mark))}
+	entry := record.Entry{Txn: e.RequestID, Product: product, Outcome: outcomes[e.Kind], Reason: e.Reason, Build: e.Release,
+		Appliance: e.Backend, Submissions: e.Attempts, Taken: e.ArrivedAt, Answered: e.Now,
+		Body: record.Digested(e.Body), Mark: record.Digested([]byte(e.IdempotencyKey))}
 	k.mu.Lock()
 	n, ok := k.ledger.Answer(e.Now, entry)
 	patience := min(k.ledger.Patience(e.Now), until-e.Now)
@@ -142,8 +142,8 @@
 	return n
 }
 
-// Answered notes the end of an answer.
-func (k *Keeper) Answered(kept any, now float64, whole bool) {
+// AfterResponse notes the end of an answer.
+func (k *Keeper) AfterResponse(kept any, now float64, whole bool) {
 	n, ok := kept.(uint64)
 	if !ok { // it stands for itself in a gap
 		return
@@ -155,8 +155,8 @@
 	k.ring()
 }
 
-// Gone counts a txn that ended without an answer.
-func (k *Keeper) Gone(float64) {
+// Closed counts a txn that ended without an answer.
+func (k *Keeper) Closed(float64) {
 	k.mu.Lock()
 	k.gone++
 	k.mu.Unlock()
--- a/internal/record/recorder/recorder_test.go
+++ b/internal/record/recorder/recorder_test.go
@@ -71,7 +71,7 @@
 				go func() { k.Run(ctx); close(ended) }()
 				failing.Store(true)
 				from, now := time.Now(), k.now()
-				kept := k.Answering(core.Ending{Request: "t", Do: core.Settle, Now: now, Body: []byte("b")}, now+c.left)
+				kept := k.BeforeResponse(core.Completion{RequestID: "t", Kind: core.ActionServe, Now: now, Body: []byte("b")}, now+c.left)
 				if took := time.Since(from); took < c.low || took > c.top {
 					t.Errorf("it waited %v, not %v to %v", took, c.low, c.top)
 				}
@@ -79,7 +79,7 @@
 					t.Errorf("%d unsynced, want %d", n, c.unsynced)
 				}
 				failing.Store(false)
-				k.Answered(kept, k.now(), true)
+				k.AfterResponse(kept, k.now(), true)
 				time.Sleep(20 * time.Second)
 				stop()
 				<-ended
@@ -129,14 +129,14 @@
 				missed, refused := 0, 0
 				from := time.Now()
 				for i := range all {
-					if _, why := k.Enter(k.now()); why == "unrecorded" {
+					if _, why := k.Admit(k.now()); why == "unrecorded" {
 						refused++
 					}
-					kept := k.Answering(core.Ending{Request: fmt.Sprint(i), Do: core.Decline, Now: k.now()}, k.now()+1000)
+					kept := k.BeforeResponse(core.Completion{RequestID: fmt.Sprint(i), Kind: core.ActionReject, Now: k.now()}, k.now()+1000)
 					if kept == nil {
 						missed++
 					}
-					k.Answered(kept, k.now(), true)
+					k.AfterResponse(kept, k.now(), true)
 					time.Sleep(time.Millisecond)
 				}
 				if took := time.Since(from); took > 3*time.Second {
@@ -147,7 +147,7 @@
 				}
 				failing.Store(false)
 				time.Sleep(5 * time.Second)
-				if _, why := k.Enter(k.now()); why != "" {
+				if _, why := k.Admit(k.now()); why != "" {
 					t.Error("refused after the disk is back")
 				}
 				stop()
@@ -194,9 +194,9 @@
 		var all sync.WaitGroup
 		for i := range 300 {
 			all.Go(func() {
-				kept := k.Answering(core.Ending{Request: fmt.Sprint(life, "-", i), Do: core.Void, Now: k.now()}, k.now()+1e6)
+				kept := k.BeforeResponse(core.Completion{RequestID: fmt.Sprint(life, "-", i), Kind: core.ActionFail, Now: k.now()}, k.now()+1e6)
 				if i%100 != 0 { // else as if killed in between
-					k.Answered(kept, k.now(), i%2 == 0)
+					k.AfterResponse(kept, k.now(), i%2 == 0)
 				}
 			})
 			answers++
@@ -312,9 +312,9 @@
 					all.Go(func() {
 						for left.Add(-1) >= 0 {
 							now := k.now()
-							kept := k.Answering(core.Ending{Request: "0123456789abcdef", Do: core.Settle, Reason: "answered",
-								Appliance: "s-5be2a07c", Now: now, Body: body}, now+1e6)
-							k.Answered(kept, k.now(), true)
+							kept := k.BeforeResponse(core.Completion{RequestID: "0123456789abcdef", Kind: core.ActionServe, Reason: "answered",
+								Backend: "s-5be2a07c", Now: now, Body: body}, now+1e6)
+							k.AfterResponse(kept, k.now(), true)
 						}
 					})
 				}
--- a/internal/sources/host/host.go
+++ b/internal/sources/host/host.go
@@ -81,7 +81,7 @@
 
 // Fleet is the core's side of it.
 type Fleet interface {
-	List(entries []policy.Endpoint, whole, old bool)
+	UpdateEndpoints(entries []policy.Endpoint, whole, old bool)
 	Now() float64
 }
 
@@ -159,7 +159,7 @@
 	h.show() // before the core: what it sends at once needs the address
 	if len(entries) > 0 || always {
 		h.dirty = h.dirty || len(entries) > 0
-		h.fleet.List(entries, false, old)
+		h.fleet.UpdateEndpoints(entries, false, old)
 	}
 	for _, address := range left {
 		h.forget(address)
--- a/internal/sources/host/host_test.go
+++ b/internal/sources/host/host_test.go
@@ -35,7 +35,7 @@
 
 func (f *fleet) Now() float64 { return 1e12 + float64(time.Since(f.from))/1e6 }
 
-func (f *fleet) List(entries []policy.Endpoint, whole, _ bool) {
+func (f *fleet) UpdateEndpoints(entries []policy.Endpoint, whole, _ bool) {
 	f.calls++
 	if whole {
 		clear(f.has)
