--- a/cmd/e2e/day.go
+++ b/cmd/e2e/day.go
@@ -35,7 +35,7 @@
 	Outcomes map[string]map[string]int `json:"outcomes"`
 	Lost     int                       `json:"lost"`
 	Late     int                       `json:"late"`
-	Broken   fleet.Broken              `json:"rules_broken"`
+	Broken   fleet.Violations          `json:"rules_broken"`
 	P50      float64                   `json:"p50_ms"`
 	P99      float64                   `json:"p99_ms"`
 	Stages   []string                  `json:"stages"`
@@ -67,7 +67,7 @@
 	if err != nil {
 		return err
 	}
-	for i := range w.Agents {
+	for i := range w.Instances {
 		if _, err := c.start(i, d.Seed+uint64(i), d.Settings); err != nil {
 			return err
 		}
@@ -90,14 +90,14 @@
 	for _, p := range c.run {
 		cpu += p.cmd.ProcessState.UserTime() + p.cmd.ProcessState.SystemTime()
 	}
-	c.run = make([]*process, w.Agents)
+	c.run = make([]*process, w.Instances)
 	times := hdrhistogram.New(1, 60_000_000, 3)
 	for _, g := range clients.Log() {
 		f.Txns++
-		if f.Outcomes[g.Product] == nil {
-			f.Outcomes[g.Product] = map[string]int{}
+		if f.Outcomes[g.Class] == nil {
+			f.Outcomes[g.Class] = map[string]int{}
 		}
-		f.Outcomes[g.Product][g.Outcome]++
+		f.Outcomes[g.Class][g.Outcome]++
 		if took := g.Done.Sub(g.Sent); g.Outcome == "settled" {
 			times.RecordValue(max(took.Microseconds(), 1))
 		}
@@ -111,7 +111,7 @@
 	f.P50, f.P99 = float64(times.ValueAtQuantile(50))/1000, float64(times.ValueAtQuantile(99))/1000
 	for _, s := range w.Stages {
 		f.Stages = append(f.Stages, fmt.Sprintf("%5.1f s  build %d stage %d %s, cap %.0f%%", max(s.At.Sub(began).Seconds(), 0),
-			s.Build, s.Stage, s.Mode, 100*s.Cap))
+			s.Release, s.Stage, s.Mode, 100*s.Cap))
 	}
 	for _, c := range []struct {
 		what  string
@@ -154,14 +154,14 @@
 }
 
 // progress shows the day go by, on a terminal.
-func progress(ctx context.Context, length time.Duration, w *fleet.World) {
+func progress(ctx context.Context, length time.Duration, w *fleet.Fleet) {
 	if !isatty.IsTerminal(os.Stderr.Fd()) {
 		return
 	}
 	bar := progressbar.Default(int64(length/time.Second), "the day")
 	for tick := time.NewTicker(time.Second); ctx.Err() == nil; <-tick.C {
 		s := w.At()
-		bar.Describe(fmt.Sprintf("build %d stage %d %s", s.Build, s.Stage, s.Mode))
+		bar.Describe(fmt.Sprintf("build %d stage %d %s", s.Release, s.Stage, s.Mode))
 		bar.Add(1)
 	}
 	bar.Finish()
@@ -176,7 +176,7 @@
 		head = append(head, k)
 	}
 	t.AppendHeader(head)
-	for _, p := range fleet.Products {
+	for _, p := range fleet.Classes {
 		row := table.Row{p.Name}
 		for _, k := range kinds {
 			row = append(row, f.Outcomes[p.Name][k])
--- a/cmd/e2e/exposure_test.go
+++ b/cmd/e2e/exposure_test.go
@@ -14,7 +14,7 @@
 // trial is one agent, as a real process, among backends and a platform whose words a proxy can hold back.
 type trial struct {
 	t       *testing.T
-	world   *fleet.World
+	world   *fleet.Fleet
 	proxy   *faultproxy.Proxy
 	crew    *crew
 	clients *fleet.Clients
@@ -92,7 +92,7 @@
 }
 
 func onTrial(release int) fleet.Stage {
-	return fleet.Stage{Build: release, Mode: "canary", Cap: 0.25}
+	return fleet.Stage{Release: release, Mode: "canary", Cap: 0.25}
 }
 
 // withdraw tries a release on one backend and takes it off again.
@@ -103,8 +103,8 @@
 		x.t.Fatal(err)
 	}
 	x.attempts(release, 20)
-	x.world.Announce(fleet.Stage{Build: release, Mode: "reverting"})
-	x.world.Announce(fleet.Stage{Build: release, Mode: "reverted"})
+	x.world.Announce(fleet.Stage{Release: release, Mode: "reverting"})
+	x.world.Announce(fleet.Stage{Release: release, Mode: "reverted"})
 	x.world.DrainBackends(release, 1)
 	x.requests(200)
 }
@@ -146,8 +146,8 @@
 		t.Fatal(err)
 	}
 	x.attempts(2, 20)
-	x.world.Announce(fleet.Stage{Build: 2, Mode: "reverting"})
-	x.world.Announce(fleet.Stage{Build: 2, Mode: "reverted"})
+	x.world.Announce(fleet.Stage{Release: 2, Mode: "reverting"})
+	x.world.Announce(fleet.Stage{Release: 2, Mode: "reverted"})
 	x.requests(100) // its backend stays listed as ready: the list lags
 	time.Sleep(fleet.Grace)
 	closed := x.world.Attempts(2)
@@ -169,7 +169,7 @@
 	x.attempts(2, 20)
 	x.proxy.Hold(votes)
 	x.until("a vote's answer is held", func() bool { return x.proxy.Holding() > 0 })
-	x.world.Announce(fleet.Stage{Build: 2, Mode: "reverting"})
+	x.world.Announce(fleet.Stage{Release: 2, Mode: "reverting"})
 	x.requests(20) // the word is there
 	x.proxy.Release()
 	x.requests(100)
--- a/cmd/e2e/faults_test.go
+++ b/cmd/e2e/faults_test.go
@@ -27,7 +27,7 @@
 type rollout struct {
 	t       *testing.T
 	chance  *rand.Rand
-	world   *fleet.World
+	world   *fleet.Fleet
 	proxies []*faultproxy.Proxy
 	crew    *crew
 	base    int // the release that carries the fleet
@@ -56,7 +56,7 @@
 }
 
 func (x *rollout) tell(mode string, stage int, limit float64) {
-	x.state = fleet.Stage{Build: x.newest, Stage: stage, Mode: mode, Cap: limit}
+	x.state = fleet.Stage{Release: x.newest, Stage: stage, Mode: mode, Cap: limit}
 	x.world.Announce(x.state)
 	x.do("tell", "release %d %s, stage %d, cap %g", x.newest, mode, stage, limit)
 }
@@ -82,7 +82,7 @@
 		if _, err := x.crew.start(agent, x.chance.Uint64(), ""); err != nil {
 			x.t.Fatal(err)
 		}
-		x.world.Tells(agent, x.state.Build, x.state.Cap) // by its configuration
+		x.world.Tells(agent, x.state.Release, x.state.Cap) // by its configuration
 		x.do(signal.String(), "n%d", agent)
 	default:
 		x.turn()
@@ -145,7 +145,7 @@
 
 func underFaults(t *testing.T, program string, seed uint64) {
 	x := &rollout{t: t, chance: rand.New(rand.NewPCG(seed, 27)), base: 1, newest: 1, counts: map[string]int{},
-		state: fleet.Stage{Build: 1, Mode: "stable", Cap: 1}}
+		state: fleet.Stage{Release: 1, Mode: "stable", Cap: 1}}
 	var err error
 	if x.world, err = fleet.New(faultAgents, 6, 4, seed); err != nil {
 		t.Fatal(err)
--- a/cmd/e2e/main.go
+++ b/cmd/e2e/main.go
@@ -86,7 +86,7 @@
 
 // crew are the agents of a rehearsal, under their own names and addresses.
 type crew struct {
-	world   *fleet.World
+	world   *fleet.Fleet
 	program string
 	dir     string
 	address []string
@@ -94,9 +94,9 @@
 	run     []*process
 }
 
-func newCrew(w *fleet.World, program, dir string) (*crew, error) {
-	c := &crew{world: w, program: program, dir: dir, run: make([]*process, w.Agents)}
-	for range w.Agents { // the kernel chooses, and the number stays free: the agent listens there again and again
+func newCrew(w *fleet.Fleet, program, dir string) (*crew, error) {
+	c := &crew{world: w, program: program, dir: dir, run: make([]*process, w.Instances)}
+	for range w.Instances { // the kernel chooses, and the number stays free: the agent listens there again and again
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return nil, err
--- a/cmd/e2e/record.go
+++ b/cmd/e2e/record.go
@@ -62,18 +62,18 @@
 	InDoubt      int    `json:"in_doubt"`
 	OpenAtKills  int    `json:"open_at_kills"`
 	deaths       []death
-	KillsAgent   int            `json:"kills_agent"`
-	KillsAt      map[string]int `json:"kills_at"`
-	KillsStore   int            `json:"kills_store"`
-	Stalls       int            `json:"stalls"`
-	StoreFaults  map[string]int `json:"store_faults"`
-	SettledCalm  float64        `json:"settled_share_calm"`
-	SettledStall float64        `json:"settled_share_stalled"`
-	P99Calm      float64        `json:"p99_ms_calm"`
-	P99Stall     float64        `json:"p99_ms_stalled"`
-	StallAnswers int            `json:"answers_stalled"`
-	RulesBroken  fleet.Broken   `json:"rules_broken"`
-	Took         float64        `json:"took_s"`
+	KillsAgent   int              `json:"kills_agent"`
+	KillsAt      map[string]int   `json:"kills_at"`
+	KillsStore   int              `json:"kills_store"`
+	Stalls       int              `json:"stalls"`
+	StoreFaults  map[string]int   `json:"store_faults"`
+	SettledCalm  float64          `json:"settled_share_calm"`
+	SettledStall float64          `json:"settled_share_stalled"`
+	P99Calm      float64          `json:"p99_ms_calm"`
+	P99Stall     float64          `json:"p99_ms_stalled"`
+	StallAnswers int              `json:"answers_stalled"`
+	RulesBroken  fleet.Violations `json:"rules_broken"`
+	Took         float64          `json:"took_s"`
 }
 
 func (r rec) Run() error {
@@ -110,7 +110,7 @@
 		return err
 	}
 	env := []string{"ONYXGATE_DEFECT=" + r.Defect}
-	for i := range w.Agents {
+	for i := range w.Instances {
 		if _, err := c.start(i, r.Seed+uint64(i), settings, env...); err != nil {
 			return err
 		}
@@ -161,7 +161,7 @@
 	killing, enough := context.WithTimeout(ctx, most)
 	defer enough()
 	var failed error
-	for i := range w.Agents {
+	for i := range w.Instances {
 		own := rand.New(rand.NewPCG(r.Seed, uint64(100+i)))
 		all.Go(func() {
 			for killing.Err() == nil {
@@ -211,8 +211,8 @@
 	stop()
 	<-sent
 	broken := c.stop()
-	c.run = make([]*process, w.Agents)
-	for i := range w.Agents {
+	c.run = make([]*process, w.Instances)
+	for i := range w.Instances {
 		if _, err := c.command("record", "ship", "--settings", settings, "--agent", agentName(i)); err != nil {
 			broken = append(broken, err.Error())
 		}
@@ -327,10 +327,10 @@
 const seenLate = 5 * time.Millisecond
 
 // open counts the txns that were under way at an agent's death, as their clients saw it.
-func (f *recFigures) open(log []fleet.Got) (n int) {
+func (f *recFigures) open(log []fleet.Response) (n int) {
 	for _, d := range f.deaths {
 		for _, g := range log {
-			if g.Agent == d.agent && g.Outcome != "nobody" && g.Sent.Before(d.at) && g.Done.After(d.at.Add(-seenLate)) {
+			if g.Instance == d.agent && g.Outcome != "nobody" && g.Sent.Before(d.at) && g.Done.After(d.at.Add(-seenLate)) {
 				n++
 			}
 		}
@@ -339,7 +339,7 @@
 }
 
 // judge holds the record against what the clients got.
-func (f *recFigures) judge(log []fleet.Got, text []byte) error {
+func (f *recFigures) judge(log []fleet.Response, text []byte) error {
 	rows := map[string][]sqlstore.Row{}
 	lines := bufio.NewScanner(bytes.NewReader(text))
 	lines.Buffer(nil, 1<<20)
@@ -358,9 +358,9 @@
 		if r.State == "in doubt" {
 			f.InDoubt++
 		}
-		rows[r.Txn] = append(rows[r.Txn], r)
+		rows[r.RequestID] = append(rows[r.RequestID], r)
 	}
-	whole := map[string]fleet.Got{}
+	whole := map[string]fleet.Response{}
 	for _, g := range log {
 		switch g.Outcome {
 		case "settled", "declined", "voided":
@@ -389,16 +389,16 @@
 	return nil
 }
 
-func same(g fleet.Got, r sqlstore.Row) bool {
+func same(g fleet.Response, r sqlstore.Row) bool {
 	body := ""
 	if g.Outcome == "settled" {
 		body = hex.EncodeToString(g.Body[:])
 	}
-	return g.Outcome == r.Outcome && g.Product == r.Product && body == r.Body && r.Agent == agentName(g.Agent)
+	return g.Outcome == r.Outcome && g.Class == r.Class && body == r.BodyDigest && r.Agent == agentName(g.Instance)
 }
 
 // share is how many of the answers in a span were settled, their p99 in ms and their number.
-func share(log []fleet.Got, from, to time.Time) (settled, p99 float64, n int) {
+func share(log []fleet.Response, from, to time.Time) (settled, p99 float64, n int) {
 	times := hdrhistogram.New(1, 60_000_000, 3)
 	k := 0
 	for _, g := range log {
--- a/cmd/e2e/srv.go
+++ b/cmd/e2e/srv.go
@@ -91,7 +91,7 @@
 	}
 	servers[0].Fail("silent")
 	env := []string{"ONYXGATE_DEFECT=" + s.Defect}
-	for i := range w.Agents {
+	for i := range w.Instances {
 		if _, err := c.start(i, s.Seed+uint64(i), settings[i], env...); err != nil {
 			return err
 		}
@@ -155,13 +155,13 @@
 	stop()
 	<-sent
 	broken := c.stop()
-	c.run = make([]*process, w.Agents)
+	c.run = make([]*process, w.Instances)
 
 	log := clients.Log()
 	of := func(agent int, from, to time.Time) float64 {
-		var own []fleet.Got
+		var own []fleet.Response
 		for _, g := range log {
-			if g.Agent == agent && g.Outcome != "nobody" {
+			if g.Instance == agent && g.Outcome != "nobody" {
 				own = append(own, g)
 			}
 		}
@@ -178,15 +178,15 @@
 	f.FleetMin = min(f.FleetMin, w.Reached(dead, from, end))
 	last := map[int]time.Time{}
 	for _, g := range log {
-		if g.Outcome == "broken" && (g.Agent != faulty || g.Sent.After(killedAt) || g.Done.Before(killedAt.Add(-time.Second))) || g.Outcome == "silent" {
+		if g.Outcome == "broken" && (g.Instance != faulty || g.Sent.After(killedAt) || g.Done.Before(killedAt.Add(-time.Second))) || g.Outcome == "silent" {
 			f.Lost++
 		}
 		if g.Outcome == "settled" {
-			if at, ok := last[g.Agent]; ok && g.Done.After(at) {
+			if at, ok := last[g.Instance]; ok && g.Done.After(at) {
 				f.Outage = max(f.Outage, g.Done.Sub(at).Seconds()*1000)
 			}
-			if g.Done.After(last[g.Agent]) {
-				last[g.Agent] = g.Done
+			if g.Done.After(last[g.Instance]) {
+				last[g.Instance] = g.Done
 			}
 		}
 	}
--- a/cmd/onyxgate/main.go
+++ b/cmd/onyxgate/main.go
@@ -79,7 +79,7 @@
 	if err != nil {
 		return err
 	}
-	_, known := siteconfig.Products(config.Get("settings"))
+	_, known := siteconfig.Classes(config.Get("settings"))
 	fmt.Printf("%s can be used: %d products, %d appliances known\n", c.Configuration, len(known),
 		len(config.Get("known.servers").Array()))
 	return nil
@@ -99,8 +99,8 @@
 	if err != nil {
 		return err
 	}
-	agent, err := assembly.New(assembly.Orders{Version: version, File: s.Configuration, Name: s.Name, Listen: s.Listen,
-		Discovery: s.Discovery, Tables: tables, Every: s.Every})
+	agent, err := assembly.New(assembly.Options{Version: version, ConfigPath: s.Configuration, Name: s.Name, Listen: s.Listen,
+		Discovery: s.Discovery, Tables: tables, ReportInterval: s.Every})
 	if err != nil {
 		return err
 	}
--- a/cmd/onyxgate/record.go
+++ b/cmd/onyxgate/record.go
@@ -83,7 +83,7 @@
 }
 
 func (s selection) filter(limit int) (f sqlstore.Filter, err error) {
-	f = sqlstore.Filter{Agent: s.Agent, Product: s.Product, Outcome: s.Outcome, State: s.State, Txn: s.Txn, Limit: limit}
+	f = sqlstore.Filter{Agent: s.Agent, Class: s.Product, Outcome: s.Outcome, State: s.State, RequestID: s.Txn, Limit: limit}
 	if f.From, err = moment("--from", s.From); err == nil {
 		f.To, err = moment("--to", s.To)
 	}
@@ -221,8 +221,8 @@
 	w.AppendHeader(table.Row{"answered", "agent", "txn", "product", "outcome", "state", "reason", "build", "appliance",
 		"submissions", "ms"})
 	if err := store.Select(ctx, f, func(r sqlstore.Row) error {
-		w.AppendRow(table.Row{time.UnixMilli(int64(r.Answered)).UTC().Format("2006-01-02 15:04:05.000"), r.Agent, r.Txn,
-			r.Product, r.Outcome, r.State, r.Reason, r.Build, r.Appliance, r.Submissions, int(r.Answered - r.Taken)})
+		w.AppendRow(table.Row{time.UnixMilli(int64(r.AnsweredAt)).UTC().Format("2006-01-02 15:04:05.000"), r.Agent, r.RequestID,
+			r.Class, r.Outcome, r.State, r.Reason, r.Release, r.Backend, r.Attempts, int(r.AnsweredAt - r.ArrivedAt)})
 		return nil
 	}); err != nil {
 		return err
@@ -236,8 +236,8 @@
 
 func cells(r sqlstore.Row) []string {
 	ms := func(v float64) string { return strconv.FormatFloat(v, 'f', 3, 64) }
-	return []string{r.Agent, r.Incarnation, strconv.FormatUint(r.N, 10), r.State, r.Txn, r.Product, r.Outcome, r.Reason,
-		strconv.Itoa(r.Build), r.Appliance, strconv.Itoa(r.Submissions), ms(r.Taken), ms(r.Answered), r.Body, r.Mark}
+	return []string{r.Agent, r.Incarnation, strconv.FormatUint(r.N, 10), r.State, r.RequestID, r.Class, r.Outcome, r.Reason,
+		strconv.Itoa(r.Release), r.Backend, strconv.Itoa(r.Attempts), ms(r.ArrivedAt), ms(r.AnsweredAt), r.BodyDigest, r.KeyDigest}
 }
 
 type recordVerify struct {
--- a/cmd/onyxgate/record_test.go
+++ b/cmd/onyxgate/record_test.go
@@ -30,8 +30,8 @@
 	defer s.Close()
 	b := sqlstore.Batch{Agent: "n1", Incarnation: "i", Place: "p"}
 	for n := uint64(1); n <= 9; n++ {
-		b.Rows = append(b.Rows, record.Row{State: record.Given, Entry: record.Entry{N: n, Txn: fmt.Sprintf("t/%d,", n),
-			Outcome: record.Outcome(1 + n%3), Answered: float64(1000 * n)}})
+		b.Rows = append(b.Rows, record.Row{State: record.StateAnswered, Entry: record.Entry{N: n, RequestID: fmt.Sprintf("t/%d,", n),
+			Outcome: record.Outcome(1 + n%3), AnsweredAt: float64(1000 * n)}})
 	}
 	if err := s.Migrate(context.Background()); err != nil {
 		t.Fatal(err)
--- a/cmd/onyxgate/sources.go
+++ b/cmd/onyxgate/sources.go
@@ -57,7 +57,7 @@
 				w.AppendRow(table.Row{"", "", "", "", "", "", word.Source, word.Says, age(word.At, s.At)})
 				continue
 			}
-			w.AppendRow(table.Row{a.ID, a.Address, a.State, a.Build, fmt.Sprintf("%.2f", a.Rating), a.Rule, word.Source,
+			w.AppendRow(table.Row{a.ID, a.Address, a.State, a.Release, fmt.Sprintf("%.2f", a.Rating), a.Rule, word.Source,
 				word.Says, age(word.At, s.At)})
 		}
 	}
@@ -82,7 +82,7 @@
 		if a.ID != c.ID && a.Address != c.ID {
 			continue
 		}
-		fmt.Printf("%s at %s: %s, build %d, rating %.2f, by the rule %q\n", a.ID, a.Address, a.State, a.Build, a.Rating, a.Rule)
+		fmt.Printf("%s at %s: %s, build %d, rating %.2f, by the rule %q\n", a.ID, a.Address, a.State, a.Release, a.Rating, a.Rule)
 		for _, word := range a.Words {
 			fmt.Printf("  %s, %v ago: %s\n", word.Source, age(word.At, s.At), word.Says)
 		}
@@ -126,7 +126,7 @@
 		if a.Negative {
 			fmt.Println("  no such service, for", a.TTL)
 		}
-		for _, claim := range a.Claims {
+		for _, claim := range a.Observations {
 			fmt.Printf("  %s priority %d weight %d\n", claim.Address, claim.Priority, claim.Weight)
 		}
 		return nil
--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -34,13 +34,13 @@
 	"onyxgate/policy"
 )
 
-// Orders are what an agent is started with beside its configuration.
-type Orders struct {
+// Options are what an agent is started with beside its configuration.
+type Options struct {
 	Version                 string
-	File                    string // the configuration
+	ConfigPath              string // the configuration
 	Name, Listen, Discovery string // in place of the configuration's, where not empty
 	Tables                  config.Tables
-	Every                   time.Duration // between two lines of counts
+	ReportInterval          time.Duration // between two lines of counts
 }
 
 // Read reads a configuration and says all that is wrong with it.
@@ -53,7 +53,7 @@
 		return gjson.Result{}, fmt.Errorf("%s is not JSON", path)
 	}
 	config, wrong := gjson.ParseBytes(text), []error{}
-	for _, line := range siteconfig.Wrong(config) {
+	for _, line := range siteconfig.Problems(config) {
 		wrong = append(wrong, errors.New(line))
 	}
 	if len(wrong) > 0 {
@@ -62,9 +62,9 @@
 	return config, nil
 }
 
-// Agent is one that is put together.
-type Agent struct {
-	orders    Orders
+// Instance is one that is put together.
+type Instance struct {
+	orders    Options
 	config    gjson.Result
 	listener  net.Listener
 	budget    *httpwire.Sockets
@@ -73,20 +73,20 @@
 	platform  *httpwire.Platform
 	upstream  *httpwire.Upstream
 	front     *httpwire.Front
-	keeper    *recorder.Keeper // nil: nothing is recorded
-	sources   *host.Host       // nil: discovery alone
+	keeper    *recorder.Recorder // nil: nothing is recorded
+	sources   *host.Host         // nil: discovery alone
 	meter     *metrics.Meter
 }
 
 // what the module wants beside its requests.
-func (a *Agent) Vote(build int, verdict policy.Verdict, stage int) {
+func (a *Instance) SendVote(build int, verdict policy.Verdict, stage int) {
 	a.platform.Vote(build, verdict, stage)
 }
-func (a *Agent) Probe(appliance string) { go a.upstream.Probe(appliance) }
-func (a *Agent) Subscribe()             { a.discovery.Ask(false) }
-func (a *Agent) FetchList()             { a.discovery.Ask(true) }
+func (a *Instance) SendProbe(appliance string) { go a.upstream.Probe(appliance) }
+func (a *Instance) WatchEndpoints()            { a.discovery.Refresh(false) }
+func (a *Instance) FetchEndpoints()            { a.discovery.Refresh(true) }
 
-func (a *Agent) told(given, name string) string {
+func (a *Instance) told(given, name string) string {
 	if given == "" {
 		return a.config.Get(name).Str
 	}
@@ -94,16 +94,16 @@
 }
 
 // New makes the parts; nothing runs yet but the listener's backlog.
-func New(o Orders) (*Agent, error) {
-	config, err := Read(o.File)
+func New(o Options) (*Instance, error) {
+	config, err := Read(o.ConfigPath)
 	if err != nil {
 		return nil, err
 	}
-	a := &Agent{orders: o, config: config}
+	a := &Instance{orders: o, config: config}
 	s := config.Get("settings")
 	seed, _ := siteconfig.Seed(config) // Read has seen that it is one
 	sockets, memoryMB := a.limits()
-	names, products := siteconfig.Products(s)
+	names, products := siteconfig.Classes(s)
 
 	a.core = core.New(a)
 	if o.Tables.Record.On() {
@@ -118,38 +118,40 @@
 	a.budget = httpwire.NewSockets(sockets)
 	dial := (&net.Dialer{KeepAlive: -1}).DialContext
 	tcp := func(ctx context.Context, address string) (net.Conn, error) { return dial(ctx, "tcp", address) }
-	zones, kinds := siteconfig.Places(s)
-	a.discovery = httpwire.NewDiscovery(a.core, tcp, a.told(o.Discovery, "discovery"), zones, kinds, siteconfig.Asked(s), seed)
-	a.platform = httpwire.NewPlatform(a.core, tcp, config.Get("pipeline.address").Str, siteconfig.Called(s), seed+1)
-	up, idle := siteconfig.Connecting(s)
-	onAnswers, onProbes := siteconfig.Reported(s)
+	zones, kinds := siteconfig.ZonesAndHardware(s)
+	a.discovery = httpwire.NewDiscovery(a.core, tcp, a.told(o.Discovery, "discovery"), zones, kinds, siteconfig.OnDemandDiscovery(s), seed)
+	a.platform = httpwire.NewPlatform(a.core, tcp, config.Get("pipeline.address").Str, siteconfig.VoteTimeout(s), seed+1)
+	up, idle := siteconfig.ConnectionTimes(s)
+	onAnswers, onProbes := siteconfig.LoadReports(s)
 	address := a.discovery.Address
 	if o.Tables.Sources.On() {
 		address = func(id string) string { return a.sources.Address(id) }
 	}
 	a.upstream = httpwire.NewUpstream(a.core, tcp, address, a.budget, up, idle, onAnswers, onProbes)
-	a.discovery.Forgetting(a.upstream.Forget)
+	a.discovery.OnRemove(a.upstream.CloseAddress)
 	room := int64(1 << 30)
 	if memoryMB > 0 {
 		room = int64(memoryMB) << 20 / 4
 	}
-	a.front = httpwire.NewFront(a.core, a.upstream, a.budget, names, products, siteconfig.Revokes(s), siteconfig.Open(s), room)
+	a.front = httpwire.NewFront(a.core, a.upstream, a.budget, names, products, siteconfig.CancelAllowed(s), siteconfig.MaxOpenRequests(s), room)
 
 	logrus.WithFields(logrus.Fields{"version": o.Version, "name": a.told(o.Name, "name"),
 		"listen": a.listener.Addr().String(), "cpus": runtime.NumCPU(), "cores": runtime.GOMAXPROCS(0), "sockets": sockets,
 		"memory_mb": memoryMB, "agents": s.Get("balancers").Int(), "products": len(names),
 		"appliances": len(config.Get("known.servers").Array())}).Info("start")
-	a.core.Start(func(p policy.Port) *policy.Instance { return siteconfig.Module(p, seed, s, a.budget.Clients()) })
+	a.core.Start(func(p policy.Port) *policy.Instance {
+		return siteconfig.NewInstance(p, seed, s, a.budget.ClientLimit())
+	})
 	if o.Tables.Sources.On() { // after the module: what is remembered goes to it at once
-		a.sources = host.New(o.Tables.Sources, a.core, a.upstream.Forget, int(s.Get("me").Int()),
+		a.sources = host.New(o.Tables.Sources, a.core, a.upstream.CloseAddress, int(s.Get("me").Int()),
 			int(s.Get("balancers").Int()), seed+3)
-		a.discovery.Telling(a.sources.List, a.sources.Silent)
+		a.discovery.OnUpdate(a.sources.List, a.sources.Silent)
 	}
-	if err := a.discovery.Take([]byte(config.Get("known").Raw), httpwire.Known, func() {}); err != nil {
+	if err := a.discovery.Apply([]byte(config.Get("known").Raw), httpwire.FromConfiguration, func() {}); err != nil {
 		return nil, fmt.Errorf("known: %w", err)
 	}
 	news := config.Get("pipeline.news")
-	if err := a.platform.News(func(name string) string { return news.Get(name).String() }, policy.NotAVote); err != nil {
+	if err := a.platform.Apply(func(name string) string { return news.Get(name).String() }, policy.NotAVote); err != nil {
 		return nil, fmt.Errorf("pipeline.news: %w", err)
 	}
 	return a, nil
@@ -172,7 +174,7 @@
 }
 
 // limits holds the program to what the configuration allows it.
-func (a *Agent) limits() (sockets, memoryMB int) {
+func (a *Instance) limits() (sockets, memoryMB int) {
 	sockets, memoryMB = siteconfig.Limits(a.config)
 	if cores := siteconfig.Cores(a.config); cores > 0 { // more threads at once than that only take turns on it
 		runtime.GOMAXPROCS(cores)
@@ -187,12 +189,12 @@
 
 // Run serves until it has left: SIGTERM and SIGINT tell it to, a second one to end at once, SIGHUP to read the
 // configuration anew.
-func (a *Agent) Run(signals <-chan os.Signal) error {
+func (a *Instance) Run(signals <-chan os.Signal) error {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go a.discovery.Run(ctx)
 	go a.platform.Listen(ctx)
-	go a.platform.Cast(ctx)
+	go a.platform.SendVotes(ctx)
 	go a.upstream.Sweep(ctx)
 	go a.report(ctx)
 	if a.sources != nil {
@@ -245,7 +247,7 @@
 				ending = true
 				close(hurry)
 				go func() {
-					a.front.Leave(ctx, a.listener)
+					a.front.Shutdown(ctx, a.listener)
 					close(left)
 				}()
 			}
@@ -263,12 +265,12 @@
 )
 
 // ready waits until the agent may serve: discovery's list is there, has not come in time, or the agent is to leave.
-func (a *Agent) ready(hurry <-chan bool) {
+func (a *Instance) ready(hurry <-chan bool) {
 	wait := time.NewTimer(firstList)
 	defer wait.Stop()
 	select {
 	case <-hurry:
-	case <-a.discovery.First():
+	case <-a.discovery.FirstUpdate():
 	case <-wait.C:
 		logrus.Warn("discovery has told nothing yet: ready with the list of the configuration")
 	}
@@ -277,21 +279,21 @@
 }
 
 // reread reads the configuration and says when to do so again, should it not be usable.
-func (a *Agent) reread(tries *int) <-chan time.Time {
+func (a *Instance) reread(tries *int) <-chan time.Time {
 	var err error
-	a.config, err = reload(a.orders.File, a.config, map[string]mover{"discovery": a.discovery, "pipeline.address": a.platform})
+	a.config, err = reload(a.orders.ConfigPath, a.config, map[string]addressSetter{"discovery": a.discovery, "pipeline.address": a.platform})
 	if *tries--; err == nil || *tries <= 0 {
 		return nil
 	}
 	return time.After(rereadWait)
 }
 
-// mover can be told another address.
-type mover interface{ Move(address string) }
+// addressSetter can be told another address.
+type addressSetter interface{ SetAddress(address string) }
 
 // reload reads the configuration anew. Only discovery's and the platform's addresses can change while it runs; what can't
 // be used changes nothing.
-func reload(file string, was gjson.Result, parts map[string]mover) (gjson.Result, error) {
+func reload(file string, was gjson.Result, parts map[string]addressSetter) (gjson.Result, error) {
 	now, err := Read(file)
 	if err != nil {
 		logrus.WithError(err).Error("configuration not taken, the running one stays")
@@ -301,7 +303,7 @@
 	for name, part := range parts {
 		// Against the file as it was: an address given in its place at the start holds until the file names another.
 		if address := now.Get(name).Str; address != was.Get(name).Str {
-			part.Move(address)
+			part.SetAddress(address)
 			moves[name] = address
 		}
 	}
@@ -310,8 +312,8 @@
 }
 
 // report logs the module's own lines and, every so often, a line of counts.
-func (a *Agent) report(ctx context.Context) {
-	tick := time.NewTicker(a.orders.Every)
+func (a *Instance) report(ctx context.Context) {
+	tick := time.NewTicker(a.orders.ReportInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -325,7 +327,7 @@
 	}
 }
 
-func (a *Agent) line() {
+func (a *Instance) line() {
 	n := a.core.Counts()
 	opened, idle, unsent := a.upstream.Connections()
 	all, clients, resting := a.budget.Used()
@@ -337,7 +339,7 @@
 		"voided": n.Failed, "gone": n.ClientGone, "bad_input": a.front.Refused.Load(), "open": n.OpenRequests, "out": n.OpenAttempts,
 		"ends":    fmt.Sprint(n.AttemptsByStatus[policy.StatusServed:]),
 		"sockets": all, "clients": clients, "clients_idle": resting, "opened": opened, "idle": idle, "unsent": unsent,
-		"list": version, "listed": listed, "timers": n.Timers, "broken": invariant.Broken(), "withdrawn": n.AttemptsWithheld}).Info("counts")
+		"list": version, "listed": listed, "timers": n.Timers, "broken": invariant.Violations(), "withdrawn": n.AttemptsWithheld}).Info("counts")
 	r := n.Releases
 	logrus.WithFields(logrus.Fields{"newest": r.Newest.Release, "phase": r.Newest.Phase.String(), "stage": r.Newest.Stage,
 		"cap": r.Newest.Cap, "trial": r.RollingOut, "keys": r.Keys, "withheld_closed": r.Skipped.Closed,
@@ -349,7 +351,7 @@
 			"doubt_srv": n.Doubt[1]}).Info("sources")
 	}
 	if a.keeper != nil {
-		s := a.keeper.Standing()
+		s := a.keeper.Status()
 		logrus.WithFields(logrus.Fields{"spool": s.Health.String(), "entries": s.Entries, "notes": s.Notes, "gaps": s.Gaps,
 			"missed": s.Missed, "syncs": s.Syncs, "failures": s.Failures, "unsynced": s.Unsynced, "spool_bytes": s.Used,
 			"queued_bytes": s.Queued, "shipped": s.Shipped, "in_doubt": s.InDoubt, "oldest_ms": int(s.Oldest),
@@ -358,7 +360,7 @@
 }
 
 // seen names what can be scraped of the sources.
-func (a *Agent) seen() {
+func (a *Instance) seen() {
 	count := func(name string, of func(host.Counts) float64) {
 		a.meter.Gauge(name, func() float64 { return of(a.sources.Counts()) })
 	}
@@ -385,7 +387,7 @@
 }
 
 // measureReleases names what can be scraped of the rule on exposure.
-func (a *Agent) measureReleases(count func(name string, of func(core.Counts) int)) {
+func (a *Instance) measureReleases(count func(name string, of func(core.Counts) int)) {
 	count("onyxgate_release_newest", func(n core.Counts) int { return n.Releases.Newest.Release })
 	count("onyxgate_release_stage", func(n core.Counts) int { return n.Releases.Newest.Stage })
 	count("onyxgate_release_on_trial", func(n core.Counts) int { return n.Releases.RollingOut })
@@ -397,7 +399,7 @@
 }
 
 // measure names what can be scraped.
-func (a *Agent) measure() {
+func (a *Instance) measure() {
 	a.meter = metrics.New()
 	count := func(name string, of func(core.Counts) int) {
 		a.meter.Gauge(name, func() float64 { return float64(of(a.core.Counts())) })
@@ -409,7 +411,7 @@
 	count(`onyxgate_txns_ended_total{outcome="gone"}`, func(n core.Counts) int { return n.ClientGone })
 	count("onyxgate_txns_open", func(n core.Counts) int { return n.OpenRequests })
 	count("onyxgate_submissions_out", func(n core.Counts) int { return n.OpenAttempts })
-	a.meter.Gauge("onyxgate_broken_total", func() float64 { return float64(invariant.Broken()) })
+	a.meter.Gauge("onyxgate_broken_total", func() float64 { return float64(invariant.Violations()) })
 	a.measureReleases(count)
 	if a.sources != nil {
 		a.seen()
@@ -417,18 +419,18 @@
 	if a.keeper == nil {
 		return
 	}
-	standing := func(name string, of func(recorder.Standing) float64) {
-		a.meter.Gauge(name, func() float64 { return of(a.keeper.Standing()) })
-	}
-	standing("onyxgate_record_entries_total", func(s recorder.Standing) float64 { return float64(s.Entries) })
-	standing("onyxgate_record_syncs_total", func(s recorder.Standing) float64 { return float64(s.Syncs) })
-	standing("onyxgate_record_failures_total", func(s recorder.Standing) float64 { return float64(s.Failures) })
-	standing("onyxgate_record_unsynced_total", func(s recorder.Standing) float64 { return float64(s.Unsynced) })
-	standing("onyxgate_record_missed_total", func(s recorder.Standing) float64 { return float64(s.Missed) })
-	standing("onyxgate_record_gaps_total", func(s recorder.Standing) float64 { return float64(s.Gaps) })
-	standing("onyxgate_record_shipped_total", func(s recorder.Standing) float64 { return float64(s.Shipped) })
-	standing("onyxgate_record_in_doubt_total", func(s recorder.Standing) float64 { return float64(s.InDoubt) })
-	standing("onyxgate_record_spool_bytes", func(s recorder.Standing) float64 { return float64(s.Used) })
-	standing("onyxgate_record_queued_bytes", func(s recorder.Standing) float64 { return float64(s.Queued) })
-	standing("onyxgate_record_oldest_unshipped_seconds", func(s recorder.Standing) float64 { return s.Oldest / 1000 })
+	standing := func(name string, of func(recorder.Status) float64) {
+		a.meter.Gauge(name, func() float64 { return of(a.keeper.Status()) })
+	}
+	standing("onyxgate_record_entries_total", func(s recorder.Status) float64 { return float64(s.Entries) })
+	standing("onyxgate_record_syncs_total", func(s recorder.Status) float64 { return float64(s.Syncs) })
+	standing("onyxgate_record_failures_total", func(s recorder.Status) float64 { return float64(s.Failures) })
+	standing("onyxgate_record_unsynced_total", func(s recorder.Status) float64 { return float64(s.Unsynced) })
+	standing("onyxgate_record_missed_total", func(s recorder.Status) float64 { return float64(s.Missed) })
+	standing("onyxgate_record_gaps_total", func(s recorder.Status) float64 { return float64(s.Gaps) })
+	standing("onyxgate_record_shipped_total", func(s recorder.Status) float64 { return float64(s.Shipped) })
+	standing("onyxgate_record_in_doubt_total", func(s recorder.Status) float64 { return float64(s.InDoubt) })
+	standing("onyxgate_record_spool_bytes", func(s recorder.Status) float64 { return float64(s.Used) })
+	standing("onyxgate_record_queued_bytes", func(s recorder.Status) float64 { return float64(s.Queued) })
+	standing("onyxgate_record_oldest_unshipped_seconds", func(s recorder.Status) float64 { return s.Oldest / 1000 })
 }
--- a/internal/assembly/assembly_test.go
+++ b/internal/assembly/assembly_test.go
@@ -9,7 +9,7 @@
 
 type moved struct{ to []string }
 
-func (m *moved) Move(address string) { m.to = append(m.to, address) }
+func (m *moved) SetAddress(address string) { m.to = append(m.to, address) }
 
 // A configuration that can be used moves what it names anew; one that can't changes nothing, then or later.
 func TestReload(t *testing.T) {
@@ -43,7 +43,7 @@
 		if c.text == "" {
 			os.Remove(file)
 		}
-		config, _ = reload(file, config, map[string]mover{"discovery": discovery, "pipeline.address": platform})
+		config, _ = reload(file, config, map[string]addressSetter{"discovery": discovery, "pipeline.address": platform})
 		if fmt.Sprint(discovery.to) != c.discovery || fmt.Sprint(platform.to) != c.platform {
 			t.Errorf("after %.80q: %v, %v", c.text, discovery.to, platform.to)
 		}
--- a/internal/assembly/crossings_test.go
+++ b/internal/assembly/crossings_test.go
@@ -109,7 +109,7 @@
 
 // running is an agent under way.
 type running struct {
-	*Agent
+	*Instance
 	file    string
 	signals chan os.Signal
 	end     chan error
@@ -124,7 +124,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, err := New(Orders{File: file, Every: time.Hour, Tables: tables})
+	a, err := New(Options{ConfigPath: file, ReportInterval: time.Hour, Tables: tables})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -204,13 +204,13 @@
 		after        time.Duration
 	}{{"told", true, false, 0}, {"silent", false, false, firstList}, {"leaves", false, true, 0}} {
 		synctest.Test(t, func(t *testing.T) {
-			a := &Agent{core: core.New(nil)}
+			a := &Instance{core: core.New(nil)}
 			a.core.Start(func(p policy.Port) *policy.Instance { return policy.New(p, 7, 0, 1) })
 			a.discovery = httpwire.NewDiscovery(a.core, nil, "d:1", nil, nil, false, 1)
 			a.front = httpwire.NewFront(a.core, nil, httpwire.NewSockets(0), nil, nil, false, 0, 0)
 			hurry, ready, from := make(chan bool), make(chan bool), time.Now()
 			go func() { a.ready(hurry); close(ready) }()
-			a.discovery.Take([]byte(`{"version":1,"full":true,"servers":[]}`), httpwire.Known, func() {})
+			a.discovery.Apply([]byte(`{"version":1,"full":true,"servers":[]}`), httpwire.FromConfiguration, func() {})
 			synctest.Wait()
 			select {
 			case <-ready:
@@ -218,7 +218,7 @@
 			default:
 			}
 			if c.told {
-				a.discovery.Take([]byte(`{"version":2,"full":true,"servers":[]}`), httpwire.Watched, func() {})
+				a.discovery.Apply([]byte(`{"version":2,"full":true,"servers":[]}`), httpwire.FromWatch, func() {})
 			}
 			if c.leaves {
 				close(hurry)
@@ -242,7 +242,7 @@
 		t.Fatal(err)
 	}
 	tries := rereadMost
-	x := &Agent{orders: r.orders, config: r.config, discovery: r.discovery, platform: r.platform}
+	x := &Instance{orders: r.orders, config: r.config, discovery: r.discovery, platform: r.platform}
 	if x.reread(&tries) == nil {
 		t.Fatal("half a configuration is not read again")
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -16,10 +16,10 @@
 
 // Transport are the module's actions that belong to no request. Each starts something and returns at once.
 type Transport interface {
-	Vote(build int, verdict policy.Verdict, stage int)
-	Probe(appliance string)
-	Subscribe()
-	FetchList()
+	SendVote(build int, verdict policy.Verdict, stage int)
+	SendProbe(appliance string)
+	WatchEndpoints()
+	FetchEndpoints()
 }
 
 const (
@@ -113,7 +113,7 @@
 	defer func() {
 		c.inEvent = false
 		if !whole {
-			invariant.Hold(false, "the module handles every event", what, recover(), string(debug.Stack()))
+			invariant.Check(false, "the module handles every event", what, recover(), string(debug.Stack()))
 		}
 	}()
 	event(c.Now())
@@ -333,7 +333,7 @@
 		if !t.ended {
 			t.core.instance.OnTimer(now, 0)
 		}
-		if !invariant.Hold(t.ended, "every request is answered in time", t.ID) {
+		if !invariant.Check(t.ended, "every request is answered in time", t.ID) {
 			t.finish(Action{Kind: ActionFail, Reason: "watchdog"}, &t.core.counts.Failed)
 			t.core.instance.OnClientGone(now, t.ID)
 		}
@@ -453,7 +453,7 @@
 func (s *Attempt) Finish(r policy.AttemptStatus, answer any, waiting, busy float64) {
 	t, c := s.request, s.request.core
 	c.handleEvent("outcome", func(now float64) {
-		if !invariant.Hold(!s.ended, "one outcome for each attempt", t.ID, s.number) {
+		if !invariant.Check(!s.ended, "one outcome for each attempt", t.ID, s.number) {
 			return
 		}
 		s.ended = true
@@ -482,14 +482,14 @@
 type port Core
 
 func (p *port) heldRequest(id string) *Request {
-	invariant.Hold(p.inEvent, "the lock is held when the module acts", id)
+	invariant.Check(p.inEvent, "the lock is held when the module acts", id)
 	return p.requests[id]
 }
 
 func (p *port) SendAttempt(id, appliance string, limit float64) {
 	t, now := p.heldRequest(id), (*Core)(p).Now()
 	if t == nil {
-		invariant.Hold(false, "an attempt belongs to a request that is held", id)
+		invariant.Check(false, "an attempt belongs to a request that is held", id)
 		return
 	}
 	s := &Attempt{Backend: appliance, Release: p.releases[appliance], Deadline: t.Deadline, request: t, number: len(t.attempts), startedAt: now}
@@ -501,7 +501,7 @@
 	t.attempts = append(t.attempts, s)
 	t.openAttempts++
 	p.counts.OpenAttempts++
-	if !invariant.Hold(!t.ended, "no attempt after the end", id) {
+	if !invariant.Check(!t.ended, "no attempt after the end", id) {
 		go s.Finish(policy.StatusNotSent, nil, -1, -1)
 		return
 	}
@@ -529,11 +529,11 @@
 
 func (p *port) SendVote(build int, verdict policy.Verdict, stage int) {
 	if !p.leaving {
-		p.transport.Vote(build, verdict, stage)
+		p.transport.SendVote(build, verdict, stage)
 	}
 }
 
-func (p *port) SendProbe(appliance string) { p.transport.Probe(appliance) }
+func (p *port) SendProbe(appliance string) { p.transport.SendProbe(appliance) }
 
 // SendMessage has no protocol yet: live agents share nothing.
 func (p *port) SendMessage(int, []byte) {}
@@ -546,9 +546,9 @@
 	}
 }
 
-func (p *port) WatchEndpoints() { p.transport.Subscribe() }
+func (p *port) WatchEndpoints() { p.transport.WatchEndpoints() }
 
-func (p *port) FetchEndpoints() { p.transport.FetchList() }
+func (p *port) FetchEndpoints() { p.transport.FetchEndpoints() }
 
 func (p *port) Log(line string) {
 	select {
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -11,10 +11,10 @@
 
 type calls struct{ voted int }
 
-func (c *calls) Vote(int, policy.Verdict, int) { c.voted++ }
-func (c *calls) Probe(string)                  {}
-func (c *calls) Subscribe()                    {}
-func (c *calls) FetchList()                    {}
+func (c *calls) SendVote(int, policy.Verdict, int) { c.voted++ }
+func (c *calls) SendProbe(string)                  {}
+func (c *calls) WatchEndpoints()                   {}
+func (c *calls) FetchEndpoints()                   {}
 
 // hosted starts a core whose module knows one product and so many appliances.
 func hosted(p policy.RequestClass, appliances int) (*Core, *calls) {
--- a/internal/core/watchdog_test.go
+++ b/internal/core/watchdog_test.go
@@ -15,13 +15,13 @@
 func TestWatchdog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core, _ := hosted(policy.RequestClass{}, 1)
-		from, was := time.Now(), invariant.Broken()
+		from, was := time.Now(), invariant.Violations()
 		x := core.Accept(core.Now(), "t", "", "", 9, false, 300, "", nil) // a product that the module does not have
 		if a := x.NextAction(); a.Kind != ActionFail {
 			t.Errorf("got %v", a.Kind)
 		}
-		if took := time.Since(from); took > 320*time.Millisecond || invariant.Broken() <= was {
-			t.Errorf("after %v, %d breaches", took, invariant.Broken()-was)
+		if took := time.Since(from); took > 320*time.Millisecond || invariant.Violations() <= was {
+			t.Errorf("after %v, %d breaches", took, invariant.Violations()-was)
 		}
 		x.Close()
 		y := core.Accept(core.Now(), "u", "", "", 0, false, 300, "", nil)
--- a/internal/fake/fleet/affinity.go
+++ b/internal/fake/fleet/affinity.go
@@ -76,7 +76,7 @@
 }
 
 // Tells notes a state of a release that has been written to an agent.
-func (w *World) Tells(agent, release int, limit float64) {
+func (w *Fleet) Tells(agent, release int, limit float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	k := agentRelease{agent, release}
@@ -88,7 +88,7 @@
 
 // Forget begins an agent's records anew: its process has ended, and the next one starts from nothing. Answers to what the one
 // before had sent are nobody's from here on.
-func (w *World) Forget(agent int) {
+func (w *Fleet) Forget(agent int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.process[agent]++
@@ -105,14 +105,14 @@
 }
 
 // Closed is what was seen of closed releases so far.
-func (w *World) Closed() Closed {
+func (w *Fleet) Closed() Closed {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.seenClosed
 }
 
 // reaches notes an attempt at a release; under the lock.
-func (w *World) reaches(agent, release int, id string) {
+func (w *Fleet) reaches(agent, release int, id string) {
 	if at, told := w.closed[agentRelease{agent, release}]; told && time.Since(at) > closedFor {
 		w.seenClosed.Broken = append(w.seenClosed.Broken, fmt.Sprintf("request %s, agent n%d: release %d, told closed %d ms before", id,
 			agent, release, time.Since(at).Milliseconds()))
--- a/internal/fake/fleet/clients.go
+++ b/internal/fake/fleet/clients.go
@@ -17,22 +17,22 @@
 	"onyxgate/internal/record"
 )
 
-// Got is what one try of a client came to.
-type Got struct {
-	ID, Product string
-	Agent       int
-	Sent, Done  time.Time
-	Outcome     string // settled, declined, voided, refused (the agent took it for no txn), broken, silent, nobody
-	Body        record.Digest
-	Retry       int
+// Response is what one try of a client came to.
+type Response struct {
+	ID, Class  string
+	Instance   int
+	Sent, Done time.Time
+	Outcome    string // settled, declined, voided, refused (the agent took it for no txn), broken, silent, nobody
+	Body       record.Digest
+	Retry      int
 }
 
 // Clients send txns to agents at a rate.
 type Clients struct {
-	world   *World
+	world   *Fleet
 	address []string
 	mu      sync.Mutex
-	log     []Got
+	log     []Response
 	idle    [][]net.Conn
 	open    []int // txns under way, by agent
 	down    []time.Time
@@ -42,16 +42,16 @@
 }
 
 // NewClients makes clients of agents at these addresses.
-func NewClients(w *World, address []string, seed uint64) *Clients {
+func NewClients(w *Fleet, address []string, seed uint64) *Clients {
 	return &Clients{world: w, address: address, idle: make([][]net.Conn, len(address)), open: make([]int, len(address)),
 		down: make([]time.Time, len(address)), prefix: fmt.Sprintf("%04x", seed&0xffff), Keys: 1000}
 }
 
 // Log is what all of them got so far.
-func (c *Clients) Log() []Got {
+func (c *Clients) Log() []Response {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]Got(nil), c.log...)
+	return append([]Response(nil), c.log...)
 }
 
 // Open is how many txns an agent has under way.
@@ -67,8 +67,8 @@
 	var all sync.WaitGroup
 	for ctx.Err() == nil {
 		time.Sleep(time.Duration(chance.ExpFloat64() / rate() * 1e9))
-		share, p := chance.Float64(), Products[0]
-		for _, q := range Products {
+		share, p := chance.Float64(), Classes[0]
+		for _, q := range Classes {
 			if p = q; share < q.Share {
 				break
 			}
@@ -82,7 +82,7 @@
 
 // txn tries up to three times: what was declined or never reached anybody may be sent again, and what may have run where
 // the product allows it.
-func (c *Clients) txn(p Product, agent, key int, mark string) {
+func (c *Clients) txn(p Class, agent, key int, mark string) {
 	for retry := range 3 {
 		c.mu.Lock()
 		for range c.address { // the front hands new connections to agents that stand
@@ -92,7 +92,7 @@
 			agent = (agent + 1) % len(c.address)
 		}
 		c.ids++
-		g := Got{ID: fmt.Sprintf("%s%08x", c.prefix, c.ids), Product: p.Name, Agent: agent, Sent: time.Now(), Retry: retry}
+		g := Response{ID: fmt.Sprintf("%s%08x", c.prefix, c.ids), Class: p.Name, Instance: agent, Sent: time.Now(), Retry: retry}
 		c.open[agent]++
 		c.mu.Unlock()
 		c.world.Took(agent)
@@ -105,7 +105,7 @@
 			c.down[agent] = time.Now()
 		}
 		c.mu.Unlock()
-		safe := g.Outcome == "declined" || g.Outcome == "nobody" || p.Effect != "once"
+		safe := g.Outcome == "declined" || g.Outcome == "nobody" || p.Semantics != "once"
 		if g.Outcome == "settled" || !safe {
 			return
 		}
@@ -113,26 +113,26 @@
 	}
 }
 
-func (c *Clients) try(p Product, g *Got, key int, mark string) {
-	conn := c.connect(g.Agent)
+func (c *Clients) try(p Class, g *Response, key int, mark string) {
+	conn := c.connect(g.Instance)
 	if conn == nil {
 		g.Outcome = "nobody"
 		return
 	}
-	text := fmt.Sprintf("Host: api\r\nReq-Id: %s\r\nReq-Deadline: %dm\r\n", g.ID, p.Expiry.Milliseconds())
+	text := fmt.Sprintf("Host: api\r\nReq-Id: %s\r\nReq-Deadline: %dm\r\n", g.ID, p.Timeout.Milliseconds())
 	if g.Retry > 0 {
 		text += "Req-Retry: 1\r\n"
 	}
 	path := fmt.Sprintf("/%s/%d", p.Name, key)
-	if p.Effect == "repeatable" {
+	if p.Semantics == "repeatable" {
 		text = "GET " + path + " HTTP/1.1\r\n" + text + "\r\n"
 	} else {
-		if p.Effect == "by_key" {
+		if p.Semantics == "by_key" {
 			text += "Idempotency-Key: " + mark + "\r\n"
 		}
 		text = "POST " + path + " HTTP/1.1\r\n" + text + "Content-Length: 5\r\n\r\nscore"
 	}
-	conn.SetDeadline(time.Now().Add(p.Expiry + 2*time.Second))
+	conn.SetDeadline(time.Now().Add(p.Timeout + 2*time.Second))
 	whole := func() bool {
 		if _, err := io.WriteString(conn, text); err != nil {
 			return false
@@ -147,7 +147,7 @@
 		}
 		switch {
 		case r.StatusCode == http.StatusOK:
-			g.Outcome, g.Body = "settled", record.Digested(body)
+			g.Outcome, g.Body = "settled", record.DigestOf(body)
 		case r.StatusCode == http.StatusServiceUnavailable || r.StatusCode == http.StatusTooManyRequests:
 			g.Outcome = "declined"
 		case r.StatusCode >= 500:
@@ -160,10 +160,10 @@
 	switch {
 	case whole:
 		c.mu.Lock()
-		c.idle[g.Agent] = append(c.idle[g.Agent], conn)
+		c.idle[g.Instance] = append(c.idle[g.Instance], conn)
 		c.mu.Unlock()
 		return
-	case g.Outcome == "" && time.Since(g.Sent) > p.Expiry+time.Second:
+	case g.Outcome == "" && time.Since(g.Sent) > p.Timeout+time.Second:
 		g.Outcome = "silent"
 	case g.Outcome == "":
 		g.Outcome = "broken"
--- a/internal/fake/fleet/control.go
+++ b/internal/fake/fleet/control.go
@@ -6,14 +6,14 @@
 import "time"
 
 // Manual leaves the roll-out to the caller: votes are answered with the state as it is and move nothing.
-func (w *World) Manual() {
+func (w *Fleet) Manual() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.manual = true
 }
 
 // StartBackends lists n more backends of a release, warm ones: none of them is limited by its start.
-func (w *World) StartBackends(release, n, cores int) error {
+func (w *Fleet) StartBackends(release, n, cores int) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for range n {
@@ -26,11 +26,11 @@
 }
 
 // DrainBackends lists n backends of a release as draining.
-func (w *World) DrainBackends(release, n int) {
+func (w *Fleet) DrainBackends(release, n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, a := range w.fleet {
-		if a.Build == release && a.state == "Ready" && n > 0 {
+		if a.Release == release && a.state == "Ready" && n > 0 {
 			n--
 			w.drain(a)
 		}
@@ -39,24 +39,24 @@
 }
 
 // Announce makes a state the newest release's, and tells it on every stream of notices.
-func (w *World) Announce(s Stage) {
+func (w *Fleet) Announce(s Stage) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s.At = time.Now()
 	w.stage, w.began = s, s.At
 	w.Stages = append(w.Stages, s)
 	if s.Mode == "reverting" || s.Mode == "reverted" {
-		w.affinity.goesBack(s.Build)
+		w.affinity.goesBack(s.Release)
 	}
 	w.tell()
 }
 
 // ReadyBackends is how many backends of a release are listed as ready.
-func (w *World) ReadyBackends(release int) (n int) {
+func (w *Fleet) ReadyBackends(release int) (n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, a := range w.fleet {
-		if a.Build == release && a.state == "Ready" {
+		if a.Release == release && a.state == "Ready" {
 			n++
 		}
 	}
@@ -64,14 +64,14 @@
 }
 
 // Attempts is how many attempts have reached backends of a release.
-func (w *World) Attempts(release int) int {
+func (w *Fleet) Attempts(release int) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.attempts[release]
 }
 
 // Affinity is what was seen of the rule on keys so far.
-func (w *World) Affinity() Affinity {
+func (w *Fleet) Affinity() Affinity {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.affinity.seen
--- a/internal/fake/fleet/fleet.go
+++ b/internal/fake/fleet/fleet.go
@@ -14,19 +14,19 @@
 	"time"
 )
 
-// Product is one as clients and appliances know it.
-type Product struct {
-	Name     string
-	Share    float64
-	Work     time.Duration
-	SLA      time.Duration
-	Expiry   time.Duration
-	Effect   string // repeatable, by_key, once
-	Remember time.Duration
+// Class is one as clients and appliances know it.
+type Class struct {
+	Name             string
+	Share            float64
+	Work             time.Duration
+	LatencyObjective time.Duration
+	Timeout          time.Duration
+	Semantics        string // repeatable, by_key, once
+	DedupWindow      time.Duration
 }
 
-// Products are the rehearsals' own.
-var Products = []Product{
+// Classes are the rehearsals' own.
+var Classes = []Class{
 	{"preview", 0.5, 20 * time.Millisecond, 400 * time.Millisecond, 2 * time.Second, "repeatable", 0},
 	{"export", 0.3, 30 * time.Millisecond, 500 * time.Millisecond, 2 * time.Second, "by_key", 10 * time.Second},
 	{"order", 0.2, 25 * time.Millisecond, 500 * time.Millisecond, 2 * time.Second, "once", 0},
@@ -50,38 +50,38 @@
 
 // Stage is where the newest build stood from a time on.
 type Stage struct {
-	At    time.Time
-	Build int
-	Stage int
-	Mode  string
-	Cap   float64
+	At      time.Time
+	Release int
+	Stage   int
+	Mode    string
+	Cap     float64
 }
 
-// World is the platform's side for a number of agents.
-type World struct {
-	Agents int
-	mu     sync.Mutex
-	chance *rand.Rand
-	fleet  []*Appliance // all that ever were, in the order of their start
-	listed int          // version of the list
-	stage  Stage
-	Stages []Stage
-	began  time.Time // of the stage
-	watch  map[*listener]bool
-	notice map[*listener]bool
-	lists  []net.Listener // discovery's, one an agent
-	votes  net.Listener
-	Votes  map[string]int
-	marks  map[string]time.Time // of referenced txns, when first run
-	ran    map[string]int       // once-only txns, by id
-	takens [][]time.Time        // txns by agent, for exposure
-	trials [][]time.Time        // submissions at the build on trial, by agent
-	Broken Broken
-	Linger time.Duration               // that an appliance stands after it is listed as gone
-	muted  map[int]bool                // agents whose discovery is silent
-	Drains int                         // told
-	Late   time.Duration               // the latest work at an appliance after its agent was told that it drains or is gone
-	reach  []map[int64]map[string]bool // appliances that an agent's work reached, by second
+// Fleet is the platform's side for a number of agents.
+type Fleet struct {
+	Instances  int
+	mu         sync.Mutex
+	chance     *rand.Rand
+	fleet      []*Backend // all that ever were, in the order of their start
+	listed     int        // version of the list
+	stage      Stage
+	Stages     []Stage
+	began      time.Time // of the stage
+	watch      map[*listener]bool
+	notice     map[*listener]bool
+	lists      []net.Listener // discovery's, one an agent
+	votes      net.Listener
+	Votes      map[string]int
+	marks      map[string]time.Time // of referenced txns, when first run
+	ran        map[string]int       // once-only txns, by id
+	takens     [][]time.Time        // txns by agent, for exposure
+	trials     [][]time.Time        // submissions at the build on trial, by agent
+	Violations Violations
+	Linger     time.Duration               // that an appliance stands after it is listed as gone
+	muted      map[int]bool                // agents whose discovery is silent
+	Drains     int                         // told
+	Late       time.Duration               // the latest work at an appliance after its agent was told that it drains or is gone
+	reach      []map[int64]map[string]bool // appliances that an agent's work reached, by second
 
 	KeysStay bool           // a key that a release has answered goes to no earlier one
 	Platform map[int]string // where an agent finds the platform, in place of its own address
@@ -94,21 +94,21 @@
 	process    []int // of each agent, counted
 }
 
-// Broken counts breaches of the rules as seen from outside; lost txns are the clients' to count.
-type Broken struct {
+// Violations counts breaches of the rules as seen from outside; lost txns are the clients' to count.
+type Violations struct {
 	Twice, Drains, Fallen, Exposure int
 }
 
 // New starts a world of so many appliances of build 1, each with some cores.
-func New(agents, appliances, cores int, seed uint64) (*World, error) {
-	w := &World{Agents: agents, chance: rand.New(rand.NewPCG(seed, 1)), watch: map[*listener]bool{},
+func New(agents, appliances, cores int, seed uint64) (*Fleet, error) {
+	w := &Fleet{Instances: agents, chance: rand.New(rand.NewPCG(seed, 1)), watch: map[*listener]bool{},
 		notice: map[*listener]bool{}, Votes: map[string]int{}, marks: map[string]time.Time{}, ran: map[string]int{},
 		takens: make([][]time.Time, agents), trials: make([][]time.Time, agents), muted: map[int]bool{},
 		Platform: map[int]string{}, closed: map[agentRelease]time.Time{}, process: make([]int, agents), attempts: map[int]int{}, affinity: affinity{answers: map[agentKey][]answeredBy{}, back: map[int]bool{}}}
 	for range agents {
 		w.reach = append(w.reach, map[int64]map[string]bool{})
 	}
-	w.stage = Stage{At: time.Now(), Build: 1, Stage: len(rings) - 1, Mode: "stable", Cap: 1}
+	w.stage = Stage{At: time.Now(), Release: 1, Stage: len(rings) - 1, Mode: "stable", Cap: 1}
 	w.Stages = []Stage{w.stage}
 	for range appliances {
 		if err := w.start(1, cores, time.Time{}); err != nil {
@@ -132,10 +132,10 @@
 }
 
 // PlatformAddress is the platform's own address.
-func (w *World) PlatformAddress() string { return w.votes.Addr().String() }
+func (w *Fleet) PlatformAddress() string { return w.votes.Addr().String() }
 
 // Close ends it all.
-func (w *World) Close() {
+func (w *Fleet) Close() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, l := range append(w.lists, w.votes) {
@@ -146,7 +146,7 @@
 	}
 }
 
-func (w *World) start(build, cores int, at time.Time) error {
+func (w *Fleet) start(build, cores int, at time.Time) error {
 	a, err := newAppliance(w, fmt.Sprintf("a%d", len(w.fleet)+1), build, cores, at)
 	if err == nil {
 		w.fleet = append(w.fleet, a)
@@ -156,14 +156,14 @@
 }
 
 // Offer begins the roll-out of a build; bad is the share of txns that it fails.
-func (w *World) Offer(build int, bad float64) {
+func (w *Fleet) Offer(build int, bad float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.turn(Stage{At: time.Now(), Build: build, Stage: 0, Mode: "canary", Cap: caps[0]}, bad)
+	w.turn(Stage{At: time.Now(), Release: build, Stage: 0, Mode: "canary", Cap: caps[0]}, bad)
 }
 
 // turn begins a stage: its machines start, and each one's predecessor drains. Under the lock.
-func (w *World) turn(s Stage, bad float64) {
+func (w *Fleet) turn(s Stage, bad float64) {
 	w.stage, w.began = s, s.At
 	w.Stages = append(w.Stages, s)
 	w.tell()
@@ -171,12 +171,12 @@
 	if s.Mode == "canary" {
 		target = rings[s.Stage]
 	}
-	running, done, cores := []*Appliance{}, 0, 1
+	running, done, cores := []*Backend{}, 0, 1
 	for _, a := range w.fleet {
 		if a.state != "Ready" {
 			continue
 		}
-		if cores = a.cores; a.Build == s.Build {
+		if cores = a.cores; a.Release == s.Release {
 			done++
 		} else {
 			running = append(running, a)
@@ -184,8 +184,8 @@
 	}
 	if s.Mode == "reverting" { // machines of the build that goes drain; the earlier one's start in their place
 		for _, a := range w.fleet {
-			if a.state == "Ready" && a.Build == s.Build {
-				w.start(s.Build-1, cores, time.Now())
+			if a.state == "Ready" && a.Release == s.Release {
+				w.start(s.Release-1, cores, time.Now())
 				w.drain(a)
 			}
 		}
@@ -194,7 +194,7 @@
 	}
 	all := len(running) + done
 	for i := 0; done < int(target*float64(all)+0.5) && i < len(running); i++ {
-		if w.start(s.Build, cores, time.Now()) != nil {
+		if w.start(s.Release, cores, time.Now()) != nil {
 			return
 		}
 		w.fleet[len(w.fleet)-1].bad = bad
@@ -204,7 +204,7 @@
 	w.publish()
 }
 
-func (w *World) drain(a *Appliance) {
+func (w *Fleet) drain(a *Backend) {
 	a.state = "Terminating"
 	time.AfterFunc(3*time.Second, func() {
 		w.mu.Lock()
@@ -216,29 +216,29 @@
 }
 
 // vote takes one and says by which status and code it is answered.
-func (w *World) vote(build, stage int, ruling string) (status int, code string) {
+func (w *Fleet) vote(build, stage int, ruling string) (status int, code string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.Votes[ruling]++
 	s := w.stage
 	switch {
-	case w.manual && build == s.Build:
+	case w.manual && build == s.Release:
 		return 200, ""
-	case build != s.Build || stage != s.Stage || s.Mode != "canary" && ruling != "abort":
+	case build != s.Release || stage != s.Stage || s.Mode != "canary" && ruling != "abort":
 		return 400, "STALE"
 	case ruling == "promote" && time.Since(w.began) > time.Second && s.Stage+1 < len(rings):
-		w.turn(Stage{time.Now(), s.Build, s.Stage + 1, "canary", caps[s.Stage+1]}, w.badness(s.Build))
+		w.turn(Stage{time.Now(), s.Release, s.Stage + 1, "canary", caps[s.Stage+1]}, w.badness(s.Release))
 	case ruling == "promote" && time.Since(w.began) > time.Second:
-		w.turn(Stage{time.Now(), s.Build, s.Stage, "stable", 1}, w.badness(s.Build))
+		w.turn(Stage{time.Now(), s.Release, s.Stage, "stable", 1}, w.badness(s.Release))
 	case ruling == "abort":
-		w.turn(Stage{time.Now(), s.Build, s.Stage, "reverting", 0}, 0)
+		w.turn(Stage{time.Now(), s.Release, s.Stage, "reverting", 0}, 0)
 	}
 	return 200, ""
 }
 
-func (w *World) badness(build int) float64 {
+func (w *Fleet) badness(build int) float64 {
 	for _, a := range w.fleet {
-		if a.Build == build {
+		if a.Release == build {
 			return a.bad
 		}
 	}
@@ -246,14 +246,14 @@
 }
 
 // At is the stage now.
-func (w *World) At() Stage {
+func (w *Fleet) At() Stage {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.stage
 }
 
 // Took notes that an agent was given a txn.
-func (w *World) Took(agent int) {
+func (w *Fleet) Took(agent int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.takens[agent] = append(w.takens[agent], time.Now())
@@ -261,7 +261,7 @@
 
 // Audit counts what can only be counted at the end: in any window an agent's submissions at the build on trial are at most
 // the free ones and the cap's share of the txns that it took, with the two submissions and 4% that the protocol lets pass.
-func (w *World) Audit() Broken {
+func (w *Fleet) Audit() Violations {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for agent, tries := range w.trials {
@@ -287,30 +287,30 @@
 				}
 			}
 			if float64(i-lo+1) > FreeTrys+2+(most+0.04)*float64(n) {
-				w.Broken.Exposure++
+				w.Violations.Exposure++
 			}
 		}
 	}
-	return w.Broken
+	return w.Violations
 }
 
 // Configuration is what an agent starts with.
-func (w *World) Configuration(agent int, name, listen string, seed uint64) []byte {
+func (w *Fleet) Configuration(agent int, name, listen string, seed uint64) []byte {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	us := func(d time.Duration) int64 { return d.Microseconds() }
 	var grades []map[string]any
-	for _, p := range Products {
-		grades = append(grades, map[string]any{"name": p.Name, "aim-us": us(p.SLA), "deadline-us": us(p.Expiry), "worth": 1,
-			"late-value": 0.1, "effect": p.Effect, "key-scope": "all", "key-ttl-us": us(p.Remember)})
+	for _, p := range Classes {
+		grades = append(grades, map[string]any{"name": p.Name, "aim-us": us(p.LatencyObjective), "deadline-us": us(p.Timeout), "worth": 1,
+			"late-value": 0.1, "effect": p.Semantics, "key-scope": "all", "key-ttl-us": us(p.DedupWindow)})
 	}
 	s := w.stage
 	text, err := json.Marshal(map[string]any{"name": name, "listen": listen, "discovery": w.lists[agent].Addr().String(),
 		"seed": fmt.Sprintf("%x", seed), "limits": map[string]any{"cores": 1, "memory_mb": 128, "sockets": 1024},
-		"pipeline": map[string]any{"address": cmp.Or(w.Platform[agent], w.PlatformAddress()), "news": map[string]any{"release": s.Build,
+		"pipeline": map[string]any{"address": cmp.Or(w.Platform[agent], w.PlatformAddress()), "news": map[string]any{"release": s.Release,
 			"tranche": s.Stage, "mode": s.Mode, "exposure": s.Cap, "old_ms": time.Since(s.At).Milliseconds()}},
 		"known": w.list(agent, true),
-		"settings": map[string]any{"me": agent, "balancers": w.Agents, "grades": grades, "dcs": []string{"z"},
+		"settings": map[string]any{"me": agent, "balancers": w.Instances, "grades": grades, "dcs": []string{"z"},
 			"skus": []string{"m"}, "discovery": "push", "report": map[string]any{"source": "answers"},
 			"limits": map[string]any{"max-attempts": 4, "parallel-tries": true, "cancel": true, "probes": false,
 				"connect-timeout-us": 250000, "idle-close-us": 30000000},
@@ -325,7 +325,7 @@
 	return text
 }
 
-func (w *World) list(agent int, full bool) map[string]any {
+func (w *Fleet) list(agent int, full bool) map[string]any {
 	servers := []map[string]any{}
 	for _, a := range w.fleet {
 		if full && a.state == "Gone" {
@@ -336,13 +336,13 @@
 			started = a.started.UnixMilli()
 		}
 		servers = append(servers, map[string]any{"id": a.ID, "addr": a.address(agent), "zone": "z", "kind": "m",
-			"state": a.state, "weight": 1.0, "started_ms": started, "version_no": a.Build})
+			"state": a.state, "weight": 1.0, "started_ms": started, "version_no": a.Release})
 	}
 	return map[string]any{"version": w.listed, "full": full, "servers": servers}
 }
 
 // publish sends the list to every watch. Under the lock.
-func (w *World) publish() {
+func (w *Fleet) publish() {
 	w.listed++
 	for l := range w.watch {
 		if w.muted[l.agent] {
@@ -355,7 +355,7 @@
 }
 
 // telling notes what an agent is told to end. Under the lock.
-func (w *World) telling(agent int) {
+func (w *Fleet) telling(agent int) {
 	for _, a := range w.fleet {
 		if a.state != "Ready" && a.told[agent].IsZero() {
 			a.told[agent] = time.Now()
@@ -365,7 +365,7 @@
 }
 
 // Mute makes an agent's discovery silent, or lets it speak again.
-func (w *World) Mute(agent int, on bool) {
+func (w *Fleet) Mute(agent int, on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.muted[agent] = on
@@ -373,13 +373,13 @@
 }
 
 // Swap replaces some appliances by new ones of the same build, and names these.
-func (w *World) Swap(n int) (ids []string, err error) {
+func (w *Fleet) Swap(n int) (ids []string, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, a := range w.fleet {
 		if a.state == "Ready" && n > 0 {
 			n--
-			if err := w.start(a.Build, a.cores, time.Now()); err != nil {
+			if err := w.start(a.Release, a.cores, time.Now()); err != nil {
 				return ids, err
 			}
 			ids = append(ids, w.fleet[len(w.fleet)-1].ID)
@@ -391,7 +391,7 @@
 }
 
 // Met is how many of these appliances an agent's work reached in a span.
-func (w *World) Met(agent int, ids []string, from, to time.Time) (n int) {
+func (w *Fleet) Met(agent int, ids []string, from, to time.Time) (n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, id := range ids {
@@ -406,7 +406,7 @@
 }
 
 // Addresses are those at which an agent finds appliances that run; all: that ever ran, too.
-func (w *World) Addresses(agent int, all bool) (out []string) {
+func (w *Fleet) Addresses(agent int, all bool) (out []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, a := range w.fleet {
@@ -418,7 +418,7 @@
 }
 
 // Reached is the least number of appliances that an agent's work reached in any whole second of a span.
-func (w *World) Reached(agent int, from, to time.Time) int {
+func (w *Fleet) Reached(agent int, from, to time.Time) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	least := len(w.fleet)
@@ -428,14 +428,14 @@
 	return least
 }
 
-func (w *World) tell() {
+func (w *Fleet) tell() {
 	for l := range w.notice {
 		l.send(w.news())
 	}
 }
 
-func (w *World) news() string {
+func (w *Fleet) news() string {
 	s := w.stage
-	return fmt.Sprintf("event: stage\ndata: release=%d&tranche=%d&mode=%s&exposure=%g&old_ms=%d\n\n", s.Build, s.Stage, s.Mode,
+	return fmt.Sprintf("event: stage\ndata: release=%d&tranche=%d&mode=%s&exposure=%g&old_ms=%d\n\n", s.Release, s.Stage, s.Mode,
 		s.Cap, time.Since(s.At).Milliseconds())
 }
--- a/internal/fake/fleet/serve.go
+++ b/internal/fake/fleet/serve.go
@@ -17,11 +17,11 @@
 	"time"
 )
 
-// Appliance has some cores and a queue, is cold after its start and falls over when pushed.
-type Appliance struct {
+// Backend has some cores and a queue, is cold after its start and falls over when pushed.
+type Backend struct {
 	ID      string
-	Build   int
-	world   *World
+	Release int
+	world   *Fleet
 	cores   int
 	started time.Time
 	state   string
@@ -39,10 +39,10 @@
 
 const queueMost = 64
 
-func newAppliance(w *World, id string, build, cores int, at time.Time) (*Appliance, error) {
-	a := &Appliance{ID: id, Build: build, world: w, cores: cores, started: at, state: "Ready",
-		told: make([]time.Time, w.Agents), slots: make(chan bool, cores)}
-	for i := range w.Agents { // an address for each agent, by which its calls are known
+func newAppliance(w *Fleet, id string, build, cores int, at time.Time) (*Backend, error) {
+	a := &Backend{ID: id, Release: build, world: w, cores: cores, started: at, state: "Ready",
+		told: make([]time.Time, w.Instances), slots: make(chan bool, cores)}
+	for i := range w.Instances { // an address for each agent, by which its calls are known
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return nil, err
@@ -54,16 +54,16 @@
 	return a, nil
 }
 
-func (a *Appliance) address(agent int) string { return a.listens[agent].Addr().String() }
+func (a *Backend) address(agent int) string { return a.listens[agent].Addr().String() }
 
-func (a *Appliance) close() {
+func (a *Backend) close() {
 	for _, s := range a.servers {
 		s.Close()
 	}
 }
 
 // speed is its part of full speed: a fresh one is cold.
-func (a *Appliance) speed() float64 {
+func (a *Backend) speed() float64 {
 	if a.started.IsZero() {
 		return 1
 	}
@@ -71,7 +71,7 @@
 }
 
 // push tells whether it still stands: more than Overload times what it can do now, for FallTime, and it falls for good.
-func (a *Appliance) push() bool {
+func (a *Backend) push() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.started.IsZero() || a.speed() >= 1 {
@@ -84,20 +84,20 @@
 	} else if time.Since(a.pushed) > FallTime && !a.fallen {
 		a.fallen = true
 		a.world.mu.Lock()
-		a.world.Broken.Fallen++
+		a.world.Violations.Fallen++
 		a.world.mu.Unlock()
 	}
 	return !a.fallen
 }
 
-func (a *Appliance) serve(agent int, rw http.ResponseWriter, r *http.Request) {
+func (a *Backend) serve(agent int, rw http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
 	id, mark := r.Header.Get("Req-Id"), r.Header.Get("Idempotency-Key")
-	product := Products[0]
-	for _, p := range Products {
+	product := Classes[0]
+	for _, p := range Classes {
 		if len(r.URL.Path) > len(p.Name) && r.URL.Path[1:1+len(p.Name)] == p.Name {
 			product = p
 		}
@@ -107,7 +107,7 @@
 	if t := a.told[agent]; !t.IsZero() {
 		w.Late = max(w.Late, time.Since(t))
 		if time.Since(t) > Grace+50*time.Millisecond {
-			w.Broken.Drains++
+			w.Violations.Drains++
 		}
 	}
 	second := time.Now().Unix()
@@ -115,13 +115,13 @@
 		w.reach[agent][second] = map[string]bool{}
 	}
 	w.reach[agent][second][a.ID] = true
-	if s := w.stage; a.Build == s.Build && s.Mode == "canary" {
+	if s := w.stage; a.Release == s.Release && s.Mode == "canary" {
 		w.trials[agent] = append(w.trials[agent], time.Now())
 	}
 	key := r.URL.Path[strings.LastIndexByte(r.URL.Path, '/')+1:]
-	w.attempts[a.Build]++
-	w.affinity.attempt(agent, key, id, a.Build)
-	w.reaches(agent, a.Build, id)
+	w.attempts[a.Release]++
+	w.affinity.attempt(agent, key, id, a.Release)
+	w.reaches(agent, a.Release, id)
 	draining, process := a.state != "Ready", w.process[agent]
 	w.mu.Unlock()
 	a.inside.Add(1)
@@ -158,7 +158,7 @@
 	io.WriteString(rw, answer)
 	w.mu.Lock()
 	if process == w.process[agent] {
-		w.affinity.answered(agent, key, a.Build)
+		w.affinity.answered(agent, key, a.Release)
 	}
 	w.mu.Unlock()
 }
@@ -169,20 +169,20 @@
 }
 
 // runs notes that a txn runs, and tells whether it is a repeat that is dropped.
-func (w *World) runs(p Product, id, mark string) (dropped bool) {
+func (w *Fleet) runs(p Class, id, mark string) (dropped bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	switch p.Effect {
+	switch p.Semantics {
 	case "once":
 		if w.ran[id]++; w.ran[id] > 1 {
-			w.Broken.Twice++
+			w.Violations.Twice++
 		}
 	case "by_key":
 		if at, ok := w.marks[mark]; ok {
-			if time.Since(at) < p.Remember {
+			if time.Since(at) < p.DedupWindow {
 				return true
 			}
-			w.Broken.Twice++
+			w.Violations.Twice++
 		}
 		w.marks[mark] = time.Now()
 	}
@@ -227,7 +227,7 @@
 	}
 }
 
-func (w *World) discovery(agent int, l net.Listener) {
+func (w *Fleet) discovery(agent int, l net.Listener) {
 	http.Serve(l, http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		w.mu.Lock()
 		if w.muted[agent] { // silent to the end of the connection
@@ -256,7 +256,7 @@
 	}))
 }
 
-func (w *World) platform(l net.Listener) {
+func (w *Fleet) platform(l net.Listener) {
 	http.Serve(l, http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/notices" {
 			w.mu.Lock()
@@ -278,7 +278,7 @@
 		}
 		s := w.At()
 		text := fmt.Sprintf(`<?xml version="1.0"?><Response><groups><item><release>%d</release><tranche>%d</tranche>`+
-			`<mode>%s</mode><exposure>%g</exposure><old_ms>%d</old_ms></item></groups></Response>`, s.Build, s.Stage, s.Mode, s.Cap,
+			`<mode>%s</mode><exposure>%g</exposure><old_ms>%d</old_ms></item></groups></Response>`, s.Release, s.Stage, s.Mode, s.Cap,
 			time.Since(s.At).Milliseconds())
 		if status != 200 {
 			text = "<Error><Code>" + code + "</Code></Error>"
--- a/internal/fake/postgres/postgres.go
+++ b/internal/fake/postgres/postgres.go
@@ -441,16 +441,16 @@
 		x.columns = []string{"agent", "incarnation", "n big", "state", "txn", "product", "outcome", "reason", "build big",
 			"appliance", "submissions big", "taken_ms real", "answered_ms real", "body", "mark"}
 		for _, r := range s.Entries {
-			x.rows = append(x.rows, []string{r.Agent, r.Incarnation, fmt.Sprint(r.N), r.State, r.Txn, r.Product, r.Outcome,
-				r.Reason, fmt.Sprint(r.Build), r.Appliance, fmt.Sprint(r.Submissions), fmt.Sprint(r.Taken), fmt.Sprint(r.Answered),
-				r.Body, r.Mark})
+			x.rows = append(x.rows, []string{r.Agent, r.Incarnation, fmt.Sprint(r.N), r.State, r.RequestID, r.Class, r.Outcome,
+				r.Reason, fmt.Sprint(r.Release), r.Backend, fmt.Sprint(r.Attempts), fmt.Sprint(r.ArrivedAt), fmt.Sprint(r.AnsweredAt),
+				r.BodyDigest, r.KeyDigest})
 		}
 	case sqlstore.NameMissed:
 		x.columns = []string{"agent", "incarnation", "n big", "settled big", "declined big", "voided big", "unknown big",
 			"from_ms real", "to_ms real", "cause"}
 		for _, g := range s.Gaps {
-			x.rows = append(x.rows, []string{g.Agent, g.Incarnation, fmt.Sprint(g.N), fmt.Sprint(g.Settled),
-				fmt.Sprint(g.Declined), fmt.Sprint(g.Voided), fmt.Sprint(g.Unknown), fmt.Sprint(g.From), fmt.Sprint(g.To), g.Cause})
+			x.rows = append(x.rows, []string{g.Agent, g.Incarnation, fmt.Sprint(g.N), fmt.Sprint(g.Served),
+				fmt.Sprint(g.Rejected), fmt.Sprint(g.Failed), fmt.Sprint(g.Unknown), fmt.Sprint(g.From), fmt.Sprint(g.To), g.Cause})
 		}
 	case sqlstore.NameCount:
 		if strings.Contains(text, "having") {
@@ -459,7 +459,7 @@
 		}
 		x.columns = []string{"agent", "product", "outcome", "state", "n big"}
 		for _, r := range s.Entries {
-			x.rows = append(x.rows, []string{r.Agent, r.Product, r.Outcome, r.State, "1"})
+			x.rows = append(x.rows, []string{r.Agent, r.Class, r.Outcome, r.State, "1"})
 		}
 	default:
 		x.fault("42601", "not played here: "+x.text)
--- a/internal/httpwire/crossings_test.go
+++ b/internal/httpwire/crossings_test.go
@@ -99,7 +99,7 @@
 }
 
 func (a *agent) lists(t *testing.T, version int, entry string) {
-	if err := a.disc.Take([]byte(told(version, false, entry)), Watched, func() {}); err != nil {
+	if err := a.disc.Apply([]byte(told(version, false, entry)), FromWatch, func() {}); err != nil {
 		t.Error(err)
 	}
 }
@@ -251,7 +251,7 @@
 			go func() { // what is kept of it is closed, so that the appliance sees an end
 				defer close(end)
 				until(func() bool { return l.core.Counts().OpenAttempts == 0 })
-				l.up.Forget(s.at())
+				l.up.CloseAddress(s.at())
 			}()
 			p := <-s.conns
 			<-end
@@ -495,7 +495,7 @@
 		a := newAgent(n, NewSockets(0))
 		p := NewPlatform(a.core, n.dial, "control", 800, 1)
 		for want := 1; want <= 2; want++ {
-			got, leaf, err := p.cast(context.Background(), ballot{want, policy.Promote, 0})
+			got, leaf, err := p.cast(context.Background(), vote{want, policy.Promote, 0})
 			if err != nil || got != policy.VoteCounted || leaf("release") != fmt.Sprint(want) {
 				t.Errorf("vote %d: reply %v, build %s, %v", want, got, leaf("release"), err)
 			}
--- a/internal/httpwire/discovery.go
+++ b/internal/httpwire/discovery.go
@@ -74,12 +74,12 @@
 		where: map[string]string{}, who: map[string]holder{}}
 }
 
-// Forgetting names what is called for an address that an appliance has left.
-func (d *Discovery) Forgetting(forget func(address string)) { d.forget = forget }
+// OnRemove names what is called for an address that an appliance has left.
+func (d *Discovery) OnRemove(forget func(address string)) { d.forget = forget }
 
-// Telling names who is told of lists and changes in place of the core: a merge with other sources.
+// OnUpdate names who is told of lists and changes in place of the core: a merge with other sources.
 // lost is called whenever the watch breaks or falls silent.
-func (d *Discovery) Telling(tell func(entries []policy.Endpoint, addresses []string, whole, old bool), lost func()) {
+func (d *Discovery) OnUpdate(tell func(entries []policy.Endpoint, addresses []string, whole, old bool), lost func()) {
 	d.tell, d.lost = tell, lost
 }
 
@@ -97,19 +97,19 @@
 	return d.version, len(d.where)
 }
 
-// Ask passes on the module's own calls; it never waits.
-func (d *Discovery) Ask(whole bool) {
+// Refresh passes on the module's own calls; it never waits.
+func (d *Discovery) Refresh(whole bool) {
 	select {
 	case d.asks <- whole:
 	default:
 	}
 }
 
-// First is closed once discovery has told a list: until then the agent has only what it was started with.
-func (d *Discovery) First() <-chan struct{} { return d.first }
+// FirstUpdate is closed once discovery has told a list: until then the agent has only what it was started with.
+func (d *Discovery) FirstUpdate() <-chan struct{} { return d.first }
 
-// Move names another address; the watch there is opened at once.
-func (d *Discovery) Move(address string) {
+// SetAddress names another address; the watch there is opened at once.
+func (d *Discovery) SetAddress(address string) {
 	d.mu.Lock()
 	d.address = address
 	d.moves++
@@ -132,7 +132,7 @@
 	ended := make(chan bool, 1)
 	start := func() {
 		go func() {
-			follow(ctx, d.chance, d.moved, "watch", !d.asked, func(ctx context.Context, told func()) error {
+			stream(ctx, d.chance, d.moved, "watch", !d.asked, func(ctx context.Context, told func()) error {
 				defer d.lost()
 				return d.watch(ctx, told)
 			})
@@ -163,10 +163,10 @@
 	}
 }
 
-// follow keeps one stream open until ctx ends. One that breaks is opened again after a pause, longer for each that
+// stream keeps one stream open until ctx ends. One that breaks is opened again after a pause, longer for each that
 // told nothing; where it is not to be, follow ends. After a move a new one is opened beside the old, which is left as
 // soon as the new one tells something: until then it may be the only one that does.
-func follow(ctx context.Context, chance *rand.Rand, moved <-chan bool, name string, again bool,
+func stream(ctx context.Context, chance *rand.Rand, moved <-chan bool, name string, again bool,
 	stream func(ctx context.Context, told func()) error) {
 	type end struct {
 		n   int
@@ -250,7 +250,7 @@
 	for lists.Scan() {
 		c.SetReadDeadline(time.Now().Add(watchSilent)) // not for a part of a list: half of one is silence
 		if len(lists.Bytes()) > 0 {
-			if err := d.take(lists.Bytes(), Watched, moves, told); err != nil {
+			if err := d.take(lists.Bytes(), FromWatch, moves, told); err != nil {
 				return err
 			}
 		}
@@ -360,7 +360,7 @@
 			more = lists.Scan()
 		}
 		if more {
-			err = d.take(lists.Bytes(), Fetched, moves, func() {})
+			err = d.take(lists.Bytes(), FromFetch, moves, func() {})
 		} else {
 			err = cmp.Or(lists.Err(), errors.New("an empty answer"))
 		}
@@ -375,13 +375,13 @@
 type Source uint8
 
 const (
-	Known   Source = iota // what this agent held before it started
-	Fetched               // asked for by itself: it may have crossed with the watch
-	Watched
+	FromConfiguration Source = iota // what this agent held before it started
+	FromFetch                       // asked for by itself: it may have crossed with the watch
+	FromWatch
 )
 
-// Take hands one list or change to the module, whole or not at all; told is called once it is seen to be readable.
-func (d *Discovery) Take(text []byte, from Source, told func()) error {
+// Apply hands one list or change to the module, whole or not at all; told is called once it is seen to be readable.
+func (d *Discovery) Apply(text []byte, from Source, told func()) error {
 	_, moves, _ := d.at()
 	return d.take(text, from, moves, told)
 }
@@ -414,7 +414,7 @@
 	// A watch tells in order, and a whole list on it starts anew: a discovery that lost its count begins with one. What
 	// comes from an address that was left is over once the one that follows has told something.
 	older := version.Int() < d.version
-	if moves < d.base || moves == d.base && older && from != Known && !(whole && from == Watched) {
+	if moves < d.base || moves == d.base && older && from != FromConfiguration && !(whole && from == FromWatch) {
 		held := d.version
 		d.mu.Unlock()
 		logrus.WithFields(logrus.Fields{"version": version.Int(), "held": held, "whole": whole}).Info("list passed over")
@@ -454,8 +454,8 @@
 			d.forget(address)
 		}
 	}
-	d.tell(entries, addresses, whole, from == Known)
-	if from != Known {
+	d.tell(entries, addresses, whole, from == FromConfiguration)
+	if from != FromConfiguration {
 		select {
 		case <-d.first:
 		default:
--- a/internal/httpwire/front.go
+++ b/internal/httpwire/front.go
@@ -223,7 +223,7 @@
 	}
 
 	first := head(r, len(body))
-	submit := func(s *core.Attempt) { f.up.Submit(s, first, body) }
+	submit := func(s *core.Attempt) { f.up.SendAttempt(s, first, body) }
 	t := f.core.Accept(came, id, key, mark, product, r.Header.Get("Req-Retry") == "1", left, full, submit)
 	if t == nil {
 		f.refuse(w, http.StatusBadRequest, "this id is held already")
@@ -358,10 +358,10 @@
 	return v / unit, err == nil && !odd && v > 0 && v/unit <= 24*3600*1000
 }
 
-// Leave serves what is there and what still comes, and returns once nothing does: connections arrive for a while
+// Shutdown serves what is there and what still comes, and returns once nothing does: connections arrive for a while
 // after the signal, and clients use those that they hold for as long as these stay open. They do so until the kill is
 // near: the next agent may be away just then, and clients that were sent off would find nobody.
-func (f *Front) Leave(ctx context.Context, listener net.Listener) {
+func (f *Front) Shutdown(ctx context.Context, listener net.Listener) {
 	from := time.Now()
 	f.leaving.Store(true)
 	f.core.Shutdown(f.core.Now() + float64(f.kill-leaveAnswer)/1e6)
--- a/internal/httpwire/httpwire_test.go
+++ b/internal/httpwire/httpwire_test.go
@@ -24,10 +24,10 @@
 // nothing is what the module calls beside its requests, not carried out.
 type nothing struct{}
 
-func (nothing) Vote(int, policy.Verdict, int) {}
-func (nothing) Probe(string)                  {}
-func (nothing) Subscribe()                    {}
-func (nothing) FetchList()                    {}
+func (nothing) SendVote(int, policy.Verdict, int) {}
+func (nothing) SendProbe(string)                  {}
+func (nothing) WatchEndpoints()                   {}
+func (nothing) FetchEndpoints()                   {}
 
 // network is a loopback of pipes: who answers is named by address.
 type network map[string]func(net.Conn)
@@ -68,9 +68,9 @@
 	})
 	a.disc = NewDiscovery(a.core, n.dial, "list", []string{"z"}, []string{"k"}, false, 1)
 	a.up = NewUpstream(a.core, n.dial, a.disc.Address, sockets, 250, 30000, true, true)
-	a.disc.Forgetting(a.up.Forget)
+	a.disc.OnRemove(a.up.CloseAddress)
 	a.front = NewFront(a.core, a.up, sockets, []string{"look", "save", "pay"}, products, true, 0, 1<<20)
-	a.disc.Take([]byte(told(1, true, `{"id":"s","addr":"app:1","state":"Ready","weight":1,"version_no":1}`)), Known, func() {})
+	a.disc.Apply([]byte(told(1, true, `{"id":"s","addr":"app:1","state":"Ready","weight":1,"version_no":1}`)), FromConfiguration, func() {})
 	return a
 }
 
@@ -494,8 +494,8 @@
 		synctest.Test(t, func(t *testing.T) {
 			a := newAgent(network{}, NewSockets(0))
 			forgotten := []string{}
-			a.disc.Forgetting(func(address string) { forgotten = append(forgotten, address) })
-			err := a.disc.Take([]byte(c.text), Watched, func() {})
+			a.disc.OnRemove(func(address string) { forgotten = append(forgotten, address) })
+			err := a.disc.Apply([]byte(c.text), FromWatch, func() {})
 			where := a.disc.Address("s") + " " + a.disc.Address("u")
 			if (err != nil) != c.bad || where != c.where || fmt.Sprint(forgotten) != c.forgotten {
 				t.Errorf("%s: %v, at %q, forgotten %v", c.name, err, where, forgotten)
@@ -641,9 +641,9 @@
 			{"e", controlUp / 2, "map[b:0 c:1 control:0 e:1 list:0]"},
 		} {
 			if c.address == "e" {
-				p.Move(c.address)
+				p.SetAddress(c.address)
 			} else if c.address != "" {
-				a.disc.Move(c.address)
+				a.disc.SetAddress(c.address)
 			}
 			time.Sleep(c.after)
 			got := map[string]int{"list": 0, "b": 0, "c": 0, "control": 0, "e": 0}
@@ -708,13 +708,13 @@
 				a := newAgent(network{}, NewSockets(0))
 				p := NewPlatform(a.core, n.dial, "control", 800, 1)
 				from := time.Now()
-				reply, field, _ := p.cast(context.Background(), ballot{42, policy.Promote, 1})
+				reply, field, _ := p.cast(context.Background(), vote{42, policy.Promote, 1})
 				if took := time.Since(from); reply != c.reply || took > 800*time.Millisecond {
 					t.Errorf("reply %d after %v", reply, took)
 				}
 				if field != nil {
 					got := strings.Join([]string{field("release"), field("tranche"), field("mode"), field("exposure"), field("old_ms")}, " ")
-					if got != c.state || p.News(field, reply) != nil {
+					if got != c.state || p.Apply(field, reply) != nil {
 						t.Errorf("state %q", got)
 					}
 				}
@@ -791,7 +791,7 @@
 		a.front.sockets.Idle(kept, false)
 		from, left := time.Now(), make(chan time.Duration, 1)
 		go func() {
-			a.front.Leave(context.Background(), make(pipes))
+			a.front.Shutdown(context.Background(), make(pipes))
 			left <- time.Since(from)
 		}()
 		for _, c := range []struct {
@@ -823,7 +823,7 @@
 		a.close()
 		b := newAgent(network{}, NewSockets(0))
 		from = time.Now()
-		b.front.Leave(context.Background(), make(pipes))
+		b.front.Shutdown(context.Background(), make(pipes))
 		if took := time.Since(from); took > leaveOpen+50*time.Millisecond {
 			t.Errorf("left after %v though nobody was connected", took)
 		}
--- a/internal/httpwire/lists_test.go
+++ b/internal/httpwire/lists_test.go
@@ -74,7 +74,7 @@
 		p := <-d.conns
 		p.call()
 		fmt.Fprintf(p, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(list), list)
-		<-a.disc.First()
+		<-a.disc.FirstUpdate()
 		if a.disc.Address("u") != "u:1" {
 			t.Error("not taken")
 		}
@@ -117,7 +117,7 @@
 				a := newAgent(n, NewSockets(0))
 				ctx, cancel := context.WithCancel(context.Background())
 				go a.disc.Run(ctx)
-				<-a.disc.First()
+				<-a.disc.FirstUpdate()
 				if late := time.Since(silentAt); late >= 5800*time.Millisecond {
 					t.Errorf("made up after %v", late)
 				}
@@ -134,7 +134,7 @@
 		a := newAgent(network{}, NewSockets(0))
 		var got []int
 		inside, on := make(chan bool, 1), make(chan bool)
-		a.disc.Telling(func(entries []policy.Endpoint, _ []string, _, _ bool) {
+		a.disc.OnUpdate(func(entries []policy.Endpoint, _ []string, _, _ bool) {
 			if entries[0].Release == 2 {
 				inside <- true
 				<-on
@@ -145,7 +145,7 @@
 		done := make(chan bool, 2)
 		for version := 2; version <= 3; version++ {
 			go func() {
-				a.disc.Take([]byte(told(version, false, fmt.Sprintf(entry, version))), Watched, func() {})
+				a.disc.Apply([]byte(told(version, false, fmt.Sprintf(entry, version))), FromWatch, func() {})
 				done <- true
 			}()
 			synctest.Wait() // the first is on its way to the module, and the second has come as far as it can
@@ -191,9 +191,9 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			a := newAgent(network{}, NewSockets(0))
-			a.disc.Take([]byte(told(5, true, entry("s"))), Watched, func() {})
+			a.disc.Apply([]byte(told(5, true, entry("s"))), FromWatch, func() {})
 			for _, l := range c.lists {
-				err := a.disc.take([]byte(told(l.version, l.whole, entry(l.id))), Watched, l.moves, func() {})
+				err := a.disc.take([]byte(told(l.version, l.whole, entry(l.id))), FromWatch, l.moves, func() {})
 				if taken := a.disc.Address(l.id) != ""; taken != l.taken || (err != nil) != l.failed {
 					t.Errorf("%s: version %d of move %d taken %v, %v", c.name, l.version, l.moves, taken, err)
 				}
--- a/internal/httpwire/parts_test.go
+++ b/internal/httpwire/parts_test.go
@@ -74,7 +74,7 @@
 				a := newAgent(network{"app:1": c.peer}, NewSockets(0))
 				f := &follower{refuses: c.refuses, holds: c.holds, core: a.core}
 				a.core.AddInterceptor(f)
-				a.disc.Take([]byte(told(2, true, `{"id":"s","addr":"app:1","state":"Ready","weight":1,"version_no":1}`)), Watched, func() {})
+				a.disc.Apply([]byte(told(2, true, `{"id":"s","addr":"app:1","state":"Ready","weight":1,"version_no":1}`)), FromWatch, func() {})
 				from := time.Now()
 				resp, body := a.ask(t, good)
 				if took := time.Since(from); resp.StatusCode != c.status || took > 2*time.Second {
--- a/internal/httpwire/platform.go
+++ b/internal/httpwire/platform.go
@@ -49,12 +49,12 @@
 	moved   chan bool
 	wait    time.Duration
 	chance  *rand.Rand
-	votes   chan ballot
+	votes   chan vote
 	conn    *conn  // for votes
 	connAt  string // its address
 }
 
-type ballot struct {
+type vote struct {
 	build   int
 	verdict policy.Verdict
 	stage   int
@@ -63,7 +63,7 @@
 // NewPlatform makes one; a vote is waited for so long (ms).
 func NewPlatform(c *core.Core, dial Dial, address string, wait float64, seed uint64) *Platform {
 	return &Platform{core: c, dial: dial, address: address, wait: time.Duration(wait * 1e6),
-		chance: policy.NewRand(seed), votes: make(chan ballot, 64), moved: make(chan bool, 1)}
+		chance: policy.NewRand(seed), votes: make(chan vote, 64), moved: make(chan bool, 1)}
 }
 
 // stand is where the newest build stands, as a notice, a vote's answer or the configuration says it.
@@ -91,8 +91,8 @@
 	return s, nil
 }
 
-// News hands a state of the newest build to the module, and says whether it could be read.
-func (p *Platform) News(field func(string) string, reply policy.VoteResponse) error {
+// Apply hands a state of the newest build to the module, and says whether it could be read.
+func (p *Platform) Apply(field func(string) string, reply policy.VoteResponse) error {
 	s, err := news(field)
 	if err != nil {
 		return err
@@ -103,8 +103,8 @@
 	return nil
 }
 
-// Move names another address: for the notices at once, for votes from the next one on.
-func (p *Platform) Move(address string) {
+// SetAddress names another address: for the notices at once, for votes from the next one on.
+func (p *Platform) SetAddress(address string) {
 	p.mu.Lock()
 	p.address = address
 	p.mu.Unlock()
@@ -122,7 +122,7 @@
 
 // Listen follows the notices until ctx ends.
 func (p *Platform) Listen(ctx context.Context) {
-	follow(ctx, p.chance, p.moved, "notices", true, p.notices)
+	stream(ctx, p.chance, p.moved, "notices", true, p.notices)
 }
 
 func (p *Platform) notices(ctx context.Context, told func()) error {
@@ -151,7 +151,7 @@
 			if event == "stage" {
 				form, err := url.ParseQuery(data)
 				if err == nil {
-					err = p.News(form.Get, policy.NotAVote)
+					err = p.Apply(form.Get, policy.NotAVote)
 				}
 				if err != nil { // noise: the connection is of no further use
 					return fmt.Errorf("a notice that can't be read: %w: %.99q", err, data)
@@ -169,7 +169,7 @@
 // Vote takes a vote to cast; it never waits.
 func (p *Platform) Vote(build int, verdict policy.Verdict, stage int) {
 	select {
-	case p.votes <- ballot{build, verdict, stage}:
+	case p.votes <- vote{build, verdict, stage}:
 	default:
 		go p.reply(policy.VoteRefused)
 	}
@@ -179,8 +179,8 @@
 	p.core.UpdateRelease(0, 0, policy.RollingOut, r, 0, 0, false)
 }
 
-// Cast sends the votes in turn until ctx ends.
-func (p *Platform) Cast(ctx context.Context) {
+// SendVotes sends the votes in turn until ctx ends.
+func (p *Platform) SendVotes(ctx context.Context) {
 	defer func() {
 		if p.conn != nil {
 			p.conn.Close()
@@ -194,7 +194,7 @@
 			entry := logrus.WithFields(logrus.Fields{"build": b.build, "stage": b.stage, "ruling": rulings[b.verdict]})
 			reply, field, err := p.cast(ctx, b)
 			if reply == policy.VoteCounted {
-				p.News(field, reply)
+				p.Apply(field, reply)
 			} else {
 				p.reply(reply)
 				entry = entry.WithError(err)
@@ -205,7 +205,7 @@
 }
 
 // cast sends one vote and reads its answer by the protocol's table.
-func (p *Platform) cast(ctx context.Context, b ballot) (policy.VoteResponse, func(string) string, error) {
+func (p *Platform) cast(ctx context.Context, b vote) (policy.VoteResponse, func(string) string, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.wait)
 	defer cancel()
 	address := p.at()
--- a/internal/httpwire/sockets.go
+++ b/internal/httpwire/sockets.go
@@ -64,8 +64,8 @@
 	return s.used, s.clients, s.idle.Len() + s.silent.Len()
 }
 
-// Clients is how many of them there can be.
-func (s *Sockets) Clients() int { return int(clientMost * float64(s.limit)) }
+// ClientLimit is how many of them there can be.
+func (s *Sockets) ClientLimit() int { return int(clientMost * float64(s.limit)) }
 
 // Full tells that nothing is left, so that a client's connection had better end with its request.
 func (s *Sockets) Full() bool {
@@ -80,7 +80,7 @@
 	for tries := 0; ; tries++ {
 		s.mu.Lock()
 		crowded, full := float64(s.clients) >= clientPart*float64(s.limit), s.used >= s.limit
-		none := full || client && s.clients >= s.Clients()
+		none := full || client && s.clients >= s.ClientLimit()
 		warn := full && tries > 0 && time.Since(s.shortAt) > 5*time.Second
 		if warn {
 			s.shortAt = time.Now()
@@ -289,7 +289,7 @@
 			s.clients--
 			s.busy(c)
 		}
-		invariant.Hold(s.used >= 0 && s.clients >= 0, "a connection is closed once", s.used)
+		invariant.Check(s.used >= 0 && s.clients >= 0, "a connection is closed once", s.used)
 	}
 	return err
 }
--- a/internal/httpwire/upstream.go
+++ b/internal/httpwire/upstream.go
@@ -239,9 +239,9 @@
 	return true
 }
 
-// Forget ends what leads to an address where something else runs now, or nothing: idle connections at once, those in use
+// CloseAddress ends what leads to an address where something else runs now, or nothing: idle connections at once, those in use
 // or coming up with their call.
-func (u *Upstream) Forget(address string) {
+func (u *Upstream) CloseAddress(address string) {
 	u.mu.Lock()
 	p := u.places[address]
 	delete(u.places, address)
@@ -468,8 +468,8 @@
 // Bytes is what the client gets of it.
 func (a answer) Bytes() []byte { return a.body }
 
-// Submit carries out one attempt of a request and tells its end.
-func (u *Upstream) Submit(s *core.Attempt, head, body []byte) {
+// SendAttempt carries out one attempt of a request and tells its end.
+func (u *Upstream) SendAttempt(s *core.Attempt, head, body []byte) {
 	result, r, err := u.submit(s, head, body)
 	traceAttempt(s, result, err)
 	waiting, busy := -1.0, -1.0
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -10,8 +10,8 @@
 
 var broken atomic.Int64
 
-// Hold states a condition; what is said is logged where it does not hold.
-func Hold(ok bool, what string, detail ...any) bool {
+// Check states a condition; what is said is logged where it does not hold.
+func Check(ok bool, what string, detail ...any) bool {
 	if !ok {
 		broken.Add(1)
 		logrus.WithField("detail", detail).Error("must hold: " + what)
@@ -20,5 +20,5 @@
 	return ok
 }
 
-// Broken counts what did not hold since the start.
-func Broken() int64 { return broken.Load() }
+// Violations counts what did not hold since the start.
+func Violations() int64 { return broken.Load() }
--- a/internal/record/entry.go
+++ b/internal/record/entry.go
@@ -20,36 +20,36 @@
 type Outcome uint8
 
 const (
-	Settled Outcome = iota + 1
-	Declined
-	Voided
+	OutcomeServed Outcome = iota + 1
+	OutcomeRejected
+	OutcomeFailed
 )
 
-// Outcomes are their names, by number.
-var Outcomes = [...]string{"", "settled", "declined", "voided"}
+// OutcomeNames are their names, by number.
+var OutcomeNames = [...]string{"", "settled", "declined", "voided"}
 
-func (o Outcome) String() string { return Outcomes[min(int(o), len(Outcomes)-1)] }
+func (o Outcome) String() string { return OutcomeNames[min(int(o), len(OutcomeNames)-1)] }
 
 // State is how far an entry got.
 type State uint8
 
 const (
-	Open    State = iota // durable, its answer under way
-	Given                // the answer's last byte was written
-	Unheard              // the answer could not be written whole: the client had gone
-	InDoubt              // a kill came between the two steps: the answer may have been given, or a part, or nothing
+	StateOpen        State = iota // durable, its answer under way
+	StateAnswered                 // the answer's last byte was written
+	StateUndelivered              // the answer could not be written whole: the client had gone
+	StateInDoubt                  // a kill came between the two steps: the answer may have been given, or a part, or nothing
 )
 
-// States are their names, by number.
-var States = [...]string{"open", "given", "unheard", "in doubt"}
+// StateNames are their names, by number.
+var StateNames = [...]string{"open", "given", "unheard", "in doubt"}
 
-func (s State) String() string { return States[min(int(s), len(States)-1)] }
+func (s State) String() string { return StateNames[min(int(s), len(StateNames)-1)] }
 
 // Digest is the first half of a SHA-256; all zero: there was nothing to digest.
 type Digest [16]byte
 
-// Digested is a digest of what is not empty.
-func Digested(b []byte) (d Digest) {
+// DigestOf is a digest of what is not empty.
+func DigestOf(b []byte) (d Digest) {
 	if len(b) > 0 {
 		whole := sha256.Sum256(b)
 		copy(d[:], whole[:])
@@ -59,26 +59,26 @@
 
 // Entry is one txn's end. Times are Unix ms.
 type Entry struct {
-	_           struct{} `cbor:",toarray"`
-	N           uint64   // ordinal in its incarnation
-	Txn         string
-	Product     string
-	Outcome     Outcome
-	Reason      string
-	Build       int
-	Appliance   string
-	Submissions int
-	Taken       float64
-	Answered    float64
-	Body        Digest
-	Mark        Digest
+	_          struct{} `cbor:",toarray"`
+	N          uint64   // ordinal in its incarnation
+	RequestID  string
+	Class      string
+	Outcome    Outcome
+	Reason     string
+	Release    int
+	Backend    string
+	Attempts   int
+	ArrivedAt  float64
+	AnsweredAt float64
+	BodyDigest Digest
+	KeyDigest  Digest
 }
 
 // Gap stands where answers were given and could not be recorded: how many, over which span, why.
 type Gap struct {
 	_        struct{} `cbor:",toarray"`
 	N        uint64
-	Counts   [len(Outcomes)]uint64 // by outcome
+	Counts   [len(OutcomeNames)]uint64 // by outcome
 	From, To float64
 	Cause    string // one word
 }
@@ -91,15 +91,15 @@
 	return n
 }
 
-// Done notes the ends of answers: whole, or not.
-type Done struct {
-	_     struct{} `cbor:",toarray"`
-	Whole []uint64
-	Cut   []uint64
+// Completions notes the ends of answers: whole, or not.
+type Completions struct {
+	_           struct{} `cbor:",toarray"`
+	Delivered   []uint64
+	Undelivered []uint64
 }
 
-// Head opens each segment.
-type Head struct {
+// SegmentHeader opens each segment.
+type SegmentHeader struct {
 	_           struct{} `cbor:",toarray"`
 	Agent       string
 	Incarnation string
@@ -112,9 +112,9 @@
 type Kind uint8
 
 const (
-	KindHead Kind = iota + 1
+	KindHeader Kind = iota + 1
 	KindEntry
-	KindDone
+	KindCompletions
 	KindGap
 )
 
@@ -122,9 +122,9 @@
 // kind (1) and CBOR. Numbers are little-endian. The chain is the digest of the chain before and the payload; a head's is
 // the chain that it continues.
 const (
-	Overhead = 36
-	// FrameMost bounds a payload: what claims more is no frame.
-	FrameMost = 1 << 16
+	FrameOverhead = 36
+	// MaxPayload bounds a payload: what claims more is no frame.
+	MaxPayload = 1 << 16
 )
 
 var (
@@ -140,8 +140,8 @@
 	})
 )
 
-// Chained is the chain after a frame with this payload.
-func Chained(before Digest, payload []byte) (d Digest) {
+// NextChain is the chain after a frame with this payload.
+func NextChain(before Digest, payload []byte) (d Digest) {
 	h := sha256.New()
 	h.Write(before[:])
 	h.Write(payload)
@@ -169,42 +169,42 @@
 }
 
 var (
-	// ErrShort: what is there may be the beginning of a frame.
-	ErrShort = errors.New("a frame that ends early")
-	// ErrSpoilt: what is there is no frame.
-	ErrSpoilt = errors.New("no frame, or a spoilt one")
+	// ErrShortFrame: what is there may be the beginning of a frame.
+	ErrShortFrame = errors.New("a frame that ends early")
+	// ErrCorruptFrame: what is there is no frame.
+	ErrCorruptFrame = errors.New("no frame, or a spoilt one")
 )
 
 // ParseFrame reads the frame at the beginning of b and tells its length. Errors are ErrShort and ErrSpoilt.
 func ParseFrame(b []byte) (f Frame, size int, err error) {
 	if len(b) < len(magic) {
-		return f, 0, ErrShort
+		return f, 0, ErrShortFrame
 	}
 	if [4]byte(b) != magic {
-		return f, 0, ErrSpoilt
+		return f, 0, ErrCorruptFrame
 	}
-	if len(b) < Overhead {
-		return f, 0, ErrShort
+	if len(b) < FrameOverhead {
+		return f, 0, ErrShortFrame
 	}
 	length := binary.LittleEndian.Uint32(b[4:])
-	if length == 0 || length > FrameMost {
-		return f, 0, ErrSpoilt
+	if length == 0 || length > MaxPayload {
+		return f, 0, ErrCorruptFrame
 	}
-	size = Overhead + int(length)
+	size = FrameOverhead + int(length)
 	if len(b) < size {
-		return f, 0, ErrShort
+		return f, 0, ErrShortFrame
 	}
 	if crc32.Checksum(b[12:size], castagnoli) != binary.LittleEndian.Uint32(b[8:]) {
-		return f, 0, ErrSpoilt
+		return f, 0, ErrCorruptFrame
 	}
 	f.N = binary.LittleEndian.Uint64(b[12:])
 	copy(f.Chain[:], b[20:])
-	f.Payload = b[Overhead:size]
+	f.Payload = b[FrameOverhead:size]
 	return f, size, nil
 }
 
-// Find is where the next whole frame begins in b, or -1; it looks at everything before the last frame that could fit.
-func Find(b []byte) int {
+// FindFrame is where the next whole frame begins in b, or -1; it looks at everything before the last frame that could fit.
+func FindFrame(b []byte) int {
 	for at := 0; at+len(magic) <= len(b); at++ {
 		if [4]byte(b[at:]) == magic {
 			if _, _, err := ParseFrame(b[at:]); err == nil {
@@ -227,27 +227,27 @@
 // Decode reads a payload into one of Head, Entry, Done and Gap.
 func Decode(payload []byte) (v any, err error) {
 	if len(payload) == 0 {
-		return nil, ErrSpoilt
+		return nil, ErrCorruptFrame
 	}
 	read := func(to any) error { return decoding().Unmarshal(payload[1:], to) }
 	switch Kind(payload[0]) {
-	case KindHead:
-		var h Head
+	case KindHeader:
+		var h SegmentHeader
 		err, v = read(&h), &h
 	case KindEntry:
 		var e Entry
 		err, v = read(&e), &e
-	case KindDone:
-		var d Done
+	case KindCompletions:
+		var d Completions
 		err, v = read(&d), &d
 	case KindGap:
 		var g Gap
 		err, v = read(&g), &g
 	default:
-		return nil, fmt.Errorf("%w: kind %d", ErrSpoilt, payload[0])
+		return nil, fmt.Errorf("%w: kind %d", ErrCorruptFrame, payload[0])
 	}
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrSpoilt, err)
+		return nil, fmt.Errorf("%w: %w", ErrCorruptFrame, err)
 	}
 	return v, nil
 }
--- a/internal/record/helper_test.go
+++ b/internal/record/helper_test.go
@@ -4,12 +4,12 @@
 type disk struct {
 	segments [][]byte
 	synced   []int
-	fail     func(w Work) (wrote int, ok bool) // nil: all goes well
+	fail     func(w IO) (wrote int, ok bool) // nil: all goes well
 }
 
 // do carries out one work.
 func (d *disk) do(l *Ledger, now float64) bool {
-	w := l.Work(now)
+	w := l.NextIO(now)
 	if w.Idle() {
 		return false
 	}
@@ -17,7 +17,7 @@
 	if d.fail != nil {
 		wrote, ok = d.fail(w)
 	}
-	if w.Turn {
+	if w.NewSegment {
 		d.segments, d.synced = append(d.segments, nil), append(d.synced, 0)
 	}
 	last := len(d.segments) - 1
@@ -25,7 +25,7 @@
 	if w.Sync && ok {
 		d.synced[last] = len(d.segments[last])
 	}
-	l.Did(now, wrote, ok)
+	l.Completed(now, wrote, ok)
 	return true
 }
 
@@ -36,8 +36,8 @@
 }
 
 // read folds what is there; synced: only that.
-func (d *disk) read(synced bool) (*Fold, []Row) {
-	f, rows := NewFold(), []Row(nil)
+func (d *disk) read(synced bool) (*Replay, []Row) {
+	f, rows := NewReplay(), []Row(nil)
 	for i, s := range d.segments {
 		if synced {
 			s = s[:d.synced[i]]
@@ -49,9 +49,9 @@
 				break
 			}
 			s = s[size:]
-			if Kind(x.Payload[0]) == KindHead {
+			if Kind(x.Payload[0]) == KindHeader {
 				v, _ := Decode(x.Payload)
-				if err := f.Head(*v.(*Head)); err != nil {
+				if err := f.Head(*v.(*SegmentHeader)); err != nil {
 					panic(err)
 				}
 				continue
@@ -62,10 +62,10 @@
 	return f, append(rows, f.End()...)
 }
 
-func ledger(sync bool, budget int64, room int, full Full) *Ledger {
+func ledger(sync bool, budget int64, room int, full FullPolicy) *Ledger {
 	return NewLedger("n", "i", sync, 0, 4096, 2048, budget, room, 100, 50, full, 0)
 }
 
 func entry(txn string) Entry {
-	return Entry{Txn: txn, Product: "p", Outcome: Settled, Reason: "answered", Appliance: "a", Submissions: 1}
+	return Entry{RequestID: txn, Class: "p", Outcome: OutcomeServed, Reason: "answered", Backend: "a", Attempts: 1}
 }
--- a/internal/record/ledger.go
+++ b/internal/record/ledger.go
@@ -4,28 +4,28 @@
 // a failure of either means, and what holds while nothing can be written. It must never take a frame as durable that a
 // sync has not confirmed, nor let an answer go unrecorded without counting it.
 
-// Full says what holds while the spool takes nothing.
-type Full uint8
+// FullPolicy says what holds while the spool takes nothing.
+type FullPolicy uint8
 
 const (
-	KeepServing Full = iota // answers go out, and what finds no room is counted in a gap
-	Decline                 // new txns are declined at once
+	KeepServing    FullPolicy = iota // answers go out, and what finds no room is counted in a gap
+	RejectRequests                   // new txns are declined at once
 )
 
 // Health is how the spool stands.
 type Health uint8
 
 const (
-	Good    Health = iota
-	Behind         // a write or sync has been under way for too long
-	AtLimit        // the budget is used up
-	Failing        // the last write or sync failed
+	HealthGood    Health = iota
+	HealthBehind         // a write or sync has been under way for too long
+	HealthFull           // the budget is used up
+	HealthFailing        // the last write or sync failed
 )
 
-// Healths are their names, by number.
-var Healths = [...]string{"good", "behind", "full", "failing"}
+// HealthNames are their names, by number.
+var HealthNames = [...]string{"good", "behind", "full", "failing"}
 
-func (h Health) String() string { return Healths[min(int(h), len(Healths)-1)] }
+func (h Health) String() string { return HealthNames[min(int(h), len(HealthNames)-1)] }
 
 const (
 	// notesWait (ms): an end is noted this much after it at the latest. What a kill finds unnoted is in doubt.
@@ -56,7 +56,7 @@
 	room               int     // bytes of frames that wait in memory
 	patience           float64 // ms that an answer waits
 	stall              float64 // ms after which a write under way counts as behind
-	full               Full
+	full               FullPolicy
 
 	next      uint64
 	chain     Digest
@@ -64,7 +64,7 @@
 	queued    int // bytes
 	sent      int // of the queue, in the present segment
 	confirmed uint64
-	notes     Done
+	notes     Completions
 	notesAt   float64
 	gap       Gap
 	gapAt     bool // a gap is being counted
@@ -75,7 +75,7 @@
 	used     int64 // on disk, all incarnations
 	unsynced float64
 	under    float64 // since when a work is under way; 0: none
-	work     Work
+	work     IO
 	failures int
 	again    float64
 	counts   Counts
@@ -88,32 +88,32 @@
 	Turns                        uint64
 }
 
-// Work is the writer's next step, in this order: a new segment, bytes at its end, a sync. Where there is none, it is to
+// IO is the writer's next step, in this order: a new segment, bytes at its end, a sync. Where there is none, it is to
 // look again after Wait (ms), or when told.
-type Work struct {
-	Turn    bool
-	Segment uint64
-	Bytes   []byte
-	Sync    bool
-	Wait    float64
-	frames  int
+type IO struct {
+	NewSegment bool
+	Segment    uint64
+	Bytes      []byte
+	Sync       bool
+	Wait       float64
+	frames     int
 }
 
 // Idle tells that there is nothing to do now.
-func (w Work) Idle() bool { return !w.Turn && len(w.Bytes) == 0 && !w.Sync }
+func (w IO) Idle() bool { return !w.NewSegment && len(w.Bytes) == 0 && !w.Sync }
 
 // NewLedger starts an incarnation's; group, patience and stall in ms, the rest in bytes. used is what the spool holds
 // already.
 func NewLedger(agent, incarnation string, sync bool, group float64, groupMost int, segmentMost, budget int64, room int,
-	patience, stall float64, full Full, used int64) *Ledger {
+	patience, stall float64, full FullPolicy, used int64) *Ledger {
 	return &Ledger{agent: agent, incarnation: incarnation, sync: sync, group: group, groupMost: groupMost,
 		segmentMost: segmentMost, budget: budget, room: room, patience: patience, stall: stall, full: full, used: used, next: 1}
 }
 
-// Answer takes what will be answered. What finds no room is counted in a gap: ok is false and n means nothing.
-func (l *Ledger) Answer(now float64, e Entry) (n uint64, ok bool) {
+// AddEntry takes what will be answered. What finds no room is counted in a gap: ok is false and n means nothing.
+func (l *Ledger) AddEntry(now float64, e Entry) (n uint64, ok bool) {
 	if l.queued >= l.room {
-		l.miss(now, e.Outcome)
+		l.countUnrecorded(now, e.Outcome)
 		return 0, false
 	}
 	e.N = l.next
@@ -122,7 +122,7 @@
 	return e.N, true
 }
 
-func (l *Ledger) miss(now float64, o Outcome) {
+func (l *Ledger) countUnrecorded(now float64, o Outcome) {
 	if !l.gapAt {
 		l.gap, l.gapAt = Gap{From: now, Cause: l.Health(now).String()}, true
 	}
@@ -131,15 +131,15 @@
 	l.counts.Missed++
 }
 
-// Done notes that the answer of entry n ended.
-func (l *Ledger) Done(now float64, n uint64, whole bool) {
-	if len(l.notes.Whole)+len(l.notes.Cut) == 0 {
+// AddCompletion notes that the answer of entry n ended.
+func (l *Ledger) AddCompletion(now float64, n uint64, whole bool) {
+	if len(l.notes.Delivered)+len(l.notes.Undelivered) == 0 {
 		l.notesAt = now
 	}
 	if whole {
-		l.notes.Whole = append(l.notes.Whole, n)
+		l.notes.Delivered = append(l.notes.Delivered, n)
 	} else {
-		l.notes.Cut = append(l.notes.Cut, n)
+		l.notes.Undelivered = append(l.notes.Undelivered, n)
 	}
 	l.counts.Notes++
 }
@@ -147,21 +147,21 @@
 func (l *Ledger) frame(now float64, kind Kind, v any) {
 	payload := Encode(kind, v)
 	f := framed{n: l.next, kind: kind, before: l.chain, at: now}
-	l.chain = Chained(l.chain, payload)
-	f.bytes = AppendFrame(make([]byte, 0, Overhead+len(payload)), f.n, l.chain, payload)
+	l.chain = NextChain(l.chain, payload)
+	f.bytes = AppendFrame(make([]byte, 0, FrameOverhead+len(payload)), f.n, l.chain, payload)
 	l.next++
 	l.queue = append(l.queue, f)
 	l.queued += len(f.bytes)
 }
 
-// Work says what to do next; Did must follow before the next call.
-func (l *Ledger) Work(now float64) Work {
+// NextIO says what to do next; Did must follow before the next call.
+func (l *Ledger) NextIO(now float64) IO {
 	if l.under != 0 {
-		return Work{Wait: notesSync}
+		return IO{Wait: notesSync}
 	}
 	l.note(now)
 	unsent := l.queue[l.sent:]
-	w := Work{Wait: notesSync, Segment: l.segment}
+	w := IO{Wait: notesSync, Segment: l.segment}
 	switch {
 	case now < l.again:
 		w.Wait = l.again - now
@@ -176,14 +176,14 @@
 		w.Sync = true
 	case l.open && l.size >= l.segmentMost:
 		l.open = false
-		return l.Work(now)
+		return l.NextIO(now)
 	case !l.fits(unsent):
 		w.Wait = againMost
 	default:
 		if !l.open {
 			l.segment++
-			w.Turn, w.Segment = true, l.segment
-			head := Encode(KindHead, Head{Agent: l.agent, Incarnation: l.incarnation, Segment: l.segment,
+			w.NewSegment, w.Segment = true, l.segment
+			head := Encode(KindHeader, SegmentHeader{Agent: l.agent, Incarnation: l.incarnation, Segment: l.segment,
 				From: unsent[0].n, Chain: unsent[0].before})
 			w.Bytes = AppendFrame(w.Bytes, unsent[0].n-1, unsent[0].before, head)
 		}
@@ -198,7 +198,7 @@
 	}
 	if !w.Idle() {
 		l.under, l.work = max(now, 1), w
-	} else if len(l.notes.Whole)+len(l.notes.Cut) > 0 && now >= l.again {
+	} else if len(l.notes.Delivered)+len(l.notes.Undelivered) > 0 && now >= l.again {
 		w.Wait = min(w.Wait, max(notesWait-(now-l.notesAt), 0))
 	}
 	return w
@@ -206,13 +206,13 @@
 
 // note frames what has ended and what was missed, as soon as that can be written.
 func (l *Ledger) note(now float64) {
-	if ends := len(l.notes.Whole) + len(l.notes.Cut); ends > 0 && (now-l.notesAt >= notesWait || ends >= notesFrame ||
+	if ends := len(l.notes.Delivered) + len(l.notes.Undelivered); ends > 0 && (now-l.notesAt >= notesWait || ends >= notesFrame ||
 		len(l.queue) > l.sent) {
-		for len(l.notes.Whole)+len(l.notes.Cut) > 0 {
-			var d Done
-			d.Whole, l.notes.Whole = split(l.notes.Whole, notesFrame)
-			d.Cut, l.notes.Cut = split(l.notes.Cut, notesFrame)
-			l.frame(now, KindDone, d)
+		for len(l.notes.Delivered)+len(l.notes.Undelivered) > 0 {
+			var d Completions
+			d.Delivered, l.notes.Delivered = split(l.notes.Delivered, notesFrame)
+			d.Undelivered, l.notes.Undelivered = split(l.notes.Undelivered, notesFrame)
+			l.frame(now, KindCompletions, d)
 		}
 	}
 	if l.gapAt && l.failures == 0 && l.queued < l.room/2 {
@@ -247,13 +247,13 @@
 // milliseconds old and stand in the last segment, and it is the ones before it that make room.
 func (l *Ledger) fits(unsent []framed) bool { return l.used+int64(len(unsent[0].bytes)) <= l.budget }
 
-// Did tells how a work went: wrote is how many bytes the disk may now hold of it, whole or not.
-func (l *Ledger) Did(now float64, wrote int, ok bool) {
+// Completed tells how a work went: wrote is how many bytes the disk may now hold of it, whole or not.
+func (l *Ledger) Completed(now float64, wrote int, ok bool) {
 	w := l.work
-	l.under, l.work = 0, Work{}
+	l.under, l.work = 0, IO{}
 	l.used += int64(wrote)
 	l.size += int64(wrote)
-	if w.Turn {
+	if w.NewSegment {
 		l.open, l.size, l.sent = true, int64(wrote), 0
 		l.counts.Turns++
 	}
@@ -304,7 +304,7 @@
 
 // Pending tells that something is not confirmed yet, notes and gaps included.
 func (l *Ledger) Pending() bool {
-	return len(l.queue) > 0 || len(l.notes.Whole)+len(l.notes.Cut) > 0 || l.gapAt
+	return len(l.queue) > 0 || len(l.notes.Delivered)+len(l.notes.Undelivered) > 0 || l.gapAt
 }
 
 // Queued is how many bytes wait in memory.
@@ -326,22 +326,24 @@
 func (l *Ledger) Health(now float64) Health {
 	switch {
 	case l.failures > 0:
-		return Failing
+		return HealthFailing
 	case l.under != 0 && now-l.under > l.stall:
-		return Behind
+		return HealthBehind
 	case len(l.queue) > l.sent && !l.fits(l.queue[l.sent:]):
-		return AtLimit
+		return HealthFull
 	}
-	return Good
+	return HealthGood
 }
 
-// Patience is how long (ms) an answer may wait to be durable: not at all where that is not to be expected.
-func (l *Ledger) Patience(now float64) float64 {
-	if !l.sync || l.Health(now) != Good {
+// CommitDelay is how long (ms) an answer may wait to be durable: not at all where that is not to be expected.
+func (l *Ledger) CommitDelay(now float64) float64 {
+	if !l.sync || l.Health(now) != HealthGood {
 		return 0
 	}
 	return l.patience
 }
 
-// Refuses tells that new txns are to be declined.
-func (l *Ledger) Refuses(now float64) bool { return l.full == Decline && l.Health(now) != Good }
+// RejectsRequests tells that new txns are to be declined.
+func (l *Ledger) RejectsRequests(now float64) bool {
+	return l.full == RejectRequests && l.Health(now) != HealthGood
+}
--- a/internal/record/ledger_test.go
+++ b/internal/record/ledger_test.go
@@ -9,24 +9,24 @@
 func TestFailures(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		fail func(k int, w Work) (int, bool) // k counts the works
+		fail func(k int, w IO) (int, bool) // k counts the works
 	}{
-		{"nothing", func(_ int, w Work) (int, bool) { return len(w.Bytes), true }},
-		{"every third write is short", func(k int, w Work) (int, bool) {
+		{"nothing", func(_ int, w IO) (int, bool) { return len(w.Bytes), true }},
+		{"every third write is short", func(k int, w IO) (int, bool) {
 			if k%3 == 2 {
 				return len(w.Bytes) / 2, false
 			}
 			return len(w.Bytes), true
 		}},
-		{"every second sync fails and the pages are lost", func(k int, w Work) (int, bool) {
+		{"every second sync fails and the pages are lost", func(k int, w IO) (int, bool) {
 			if w.Sync && k%2 == 1 {
 				return 0, false
 			}
 			return len(w.Bytes), true
 		}},
-		{"a sync fails and the pages are there", func(k int, w Work) (int, bool) { return len(w.Bytes), k%4 != 1 }},
-		{"no segment can be made at times", func(k int, w Work) (int, bool) {
-			if w.Turn && k%2 == 0 {
+		{"a sync fails and the pages are there", func(k int, w IO) (int, bool) { return len(w.Bytes), k%4 != 1 }},
+		{"no segment can be made at times", func(k int, w IO) (int, bool) {
+			if w.NewSegment && k%2 == 0 {
 				return 0, false
 			}
 			return len(w.Bytes), true
@@ -34,11 +34,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, d, k := ledger(true, 1<<20, 1<<16, KeepServing), &disk{}, 0
-			d.fail = func(w Work) (int, bool) { k++; return c.fail(k, w) }
+			d.fail = func(w IO) (int, bool) { k++; return c.fail(k, w) }
 			confirmed, now := map[uint64]bool{}, 0.0
 			var ns []uint64
 			for i := range 60 {
-				n, ok := l.Answer(now, entry(fmt.Sprint(i)))
+				n, ok := l.AddEntry(now, entry(fmt.Sprint(i)))
 				if !ok {
 					t.Fatalf("entry %d finds no room", i)
 				}
@@ -53,7 +53,7 @@
 					}
 				}
 				if i%2 == 0 {
-					l.Done(now, n, i%4 == 0)
+					l.AddCompletion(now, n, i%4 == 0)
 				}
 			}
 			for range 50 {
@@ -72,7 +72,7 @@
 				got[r.Entry.N] = r.State
 			}
 			for i, n := range ns {
-				want := []State{Given, InDoubt, Unheard, InDoubt}[i%4]
+				want := []State{StateAnswered, StateInDoubt, StateUndelivered, StateInDoubt}[i%4]
 				if !confirmed[n] || got[n] != want {
 					t.Errorf("entry %d (ordinal %d): confirmed %v, %v, want %v", i, n, confirmed[n], got[n], want)
 				}
@@ -88,42 +88,42 @@
 func TestGroups(t *testing.T) {
 	l, d := ledger(true, 1<<20, 1<<16, KeepServing), &disk{}
 	for range 5 {
-		l.Answer(1, entry("x"))
+		l.AddEntry(1, entry("x"))
 	}
-	w := l.Work(1)
-	if !w.Turn || !w.Sync || w.frames != 5 || l.Confirmed() != 0 {
+	w := l.NextIO(1)
+	if !w.NewSegment || !w.Sync || w.frames != 5 || l.Confirmed() != 0 {
 		t.Fatalf("%+v, confirmed %d", w, l.Confirmed())
 	}
-	if l.Answer(1, entry("y")); !l.Work(1).Idle() {
+	if l.AddEntry(1, entry("y")); !l.NextIO(1).Idle() {
 		t.Error("a second work while one is under way")
 	}
-	l.Did(2, len(w.Bytes), true)
+	l.Completed(2, len(w.Bytes), true)
 	if l.Confirmed() != 5 || l.Counts().Syncs != 1 {
 		t.Errorf("confirmed %d with %d syncs", l.Confirmed(), l.Counts().Syncs)
 	}
-	l.Did(2, 0, true) // of none: nothing changes
+	l.Completed(2, 0, true) // of none: nothing changes
 	d.segments, d.synced = [][]byte{nil}, []int{0}
 	d.all(l, 3)
 	if l.Confirmed() != 6 {
 		t.Errorf("confirmed %d", l.Confirmed())
 	}
 	// An end alone is written after 2 ms, and not synced before 200.
-	if l.Done(10, 1, true); !l.Work(10.5).Idle() || l.Work(10.5).Wait > 2 {
-		t.Errorf("an end is written at once, or not soon: %+v", l.Work(10.5))
+	if l.AddCompletion(10, 1, true); !l.NextIO(10.5).Idle() || l.NextIO(10.5).Wait > 2 {
+		t.Errorf("an end is written at once, or not soon: %+v", l.NextIO(10.5))
 	}
-	if w := l.Work(13); w.Idle() || w.Sync {
+	if w := l.NextIO(13); w.Idle() || w.Sync {
 		t.Errorf("%+v", w)
 	}
-	l.Did(13, 100, true)
-	if w := l.Work(100); !w.Idle() {
+	l.Completed(13, 100, true)
+	if w := l.NextIO(100); !w.Idle() {
 		t.Errorf("%+v", w)
 	}
-	if w := l.Work(214); !w.Sync || len(w.Bytes) > 0 {
+	if w := l.NextIO(214); !w.Sync || len(w.Bytes) > 0 {
 		t.Errorf("%+v", w)
 	}
 	// A group wait holds the write back.
 	l = NewLedger("n", "i", true, 5, 4096, 2048, 1<<20, 1<<16, 100, 50, KeepServing, 0)
-	if l.Answer(1, entry("x")); !l.Work(2).Idle() || l.Work(2).Wait != 4 || l.Work(6).Idle() {
+	if l.AddEntry(1, entry("x")); !l.NextIO(2).Idle() || l.NextIO(2).Wait != 4 || l.NextIO(6).Idle() {
 		t.Error("the group's wait is not kept")
 	}
 }
@@ -132,17 +132,17 @@
 func TestFull(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		full   Full
+		full   FullPolicy
 		break_ func(*Ledger, *disk)
 		mend   func(*Ledger, *disk)
 		health Health
 	}{
-		{"budget", KeepServing, func(*Ledger, *disk) {}, func(l *Ledger, d *disk) { l.Freed(1 << 20) }, AtLimit},
-		{"budget, declining", Decline, func(*Ledger, *disk) {}, func(l *Ledger, d *disk) { l.Freed(1 << 20) }, AtLimit},
-		{"failing", KeepServing, func(l *Ledger, d *disk) { d.fail = func(w Work) (int, bool) { return 0, false } },
-			func(l *Ledger, d *disk) { d.fail = nil; l.Freed(1 << 20) }, Failing},
-		{"failing, declining", Decline, func(l *Ledger, d *disk) { d.fail = func(w Work) (int, bool) { return 0, false } },
-			func(l *Ledger, d *disk) { d.fail = nil; l.Freed(1 << 20) }, Failing},
+		{"budget", KeepServing, func(*Ledger, *disk) {}, func(l *Ledger, d *disk) { l.Freed(1 << 20) }, HealthFull},
+		{"budget, declining", RejectRequests, func(*Ledger, *disk) {}, func(l *Ledger, d *disk) { l.Freed(1 << 20) }, HealthFull},
+		{"failing", KeepServing, func(l *Ledger, d *disk) { d.fail = func(w IO) (int, bool) { return 0, false } },
+			func(l *Ledger, d *disk) { d.fail = nil; l.Freed(1 << 20) }, HealthFailing},
+		{"failing, declining", RejectRequests, func(l *Ledger, d *disk) { d.fail = func(w IO) (int, bool) { return 0, false } },
+			func(l *Ledger, d *disk) { d.fail = nil; l.Freed(1 << 20) }, HealthFailing},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, d := ledger(true, 8192, 2048, c.full), &disk{}
@@ -150,15 +150,15 @@
 			now, kept, missed := 0.0, 0, 0
 			for i := range 200 {
 				now += 10
-				if _, ok := l.Answer(now, entry(fmt.Sprint(i))); ok {
+				if _, ok := l.AddEntry(now, entry(fmt.Sprint(i))); ok {
 					kept++
 				} else {
 					missed++
 				}
 				d.all(l, now)
 			}
-			if l.Health(now) != c.health || l.Refuses(now) != (c.full == Decline) || l.Patience(now) != 0 {
-				t.Errorf("%v, refuses %v, patience %v", l.Health(now), l.Refuses(now), l.Patience(now))
+			if l.Health(now) != c.health || l.RejectsRequests(now) != (c.full == RejectRequests) || l.CommitDelay(now) != 0 {
+				t.Errorf("%v, refuses %v, patience %v", l.Health(now), l.RejectsRequests(now), l.CommitDelay(now))
 			}
 			if missed == 0 || l.Used() > 8192 {
 				t.Errorf("%d missed, %d bytes used", missed, l.Used())
@@ -168,7 +168,7 @@
 				now += 1000
 				d.all(l, now)
 			}
-			if l.Health(now) != Good || l.Refuses(now) || l.Patience(now) != 100 {
+			if l.Health(now) != HealthGood || l.RejectsRequests(now) || l.CommitDelay(now) != 100 {
 				t.Errorf("mended: %v", l.Health(now))
 			}
 			_, rows := d.read(true)
@@ -188,10 +188,10 @@
 			}
 		})
 	}
-	l := ledger(true, 1<<20, 1<<16, Decline)
-	l.Answer(1, entry("x"))
-	l.Work(1)
-	if l.Refuses(50) || !l.Refuses(52) || l.Health(52) != Behind {
+	l := ledger(true, 1<<20, 1<<16, RejectRequests)
+	l.AddEntry(1, entry("x"))
+	l.NextIO(1)
+	if l.RejectsRequests(50) || !l.RejectsRequests(52) || l.Health(52) != HealthBehind {
 		t.Error("a write that takes longer than the stall is not seen")
 	}
 }
@@ -199,21 +199,21 @@
 // In memory what is written is confirmed, and nothing waits.
 func TestUnsynced(t *testing.T) {
 	l, d := ledger(false, 1<<20, 1<<16, KeepServing), &disk{}
-	l.Answer(1, entry("x"))
-	if d.all(l, 1); l.Confirmed() != 1 || l.Patience(1) != 0 || l.Counts().Syncs != 0 {
-		t.Errorf("confirmed %d, patience %v", l.Confirmed(), l.Patience(1))
+	l.AddEntry(1, entry("x"))
+	if d.all(l, 1); l.Confirmed() != 1 || l.CommitDelay(1) != 0 || l.Counts().Syncs != 0 {
+		t.Errorf("confirmed %d, patience %v", l.Confirmed(), l.CommitDelay(1))
 	}
 }
 
 // A clock that is set back neither hides an entry nor makes work wait for ever.
 func TestClock(t *testing.T) {
 	l, d := ledger(true, 1<<20, 1<<16, KeepServing), &disk{}
-	n, _ := l.Answer(1e6, entry("x"))
+	n, _ := l.AddEntry(1e6, entry("x"))
 	d.all(l, 1e6)
-	l.Done(5, n, true)
-	l.Answer(5, entry("y"))
+	l.AddCompletion(5, n, true)
+	l.AddEntry(5, entry("y"))
 	d.all(l, 5)
-	if f, rows := d.read(true); len(f.Defects) > 0 || len(rows) != 2 || rows[0].State != Given {
+	if f, rows := d.read(true); len(f.Defects) > 0 || len(rows) != 2 || rows[0].State != StateAnswered {
 		t.Errorf("%v %v", f.Defects, rows)
 	}
 }
--- a/internal/record/postgres/postgres.go
+++ b/internal/record/postgres/postgres.go
@@ -252,24 +252,24 @@
 }
 
 // reply reads an error by the SQLSTATE that the server published.
-func reply(err error) record.Reply {
+func reply(err error) record.ExportResult {
 	var e *pgconn.PgError
 	if errors.As(err, &e) {
 		switch {
 		case e.Code == "40001" || e.Code == "40P01":
-			return record.Conflict
+			return record.ExportConflict
 		case e.Code == "53300" || strings.HasPrefix(e.Code, "53") || e.Code == "55P03":
-			return record.Busy
+			return record.ExportBusy
 		case strings.HasPrefix(e.Code, "57") || strings.HasPrefix(e.Code, "08") || strings.HasPrefix(e.Code, "58"):
-			return record.Away
+			return record.ExportUnreachable
 		case strings.HasPrefix(e.Code, "23"): // the same row from two at once: by the next try one has it
-			return record.Conflict
+			return record.ExportConflict
 		}
-		return record.Denied
+		return record.ExportDenied
 	}
 	var connect *pgconn.ConnectError
 	if errors.As(err, &connect) || pgconn.SafeToRetry(err) {
-		return record.Away
+		return record.ExportUnreachable
 	}
-	return record.Lost
+	return record.ExportUnknown
 }
--- a/internal/record/recorder/audit.go
+++ b/internal/record/recorder/audit.go
@@ -69,12 +69,12 @@
 		}
 		progress(len(rows))
 	}
-	f := r.Fold
+	f := r.Replay
 	for _, d := range f.Defects {
 		tell(Finding{true, where, d.String()})
 	}
 	tell(Finding{false, where, fmt.Sprintf("%d given, %d unheard, %d in doubt, %d open, %d gaps, %d written anew, %d torn bytes",
-		f.Counts[record.Given], f.Counts[record.Unheard], f.Counts[record.InDoubt], f.OpenNow(), f.Gaps, f.Again, f.Torn)})
+		f.Counts[record.StateAnswered], f.Counts[record.StateUndelivered], f.Counts[record.StateInDoubt], f.OpenNow(), f.Gaps, f.Again, f.Torn)})
 	return ctx.Err()
 }
 
@@ -88,7 +88,7 @@
 	}
 	if err := store.Gaps(ctx, agent, func(g sqlstore.GapRow) error {
 		tell(Finding{g.Cause == "hole", "store", fmt.Sprintf("gap of %s/%s at %d: %d settled, %d declined, %d voided, "+
-			"%d unknown, %.0f to %.0f ms, %s", g.Agent, g.Incarnation, g.N, g.Settled, g.Declined, g.Voided, g.Unknown, g.From,
+			"%d unknown, %.0f to %.0f ms, %s", g.Agent, g.Incarnation, g.N, g.Served, g.Rejected, g.Failed, g.Unknown, g.From,
 			g.To, g.Cause)})
 		return nil
 	}); err != nil {
--- a/internal/record/recorder/recorder.go
+++ b/internal/record/recorder/recorder.go
@@ -20,8 +20,8 @@
 	"onyxgate/internal/record/spool"
 )
 
-// Keeper keeps one agent's record.
-type Keeper struct {
+// Recorder keeps one agent's record.
+type Recorder struct {
 	table    Table
 	now      func() float64
 	products []string
@@ -41,7 +41,7 @@
 }
 
 // New takes the spool and begins an incarnation; now is the agent's clock in ms.
-func New(t Table, agent string, products []string, now func() float64, seed uint64) (*Keeper, error) {
+func New(t Table, agent string, products []string, now func() float64, seed uint64) (*Recorder, error) {
 	if agent == "" {
 		return nil, errors.New("record: an agent without a name can't keep one: entries would be nobody's")
 	}
@@ -51,9 +51,9 @@
 	return newOn(spool.Disk{}, t.Directory, t, agent, products, now, seed)
 }
 
-func newOn(fs spool.FS, root string, t Table, agent string, products []string, now func() float64, seed uint64) (*Keeper,
+func newOn(fs spool.FS, root string, t Table, agent string, products []string, now func() float64, seed uint64) (*Recorder,
 	error) {
-	k := &Keeper{table: t, now: now, products: products, confirmed: make(chan struct{}), bell: make(chan struct{}, 1)}
+	k := &Recorder{table: t, now: now, products: products, confirmed: make(chan struct{}), bell: make(chan struct{}, 1)}
 	var err error
 	if k.spool, err = spool.Open(fs, root, agent); err != nil {
 		return nil, fmt.Errorf("record: %w", err)
@@ -75,30 +75,30 @@
 }
 
 // Admit declines while the spool takes nothing, where that is what the settings say.
-func (k *Keeper) Admit(now float64) (reserve float64, why string) {
+func (k *Recorder) Admit(now float64) (reserve float64, why string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.ledger.Refuses(now) {
+	if k.ledger.RejectsRequests(now) {
 		return 0, "unrecorded"
 	}
 	return k.table.Reserve.Ms(), ""
 }
 
-var outcomes = map[core.ActionKind]record.Outcome{core.ActionServe: record.Settled, core.ActionReject: record.Declined,
-	core.ActionFail: record.Voided}
+var outcomes = map[core.ActionKind]record.Outcome{core.ActionServe: record.OutcomeServed, core.ActionReject: record.OutcomeRejected,
+	core.ActionFail: record.OutcomeFailed}
 
 // BeforeResponse holds an answer until its entry is durable, or until that is no longer to be expected in time.
-func (k *Keeper) BeforeResponse(e core.Completion, until float64) any {
+func (k *Recorder) BeforeResponse(e core.Completion, until float64) any {
 	product := ""
 	if e.Class >= 0 && e.Class < len(k.products) {
 		product = k.products[e.Class]
 	}
-	entry := record.Entry{Txn: e.RequestID, Product: product, Outcome: outcomes[e.Kind], Reason: e.Reason, Build: e.Release,
-		Appliance: e.Backend, Submissions: e.Attempts, Taken: e.ArrivedAt, Answered: e.Now,
-		Body: record.Digested(e.Body), Mark: record.Digested([]byte(e.IdempotencyKey))}
+	entry := record.Entry{RequestID: e.RequestID, Class: product, Outcome: outcomes[e.Kind], Reason: e.Reason, Release: e.Release,
+		Backend: e.Backend, Attempts: e.Attempts, ArrivedAt: e.ArrivedAt, AnsweredAt: e.Now,
+		BodyDigest: record.DigestOf(e.Body), KeyDigest: record.DigestOf([]byte(e.IdempotencyKey))}
 	k.mu.Lock()
-	n, ok := k.ledger.Answer(e.Now, entry)
-	patience := min(k.ledger.Patience(e.Now), until-e.Now)
+	n, ok := k.ledger.AddEntry(e.Now, entry)
+	patience := min(k.ledger.CommitDelay(e.Now), until-e.Now)
 	wait := k.confirmed
 	k.mu.Unlock()
 	k.ring()
@@ -120,7 +120,7 @@
 				late = true
 			}
 			k.mu.Lock()
-			durable, able := k.ledger.Confirmed() >= n, k.ledger.Patience(k.now()) > 0
+			durable, able := k.ledger.Confirmed() >= n, k.ledger.CommitDelay(k.now()) > 0
 			wait = k.confirmed
 			if !durable && (late || !able) {
 				k.unsynced++
@@ -143,26 +143,26 @@
 }
 
 // AfterResponse notes the end of an answer.
-func (k *Keeper) AfterResponse(kept any, now float64, whole bool) {
+func (k *Recorder) AfterResponse(kept any, now float64, whole bool) {
 	n, ok := kept.(uint64)
 	if !ok { // it stands for itself in a gap
 		return
 	}
 	failpoint.At("record.answered")
 	k.mu.Lock()
-	k.ledger.Done(now, n, whole)
+	k.ledger.AddCompletion(now, n, whole)
 	k.mu.Unlock()
 	k.ring()
 }
 
 // Closed counts a txn that ended without an answer.
-func (k *Keeper) Closed(float64) {
+func (k *Recorder) Closed(float64) {
 	k.mu.Lock()
 	k.gone++
 	k.mu.Unlock()
 }
 
-func (k *Keeper) ring() {
+func (k *Recorder) ring() {
 	select {
 	case k.bell <- struct{}{}:
 	default:
@@ -170,7 +170,7 @@
 }
 
 // Run writes and ships until ctx ends, then writes what is left; no txn may follow.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Recorder) Run(ctx context.Context) {
 	var all sync.WaitGroup
 	all.Go(func() { k.ship.run(ctx) })
 	k.write(ctx)
@@ -190,13 +190,13 @@
 // lastWait bounds the writing of what is left at the end.
 const lastWait = 500 * time.Millisecond
 
-func (k *Keeper) write(ctx context.Context) {
+func (k *Recorder) write(ctx context.Context) {
 	done := ctx.Done()
 	var last time.Time
 	for {
 		k.mu.Lock()
 		now := k.now()
-		w := k.ledger.Work(now)
+		w := k.ledger.NextIO(now)
 		pending := k.ledger.Pending()
 		k.mu.Unlock()
 		if !w.Idle() {
@@ -205,7 +205,7 @@
 			}
 			wrote, err := k.writer.Do(w)
 			k.mu.Lock()
-			k.ledger.Did(k.now(), wrote, err == nil)
+			k.ledger.Completed(k.now(), wrote, err == nil)
 			health := k.ledger.Health(k.now())
 			close(k.confirmed)
 			k.confirmed = make(chan struct{})
@@ -237,19 +237,19 @@
 }
 
 // linger lets notes gather that come one by one: they are written 2 ms after the first, or with the next entry.
-func (k *Keeper) linger() { time.Sleep(50 * time.Microsecond) }
+func (k *Recorder) linger() { time.Sleep(50 * time.Microsecond) }
 
-func (k *Keeper) tell(health record.Health, err error) {
+func (k *Recorder) tell(health record.Health, err error) {
 	line := logrus.WithFields(logrus.Fields{"spool": health.String(), "when_full": k.table.WhenFull}).WithError(err)
-	if health == record.Good {
+	if health == record.HealthGood {
 		line.Info("record is written again")
 	} else {
 		line.Error("record can't be written")
 	}
 }
 
-// Standing is how the record stands.
-type Standing struct {
+// Status is how the record stands.
+type Status struct {
 	record.Counts
 	Health           record.Health
 	Used             int64
@@ -260,10 +260,10 @@
 	Oldest           float64 // ms since the oldest unshipped entry was answered; 0: none
 }
 
-// Standing tells it.
-func (k *Keeper) Standing() Standing {
+// Status tells it.
+func (k *Recorder) Status() Status {
 	k.mu.Lock()
-	s := Standing{Counts: k.ledger.Counts(), Health: k.ledger.Health(k.now()), Used: k.ledger.Used(),
+	s := Status{Counts: k.ledger.Counts(), Health: k.ledger.Health(k.now()), Used: k.ledger.Used(),
 		Queued: k.ledger.Queued(), Unsynced: k.unsynced, Gone: k.gone}
 	k.mu.Unlock()
 	k.ship.standing(&s)
--- a/internal/record/recorder/recorder_test.go
+++ b/internal/record/recorder/recorder_test.go
@@ -75,7 +75,7 @@
 				if took := time.Since(from); took < c.low || took > c.top {
 					t.Errorf("it waited %v, not %v to %v", took, c.low, c.top)
 				}
-				if n := k.Standing().Unsynced; n != c.unsynced {
+				if n := k.Status().Unsynced; n != c.unsynced {
 					t.Errorf("%d unsynced, want %d", n, c.unsynced)
 				}
 				failing.Store(false)
@@ -91,8 +91,8 @@
 					next, more, err = r.Next()
 					rows = append(rows, next...)
 				}
-				if err != nil || len(r.Fold.Defects) > 0 || len(rows) != 1 || rows[0].State != record.Given || rows[0].Entry.Product != "p" {
-					t.Errorf("%v %v %v", rows, r.Fold.Defects, err)
+				if err != nil || len(r.Replay.Defects) > 0 || len(rows) != 1 || rows[0].State != record.StateAnswered || rows[0].Entry.Class != "p" {
+					t.Errorf("%v %v %v", rows, r.Replay.Defects, err)
 				}
 			})
 		})
@@ -160,14 +160,14 @@
 					}
 					for _, row := range rows {
 						if row.Gap != nil {
-							gaps += int(row.Gap.Counts[record.Declined])
-						} else if in++; row.State != record.Given {
-							t.Errorf("%v is %v", row.Entry.Txn, row.State)
+							gaps += int(row.Gap.Counts[record.OutcomeRejected])
+						} else if in++; row.State != record.StateAnswered {
+							t.Errorf("%v is %v", row.Entry.RequestID, row.State)
 						}
 					}
 				}
-				if missed == 0 || in != all-missed || gaps != missed || len(r.Fold.Defects) > 0 {
-					t.Errorf("%d in, %d in gaps, %d missed of %d, %v", in, gaps, missed, all, r.Fold.Defects)
+				if missed == 0 || in != all-missed || gaps != missed || len(r.Replay.Defects) > 0 {
+					t.Errorf("%d in, %d in gaps, %d missed of %d, %v", in, gaps, missed, all, r.Replay.Defects)
 				}
 			})
 		})
@@ -225,10 +225,10 @@
 	}
 	seen, states := map[string]bool{}, map[string]int{}
 	if err := store.Select(context.Background(), sqlstore.Filter{}, func(r sqlstore.Row) error {
-		if seen[r.Txn] {
-			t.Errorf("%s twice", r.Txn)
+		if seen[r.RequestID] {
+			t.Errorf("%s twice", r.RequestID)
 		}
-		seen[r.Txn] = true
+		seen[r.RequestID] = true
 		states[r.State]++
 		return nil
 	}); err != nil {
@@ -262,8 +262,8 @@
 		t.Fatal(err)
 	}
 	l := record.NewLedger("n1", w.Incarnation, true, 0, 4096, 1<<20, 1<<20, 1<<18, 100, 50, record.KeepServing, 0)
-	l.Answer(1, record.Entry{Txn: "x"})
-	work := l.Work(1)
+	l.AddEntry(1, record.Entry{RequestID: "x"})
+	work := l.NextIO(1)
 	if _, err := w.Do(work); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/record/recorder/ship.go
+++ b/internal/record/recorder/ship.go
@@ -38,7 +38,7 @@
 			return err
 		}
 		l.rows = append(l.rows, rows...)
-		l.through = l.reader.Fold.Through()
+		l.through = l.reader.Replay.Through()
 		if !more {
 			l.done = !l.live
 			return nil
@@ -52,7 +52,7 @@
 
 // shipping sends an agent's lines; k is nil where a command does it for agents that do not run.
 type shipping struct {
-	k       *Keeper
+	k       *Recorder
 	spool   *spool.Spool
 	agent   string
 	table   StoreTable
@@ -60,18 +60,18 @@
 	now     func() float64
 	freed   func(int64)
 	mu      sync.Mutex
-	pace    *record.Shipper
+	pace    *record.ExportScheduler
 	live    *line
 	old     []*line
 	schema  bool
 	shipped uint64
 	doubt   uint64
 	oldest  float64
-	last    record.Reply
+	last    record.ExportResult
 	seen    map[string]int // defects of each line that were logged
 }
 
-func newShipping(k *Keeper, seed uint64) (*shipping, error) {
+func newShipping(k *Recorder, seed uint64) (*shipping, error) {
 	store, err := k.table.Store.Open()
 	if err != nil {
 		return nil, err
@@ -92,7 +92,7 @@
 
 func ships(sp *spool.Spool, agent string, t StoreTable, store *sqlstore.Store, now func() float64, seed uint64) *shipping {
 	return &shipping{spool: sp, agent: agent, table: t, store: store, now: now, freed: func(int64) {},
-		pace: record.NewShipper(t.Batch, t.Every.Ms(), rand.New(rand.NewPCG(seed, 16))), seen: map[string]int{}}
+		pace: record.NewExportScheduler(t.Batch, t.Every.Ms(), rand.New(rand.NewPCG(seed, 16))), seen: map[string]int{}}
 }
 
 func (s *shipping) add(incarnation string, live bool) {
@@ -177,16 +177,16 @@
 		return 0, lookAgain, true
 	}
 	s.pace.Result(s.now(), reply)
-	if reply != record.Stored {
+	if reply != record.ExportStored {
 		s.failed(err, reply, l)
 		return 0, time.Millisecond, true
 	}
-	if s.last != record.Stored {
+	if s.last != record.ExportStored {
 		logrus.WithField("store", s.table.Kind).Info("record is shipped again")
-		s.last = record.Stored
+		s.last = record.ExportStored
 	}
 	for _, r := range b.Rows {
-		if s.shipped++; r.State == record.InDoubt {
+		if s.shipped++; r.State == record.StateInDoubt {
 			s.doubt++
 		}
 	}
@@ -216,12 +216,12 @@
 	live := false
 	if s.live != nil {
 		if err := s.live.read(s.table.Batch); err != nil { // it may be there the next time
-			s.failed(err, record.Away, nil)
+			s.failed(err, record.ExportUnreachable, nil)
 		}
 		s.defects(s.live)
 		live = s.live.waiting()
 		if s.oldest = 0; live && s.live.rows[0].Gap == nil {
-			s.oldest = s.live.rows[0].Entry.Answered
+			s.oldest = s.live.rows[0].Entry.AnsweredAt
 		}
 	}
 	for len(s.old) > 0 {
@@ -247,8 +247,8 @@
 }
 
 // failed tells of a failure once, until another kind comes.
-func (s *shipping) failed(err error, reply record.Reply, l *line) {
-	if reply == record.Foreign && l != nil {
+func (s *shipping) failed(err error, reply record.ExportResult, l *line) {
+	if reply == record.ExportForeign && l != nil {
 		l.refused = true
 	}
 	if reply != s.last {
@@ -259,7 +259,7 @@
 }
 
 func (s *shipping) defects(l *line) {
-	all := l.reader.Fold.Defects
+	all := l.reader.Replay.Defects
 	for _, d := range all[min(s.seen[l.incarnation], len(all)):] {
 		logrus.WithFields(logrus.Fields{"incarnation": l.incarnation, "defect": d.String()}).Error("record is damaged")
 	}
@@ -271,9 +271,9 @@
 func (s *shipping) end(l *line) {
 	l.reader.Close()
 	s.old = s.old[1:]
-	f := l.reader.Fold
-	entry := logrus.WithFields(logrus.Fields{"incarnation": l.incarnation, "given": f.Counts[record.Given],
-		"unheard": f.Counts[record.Unheard], "in_doubt": f.Counts[record.InDoubt], "torn_bytes": f.Torn,
+	f := l.reader.Replay
+	entry := logrus.WithFields(logrus.Fields{"incarnation": l.incarnation, "given": f.Counts[record.StateAnswered],
+		"unheard": f.Counts[record.StateUndelivered], "in_doubt": f.Counts[record.StateInDoubt], "torn_bytes": f.Torn,
 		"defects": len(f.Defects)})
 	if len(f.Defects) > 0 {
 		entry.Warn("an earlier incarnation is stored, its files stay: 'onyxgate record verify' shows what is wrong")
@@ -317,7 +317,7 @@
 
 func (s *shipping) checkpoint(ctx context.Context) {
 	s.mu.Lock()
-	ready := s.schema && !s.pace.Broken()
+	ready := s.schema && !s.pace.CircuitOpen()
 	s.mu.Unlock()
 	if !ready {
 		return
@@ -329,7 +329,7 @@
 	}
 }
 
-func (s *shipping) standing(to *Standing) {
+func (s *shipping) standing(to *Status) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	to.Shipped, to.InDoubt, to.Replies = s.shipped, s.doubt, s.pace.Replies
@@ -361,7 +361,7 @@
 	for ctx.Err() == nil && len(s.old) > 0 {
 		_, wait, _ := s.step(ctx)
 		progress(s.shipped, s.doubt)
-		if s.last == record.Denied || s.last == record.Foreign {
+		if s.last == record.ExportDenied || s.last == record.ExportForeign {
 			return fmt.Errorf("the store refuses: %v", s.last)
 		}
 		time.Sleep(wait)
--- a/internal/record/recorder/table.go
+++ b/internal/record/recorder/table.go
@@ -139,9 +139,9 @@
 	return nil, nil
 }
 
-func (t Table) full() record.Full {
+func (t Table) full() record.FullPolicy {
 	if t.WhenFull == "decline" {
-		return record.Decline
+		return record.RejectRequests
 	}
 	return record.KeepServing
 }
--- a/internal/record/replay.go
+++ b/internal/record/replay.go
@@ -43,9 +43,9 @@
 	openMost = 1 << 20
 )
 
-// Fold reads one incarnation from its first segment that is left.
-type Fold struct {
-	head    Head
+// Replay reads one incarnation from its first segment that is left.
+type Replay struct {
+	head    SegmentHeader
 	start   uint64 // ordinal at which reading began; ends of earlier entries are no news
 	next    uint64 // ordinal that is expected; 0: nothing read yet
 	chain   Digest
@@ -53,21 +53,21 @@
 	Defects []Defect
 	Torn    int64 // bytes cut off at the very end
 	Again   uint64
-	Counts  [len(States)]uint64
+	Counts  [len(StateNames)]uint64
 	Gaps    uint64
 }
 
-// NewFold starts a reading.
-func NewFold() *Fold { return &Fold{open: map[uint64]Entry{}} }
+// NewReplay starts a reading.
+func NewReplay() *Replay { return &Replay{open: map[uint64]Entry{}} }
 
-func (f *Fold) defect(kind string, from, to uint64, detail string) {
+func (f *Replay) defect(kind string, from, to uint64, detail string) {
 	if len(f.Defects) < defectsMost {
 		f.Defects = append(f.Defects, Defect{kind, f.head.Segment, from, to, detail})
 	}
 }
 
 // Head opens a segment. An error says that it belongs to no reading of this incarnation.
-func (f *Fold) Head(h Head) error {
+func (f *Replay) Head(h SegmentHeader) error {
 	switch {
 	case f.next == 0:
 		f.start, f.next, f.chain = h.From, h.From, h.Chain
@@ -82,15 +82,15 @@
 }
 
 // Spoilt notes bytes that are no frame; what they held shows as a hole.
-func (f *Fold) Spoilt(at int64, bytes int64) {
+func (f *Replay) Spoilt(at int64, bytes int64) {
 	f.defect("spoilt", f.next, f.next, fmt.Sprintf("%d bytes from byte %d on are no frame", bytes, at))
 }
 
 // Tail notes bytes at the end of the last segment that are no whole frame: a kill in a write.
-func (f *Fold) Tail(bytes int64) { f.Torn += bytes }
+func (f *Replay) Tail(bytes int64) { f.Torn += bytes }
 
 // Frame takes the next frame and returns what became final by it.
-func (f *Fold) Frame(x Frame) (rows []Row) {
+func (f *Replay) Frame(x Frame) (rows []Row) {
 	switch {
 	case f.next == 0:
 		f.defect("order", x.N, x.N, "a frame before any head")
@@ -105,7 +105,7 @@
 		g.Counts[0] = lost // of what kind is not known
 		f.Gaps++
 		rows = append(rows, Row{Gap: &g})
-	case Chained(f.chain, x.Payload) != x.Chain:
+	case NextChain(f.chain, x.Payload) != x.Chain:
 		f.defect("chain", x.N, x.N, "the hash chain breaks: this frame or the one before was edited")
 	}
 	f.next, f.chain = x.N+1, x.Chain
@@ -124,9 +124,9 @@
 		default:
 			f.open[v.N] = *v
 		}
-	case *Done:
-		rows = f.ends(rows, v.Whole, Given)
-		rows = f.ends(rows, v.Cut, Unheard)
+	case *Completions:
+		rows = f.ends(rows, v.Delivered, StateAnswered)
+		rows = f.ends(rows, v.Undelivered, StateUndelivered)
 	case *Gap:
 		f.Gaps++
 		v.N = x.N
@@ -135,7 +135,7 @@
 	return rows
 }
 
-func (f *Fold) ends(rows []Row, ns []uint64, state State) []Row {
+func (f *Replay) ends(rows []Row, ns []uint64, state State) []Row {
 	for _, n := range ns {
 		e, ok := f.open[n]
 		if !ok { // its entry fell into a hole, or stood in a segment that is shipped and gone
@@ -152,20 +152,20 @@
 }
 
 // End concludes an incarnation that will never write again: what is still open is in doubt.
-func (f *Fold) End() (rows []Row) {
+func (f *Replay) End() (rows []Row) {
 	for _, n := range slices.Sorted(maps.Keys(f.open)) {
-		f.Counts[InDoubt]++
-		rows = append(rows, Row{Entry: f.open[n], State: InDoubt})
+		f.Counts[StateInDoubt]++
+		rows = append(rows, Row{Entry: f.open[n], State: StateInDoubt})
 	}
 	clear(f.open)
 	return rows
 }
 
 // OpenNow is how many entries have no end yet.
-func (f *Fold) OpenNow() int { return len(f.open) }
+func (f *Replay) OpenNow() int { return len(f.open) }
 
 // Read is the last ordinal that was read.
-func (f *Fold) Read() uint64 {
+func (f *Replay) Read() uint64 {
 	if f.next == 0 {
 		return 0
 	}
@@ -174,7 +174,7 @@
 
 // Through is the last ordinal up to which everything has become final: a segment that ends there is of no more use once
 // that is in the store.
-func (f *Fold) Through() uint64 {
+func (f *Replay) Through() uint64 {
 	through := f.Read()
 	for n := range f.open {
 		through = min(through, n-1)
--- a/internal/record/replay_test.go
+++ b/internal/record/replay_test.go
@@ -13,14 +13,14 @@
 	t.Helper()
 	l, d := ledger(true, 1<<30, 1<<16, KeepServing), &disk{}
 	for i := range n {
-		ordinal, _ := l.Answer(float64(i), entry(fmt.Sprint(i)))
+		ordinal, _ := l.AddEntry(float64(i), entry(fmt.Sprint(i)))
 		d.all(l, float64(i))
-		l.Done(float64(i), ordinal, true)
+		l.AddCompletion(float64(i), ordinal, true)
 	}
 	for i := range 3 {
 		d.all(l, float64(n+300*i+300))
 	}
-	if f, rows := d.read(true); len(f.Defects) != 0 || len(rows) != n || f.Counts[Given] != uint64(n) {
+	if f, rows := d.read(true); len(f.Defects) != 0 || len(rows) != n || f.Counts[StateAnswered] != uint64(n) {
 		t.Fatalf("%v, %d rows", f.Defects, len(rows))
 	}
 	return d
@@ -71,18 +71,18 @@
 }
 
 func TestFoldRefuses(t *testing.T) {
-	f := NewFold()
+	f := NewReplay()
 	if f.Frame(Frame{N: 3, Payload: []byte{0}}); len(f.Defects) == 0 {
 		t.Error("a frame before any head passes")
 	}
 	for _, c := range []struct {
-		second Head
+		second SegmentHeader
 		want   string
-	}{{Head{Agent: "n", Incarnation: "j", Segment: 2, From: 1}, "two incarnations"},
-		{Head{Agent: "m", Incarnation: "i", Segment: 2, From: 1}, "two incarnations"},
-		{Head{Agent: "n", Incarnation: "i", Segment: 1, From: 1}, "comes after"}} {
-		f := NewFold()
-		f.Head(Head{Agent: "n", Incarnation: "i", Segment: 1, From: 1})
+	}{{SegmentHeader{Agent: "n", Incarnation: "j", Segment: 2, From: 1}, "two incarnations"},
+		{SegmentHeader{Agent: "m", Incarnation: "i", Segment: 2, From: 1}, "two incarnations"},
+		{SegmentHeader{Agent: "n", Incarnation: "i", Segment: 1, From: 1}, "comes after"}} {
+		f := NewReplay()
+		f.Head(SegmentHeader{Agent: "n", Incarnation: "i", Segment: 1, From: 1})
 		if err := f.Head(c.second); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%+v: %v", c.second, err)
 		}
@@ -93,23 +93,23 @@
 func TestThrough(t *testing.T) {
 	l, d := ledger(true, 1<<20, 1<<16, KeepServing), &disk{}
 	for i := range 4 {
-		l.Answer(1, entry(fmt.Sprint(i)))
+		l.AddEntry(1, entry(fmt.Sprint(i)))
 	}
 	d.all(l, 1)
 	for k, c := range []struct {
 		done    uint64
 		through uint64
 	}{{3, 0}, {1, 1}, {4, 1}, {2, 8}} {
-		l.Done(float64(10*k+10), c.done, true)
+		l.AddCompletion(float64(10*k+10), c.done, true)
 		d.all(l, float64(10*k+15))
-		f := NewFold()
+		f := NewReplay()
 		for _, s := range d.segments {
 			for len(s) > 0 {
 				x, size, _ := ParseFrame(s)
 				if s = s[size:]; x.N > 0 {
 					f.Frame(x)
 				} else {
-					f.Head(Head{Agent: "n", Incarnation: "i", Segment: 1, From: 1})
+					f.Head(SegmentHeader{Agent: "n", Incarnation: "i", Segment: 1, From: 1})
 				}
 			}
 		}
@@ -123,7 +123,7 @@
 func TestFrames(t *testing.T) {
 	whole := AppendFrame(nil, 7, Digest{1}, Encode(KindGap, Gap{N: 7, Cause: "x"}))
 	for i := range whole {
-		if _, _, err := ParseFrame(whole[:i]); err != ErrShort {
+		if _, _, err := ParseFrame(whole[:i]); err != ErrShortFrame {
 			t.Errorf("cut at %d: %v", i, err)
 		}
 		b := bytes.Clone(whole)
@@ -137,25 +137,25 @@
 			t.Errorf("%x decodes to %+v", bad, v)
 		}
 	}
-	if at := Find(append([]byte{0x0f, 'o', 'x', 0xf1, 0x0f}, whole...)); at != 5 {
+	if at := FindFrame(append([]byte{0x0f, 'o', 'x', 0xf1, 0x0f}, whole...)); at != 5 {
 		t.Errorf("found at %d", at)
 	}
 }
 
 func FuzzFrames(f *testing.F) {
 	f.Add(AppendFrame(nil, 1, Digest{}, Encode(KindEntry, entry("x"))))
-	f.Add(AppendFrame(nil, 1, Digest{}, Encode(KindDone, Done{Whole: []uint64{1}})))
+	f.Add(AppendFrame(nil, 1, Digest{}, Encode(KindCompletions, Completions{Delivered: []uint64{1}})))
 	f.Add([]byte{0x0f, 'o', 'x', 0xf1, 1, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		fold := NewFold()
-		fold.Head(Head{Agent: "n", Incarnation: "i", Segment: 1, From: 1})
+		fold := NewReplay()
+		fold.Head(SegmentHeader{Agent: "n", Incarnation: "i", Segment: 1, From: 1})
 		for len(b) > 0 {
 			x, size, err := ParseFrame(b)
 			if err != nil {
 				b = b[1:]
 				continue
 			}
-			if size <= Overhead || size > len(b) {
+			if size <= FrameOverhead || size > len(b) {
 				t.Fatalf("a frame of %d bytes in %d", size, len(b))
 			}
 			fold.Frame(x)
@@ -169,7 +169,7 @@
 }
 
 func TestShipper(t *testing.T) {
-	s := NewShipper(100, 50, rand.New(rand.NewPCG(1, 2)))
+	s := NewExportScheduler(100, 50, rand.New(rand.NewPCG(1, 2)))
 	now := 1000.0
 	if n, _ := s.Next(now, 0); n != 0 {
 		t.Error("nothing waits and something goes")
@@ -183,15 +183,15 @@
 	if n, _ := s.Next(now, 1000); n != 64 {
 		t.Errorf("the first batch has %d", n)
 	}
-	s.Result(now, Stored)
+	s.Result(now, ExportStored)
 	if n, _ := s.Next(now, 1000); n != 100 {
 		t.Errorf("it does not grow: %d", n)
 	}
 	last := 0.0
 	for k, c := range []struct {
-		r        Reply
+		r        ExportResult
 		low, top float64 // of the pause
-	}{{Lost, 50, 150}, {Lost, 100, 300}, {Busy, 200, 600}, {Away, 400, 1200}, {Away, 800, 2400}, {Denied, 2500, 7500}} {
+	}{{ExportUnknown, 50, 150}, {ExportUnknown, 100, 300}, {ExportBusy, 200, 600}, {ExportUnreachable, 400, 1200}, {ExportUnreachable, 800, 2400}, {ExportDenied, 2500, 7500}} {
 		s.Result(now, c.r)
 		n, wait := s.Next(now, 1000)
 		if n != 0 || wait < c.low || wait > c.top {
@@ -201,15 +201,15 @@
 			t.Error("pauses do not scatter")
 		}
 		last = wait
-		if now += wait; s.Broken() != (k >= 3) {
-			t.Errorf("%d: broken %v", k, s.Broken())
+		if now += wait; s.CircuitOpen() != (k >= 3) {
+			t.Errorf("%d: broken %v", k, s.CircuitOpen())
 		}
 	}
 	if n, _ := s.Next(now, 1000); n != 1 {
 		t.Errorf("a store that may be back is asked with %d rows", n)
 	}
-	s.Result(now, Stored)
-	if n, _ := s.Next(now, 1000); n < 2 || s.Broken() {
+	s.Result(now, ExportStored)
+	if n, _ := s.Next(now, 1000); n < 2 || s.CircuitOpen() {
 		t.Errorf("it is back, and gets %d", n)
 	}
 	live := 0
--- a/internal/record/ship.go
+++ b/internal/record/ship.go
@@ -5,30 +5,32 @@
 
 import "math/rand/v2"
 
-// Reply is how a batch ended.
-type Reply uint8
+// ExportResult is how a batch ended.
+type ExportResult uint8
 
 const (
-	Stored   Reply = iota
-	Lost           // the connection broke or the time ran out: it may be stored
-	Conflict       // the store chose another transaction: again
-	Busy           // it takes no more now
-	Away           // it can't be reached, or says that it goes
-	Denied         // it refuses us: somebody has to act
-	Foreign        // another place ships this incarnation: never again
+	ExportStored      ExportResult = iota
+	ExportUnknown                  // the connection broke or the time ran out: it may be stored
+	ExportConflict                 // the store chose another transaction: again
+	ExportBusy                     // it takes no more now
+	ExportUnreachable              // it can't be reached, or says that it goes
+	ExportDenied                   // it refuses us: somebody has to act
+	ExportForeign                  // another place ships this incarnation: never again
 )
 
-// Replies are their names, by number.
-var Replies = [...]string{"stored", "lost", "conflict", "busy", "away", "denied", "foreign"}
+// ExportResultNames are their names, by number.
+var ExportResultNames = [...]string{"stored", "lost", "conflict", "busy", "away", "denied", "foreign"}
 
-func (r Reply) String() string { return Replies[min(int(r), len(Replies)-1)] }
+func (r ExportResult) String() string {
+	return ExportResultNames[min(int(r), len(ExportResultNames)-1)]
+}
 
 // what a reply means: the first pause (ms), and whether the next batch is to be smaller.
 var meanings = [...]struct {
 	pause float64
 	less  bool
-}{Stored: {}, Lost: {100, true}, Conflict: {5, true}, Busy: {100, true}, Away: {100, false}, Denied: {5000, false},
-	Foreign: {60000, false}}
+}{ExportStored: {}, ExportUnknown: {100, true}, ExportConflict: {5, true}, ExportBusy: {100, true}, ExportUnreachable: {100, false}, ExportDenied: {5000, false},
+	ExportForeign: {60000, false}}
 
 const (
 	pauseMost = 5000.0 // ms
@@ -39,8 +41,8 @@
 	liveTurns, allTurns = 3, 4
 )
 
-// Shipper paces one agent's batches to the store.
-type Shipper struct {
+// ExportScheduler paces one agent's batches to the store.
+type ExportScheduler struct {
 	most     int
 	every    float64
 	chance   *rand.Rand
@@ -49,16 +51,16 @@
 	again    float64
 	firstAt  float64 // when the oldest row that waits was seen; 0: none waits
 	turn     int
-	Replies  [len(Replies)]uint64
+	Replies  [len(ExportResultNames)]uint64
 }
 
-// NewShipper makes one for batches of at most `most` rows, at least every `every` ms where rows wait.
-func NewShipper(most int, every float64, chance *rand.Rand) *Shipper {
-	return &Shipper{most: most, every: every, chance: chance, size: min(most, 64)}
+// NewExportScheduler makes one for batches of at most `most` rows, at least every `every` ms where rows wait.
+func NewExportScheduler(most int, every float64, chance *rand.Rand) *ExportScheduler {
+	return &ExportScheduler{most: most, every: every, chance: chance, size: min(most, 64)}
 }
 
 // Next says how many rows may go now, 0: none before wait (ms) is over. waiting is how many are ready.
-func (s *Shipper) Next(now float64, waiting int) (rows int, wait float64) {
+func (s *ExportScheduler) Next(now float64, waiting int) (rows int, wait float64) {
 	if waiting == 0 {
 		s.firstAt = 0
 		return 0, s.every
@@ -67,7 +69,7 @@
 		s.firstAt = max(now, 1)
 	}
 	rows = s.size
-	if s.Broken() {
+	if s.CircuitOpen() {
 		rows = 1
 	}
 	switch {
@@ -80,9 +82,9 @@
 }
 
 // Result tells how a batch ended.
-func (s *Shipper) Result(now float64, r Reply) {
+func (s *ExportScheduler) Result(now float64, r ExportResult) {
 	s.Replies[r]++
-	if r == Stored {
+	if r == ExportStored {
 		s.failures, s.again, s.firstAt = 0, 0, 0
 		s.size = min(s.size*2, s.most)
 		return
@@ -96,11 +98,11 @@
 	s.failures++
 }
 
-// Broken tells that the store counts as away.
-func (s *Shipper) Broken() bool { return s.failures >= breakAfter }
+// CircuitOpen tells that the store counts as away.
+func (s *ExportScheduler) CircuitOpen() bool { return s.failures >= breakAfter }
 
 // Live tells whether it is the running incarnation's turn, or that of what is left of earlier ones.
-func (s *Shipper) Live(live, old bool) bool {
+func (s *ExportScheduler) Live(live, old bool) bool {
 	if live && old {
 		s.turn = (s.turn + 1) % allTurns
 		return s.turn < liveTurns
--- a/internal/record/spool/bench_test.go
+++ b/internal/record/spool/bench_test.go
@@ -24,14 +24,14 @@
 			}
 			l := record.NewLedger("n1", w.Incarnation, false, 0, 256<<10, 4<<20, 1<<40, 8<<20, 100, 50, record.KeepServing, 0)
 			for i := range n {
-				o, _ := l.Answer(float64(i), record.Entry{Txn: fmt.Sprintf("%016x", i), Product: "page-preview",
-					Outcome: record.Settled, Reason: "answered", Build: 41, Appliance: "s-5be2a07c", Submissions: 1,
-					Taken: 1.7e12 + float64(i), Answered: 1.7e12 + float64(i), Body: record.Digest{1}})
-				l.Done(float64(i), o, true)
+				o, _ := l.AddEntry(float64(i), record.Entry{RequestID: fmt.Sprintf("%016x", i), Class: "page-preview",
+					Outcome: record.OutcomeServed, Reason: "answered", Release: 41, Backend: "s-5be2a07c", Attempts: 1,
+					ArrivedAt: 1.7e12 + float64(i), AnsweredAt: 1.7e12 + float64(i), BodyDigest: record.Digest{1}})
+				l.AddCompletion(float64(i), o, true)
 				if i%500 == 499 {
-					for x := l.Work(float64(i)); !x.Idle(); x = l.Work(float64(i)) {
+					for x := l.NextIO(float64(i)); !x.Idle(); x = l.NextIO(float64(i)) {
 						wrote, err := w.Do(x)
-						if l.Did(float64(i), wrote, err == nil); err != nil {
+						if l.Completed(float64(i), wrote, err == nil); err != nil {
 							b.Fatal(err)
 						}
 					}
@@ -48,15 +48,15 @@
 						b.Fatal(err)
 					}
 					rows += len(got)
-					most = max(most, r.Fold.OpenNow())
+					most = max(most, r.Replay.OpenNow())
 					if k%64 == 0 {
 						var m runtime.MemStats
 						runtime.ReadMemStats(&m)
 						peak = max(peak, m.HeapInuse)
 					}
 				}
-				if rows < n-1000 || len(r.Fold.Defects) > 0 {
-					b.Fatal(rows, r.Fold.Defects)
+				if rows < n-1000 || len(r.Replay.Defects) > 0 {
+					b.Fatal(rows, r.Replay.Defects)
 				}
 			}
 			b.ReportMetric(float64(s.Used())/float64(n), "bytes/entry")
--- a/internal/record/spool/reader.go
+++ b/internal/record/spool/reader.go
@@ -20,7 +20,7 @@
 
 // Reader reads one incarnation.
 type Reader struct {
-	Fold     *record.Fold
+	Replay   *record.Replay
 	fs       FS
 	dir      string
 	closed   bool // nobody writes it any more
@@ -36,7 +36,7 @@
 
 // Read starts reading an incarnation; closed tells that it will never be written again.
 func (s *Spool) Read(incarnation string, closed bool) *Reader {
-	return &Reader{Fold: record.NewFold(), fs: s.fs, dir: join(s.dir, incarnation), closed: closed}
+	return &Reader{Replay: record.NewReplay(), fs: s.fs, dir: join(s.dir, incarnation), closed: closed}
 }
 
 // Segment is the one that is read now; those before it are done with.
@@ -86,7 +86,7 @@
 	r.leave(last)
 	if last {
 		r.ended = true
-		return append(rows, r.Fold.End()...), false, nil
+		return append(rows, r.Replay.End()...), false, nil
 	}
 	return rows, true, nil
 }
@@ -97,7 +97,7 @@
 	used := 0
 	for used < len(r.buf) {
 		f, size, err := record.ParseFrame(r.buf[used:])
-		if errors.Is(err, record.ErrShort) && !final {
+		if errors.Is(err, record.ErrShortFrame) && !final {
 			break
 		}
 		if err != nil { // look for the next
@@ -113,13 +113,13 @@
 			continue
 		}
 		if r.skipped > 0 {
-			r.Fold.Spoilt(r.skipFrom, r.skipped)
+			r.Replay.Spoilt(r.skipFrom, r.skipped)
 			r.skipped = 0
 		}
-		if record.Kind(f.Payload[0]) == record.KindHead {
+		if record.Kind(f.Payload[0]) == record.KindHeader {
 			err = r.head(f)
 		} else if r.limit == 0 || f.N < r.limit {
-			rows = append(rows, r.Fold.Frame(f)...)
+			rows = append(rows, r.Replay.Frame(f)...)
 		}
 		if err != nil {
 			return rows, err
@@ -136,14 +136,14 @@
 	if err != nil {
 		return fmt.Errorf("%s segment %d: its head: %w", r.dir, r.segment, err)
 	}
-	return r.Fold.Head(*v.(*record.Head))
+	return r.Replay.Head(*v.(*record.SegmentHeader))
 }
 
 func (r *Reader) leave(last bool) {
 	if r.skipped > 0 && last {
-		r.Fold.Tail(r.skipped)
-	} else if r.skipped > 0 && (r.limit == 0 || r.Fold.Read()+1 < r.limit) {
-		r.Fold.Spoilt(r.skipFrom, r.skipped)
+		r.Replay.Tail(r.skipped)
+	} else if r.skipped > 0 && (r.limit == 0 || r.Replay.Read()+1 < r.limit) {
+		r.Replay.Spoilt(r.skipFrom, r.skipped)
 	}
 	r.Close()
 	r.buf, r.at, r.skipped, r.limit = r.buf[:0], 0, 0, 0
@@ -191,7 +191,7 @@
 	return true, nil
 }
 
-func readHead(fs FS, name string) (h record.Head, err error) {
+func readHead(fs FS, name string) (h record.SegmentHeader, err error) {
 	f, err := fs.Open(name)
 	if err != nil {
 		return h, err
@@ -210,8 +210,8 @@
 	if err != nil {
 		return h, err
 	}
-	if head, ok := v.(*record.Head); ok {
+	if head, ok := v.(*record.SegmentHeader); ok {
 		return *head, nil
 	}
-	return h, record.ErrSpoilt
+	return h, record.ErrCorruptFrame
 }
--- a/internal/record/spool/spool.go
+++ b/internal/record/spool/spool.go
@@ -283,8 +283,8 @@
 }
 
 // Do carries a work out and tells how many bytes the files may now hold of it.
-func (w *Writer) Do(work record.Work) (wrote int, err error) {
-	if work.Turn {
+func (w *Writer) Do(work record.IO) (wrote int, err error) {
+	if work.NewSegment {
 		failpoint.At("spool.turn")
 		if w.file != nil {
 			w.file.Close()
@@ -313,7 +313,7 @@
 		if err := w.file.Sync(); err != nil {
 			return wrote, err
 		}
-		if work.Turn { // else the file's name may be lost with the power
+		if work.NewSegment { // else the file's name may be lost with the power
 			if err := w.fs.SyncDir(w.dir); err != nil {
 				return wrote, err
 			}
--- a/internal/record/spool/spool_test.go
+++ b/internal/record/spool/spool_test.go
@@ -28,18 +28,18 @@
 	now := 0.0
 	work := func() {
 		for {
-			x := l.Work(now)
+			x := l.NextIO(now)
 			if x.Idle() {
 				return
 			}
 			wrote, err := w.Do(x)
-			l.Did(now, wrote, err == nil)
+			l.Completed(now, wrote, err == nil)
 		}
 	}
 	ordinals := map[string]uint64{}
 	for i := range n {
 		txn := fmt.Sprint(name, i)
-		ordinals[txn], _ = l.Answer(now, record.Entry{Txn: txn, Outcome: record.Settled})
+		ordinals[txn], _ = l.AddEntry(now, record.Entry{RequestID: txn, Outcome: record.OutcomeServed})
 		for range 30 { // pauses after failures pass
 			work()
 			now += 100
@@ -48,7 +48,7 @@
 			durable[txn] = true
 		}
 		if i < n-1 {
-			l.Done(now, ordinals[txn], true)
+			l.AddCompletion(now, ordinals[txn], true)
 		}
 	}
 	for range 5 {
@@ -75,10 +75,10 @@
 			t.Fatal(err)
 		}
 		for _, row := range rows {
-			if _, twice := got[row.Entry.Txn]; twice && row.Gap == nil {
-				t.Errorf("%s twice", row.Entry.Txn)
+			if _, twice := got[row.Entry.RequestID]; twice && row.Gap == nil {
+				t.Errorf("%s twice", row.Entry.RequestID)
 			}
-			got[row.Entry.Txn] = row.State
+			got[row.Entry.RequestID] = row.State
 		}
 	}
 	return r, got
@@ -103,16 +103,16 @@
 				m.Fail = nil
 				m.Crash(11) // 11 bytes of what no sync confirmed got to the disk
 				r, got := all(t, m, id)
-				if len(r.Fold.Defects) > 0 {
-					t.Fatal(r.Fold.Defects)
+				if len(r.Replay.Defects) > 0 {
+					t.Fatal(r.Replay.Defects)
 				}
 				if len(durable) != 40 {
 					t.Errorf("%d durable", len(durable))
 				}
 				for i := range 40 {
-					txn, want := fmt.Sprint("x", i), record.Given
+					txn, want := fmt.Sprint("x", i), record.StateAnswered
 					if i == 39 {
-						want = record.InDoubt
+						want = record.StateInDoubt
 					}
 					if state, ok := got[txn]; !ok || state != want {
 						t.Errorf("%s: %v %v, want %v", txn, ok, state, want)
@@ -163,8 +163,8 @@
 		found := map[string]bool{}
 		for _, id := range s.Incarnations() {
 			r, got := all(t, m, id)
-			if len(r.Fold.Defects) > 0 {
-				t.Fatalf("killed at operation %d: %v", at, r.Fold.Defects)
+			if len(r.Replay.Defects) > 0 {
+				t.Fatalf("killed at operation %d: %v", at, r.Replay.Defects)
 			}
 			for txn := range got {
 				found[txn] = true
@@ -227,8 +227,8 @@
 				t.Fatal(err)
 			}
 			r, got := all(t, m, id)
-			if len(r.Fold.Defects) == 0 || r.Fold.Defects[0].Kind != c.kind {
-				t.Errorf("%v, want %s first", r.Fold.Defects, c.kind)
+			if len(r.Replay.Defects) == 0 || r.Replay.Defects[0].Kind != c.kind {
+				t.Errorf("%v, want %s first", r.Replay.Defects, c.kind)
 			}
 			in := 0
 			for txn := range got {
@@ -253,8 +253,8 @@
 		m.Edit(join("root", "n1", id, segmentName(numbers[len(numbers)-1])),
 			func(b []byte) []byte { return append(b, tail...) })
 		r, got := all(t, m, id)
-		if len(r.Fold.Defects) > 0 || r.Fold.Torn != int64(len(tail)) || len(got) != 5 {
-			t.Errorf("%q: %v, %d torn, %d entries", tail, r.Fold.Defects, r.Fold.Torn, len(got))
+		if len(r.Replay.Defects) > 0 || r.Replay.Torn != int64(len(tail)) || len(got) != 5 {
+			t.Errorf("%q: %v, %d torn, %d entries", tail, r.Replay.Defects, r.Replay.Torn, len(got))
 		}
 	}
 }
@@ -279,8 +279,8 @@
 		return b
 	})
 	r, got := all(t, m, id)
-	if len(r.Fold.Defects) != 2 || r.Fold.Defects[0].Kind != "spoilt" || r.Fold.Defects[1].Kind != "hole" || len(got) < 4 {
-		t.Errorf("%v, %d entries", r.Fold.Defects, len(got))
+	if len(r.Replay.Defects) != 2 || r.Replay.Defects[0].Kind != "spoilt" || r.Replay.Defects[1].Kind != "hole" || len(got) < 4 {
+		t.Errorf("%v, %d entries", r.Replay.Defects, len(got))
 	}
 }
 
@@ -296,12 +296,12 @@
 	r := s.Read(w.Incarnation, false)
 	now, read, freed := 0.0, 0, int64(0)
 	for i := range 200 {
-		n, _ := l.Answer(now, record.Entry{Txn: fmt.Sprint(i)})
-		for x := l.Work(now); !x.Idle(); x = l.Work(now) {
+		n, _ := l.AddEntry(now, record.Entry{RequestID: fmt.Sprint(i)})
+		for x := l.NextIO(now); !x.Idle(); x = l.NextIO(now) {
 			wrote, err := w.Do(x)
-			l.Did(now, wrote, err == nil)
+			l.Completed(now, wrote, err == nil)
 		}
-		l.Done(now, n, true)
+		l.AddCompletion(now, n, true)
 		now += 300
 		if i%7 == 0 {
 			for more := true; more; {
@@ -310,20 +310,20 @@
 					t.Fatal(err)
 				}
 				for _, row := range rows {
-					if row.Entry.Txn != fmt.Sprint(read) {
-						t.Fatalf("%s after %d", row.Entry.Txn, read-1)
+					if row.Entry.RequestID != fmt.Sprint(read) {
+						t.Fatalf("%s after %d", row.Entry.RequestID, read-1)
 					}
 					read++
 				}
 			}
-			n, err := s.Prune(w.Incarnation, min(l.Segment(), r.Segment()), r.Fold.Through())
+			n, err := s.Prune(w.Incarnation, min(l.Segment(), r.Segment()), r.Replay.Through())
 			if freed += n; err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	if read < 190 || freed == 0 || len(r.Fold.Defects) > 0 {
-		t.Errorf("%d read, %d bytes freed, %v", read, freed, r.Fold.Defects)
+	if read < 190 || freed == 0 || len(r.Replay.Defects) > 0 {
+		t.Errorf("%d read, %d bytes freed, %v", read, freed, r.Replay.Defects)
 	}
 }
 
@@ -342,8 +342,8 @@
 		t.Fatal(err)
 	}
 	l := record.NewLedger("a/b c", w.Incarnation, true, 0, 4096, 2048, 1<<20, 1<<18, 100, 50, record.KeepServing, 0)
-	l.Answer(1, record.Entry{Txn: "x"})
-	x := l.Work(1)
+	l.AddEntry(1, record.Entry{RequestID: "x"})
+	x := l.NextIO(1)
 	if wrote, err := w.Do(x); err != nil || wrote != len(x.Bytes) || s.Used() != int64(wrote) {
 		t.Fatalf("%d of %d bytes, %d used, %v", wrote, len(x.Bytes), s.Used(), err)
 	}
@@ -382,7 +382,7 @@
 	defer s.Close()
 	r := s.Read(w.Incarnation, true)
 	rows, _, err := r.Next()
-	if err != nil || len(rows) != 1 || rows[0].State != record.InDoubt {
+	if err != nil || len(rows) != 1 || rows[0].State != record.StateInDoubt {
 		t.Errorf("%v %v", rows, err)
 	}
 	if freed, err := s.Drop(w.Incarnation); err != nil || freed == 0 || len(s.Incarnations()) != 0 {
@@ -394,11 +394,11 @@
 func FuzzReader(f *testing.F) {
 	m := NewMemory()
 	l := record.NewLedger("n1", "i", true, 0, 4096, 2048, 1<<20, 1<<18, 100, 50, record.KeepServing, 0)
-	n, _ := l.Answer(1, record.Entry{Txn: "x"})
-	w := l.Work(1)
-	l.Did(1, len(w.Bytes), true)
-	l.Done(2, n, true)
-	whole := append(w.Bytes, l.Work(300).Bytes...)
+	n, _ := l.AddEntry(1, record.Entry{RequestID: "x"})
+	w := l.NextIO(1)
+	l.Completed(1, len(w.Bytes), true)
+	l.AddCompletion(2, n, true)
+	whole := append(w.Bytes, l.NextIO(300).Bytes...)
 	f.Add(whole, whole[:20])
 	f.Add(whole[:len(whole)-5], []byte("\x0fox\xf1"))
 	f.Add([]byte{}, whole)
@@ -412,7 +412,7 @@
 		for k := 0; ; k++ {
 			rows, more, err := r.Next()
 			for _, row := range rows {
-				if row.State == record.Given {
+				if row.State == record.StateAnswered {
 					ends++
 				}
 			}
@@ -423,8 +423,8 @@
 				t.Fatal("reading does not end")
 			}
 		}
-		if ends > len(one)+len(two) || r.Fold.OpenNow() > len(one)+len(two) {
-			t.Fatalf("%d ends and %d open in %d bytes", ends, r.Fold.OpenNow(), len(one)+len(two))
+		if ends > len(one)+len(two) || r.Replay.OpenNow() > len(one)+len(two) {
+			t.Fatalf("%d ends and %d open in %d bytes", ends, r.Replay.OpenNow(), len(one)+len(two))
 		}
 	})
 }
--- a/internal/record/sqlite/sqlite.go
+++ b/internal/record/sqlite/sqlite.go
@@ -90,18 +90,18 @@
 		13, 14, 23, 26
 )
 
-func reply(err error) record.Reply {
+func reply(err error) record.ExportResult {
 	var e *sqlite.Error
 	if !errors.As(err, &e) {
-		return record.Lost
+		return record.ExportUnknown
 	}
 	switch e.Code() & 0xff {
 	case codeBusy, codeLocked:
-		return record.Busy
+		return record.ExportBusy
 	case codeReadOnly, codeAuth, codeNotADB, codeCorrupt, codeError:
-		return record.Denied
+		return record.ExportDenied
 	case codeFull, codeIO, codeCantOpen:
-		return record.Away
+		return record.ExportUnreachable
 	}
-	return record.Lost
+	return record.ExportUnknown
 }
--- a/internal/record/sqlstore/sqlstore.go
+++ b/internal/record/sqlstore/sqlstore.go
@@ -24,7 +24,7 @@
 	// Big, Real are the types of whole numbers and times.
 	Big, Real string
 	// Reply says what an error means.
-	Reply func(error) record.Reply
+	Reply func(error) record.ExportResult
 	// Checkpoint is run now and then; empty: nothing is.
 	Checkpoint string
 }
@@ -161,17 +161,17 @@
 	Incarnation string  `json:"incarnation"`
 	N           uint64  `json:"n"`
 	State       string  `json:"state"`
-	Txn         string  `json:"txn"`
-	Product     string  `json:"product"`
+	RequestID   string  `json:"txn"`
+	Class       string  `json:"product"`
 	Outcome     string  `json:"outcome"`
 	Reason      string  `json:"reason"`
-	Build       int     `json:"build"`
-	Appliance   string  `json:"appliance"`
-	Submissions int     `json:"submissions"`
-	Taken       float64 `json:"taken_ms"`
-	Answered    float64 `json:"answered_ms"`
-	Body        string  `json:"body"`
-	Mark        string  `json:"mark"`
+	Release     int     `json:"build"`
+	Backend     string  `json:"appliance"`
+	Attempts    int     `json:"submissions"`
+	ArrivedAt   float64 `json:"taken_ms"`
+	AnsweredAt  float64 `json:"answered_ms"`
+	BodyDigest  string  `json:"body"`
+	KeyDigest   string  `json:"mark"`
 }
 
 // GapRow is a gap as the store has it.
@@ -179,9 +179,9 @@
 	Agent       string  `json:"agent"`
 	Incarnation string  `json:"incarnation"`
 	N           uint64  `json:"n"`
-	Settled     uint64  `json:"settled"`
-	Declined    uint64  `json:"declined"`
-	Voided      uint64  `json:"voided"`
+	Served      uint64  `json:"settled"`
+	Rejected    uint64  `json:"declined"`
+	Failed      uint64  `json:"voided"`
 	Unknown     uint64  `json:"unknown"`
 	From        float64 `json:"from_ms"`
 	To          float64 `json:"to_ms"`
@@ -203,8 +203,8 @@
 	Closed                    bool   // and nothing will follow
 }
 
-// Foreign: another place ships the same incarnation.
-var Foreign = errors.New("this incarnation is shipped from another place")
+// ErrForeign: another place ships the same incarnation.
+var ErrForeign = errors.New("this incarnation is shipped from another place")
 
 var entryFields = [][2]string{{"incarnation", "text"}, {"n", "big"}, {"agent", "text"}, {"state", "text"}, {"txn", "text"},
 	{"product", "text"}, {"outcome", "text"}, {"reason", "text"}, {"build", "big"}, {"appliance", "text"},
@@ -232,13 +232,13 @@
 	var gaps []GapRow
 	for _, r := range b.Rows {
 		if g := r.Gap; g != nil {
-			gaps = append(gaps, GapRow{b.Agent, b.Incarnation, g.N, g.Counts[record.Settled], g.Counts[record.Declined],
-				g.Counts[record.Voided], g.Counts[0], g.From, g.To, g.Cause})
+			gaps = append(gaps, GapRow{b.Agent, b.Incarnation, g.N, g.Counts[record.OutcomeServed], g.Counts[record.OutcomeRejected],
+				g.Counts[record.OutcomeFailed], g.Counts[0], g.From, g.To, g.Cause})
 			continue
 		}
 		e := r.Entry
-		entries = append(entries, Row{b.Agent, b.Incarnation, e.N, r.State.String(), e.Txn, e.Product, e.Outcome.String(),
-			e.Reason, e.Build, e.Appliance, e.Submissions, e.Taken, e.Answered, digest(e.Body), digest(e.Mark)})
+		entries = append(entries, Row{b.Agent, b.Incarnation, e.N, r.State.String(), e.RequestID, e.Class, e.Outcome.String(),
+			e.Reason, e.Release, e.Backend, e.Attempts, e.ArrivedAt, e.AnsweredAt, digest(e.BodyDigest), digest(e.KeyDigest)})
 	}
 	tx, err := s.db.Begin(ctx)
 	if err != nil {
@@ -262,7 +262,7 @@
 		return 0, err
 	}
 	if place != b.Place {
-		return 0, fmt.Errorf("%w: %s, not %s", Foreign, place, b.Place)
+		return 0, fmt.Errorf("%w: %s, not %s", ErrForeign, place, b.Place)
 	}
 	for _, part := range []struct {
 		name, table string
@@ -299,14 +299,14 @@
 }
 
 // Reply says what an error of Put means for the batches to come.
-func (s *Store) Reply(err error) record.Reply {
+func (s *Store) Reply(err error) record.ExportResult {
 	switch {
 	case err == nil:
-		return record.Stored
-	case errors.Is(err, Foreign):
-		return record.Foreign
+		return record.ExportStored
+	case errors.Is(err, ErrForeign):
+		return record.ExportForeign
 	case errors.Is(err, context.DeadlineExceeded), errors.Is(err, context.Canceled):
-		return record.Lost
+		return record.ExportUnknown
 	}
 	return s.d.Reply(err)
 }
@@ -321,9 +321,9 @@
 
 // Filter selects rows; empty fields select all. Times are Unix ms, From included and To not.
 type Filter struct {
-	From, To                            float64
-	Agent, Product, Outcome, State, Txn string
-	Limit                               int
+	From, To                                float64
+	Agent, Class, Outcome, State, RequestID string
+	Limit                                   int
 }
 
 func (f Filter) where() (text string, args []any) {
@@ -338,8 +338,8 @@
 	if f.To > 0 {
 		add("answered_ms < %s", f.To)
 	}
-	for _, c := range [][2]string{{"agent", f.Agent}, {"product", f.Product}, {"outcome", f.Outcome}, {"state", f.State},
-		{"txn", f.Txn}} {
+	for _, c := range [][2]string{{"agent", f.Agent}, {"product", f.Class}, {"outcome", f.Outcome}, {"state", f.State},
+		{"txn", f.RequestID}} {
 		if c[1] != "" {
 			add(c[0]+" = %s", c[1])
 		}
@@ -358,8 +358,8 @@
 	return s.db.Query(ctx, text, args, func(scan func(...any) error) error {
 		var r Row
 		var n int64
-		if err := scan(&r.Agent, &r.Incarnation, &n, &r.State, &r.Txn, &r.Product, &r.Outcome, &r.Reason, &r.Build,
-			&r.Appliance, &r.Submissions, &r.Taken, &r.Answered, &r.Body, &r.Mark); err != nil {
+		if err := scan(&r.Agent, &r.Incarnation, &n, &r.State, &r.RequestID, &r.Class, &r.Outcome, &r.Reason, &r.Release,
+			&r.Backend, &r.Attempts, &r.ArrivedAt, &r.AnsweredAt, &r.BodyDigest, &r.KeyDigest); err != nil {
 			return err
 		}
 		r.N = uint64(n)
@@ -381,7 +381,7 @@
 			&g.Cause); err != nil {
 			return err
 		}
-		g.N, g.Settled, g.Declined, g.Voided, g.Unknown = uint64(n), uint64(settled), uint64(declined), uint64(voided),
+		g.N, g.Served, g.Rejected, g.Failed, g.Unknown = uint64(n), uint64(settled), uint64(declined), uint64(voided),
 			uint64(unknown)
 		return each(g)
 	})
--- a/internal/record/sqlstore/sqlstore_test.go
+++ b/internal/record/sqlstore/sqlstore_test.go
@@ -62,9 +62,9 @@
 func batch(from, to uint64, through uint64) sqlstore.Batch {
 	b := sqlstore.Batch{Agent: "n1", Incarnation: "i1", Place: "here", Through: through}
 	for n := from; n <= to; n++ {
-		b.Rows = append(b.Rows, record.Row{State: record.Given, Entry: record.Entry{N: n, Txn: fmt.Sprint("t'\"\\", n),
-			Product: "p", Outcome: record.Settled, Reason: "answered", Build: 2, Appliance: "a", Submissions: 1, Taken: 1.25,
-			Answered: float64(n) + 0.5, Body: record.Digest{1}}})
+		b.Rows = append(b.Rows, record.Row{State: record.StateAnswered, Entry: record.Entry{N: n, RequestID: fmt.Sprint("t'\"\\", n),
+			Class: "p", Outcome: record.OutcomeServed, Reason: "answered", Release: 2, Backend: "a", Attempts: 1, ArrivedAt: 1.25,
+			AnsweredAt: float64(n) + 0.5, BodyDigest: record.Digest{1}}})
 	}
 	return b
 }
@@ -94,7 +94,7 @@
 			}
 			other := batch(31, 32, 32)
 			other.Place = "elsewhere"
-			if _, err := s.Put(ctx, other); !errors.Is(err, sqlstore.Foreign) || s.Reply(err) != record.Foreign {
+			if _, err := s.Put(ctx, other); !errors.Is(err, sqlstore.ErrForeign) || s.Reply(err) != record.ExportForeign {
 				t.Errorf("from another place: %v", err)
 			}
 			closed := batch(31, 31, 31)
@@ -112,15 +112,15 @@
 			if err := s.Select(ctx, sqlstore.Filter{}, func(r sqlstore.Row) error { rows = append(rows, r); return nil }); err != nil {
 				t.Fatal(err)
 			}
-			want := sqlstore.Row{Agent: "n1", Incarnation: "i1", N: 7, State: "given", Txn: "t'\"\\7", Product: "p",
-				Outcome: "settled", Reason: "answered", Build: 2, Appliance: "a", Submissions: 1, Taken: 1.25, Answered: 7.5,
-				Body: "01" + strings.Repeat("0", 30)}
+			want := sqlstore.Row{Agent: "n1", Incarnation: "i1", N: 7, State: "given", RequestID: "t'\"\\7", Class: "p",
+				Outcome: "settled", Reason: "answered", Release: 2, Backend: "a", Attempts: 1, ArrivedAt: 1.25, AnsweredAt: 7.5,
+				BodyDigest: "01" + strings.Repeat("0", 30)}
 			if len(rows) != 31 || !slices.Contains(rows, want) {
 				t.Errorf("%d rows, one of them %+v", len(rows), rows[min(6, len(rows)-1)])
 			}
 			gaps := 0
 			if err := s.Gaps(ctx, "", func(g sqlstore.GapRow) error {
-				if gaps++; g.Settled != 3 || g.Declined != 2 || g.Voided != 1 || g.Cause != "full" || g.N != 21 {
+				if gaps++; g.Served != 3 || g.Rejected != 2 || g.Failed != 1 || g.Cause != "full" || g.N != 21 {
 					t.Errorf("gap %+v", g)
 				}
 				return nil
@@ -136,8 +136,8 @@
 		for _, c := range []struct {
 			f    sqlstore.Filter
 			want int
-		}{{sqlstore.Filter{From: 10, To: 20}, 10}, {sqlstore.Filter{Txn: "t'\"\\3"}, 1}, {sqlstore.Filter{Agent: "n2"}, 0},
-			{sqlstore.Filter{State: "given", Outcome: "settled", Product: "p", Limit: 7}, 7}} {
+		}{{sqlstore.Filter{From: 10, To: 20}, 10}, {sqlstore.Filter{RequestID: "t'\"\\3"}, 1}, {sqlstore.Filter{Agent: "n2"}, 0},
+			{sqlstore.Filter{State: "given", Outcome: "settled", Class: "p", Limit: 7}, 7}} {
 			n := 0
 			if err := lite.Select(ctx, c.f, func(sqlstore.Row) error { n++; return nil }); err != nil || n != c.want {
 				t.Errorf("%+v: %d rows, %v", c.f, n, err)
@@ -166,10 +166,10 @@
 	ctx := context.Background()
 	for _, c := range []struct {
 		mode  string
-		reply record.Reply
+		reply record.ExportResult
 		in    int // rows after the failure
-	}{{"cut", record.Lost, 0}, {"lose", record.Lost, 20}, {"40001", record.Conflict, 0}, {"40P01", record.Conflict, 0},
-		{"53300", record.Busy, 0}, {"57P01", record.Away, 0}, {"42501", record.Denied, 0}} {
+	}{{"cut", record.ExportUnknown, 0}, {"lose", record.ExportUnknown, 20}, {"40001", record.ExportConflict, 0}, {"40P01", record.ExportConflict, 0},
+		{"53300", record.ExportBusy, 0}, {"57P01", record.ExportUnreachable, 0}, {"42501", record.ExportDenied, 0}} {
 		t.Run(c.mode, func(t *testing.T) {
 			file := filepath.Join(t.TempDir(), "pg")
 			s, server := onPipes(t, file, "right")
@@ -204,14 +204,14 @@
 		server.Fail("stall")
 		short, cancel := context.WithCancel(ctx)
 		cancel()
-		if _, err := s.Put(short, batch(1, 2, 2)); s.Reply(err) != record.Lost {
+		if _, err := s.Put(short, batch(1, 2, 2)); s.Reply(err) != record.ExportUnknown {
 			t.Errorf("%v", err)
 		}
 		server.Fail("")
 	})
 	t.Run("a wrong password", func(t *testing.T) {
 		s, _ := onPipes(t, filepath.Join(t.TempDir(), "pg"), "wrong")
-		if err := s.Migrate(ctx); s.Reply(err) != record.Denied {
+		if err := s.Migrate(ctx); s.Reply(err) != record.ExportDenied {
 			t.Errorf("%v is taken for %v", err, s.Reply(err))
 		}
 	})
@@ -231,7 +231,7 @@
 		t.Fatal(err)
 	}
 	if err := locked.Hold(ctx, func() {
-		if _, err := other.Put(ctx, batch(1, 1, 1)); other.Reply(err) != record.Busy {
+		if _, err := other.Put(ctx, batch(1, 1, 1)); other.Reply(err) != record.ExportBusy {
 			t.Errorf("locked: %v, %v", err, other.Reply(err))
 		}
 	}); err != nil {
@@ -239,7 +239,7 @@
 	}
 	away, _ := sqlite.Open(filepath.Join(dir, "no", "such", "x.db"), 0)
 	defer away.Close()
-	if err := away.Migrate(ctx); away.Reply(err) != record.Away {
+	if err := away.Migrate(ctx); away.Reply(err) != record.ExportUnreachable {
 		t.Errorf("no directory: %v, %v", err, away.Reply(err))
 	}
 	db, err := sql.Open("sqlite", filepath.Join(dir, "x.db"))
--- a/internal/simadapter/simadapter.go
+++ b/internal/simadapter/simadapter.go
@@ -70,7 +70,7 @@
 	if clock.Type != gjson.Number || !b.Get("agents").IsArray() {
 		return errors.New("a batch without now-us or agents")
 	}
-	now := siteconfig.Ms(clock)
+	now := siteconfig.Milliseconds(clock)
 	h.reply = append(h.reply[:0], `{"agents":[`...)
 	var err error
 	// A pool belongs to the process and may stand beside the instances or among their events.
@@ -136,7 +136,7 @@
 	case "pool":
 		return h.pool(f)
 	case "init":
-		in.agent = siteconfig.Module(in, f.Get("prng").Uint(), f.Get("profile-data"), 0)
+		in.agent = siteconfig.NewInstance(in, f.Get("prng").Uint(), f.Get("profile-data"), 0)
 		return nil
 	}
 	a := in.agent
@@ -160,7 +160,7 @@
 		a.OnEndpoints(now, h.pools[slot], form != "D", form == "C")
 	case "knock":
 		a.OnRequest(now, id, f.Get("affinity").Str, int(f.Get("kind").Int()), int(f.Get("owner").Int()),
-			f.Get("is-retry").Bool(), siteconfig.Ms(f.Get("time-budget-us")), siteconfig.Ms(f.Get("hint-us")))
+			f.Get("is-retry").Bool(), siteconfig.Milliseconds(f.Get("time-budget-us")), siteconfig.Milliseconds(f.Get("hint-us")))
 	case "head-received":
 		a.OnStreamStarted(now, id, int(f.Get("copy").Int()))
 	case "done":
@@ -169,14 +169,14 @@
 			return fmt.Errorf("outcome %d", how)
 		}
 		waiting, busy := load(f.Get("feedback"))
-		a.OnAttemptResult(now, id, int(f.Get("copy").Int()), results[how], f.Get("final").Bool(), siteconfig.Ms(f.Get("took-us")), waiting, busy)
+		a.OnAttemptResult(now, id, int(f.Get("copy").Int()), results[how], f.Get("final").Bool(), siteconfig.Milliseconds(f.Get("took-us")), waiting, busy)
 	case "hangup":
 		a.OnClientGone(now, id)
 	case "wakeup":
 		a.OnTimer(now, f.Get("label").Uint())
 	case "checked":
 		waiting, busy := load(f.Get("feedback"))
-		a.OnProbeResult(now, app, f.Get("how").Int() == 1, siteconfig.Ms(f.Get("took-us")), waiting, busy)
+		a.OnProbeResult(now, app, f.Get("how").Int() == 1, siteconfig.Milliseconds(f.Get("took-us")), waiting, busy)
 	case "mail":
 		if raw, err := base64.StdEncoding.DecodeString(f.Get("raw").Str); err == nil {
 			a.OnMessage(now, raw)
@@ -191,12 +191,12 @@
 			reply = replies[f.Get("status").Int()]
 		}
 		a.OnReleaseUpdate(now, int(f.Get("ver").Int()), int(f.Get("wave").Int()), phases[phase], reply,
-			f.Get("ceiling").Num, siteconfig.Ms(f.Get("old-us")), f.Get("status").Int() == 1)
+			f.Get("ceiling").Num, siteconfig.Milliseconds(f.Get("old-us")), f.Get("status").Int() == 1)
 	case "counts-by-build":
 		a.OnPlatformCounts(now, int(f.Get("ver").Int()), int(f.Get("kind").Int()), int(f.Get("many").Int()),
-			int(f.Get("bad").Int()), siteconfig.Ms(f.Get("took-us")))
+			int(f.Get("bad").Int()), siteconfig.Milliseconds(f.Get("took-us")))
 	case "reported-wrong":
-		a.OnWrongAnswer(now, app, int(f.Get("kind").Int()), siteconfig.Ms(f.Get("old-us")))
+		a.OnWrongAnswer(now, app, int(f.Get("kind").Int()), siteconfig.Milliseconds(f.Get("old-us")))
 	default:
 		return errors.New("unknown event")
 	}
@@ -212,7 +212,7 @@
 	f.Get("items").ForEach(func(_, e gjson.Result) bool {
 		list = append(list, policy.Endpoint{
 			ID: e.Get("appliance").Str, Release: int(e.Get("ver").Num), State: states[e.Get("condition").Str],
-			Weight: e.Get("rating").Num, StartedAt: siteconfig.Ms(e.Get("boot-time-us")), Zone: int(e.Get("site").Int()),
+			Weight: e.Get("rating").Num, StartedAt: siteconfig.Milliseconds(e.Get("boot-time-us")), Zone: int(e.Get("site").Int()),
 			HardwareClass: int(e.Get("machine").Int()), Cell: int(e.Get("stripe").Int()),
 		})
 		return true
--- a/internal/siteconfig/siteconfig.go
+++ b/internal/siteconfig/siteconfig.go
@@ -22,13 +22,13 @@
 		"clocked": policy.ControlTimed}
 )
 
-// Module hands each part of a new module its own settings; the agent can bear so many txns at once, 0: any number.
-func Module(port policy.Port, seed uint64, s gjson.Result, most int) *policy.Instance {
+// NewInstance hands each part of a new module its own settings; the agent can bear so many txns at once, 0: any number.
+func NewInstance(port policy.Port, seed uint64, s gjson.Result, most int) *policy.Instance {
 	rules, fam, lim := s.Get("contract"), s.Get("family-info"), s.Get("limits")
 	a := policy.New(port, seed, int(s.Get("me").Int()), int(s.Get("balancers").Int()))
-	_, products := Products(s)
+	_, products := Classes(s)
 	a.Serve(products, int(lim.Get("max-attempts").Int()), lim.Get("parallel-tries").Bool(), lim.Get("cancel").Bool())
-	if open := Open(s); open > 0 && (most <= 0 || open < most) {
+	if open := MaxOpenRequests(s); open > 0 && (most <= 0 || open < most) {
 		most = open
 	}
 	if most > 0 {
@@ -38,18 +38,18 @@
 	a.Probing(lim.Get("probes").Bool(), s.Get("tariffs.probe").Num)
 	wait := 0.0
 	if lim.Get("retry-after").Bool() {
-		wait = Ms(lim.Get("max-retry-after-us"))
+		wait = Milliseconds(lim.Get("max-retry-after-us"))
 	}
 	a.Advise(wait)
 	a.Zone(int(s.Get("zone").Int()), s.Get("tariffs.cross-zone").Num > 0)
-	a.Watch(Asked(s), Ms(rules.Get("drain-grace-us")), Ms(rules.Get("ask-every-us")))
-	a.Warm(rules.Get("cold-from").Num, Ms(rules.Get("warm-up-us")), rules.Get("overload-factor").Num,
-		Ms(rules.Get("fall-us")))
+	a.Watch(OnDemandDiscovery(s), Milliseconds(rules.Get("drain-grace-us")), Milliseconds(rules.Get("ask-every-us")))
+	a.Warm(rules.Get("cold-from").Num, Milliseconds(rules.Get("warm-up-us")), rules.Get("overload-factor").Num,
+		Milliseconds(rules.Get("fall-us")))
 	a.Expose(fam.Get("spare-tries").Num, numbers(fam.Get("most-shares")), int(fam.Get("guarded-stages").Int()),
 		fam.Get("counted-by").Str == "per_lane", fam.Get("keys-stay").Bool())
-	a.CountOver(Ms(fam.Get("counted-over-us")))
+	a.CountOver(Milliseconds(fam.Get("counted-over-us")))
 	a.Judge(numbers(fam.Get("rings")), controls[fam.Get("decided-by").Str], int(fam.Get("back-votes").Int()),
-		Ms(fam.Get("ballot-ttl-us")))
+		Milliseconds(fam.Get("ballot-ttl-us")))
 	quotas := []float64{}
 	s.Get("customers").ForEach(func(_, c gjson.Result) bool {
 		quotas = append(quotas, c.Get("quota-per-s").Num/1000)
@@ -59,45 +59,47 @@
 	return a
 }
 
-// Products are the products' names and figures, under one index.
-func Products(s gjson.Result) (names []string, products []policy.RequestClass) {
+// Classes are the products' names and figures, under one index.
+func Classes(s gjson.Result) (names []string, products []policy.RequestClass) {
 	s.Get("grades").ForEach(func(_, g gjson.Result) bool {
 		names = append(names, g.Get("name").Str)
 		products = append(products, policy.RequestClass{
-			LatencyObjective: Ms(g.Get("aim-us")), ObjectivePerWork: g.Get("aim-stretch").Num, Timeout: Ms(g.Get("deadline-us")),
+			LatencyObjective: Milliseconds(g.Get("aim-us")), ObjectivePerWork: g.Get("aim-stretch").Num, Timeout: Milliseconds(g.Get("deadline-us")),
 			Value: g.Get("worth").Num, LateValue: g.Get("late-value").Num, Semantics: effects[g.Get("effect").Str],
-			DedupScope: groups[g.Get("key-scope").Str], DedupWindow: Ms(g.Get("key-ttl-us")), Streamed: g.Get("streamed").Bool(),
+			DedupScope: groups[g.Get("key-scope").Str], DedupWindow: Milliseconds(g.Get("key-ttl-us")), Streamed: g.Get("streamed").Bool(),
 		})
 		return true
 	})
 	return names, products
 }
 
-// Asked tells that the list comes only to those who ask for it.
-func Asked(s gjson.Result) bool { return s.Get("discovery").Str == "subscribe" }
+// OnDemandDiscovery tells that the list comes only to those who ask for it.
+func OnDemandDiscovery(s gjson.Result) bool { return s.Get("discovery").Str == "subscribe" }
 
-// Reported tells whether answers, and probes, may carry load reports.
-func Reported(s gjson.Result) (answers, probes bool) {
+// LoadReports tells whether answers, and probes, may carry load reports.
+func LoadReports(s gjson.Result) (answers, probes bool) {
 	source := s.Get("report.source").Str
 	return source == "answers", source == "answers" || source == "probe"
 }
 
-// Connecting is how long a connection may take to come up and how long one may stand idle.
-func Connecting(s gjson.Result) (up, idle float64) {
-	return Ms(s.Get("limits.connect-timeout-us")), Ms(s.Get("limits.idle-close-us"))
+// ConnectionTimes is how long a connection may take to come up and how long one may stand idle.
+func ConnectionTimes(s gjson.Result) (up, idle float64) {
+	return Milliseconds(s.Get("limits.connect-timeout-us")), Milliseconds(s.Get("limits.idle-close-us"))
 }
 
-// Called is how long a vote is waited for.
-func Called(s gjson.Result) float64 { return Ms(s.Get("family-info.call-timeout-us")) }
+// VoteTimeout is how long a vote is waited for.
+func VoteTimeout(s gjson.Result) float64 { return Milliseconds(s.Get("family-info.call-timeout-us")) }
 
-// Places are the names of zones and kinds of machine, which the module knows by number.
-func Places(s gjson.Result) (zones, kinds []string) { return words(s.Get("dcs")), words(s.Get("skus")) }
+// ZonesAndHardware are the names of zones and kinds of machine, which the module knows by number.
+func ZonesAndHardware(s gjson.Result) (zones, kinds []string) {
+	return words(s.Get("dcs")), words(s.Get("skus"))
+}
 
-// Open is how many txns may be held at once; 0: nothing is said of it.
-func Open(s gjson.Result) int { return int(s.Get("limits.max-open").Int()) }
+// MaxOpenRequests is how many txns may be held at once; 0: nothing is said of it.
+func MaxOpenRequests(s gjson.Result) int { return int(s.Get("limits.max-open").Int()) }
 
-// Revokes tells that a submission may be called off.
-func Revokes(s gjson.Result) bool { return s.Get("limits.cancel").Bool() }
+// CancelAllowed tells that a submission may be called off.
+func CancelAllowed(s gjson.Result) bool { return s.Get("limits.cancel").Bool() }
 
 // Limits are the socket and memory limits; 0: none.
 func Limits(config gjson.Result) (sockets, memoryMB int) {
@@ -112,8 +114,8 @@
 	return strconv.ParseUint(config.Get("seed").Str, 16, 64)
 }
 
-// Wrong says what keeps a configuration from being used, one line each.
-func Wrong(config gjson.Result) (lines []string) {
+// Problems says what keeps a configuration from being used, one line each.
+func Problems(config gjson.Result) (lines []string) {
 	wrong := func(bad bool, format string, args ...any) {
 		if bad {
 			lines = append(lines, fmt.Sprintf(format, args...))
@@ -135,7 +137,7 @@
 	wrong(memory < 0 || memory > 0 && memory < 24, "limits.memory_mb leaves no room for work: %d", memory)
 	s := config.Get("settings")
 	wrong(!s.IsObject(), "settings is missing")
-	names, products := Products(s)
+	names, products := Classes(s)
 	wrong(len(names) == 0, "settings.grades names no product")
 	for i, p := range products {
 		wrong(names[i] == "", "settings.grades.%d has no name", i)
@@ -144,16 +146,16 @@
 		wrong(p.LatencyObjective <= 0 || p.Timeout <= 0, "settings.grades.%d has no aim-us or deadline-us", i)
 	}
 	wrong(s.Get("limits.max-attempts").Int() < 1, "settings.limits.max-attempts allows no submission")
-	up, idle := Connecting(s)
+	up, idle := ConnectionTimes(s)
 	wrong(up <= 0 || idle <= 0, "settings.limits has no connect-timeout-us or idle-close-us")
-	wrong(Called(s) <= 0, "settings.family-info.call-timeout-us is missing")
+	wrong(VoteTimeout(s) <= 0, "settings.family-info.call-timeout-us is missing")
 	_, known := controls[s.Get("family-info.decided-by").Str]
 	wrong(!known, "settings.family-info.decided-by is unknown: %q", s.Get("family-info.decided-by").Str)
 	return lines
 }
 
-// Ms reads microseconds.
-func Ms(v gjson.Result) float64 { return float64(v.Int()) / 1000 }
+// Milliseconds reads microseconds.
+func Milliseconds(v gjson.Result) float64 { return float64(v.Int()) / 1000 }
 
 func numbers(list gjson.Result) (out []float64) {
 	for _, v := range list.Array() {
--- a/internal/siteconfig/siteconfig_test.go
+++ b/internal/siteconfig/siteconfig_test.go
@@ -33,7 +33,7 @@
 		{"control", "majority", "dice", "decided-by"},
 	} {
 		text := strings.Replace(usable, c.from, c.to, 1)
-		lines := Wrong(gjson.Parse(text))
+		lines := Problems(gjson.Parse(text))
 		if c.want == "" && len(lines) > 0 || c.want != "" && (len(lines) != 1 || !strings.Contains(lines[0], c.want)) {
 			t.Errorf("%s: %q", c.name, lines)
 		}
--- a/internal/sources/dns/dns.go
+++ b/internal/sources/dns/dns.go
@@ -36,9 +36,9 @@
 
 // Answer is what a look-up came to.
 type Answer struct {
-	Claims   []sources.Claim
-	TTL      time.Duration
-	Negative bool // the server says that there is no such name, or no such records, for TTL
+	Observations []sources.Observation
+	TTL          time.Duration
+	Negative     bool // the server says that there is no such name, or no such records, for TTL
 }
 
 var (
@@ -107,15 +107,15 @@
 		}
 		for _, host := range known[target] {
 			ttl = min(ttl, host.ttl)
-			a.Claims = append(a.Claims, sources.Claim{Address: net.JoinHostPort(host.ip, strconv.Itoa(int(srv.Port))),
+			a.Observations = append(a.Observations, sources.Observation{Address: net.JoinHostPort(host.ip, strconv.Itoa(int(srv.Port))),
 				Priority: int(srv.Priority), Weight: int(srv.Weight)})
 		}
 	}
-	if len(a.Claims) == 0 {
+	if len(a.Observations) == 0 {
 		return a, fmt.Errorf("%w: no target has an address", ErrUnusable)
 	}
 	a.TTL = time.Duration(ttl) * time.Second
-	r.tell("%d records, %d addresses, lifetime %v", len(records), len(a.Claims), a.TTL)
+	r.tell("%d records, %d addresses, lifetime %v", len(records), len(a.Observations), a.TTL)
 	return a, nil
 }
 
--- a/internal/sources/dns/dns_test.go
+++ b/internal/sources/dns/dns_test.go
@@ -75,7 +75,7 @@
 	srv := records(t, name+" 30 IN SRV 1 10 80 a.example.org.", name+" 20 IN SRV 2 5 81 B.example.org.")
 	hosts := records(t, "a.example.org. 40 IN A 10.0.0.1", "b.example.org. 10 IN A 10.0.0.2", "b.example.org. 50 IN AAAA fd00::2")
 	soa := records(t, "fleet.example.org. 50 IN SOA n. m. 1 2 3 4 7")
-	both := []sources.Claim{{Address: "10.0.0.1:80", Priority: 1, Weight: 10}, {Address: "10.0.0.2:81", Priority: 2, Weight: 5},
+	both := []sources.Observation{{Address: "10.0.0.1:80", Priority: 1, Weight: 10}, {Address: "10.0.0.2:81", Priority: 2, Weight: 5},
 		{Address: "[fd00::2]:81", Priority: 2, Weight: 5}}
 	one := func(f func(network string, q *dns.Msg) *dns.Msg) server {
 		return func(network string, q *dns.Msg) []*dns.Msg { return []*dns.Msg{f(network, q)} }
@@ -87,7 +87,7 @@
 	for _, c := range []struct {
 		name   string
 		s      server
-		want   []sources.Claim
+		want   []sources.Observation
 		n      int // claims, where they are not listed
 		ttl    time.Duration
 		no     bool
@@ -180,8 +180,8 @@
 				if c.err == nil && (a.TTL != c.ttl && !(c.no && c.ttl == 0) || a.Negative != c.no) {
 					t.Errorf("lifetime %v, negative %v", a.TTL, a.Negative)
 				}
-				if c.n == 0 && !slices.Equal(a.Claims, c.want) || c.n > 0 && len(a.Claims) != c.n {
-					t.Errorf("%d claims: %v", len(a.Claims), a.Claims[:min(len(a.Claims), 5)])
+				if c.n == 0 && !slices.Equal(a.Observations, c.want) || c.n > 0 && len(a.Observations) != c.n {
+					t.Errorf("%d claims: %v", len(a.Observations), a.Observations[:min(len(a.Observations), 5)])
 				}
 			})
 		})
@@ -222,7 +222,7 @@
 			return here, nil
 		}, rand.New(rand.NewPCG(1, 2)), time.Second)
 		a, err := r.Lookup(t.Context(), "s", "_r._tcp.x")
-		if err == nil && !a.Negative && len(a.Claims) == 0 {
+		if err == nil && !a.Negative && len(a.Observations) == 0 {
 			t.Fatal("neither claims nor a no")
 		}
 	})
--- a/internal/sources/host/host.go
+++ b/internal/sources/host/host.go
@@ -270,13 +270,13 @@
 	default:
 		h.lookup.Answered(now, server, float64(a.TTL)/1e6, false)
 		if failpoint.Defect("undrain") {
-			h.merge.Forgive(a.Claims)
+			h.merge.Forgive(a.Observations)
 		}
-		h.apply(h.merge.Answer(now, a.Claims), false, false)
+		h.apply(h.merge.Answer(now, a.Observations), false, false)
 		h.dirty = true // when it was last named
 	}
 	if is := h.merge.Doubt[sources.SRV]; (is == "") != (doubt == "") {
-		logrus.WithFields(logrus.Fields{"source": "srv", "server": at, "doubt": is, "claims": len(a.Claims)}).Info("source")
+		logrus.WithFields(logrus.Fields{"source": "srv", "server": at, "doubt": is, "claims": len(a.Observations)}).Info("source")
 	}
 }
 
@@ -303,7 +303,7 @@
 	ID      string         `json:"id"`
 	Address string         `json:"address"`
 	State   string         `json:"state"`
-	Build   int            `json:"build"`
+	Release int            `json:"build"`
 	Rating  float64        `json:"rating"`
 	Rule    string         `json:"rule"`
 	Words   []sources.Word `json:"words"`
