--- a/internal/sources/merge.go
+++ b/internal/sources/merge.go
@@ -33,8 +33,8 @@
 	ratingLeast, ratingMost = 0.1, 4.0
 )
 
-// Claim is what SRV tells of one address.
-type Claim struct {
+// Observation is what SRV tells of one address.
+type Observation struct {
 	Address  string `json:"address"`
 	Priority int    `json:"priority"`
 	Weight   int    `json:"weight"`
@@ -47,14 +47,14 @@
 	Rule    string // that decided
 }
 
-// told is one source's word for an appliance, with when.
-type told struct {
+// discovered is one source's word for an appliance, with when.
+type discovered struct {
 	Entry
 	at float64
 }
 
-type named struct {
-	Claim
+type resolved struct {
+	Observation
 	first, last float64 // when it was named
 	misses      int
 }
@@ -82,17 +82,17 @@
 // Merge holds the sources' views and the fleet that follows from them.
 type Merge struct {
 	fleet  View
-	list   *immutable.Map[string, told]    // discovery's, by id; none that is gone
-	at     *immutable.Map[string, string]  // id that discovery lists at an address
-	ended  *immutable.Map[string, float64] // addresses at which an appliance drained or went by discovery's word, and when
-	srv    *immutable.Map[string, named]   // by address
-	best   int                             // lowest priority that is named
-	mean   float64                         // weight at that priority
-	shrunk [2]int                          // in a row, by source
-	kept   string                          // address of the last one that ran, which no source names any more
-	firm   int                             // how many run that are no spares
-	stood  bool                            // some did, when spares were last looked at
-	Doubt  [2]string                       // why a source is doubted, empty: it is not
+	list   *immutable.Map[string, discovered] // discovery's, by id; none that is gone
+	at     *immutable.Map[string, string]     // id that discovery lists at an address
+	ended  *immutable.Map[string, float64]    // addresses at which an appliance drained or went by discovery's word, and when
+	srv    *immutable.Map[string, resolved]   // by address
+	best   int                                // lowest priority that is named
+	mean   float64                            // weight at that priority
+	shrunk [2]int                             // in a row, by source
+	kept   string                             // address of the last one that ran, which no source names any more
+	firm   int                                // how many run that are no spares
+	stood  bool                               // some did, when spares were last looked at
+	Doubt  [2]string                          // why a source is doubted, empty: it is not
 }
 
 // The sources.
@@ -103,9 +103,9 @@
 
 // New is a merge to which nothing was told.
 func New() *Merge {
-	return &Merge{fleet: View{entries: immutable.NewMap[string, Entry](nil)}, list: immutable.NewMap[string, told](nil),
+	return &Merge{fleet: View{entries: immutable.NewMap[string, Entry](nil)}, list: immutable.NewMap[string, discovered](nil),
 		at: immutable.NewMap[string, string](nil), ended: immutable.NewMap[string, float64](nil),
-		srv: immutable.NewMap[string, named](nil)}
+		srv: immutable.NewMap[string, resolved](nil)}
 }
 
 // Fleet is what the module was told last.
@@ -122,7 +122,7 @@
 		for _, e := range entries {
 			names[e.ID] = true
 		}
-		if m.believed(Discovery, len(entries), m.list.Len()) {
+		if m.accepted(Discovery, len(entries), m.list.Len()) {
 			for i := m.list.Iterator(); !i.Done(); {
 				id, t, _ := i.Next()
 				if !names[id] {
@@ -159,8 +159,8 @@
 	return changes
 }
 
-// believed tells whether a source that names n where it named `was` may be taken at its word for what it leaves out.
-func (m *Merge) believed(source, n, was int) bool {
+// accepted tells whether a source that names n where it named `was` may be taken at its word for what it leaves out.
+func (m *Merge) accepted(source, n, was int) bool {
 	if float64(n) >= shrinkMost*float64(was) && (n > 0 || was == 0) {
 		m.shrunk[source], m.Doubt[source] = 0, ""
 		return true
@@ -192,13 +192,13 @@
 	case policy.EndpointRemoved:
 		m.list = m.list.Delete(e.ID)
 		if e.Address != "" {
-			changes = m.leave(now, changes, told{Entry: e}, true)
+			changes = m.leave(now, changes, discovered{Entry: e}, true)
 		}
 	case policy.EndpointDraining:
-		m.list, m.at = m.list.Set(e.ID, told{e, now}), m.at.Set(e.Address, e.ID)
+		m.list, m.at = m.list.Set(e.ID, discovered{e, now}), m.at.Set(e.Address, e.ID)
 		m.ended = m.ended.Set(e.Address, now)
 	default:
-		m.list, m.at = m.list.Set(e.ID, told{e, now}), m.at.Set(e.Address, e.ID)
+		m.list, m.at = m.list.Set(e.ID, discovered{e, now}), m.at.Set(e.Address, e.ID)
 		m.ended = m.ended.Delete(e.Address)
 	}
 	changes = m.decide(now, changes, e.ID, e.Address)
@@ -206,7 +206,7 @@
 }
 
 // leave frees an address; ended: by a word that outlives discovery.
-func (m *Merge) leave(now float64, changes []Entry, t told, ended bool) []Entry {
+func (m *Merge) leave(now float64, changes []Entry, t discovered, ended bool) []Entry {
 	id, taken := m.at.Get(t.Address)
 	if taken && id == t.ID {
 		m.at = m.at.Delete(t.Address)
@@ -218,8 +218,8 @@
 }
 
 // Answer takes a good and whole answer of SRV.
-func (m *Merge) Answer(now float64, claims []Claim) (changes []Entry) {
-	names := make(map[string]Claim, len(claims))
+func (m *Merge) Answer(now float64, claims []Observation) (changes []Entry) {
+	names := make(map[string]Observation, len(claims))
 	m.best, m.mean = 1<<16, 0
 	for _, c := range claims {
 		if other, twice := names[c.Address]; !twice || c.Priority < other.Priority {
@@ -235,7 +235,7 @@
 		}
 	}
 	m.mean /= float64(max(n, 1))
-	believed := m.believed(SRV, len(names), m.srv.Len())
+	believed := m.accepted(SRV, len(names), m.srv.Len())
 	for i := m.srv.Iterator(); !i.Done(); {
 		address, c, _ := i.Next()
 		if _, ok := names[address]; ok {
@@ -262,7 +262,7 @@
 		if !ok {
 			was.first = now
 		}
-		m.srv = m.srv.Set(c.Address, named{Claim: c, first: was.first, last: now})
+		m.srv = m.srv.Set(c.Address, resolved{Observation: c, first: was.first, last: now})
 		changes = m.decide(now, changes, srvID(c.Address), c.Address)
 	}
 	return m.settle(now, changes)
@@ -413,7 +413,7 @@
 
 // Remembered is what SRV last told of an address.
 type Remembered struct {
-	Claim
+	Observation
 	First float64 `json:"first_ms"`
 	Last  float64 `json:"last_ms"`
 }
@@ -427,7 +427,7 @@
 	}
 	for i := m.srv.Iterator(); !i.Done(); {
 		_, c, _ := i.Next()
-		out.SRV = append(out.SRV, Remembered{c.Claim, c.first, c.last})
+		out.SRV = append(out.SRV, Remembered{c.Observation, c.first, c.last})
 	}
 	slices.SortFunc(out.SRV, func(a, b Remembered) int { return cmp.Compare(a.Address, b.Address) })
 	return out
@@ -442,10 +442,10 @@
 			m.ended = m.ended.Set(address, now)
 		}
 	}
-	var still []Claim
+	var still []Observation
 	for _, c := range from.SRV {
 		if now-c.Last <= staleMost {
-			still = append(still, c.Claim)
+			still = append(still, c.Observation)
 		}
 	}
 	changes = m.Answer(now, still)
@@ -484,7 +484,7 @@
 
 // Forgive lets SRV undo what discovery ended. It is what must never be, and stands here for rehearsals to see that it would
 // be found.
-func (m *Merge) Forgive(claims []Claim) {
+func (m *Merge) Forgive(claims []Observation) {
 	for _, c := range claims {
 		m.ended = m.ended.Delete(c.Address)
 		if id, ok := m.at.Get(c.Address); ok {
--- a/internal/sources/merge_test.go
+++ b/internal/sources/merge_test.go
@@ -18,9 +18,9 @@
 	return Entry{Endpoint: policy.Endpoint{ID: fmt.Sprint("a", id), Release: 1, State: state, Weight: 1}, Address: address(at)}
 }
 
-func claims(which ...int) (out []Claim) {
+func claims(which ...int) (out []Observation) {
 	for _, i := range which {
-		out = append(out, Claim{address(i), 0, 1})
+		out = append(out, Observation{address(i), 0, 1})
 	}
 	return out
 }
@@ -66,11 +66,13 @@
 		{"an address goes over to another id", []func(*Merge){list(true, entry(1, 1, run)), list(false, entry(2, 1, run))}, "a2@1:1 0 listed"},
 		{"and the old one's end comes late", []func(*Merge){list(true, entry(1, 1, run)), list(false, entry(2, 1, run)), list(false, entry(1, 1, gone)), srv(1)}, "a2@1:1 0 listed"},
 		{"an id moves", []func(*Merge){list(true, entry(1, 1, run)), list(false, entry(1, 2, run)), srv(1, 2)}, "a1@2:1 0 listed, srv:10.0.0.1:1@1:1 0 named"},
-		{"the same address twice", []func(*Merge){func(m *Merge) { m.Answer(1, append(claims(1), Claim{address(1), 5, 9})) }}, "srv:10.0.0.1:1@1:1 0 named"},
-		{"spares stay out while others stand", []func(*Merge){list(true, entry(1, 1, run)), func(m *Merge) { m.Answer(1, append(claims(2), Claim{address(3), 5, 1})) }}, "a1@1:1 0 listed, srv:10.0.0.2:1@2:1 0 named"},
-		{"and come in, all, once nobody does", []func(*Merge){list(true, entry(1, 1, run)), func(m *Merge) { m.Answer(1, append(claims(2), Claim{address(3), 5, 1}, Claim{address(4), 5, 1})) }, list(false, entry(1, 1, gone)), list(false, entry(2, 2, drain))}, "a2@2:1 1 draining, srv:10.0.0.3:1@3:1 0 reserve, srv:10.0.0.4:1@4:1 0 reserve"},
-		{"and stay so at the next answer", []func(*Merge){list(true, entry(2, 2, drain)), func(m *Merge) { m.Answer(1, append(claims(2), Claim{address(3), 5, 1})) }, func(m *Merge) { m.Answer(1, append(claims(2), Claim{address(3), 5, 1})) }}, "a2@2:1 1 draining, srv:10.0.0.3:1@3:1 0 reserve"},
-		{"and go out again", []func(*Merge){list(true, entry(2, 2, drain)), func(m *Merge) { m.Answer(1, append(claims(2), Claim{address(3), 5, 1})) }, list(false, entry(5, 5, run))}, "a2@2:1 1 draining, a5@5:1 0 listed"},
+		{"the same address twice", []func(*Merge){func(m *Merge) { m.Answer(1, append(claims(1), Observation{address(1), 5, 9})) }}, "srv:10.0.0.1:1@1:1 0 named"},
+		{"spares stay out while others stand", []func(*Merge){list(true, entry(1, 1, run)), func(m *Merge) { m.Answer(1, append(claims(2), Observation{address(3), 5, 1})) }}, "a1@1:1 0 listed, srv:10.0.0.2:1@2:1 0 named"},
+		{"and come in, all, once nobody does", []func(*Merge){list(true, entry(1, 1, run)), func(m *Merge) {
+			m.Answer(1, append(claims(2), Observation{address(3), 5, 1}, Observation{address(4), 5, 1}))
+		}, list(false, entry(1, 1, gone)), list(false, entry(2, 2, drain))}, "a2@2:1 1 draining, srv:10.0.0.3:1@3:1 0 reserve, srv:10.0.0.4:1@4:1 0 reserve"},
+		{"and stay so at the next answer", []func(*Merge){list(true, entry(2, 2, drain)), func(m *Merge) { m.Answer(1, append(claims(2), Observation{address(3), 5, 1})) }, func(m *Merge) { m.Answer(1, append(claims(2), Observation{address(3), 5, 1})) }}, "a2@2:1 1 draining, srv:10.0.0.3:1@3:1 0 reserve"},
+		{"and go out again", []func(*Merge){list(true, entry(2, 2, drain)), func(m *Merge) { m.Answer(1, append(claims(2), Observation{address(3), 5, 1})) }, list(false, entry(5, 5, run))}, "a2@2:1 1 draining, a5@5:1 0 listed"},
 		{"what only SRV told, long ago", []func(*Merge){list(true, entry(1, 1, run)), srv(2), func(m *Merge) { m.Fail(SRV, "dead"); m.Age(staleMost + 2) }}, "a1@1:1 0 listed"},
 		{"but never the last one", []func(*Merge){srv(2), func(m *Merge) { m.Fail(SRV, "dead"); m.Age(staleMost + 2) }}, "srv:10.0.0.2:1@2:1 0 named"},
 	} {
@@ -89,7 +91,7 @@
 // What SRV adds is on trial in the first stage, cold from when it was first named, and rated by its weight.
 func TestAdded(t *testing.T) {
 	m := New()
-	changes := m.Answer(7, []Claim{{address(1), 1, 30}, {address(2), 1, 10}, {address(3), 1, 0}})
+	changes := m.Answer(7, []Observation{{address(1), 1, 30}, {address(2), 1, 10}, {address(3), 1, 0}})
 	if len(changes) != 3 {
 		t.Fatalf("%d changes", len(changes))
 	}
@@ -98,7 +100,7 @@
 			t.Errorf("%+v, want a rating of %v", e, rating)
 		}
 	}
-	if again := m.Answer(9, []Claim{{address(1), 1, 30}, {address(2), 1, 10}, {address(3), 1, 0}}); len(again) != 0 {
+	if again := m.Answer(9, []Observation{{address(1), 1, 30}, {address(2), 1, 10}, {address(3), 1, 0}}); len(again) != 0 {
 		t.Errorf("told again: %+v", again)
 	}
 }
@@ -291,10 +293,10 @@
 	for _, n := range []int{100, 1_000, 10_000} {
 		m := New()
 		var list []Entry
-		var named []Claim
+		var named []Observation
 		for i := range n {
 			e := Entry{Endpoint: policy.Endpoint{ID: fmt.Sprint("a", i), Release: 1, Weight: 1}, Address: fmt.Sprint("10.1.0.1:", i)}
-			list, named = append(list, e), append(named, Claim{e.Address, 0, 1})
+			list, named = append(list, e), append(named, Observation{e.Address, 0, 1})
 		}
 		m.List(1, list, true)
 		m.Answer(1, named)
