--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -79,8 +79,8 @@
 }
 
 // what the module wants beside its requests.
-func (a *Instance) SendVote(build int, verdict policy.Verdict, stage int) {
-	a.platform.Vote(build, verdict, stage)
+func (a *Instance) SendVote(release policy.ReleaseID, verdict policy.Verdict, stage int) {
+	a.platform.SendVote(release, verdict, stage)
 }
 func (a *Instance) SendProbe(appliance string) { go a.upstream.Probe(appliance) }
 func (a *Instance) WatchEndpoints()            { a.discovery.Refresh(false) }
@@ -140,12 +140,12 @@
 		"memory_mb": memoryMB, "agents": s.Get("balancers").Int(), "products": len(names),
 		"appliances": len(config.Get("known.servers").Array())}).Info("start")
 	a.core.Start(func(p policy.Port) *policy.Instance {
-		return siteconfig.NewInstance(p, seed, s, a.budget.ClientLimit())
+		return policy.New(p, siteconfig.InstanceConfig(s, seed, a.budget.ClientLimit()))
 	})
 	if o.Tables.Sources.On() { // after the module: what is remembered goes to it at once
 		a.sources = host.New(o.Tables.Sources, a.core, a.upstream.CloseAddress, int(s.Get("me").Int()),
 			int(s.Get("balancers").Int()), seed+3)
-		a.discovery.OnUpdate(a.sources.List, a.sources.Silent)
+		a.discovery.OnUpdate(a.sources.OnDiscovery, a.sources.Silent)
 	}
 	if err := a.discovery.Apply([]byte(config.Get("known").Raw), httpwire.FromConfiguration, func() {}); err != nil {
 		return nil, fmt.Errorf("known: %w", err)
@@ -388,9 +388,9 @@
 
 // measureReleases names what can be scraped of the rule on exposure.
 func (a *Instance) measureReleases(count func(name string, of func(core.Counts) int)) {
-	count("onyxgate_release_newest", func(n core.Counts) int { return n.Releases.Newest.Release })
+	count("onyxgate_release_newest", func(n core.Counts) int { return int(n.Releases.Newest.Release) })
 	count("onyxgate_release_stage", func(n core.Counts) int { return n.Releases.Newest.Stage })
-	count("onyxgate_release_on_trial", func(n core.Counts) int { return n.Releases.RollingOut })
+	count("onyxgate_release_on_trial", func(n core.Counts) int { return int(n.Releases.RollingOut) })
 	count("onyxgate_affinity_keys", func(n core.Counts) int { return n.Releases.Keys })
 	count(`onyxgate_backends_withheld_total{reason="closed"}`, func(n core.Counts) int { return n.Releases.Skipped.Closed })
 	count(`onyxgate_backends_withheld_total{reason="cap"}`, func(n core.Counts) int { return n.Releases.Skipped.CapReached })
--- a/internal/assembly/crossings_test.go
+++ b/internal/assembly/crossings_test.go
@@ -205,7 +205,7 @@
 	}{{"told", true, false, 0}, {"silent", false, false, firstList}, {"leaves", false, true, 0}} {
 		synctest.Test(t, func(t *testing.T) {
 			a := &Instance{core: core.New(nil)}
-			a.core.Start(func(p policy.Port) *policy.Instance { return policy.New(p, 7, 0, 1) })
+			a.core.Start(func(p policy.Port) *policy.Instance { return policy.New(p, policy.Config{Seed: 7, Instances: 1}) })
 			a.discovery = httpwire.NewDiscovery(a.core, nil, "d:1", nil, nil, false, 1)
 			a.front = httpwire.NewFront(a.core, nil, httpwire.NewSockets(0), nil, nil, false, 0, 0)
 			hurry, ready, from := make(chan bool), make(chan bool), time.Now()
--- a/internal/core/clock_test.go
+++ b/internal/core/clock_test.go
@@ -44,21 +44,20 @@
 		synctest.Test(t, func(t *testing.T) {
 			core := New(&calls{})
 			core.Start(func(port policy.Port) *policy.Instance {
-				a := policy.New(port, 7, 0, 1)
-				a.Serve([]policy.RequestClass{{LatencyObjective: 1000, Timeout: 4000, Value: 1}}, 3, false, true)
-				a.Warm(0.4, 5000, 3, 1000)
-				return a
+				return policy.New(port, policy.Config{Seed: 7, Instances: 1, MaxAttempts: 3, CancelAllowed: true,
+					Classes:   []policy.RequestClass{{LatencyObjective: 1000, Timeout: 4000, Value: 1}},
+					SlowStart: policy.SlowStartConfig{InitialCapacity: 0.4, WarmUp: 5000, OverloadFactor: 3, OverloadWindow: 1000}})
 			})
-			core.UpdateEndpoints(nil, true, false)
+			core.UpdateEndpoints(policy.EndpointUpdate{Endpoints: nil, Snapshot: true})
 			before := core.Now()
 			if wall := core.clock.wall; stepped {
 				core.clock.wall = func() int64 { return wall() - int64(time.Hour) }
 			}
-			core.UpdateEndpoints([]policy.Endpoint{{ID: "n", Release: 1, Weight: 1, StartedAt: before - 10_000}}, false, false)
+			core.UpdateEndpoints(policy.EndpointUpdate{Endpoints: []policy.Endpoint{{ID: "n", Release: 1, Weight: 1, StartedAt: before - 10_000}}})
 			if core.Now() != before {
 				t.Errorf("the module's time moved by %v ms", core.Now()-before)
 			}
-			x := core.Accept(core.Now(), "t", "", "", 0, false, 3000, "", nil)
+			x := core.Accept(Arrival{ID: "t", ArrivedAt: core.Now(), TimeLeft: 3000})
 			if out := core.Counts().OpenAttempts; (out == 0) != stepped {
 				t.Errorf("stepped %v: %d attempts at once", stepped, out)
 			}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -16,7 +16,7 @@
 
 // Transport are the module's actions that belong to no request. Each starts something and returns at once.
 type Transport interface {
-	SendVote(build int, verdict policy.Verdict, stage int)
+	SendVote(release policy.ReleaseID, verdict policy.Verdict, stage int)
 	SendProbe(appliance string)
 	WatchEndpoints()
 	FetchEndpoints()
@@ -44,8 +44,8 @@
 	leaving          bool
 	shutdownDeadline float64 // while leaving: when everything has its answer
 	counts           Counts
-	interceptors     []Interceptor  // never changed once requests come
-	releases         map[string]int // appliances' builds as listed
+	interceptors     []Interceptor               // never changed once requests come
+	releases         map[string]policy.ReleaseID // appliances' builds as listed
 }
 
 // Counts are what has been since the start, and what is open now.
@@ -60,7 +60,7 @@
 // New starts the clock; no event may come before Start.
 func New(calls Transport) *Core {
 	return &Core{transport: calls, clock: newClock(), requests: map[string]*Request{},
-		releases: map[string]int{}, logLines: make(chan string, 256)}
+		releases: map[string]policy.ReleaseID{}, logLines: make(chan string, 256)}
 }
 
 // Start makes the module.
@@ -121,22 +121,22 @@
 }
 
 // UpdateEndpoints, ListFailed, News and Probed pass on what was told.
-func (c *Core) UpdateEndpoints(entries []policy.Endpoint, whole, old bool) {
+func (c *Core) UpdateEndpoints(update policy.EndpointUpdate) {
 	c.checkClockStep()
-	c.noteReleases(entries, whole)
-	c.handleEvent("list", func(now float64) { c.instance.OnEndpoints(now, entries, whole, old) })
+	c.noteReleases(update)
+	c.handleEvent("list", func(now float64) { c.instance.OnEndpoints(now, update) })
 }
 
 func (c *Core) EndpointsFailed() {
 	c.handleEvent("list failed", func(now float64) { c.instance.OnEndpointsFailed(now) })
 }
 
-func (c *Core) UpdateRelease(build, stage int, phase policy.Phase, reply policy.VoteResponse, limit, age float64, told bool) {
-	c.handleEvent("news", func(now float64) { c.instance.OnReleaseUpdate(now, build, stage, phase, reply, limit, age, told) })
+func (c *Core) UpdateRelease(update policy.ReleaseUpdate) {
+	c.handleEvent("news", func(now float64) { c.instance.OnReleaseUpdate(now, update) })
 }
 
-func (c *Core) ReportProbe(appliance string, ok bool, took, waiting, busy float64) {
-	c.handleEvent("probed", func(now float64) { c.instance.OnProbeResult(now, appliance, ok, took, waiting, busy) })
+func (c *Core) ReportProbe(result policy.ProbeResult) {
+	c.handleEvent("probed", func(now float64) { c.instance.OnProbeResult(now, result) })
 }
 
 // ---- timers: one clock timer for all, set to the earliest
@@ -237,25 +237,39 @@
 	ended                bool // answered, or the client has gone
 }
 
-// Accept hands a new request to the module; left runs from the time at which it came. An attempt that is wanted while the
-// handler carries out another goes to start, in a goroutine of its own. A front that has no room for a request says so by a
-// word, full: it is then declined like any other, without the module. Nil: that id is held already.
-func (c *Core) Accept(came float64, id, key, mark string, product int, again bool, left float64, full string,
-	start func(*Attempt)) (t *Request) {
-	t = &Request{ID: id, IdempotencyKey: mark, Class: product, ArrivedAt: came, Deadline: came + left, core: c, startAttempt: start}
-	if full == "" {
-		full = t.admit(left)
+// Arrival is a request as a front has read it. Times are ms of Core.Now.
+type Arrival struct {
+	ID             string
+	Key            string // requests with one key belong together; empty: it has none
+	IdempotencyKey string
+	Class          int
+	Retry          bool // the client marks it as a repeat
+	ArrivedAt      float64
+	TimeLeft       float64 // from ArrivedAt on
+	// RejectReason is one word where the front has no room for the request: it is rejected like any other, without the decisions.
+	RejectReason string
+	// StartAttempt carries out an attempt that is wanted while the handler carries out another, in a goroutine of its own.
+	StartAttempt func(*Attempt)
+}
+
+// Accept hands a new request to the decisions. It returns nil where a request with that id is held already.
+func (c *Core) Accept(a Arrival) (t *Request) {
+	t = &Request{ID: a.ID, IdempotencyKey: a.IdempotencyKey, Class: a.Class, ArrivedAt: a.ArrivedAt, Deadline: a.ArrivedAt + a.TimeLeft,
+		core: c, startAttempt: a.StartAttempt}
+	reason := a.RejectReason
+	if reason == "" {
+		reason = t.admit(a.TimeLeft)
 	}
-	if full != "" {
-		t.rejectUnadmitted(full)
+	if reason != "" {
+		t.rejectUnadmitted(reason)
 		return t
 	}
 	c.handleEvent("request", func(now float64) {
-		if c.requests[id] != nil {
+		if c.requests[a.ID] != nil {
 			t = nil
 			return
 		}
-		if c.requests[id] = t; c.leaving { // under the lock: a request that crosses the signal is either held by then, or sees it
+		if c.requests[a.ID] = t; c.leaving { // under the lock: a request that crosses the signal is either held by then, or sees it
 			t.Deadline = min(t.Deadline, c.shutdownDeadline)
 		}
 		c.counts.Accepted++
@@ -263,7 +277,7 @@
 		if c.timers[0].request == t {
 			c.rescheduleTimers(now)
 		}
-		c.instance.OnRequest(now, id, key, product, 0, again, t.Deadline-now, 0)
+		c.instance.OnRequest(now, policy.Request{ID: a.ID, Key: a.Key, Class: a.Class, Retry: a.Retry, TimeLeft: t.Deadline - now})
 	})
 	return t
 }
@@ -377,7 +391,7 @@
 	}
 	for _, a := range mail {
 		if a.Kind == ActionSendAttempt {
-			a.Attempt.Finish(policy.StatusNotSent, nil, -1, -1)
+			a.Attempt.Finish(policy.StatusNotSent, nil, policy.LoadReport{})
 		}
 	}
 }
@@ -388,7 +402,7 @@
 // Attempt is one try at an appliance.
 type Attempt struct {
 	Backend   string
-	Release   int // as listed when it went out
+	Release   policy.ReleaseID // as listed when it went out
 	Deadline  float64
 	request   *Request
 	number    int
@@ -450,7 +464,7 @@
 }
 
 // Finish tells how an attempt ended; the first answer of all goes to the client.
-func (s *Attempt) Finish(r policy.AttemptStatus, answer any, waiting, busy float64) {
+func (s *Attempt) Finish(r policy.AttemptStatus, answer any, load policy.LoadReport) {
 	t, c := s.request, s.request.core
 	c.handleEvent("outcome", func(now float64) {
 		if !invariant.Check(!s.ended, "one outcome for each attempt", t.ID, s.number) {
@@ -472,7 +486,8 @@
 			}
 			t.finish(Action{Kind: ActionServe, Answer: answer}, &c.counts.Served)
 		}
-		c.instance.OnAttemptResult(now, t.ID, s.number, r, t.ended, now-s.startedAt, waiting, busy)
+		c.instance.OnAttemptResult(now, policy.AttemptResult{RequestID: t.ID, Attempt: s.number, Status: r, Final: t.ended, Took: now - s.startedAt,
+			Load: load})
 		t.forget()
 	})
 }
@@ -502,7 +517,7 @@
 	t.openAttempts++
 	p.counts.OpenAttempts++
 	if !invariant.Check(!t.ended, "no attempt after the end", id) {
-		go s.Finish(policy.StatusNotSent, nil, -1, -1)
+		go s.Finish(policy.StatusNotSent, nil, policy.LoadReport{})
 		return
 	}
 	t.post(Action{Kind: ActionSendAttempt, Attempt: s})
@@ -527,9 +542,9 @@
 	}
 }
 
-func (p *port) SendVote(build int, verdict policy.Verdict, stage int) {
+func (p *port) SendVote(release policy.ReleaseID, verdict policy.Verdict, stage int) {
 	if !p.leaving {
-		p.transport.SendVote(build, verdict, stage)
+		p.transport.SendVote(release, verdict, stage)
 	}
 }
 
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -11,28 +11,26 @@
 
 type calls struct{ voted int }
 
-func (c *calls) SendVote(int, policy.Verdict, int) { c.voted++ }
-func (c *calls) SendProbe(string)                  {}
-func (c *calls) WatchEndpoints()                   {}
-func (c *calls) FetchEndpoints()                   {}
+func (c *calls) SendVote(policy.ReleaseID, policy.Verdict, int) { c.voted++ }
+func (c *calls) SendProbe(string)                               {}
+func (c *calls) WatchEndpoints()                                {}
+func (c *calls) FetchEndpoints()                                {}
 
 // hosted starts a core whose module knows one product and so many appliances.
 func hosted(p policy.RequestClass, appliances int) (*Core, *calls) {
 	does := &calls{}
 	c := New(does)
 	c.Start(func(port policy.Port) *policy.Instance {
-		a := policy.New(port, 7, 0, 1)
 		p.LatencyObjective, p.Timeout, p.Value, p.DedupWindow = 1000, 4000, 1, 9000
-		a.Serve([]policy.RequestClass{p}, 3, false, true)
-		a.Expose(2, []float64{0.1, 1}, 0, false, false)
-		a.Judge([]float64{0.1, 1}, policy.ControlSingleVote, 1, 4000)
-		return a
+		return policy.New(port, policy.Config{Seed: 7, Instances: 1, Classes: []policy.RequestClass{p}, MaxAttempts: 3, CancelAllowed: true,
+			Exposure: policy.ExposureConfig{FreeAttempts: 2, Caps: []float64{0.1, 1}},
+			Rollout:  policy.RolloutConfig{Stages: []float64{0.1, 1}, Control: policy.ControlSingleVote, RollbackVotes: 1, VoteLifetime: 4000}})
 	})
 	var list []policy.Endpoint
 	for k := range appliances {
 		list = append(list, policy.Endpoint{ID: fmt.Sprint("s", k), Release: 1, Weight: 1})
 	}
-	c.UpdateEndpoints(list, true, true)
+	c.UpdateEndpoints(policy.EndpointUpdate{Endpoints: list, Snapshot: true, Cached: true})
 	return c, does
 }
 
@@ -64,8 +62,8 @@
 			synctest.Test(t, func(t *testing.T) {
 				core, _ := hosted(policy.RequestClass{Semantics: c.effect}, c.appliances)
 				from := time.Now()
-				x := core.Accept(core.Now(), "t", "", "", 0, false, 2000, "", nil)
-				if core.Accept(core.Now(), "t", "", "", 0, false, 2000, "", nil) != nil {
+				x := core.Accept(Arrival{ID: "t", ArrivedAt: core.Now(), TimeLeft: 2000})
+				if core.Accept(Arrival{ID: "t", ArrivedAt: core.Now(), TimeLeft: 2000}) != nil {
 					t.Error("an id was taken twice")
 				}
 				var left *Attempt
@@ -75,7 +73,7 @@
 						t.Fatalf("got %v in place of an attempt", a.Kind)
 					}
 					if r != 0 {
-						a.Attempt.Finish(r, "body", -1, -1)
+						a.Attempt.Finish(r, "body", policy.LoadReport{})
 						continue
 					}
 					left = a.Attempt
@@ -101,7 +99,7 @@
 					if called, _ := left.SetCanceler(nil); !called {
 						t.Error("the attempt does not know")
 					}
-					left.Finish(policy.StatusCanceled, nil, -1, -1)
+					left.Finish(policy.StatusCanceled, nil, policy.LoadReport{})
 				}
 				x.Close()
 				time.Sleep(10 * time.Second) // alarms that are still set find nothing to do
@@ -118,12 +116,12 @@
 func TestMail(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core, does := hosted(policy.RequestClass{}, 2)
-		core.Accept(core.Now(), "a", "", "", 0, false, 2000, "", nil).Close()
+		core.Accept(Arrival{ID: "a", ArrivedAt: core.Now(), TimeLeft: 2000}).Close()
 		if n := core.Counts(); n.AttemptsByStatus[policy.StatusNotSent] != 1 || n.OpenRequests != 0 || n.ClientGone != 1 {
 			t.Errorf("unread: %+v", n)
 		}
 		started := make(chan *Attempt, 1)
-		x := core.Accept(core.Now(), "b", "", "", 0, false, 2000, "", func(s *Attempt) { started <- s })
+		x := core.Accept(Arrival{ID: "b", ArrivedAt: core.Now(), TimeLeft: 2000, StartAttempt: func(s *Attempt) { started <- s }})
 		first := x.NextAction().Attempt
 		core.mu.Lock()
 		core.inEvent = true
@@ -139,11 +137,11 @@
 		if got := stop.at.Sub(from); got < 500*time.Millisecond || got > 502*time.Millisecond {
 			t.Errorf("its own limit of 500 ms ended it after %v", got)
 		}
-		second.Finish(policy.StatusTimedOut, nil, -1, -1)
-		first.Finish(policy.StatusServed, nil, -1, -1)
+		second.Finish(policy.StatusTimedOut, nil, policy.LoadReport{})
+		first.Finish(policy.StatusServed, nil, policy.LoadReport{})
 		x.Close()
-		core.UpdateRelease(2, 0, policy.RollingOut, policy.NotAVote, 0.1, 0, true)
-		core.UpdateEndpoints([]policy.Endpoint{{ID: "n", Release: 2, Weight: 1, StartedAt: core.Now()}}, false, false)
+		core.UpdateRelease(policy.ReleaseUpdate{Release: 2, Phase: policy.RollingOut, Cap: 0.1, Known: true})
+		core.UpdateEndpoints(policy.EndpointUpdate{Endpoints: []policy.Endpoint{{ID: "n", Release: 2, Weight: 1, StartedAt: core.Now()}}})
 		core.Shutdown(core.Now() + 60000)
 		time.Sleep(20 * time.Second)
 		if does.voted != 0 {
--- a/internal/core/crossings_test.go
+++ b/internal/core/crossings_test.go
@@ -13,7 +13,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		core, _ := hosted(policy.RequestClass{}, 2)
 		started := make(chan *Attempt, 2)
-		x := core.Accept(core.Now(), "t", "", "", 0, false, 3000, "", func(s *Attempt) { started <- s })
+		x := core.Accept(Arrival{ID: "t", ArrivedAt: core.Now(), TimeLeft: 3000, StartAttempt: func(s *Attempt) { started <- s }})
 		core.handleEvent("two", func(float64) { (*port)(core).SendAttempt("t", "s1", 0) }) // beside the module's own
 		first := x.NextAction()
 		synctest.Wait()
@@ -21,8 +21,8 @@
 			t.Fatalf("%v to carry out, %d started beside it", first.Kind, len(started))
 		}
 		second := <-started
-		second.Finish(policy.StatusNotSent, nil, -1, -1)
-		first.Attempt.Finish(policy.StatusServed, nil, -1, -1)
+		second.Finish(policy.StatusNotSent, nil, policy.LoadReport{})
+		first.Attempt.Finish(policy.StatusServed, nil, policy.LoadReport{})
 		if a := x.NextAction(); a.Kind != ActionServe {
 			t.Errorf("got %v", a.Kind)
 		}
@@ -37,12 +37,11 @@
 		synctest.Test(t, func(t *testing.T) {
 			core := New(&calls{})
 			core.Start(func(port policy.Port) *policy.Instance {
-				a := policy.New(port, 7, 0, 1)
-				a.Serve([]policy.RequestClass{{LatencyObjective: 1000, Timeout: 4000, Value: 1}}, 3, false, false)
-				return a
+				return policy.New(port, policy.Config{Seed: 7, Instances: 1, MaxAttempts: 3,
+					Classes: []policy.RequestClass{{LatencyObjective: 1000, Timeout: 4000, Value: 1}}})
 			})
-			core.UpdateEndpoints([]policy.Endpoint{{ID: "s", Release: 1, Weight: 1}}, true, true)
-			x, h := core.Accept(core.Now(), "t", "", "", 0, false, 3000, "", nil), &halted{}
+			core.UpdateEndpoints(policy.EndpointUpdate{Endpoints: []policy.Endpoint{{ID: "s", Release: 1, Weight: 1}}, Snapshot: true, Cached: true})
+			x, h := core.Accept(Arrival{ID: "t", ArrivedAt: core.Now(), TimeLeft: 3000}), &halted{}
 			s := x.NextAction().Attempt
 			s.SetCanceler(h) // it is being dialled
 			if sent {
@@ -56,7 +55,7 @@
 			if called == sent || h.at.IsZero() != sent {
 				t.Errorf("sent %v: called off %v, halted %v", sent, called, !h.at.IsZero())
 			}
-			s.Finish(policy.StatusNotSent, nil, -1, -1)
+			s.Finish(policy.StatusNotSent, nil, policy.LoadReport{})
 			if a := x.NextAction(); a.Kind != ActionAbandon {
 				t.Errorf("got %v", a.Kind)
 			}
@@ -72,14 +71,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		core, _ := hosted(policy.RequestClass{Semantics: policy.NonIdempotent}, 1)
 		from := time.Now()
-		tried := core.Accept(core.Now(), "t", "", "", 0, false, 9000, "", nil)
+		tried := core.Accept(Arrival{ID: "t", ArrivedAt: core.Now(), TimeLeft: 9000})
 		tried.NextAction()
 		var waits []*Request
 		for _, id := range []string{"u", "v", "w", "x", "y"} {
-			waits = append(waits, core.Accept(core.Now(), id, "", "", 0, false, 9000, "", nil))
+			waits = append(waits, core.Accept(Arrival{ID: id, ArrivedAt: core.Now(), TimeLeft: 9000}))
 		}
 		core.Shutdown(core.Now() + 700)
-		waits = append(waits, core.Accept(core.Now(), "z", "", "", 0, false, 9000, "", nil)) // it crossed the signal
+		waits = append(waits, core.Accept(Arrival{ID: "z", ArrivedAt: core.Now(), TimeLeft: 9000})) // it crossed the signal
 		for _, x := range append(waits, tried) {
 			a := x.NextAction()
 			for ; a.Kind == ActionSendAttempt; a = x.NextAction() {
@@ -89,7 +88,7 @@
 			}
 			for _, s := range x.attempts {
 				if !s.ended {
-					s.Finish(policy.StatusCanceled, nil, -1, -1)
+					s.Finish(policy.StatusCanceled, nil, policy.LoadReport{})
 				}
 			}
 			x.Close()
--- a/internal/core/interceptor.go
+++ b/internal/core/interceptor.go
@@ -29,7 +29,7 @@
 	Kind                      ActionKind // Settle, Decline or Void
 	Reason                    string     // one word
 	Backend                   string     // that answered, or empty
-	Release                   int
+	Release                   policy.ReleaseID
 	Attempts                  int
 	ArrivedAt, Now            float64
 	Body                      []byte // as the client gets it; nil unless settled
@@ -47,13 +47,13 @@
 }
 
 // noteReleases notes which build each appliance runs.
-func (c *Core) noteReleases(entries []policy.Endpoint, whole bool) {
+func (c *Core) noteReleases(update policy.EndpointUpdate) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if whole {
+	if update.Snapshot {
 		clear(c.releases)
 	}
-	for _, e := range entries {
+	for _, e := range update.Endpoints {
 		if e.State == policy.EndpointRemoved {
 			delete(c.releases, e.ID)
 		} else {
--- a/internal/core/watchdog_test.go
+++ b/internal/core/watchdog_test.go
@@ -16,7 +16,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		core, _ := hosted(policy.RequestClass{}, 1)
 		from, was := time.Now(), invariant.Violations()
-		x := core.Accept(core.Now(), "t", "", "", 9, false, 300, "", nil) // a product that the module does not have
+		x := core.Accept(Arrival{ID: "t", Class: 9, ArrivedAt: core.Now(), TimeLeft: 300}) // a product that the module does not have
 		if a := x.NextAction(); a.Kind != ActionFail {
 			t.Errorf("got %v", a.Kind)
 		}
@@ -24,8 +24,8 @@
 			t.Errorf("after %v, %d breaches", took, invariant.Violations()-was)
 		}
 		x.Close()
-		y := core.Accept(core.Now(), "u", "", "", 0, false, 300, "", nil)
-		y.NextAction().Attempt.Finish(policy.StatusServed, nil, -1, -1)
+		y := core.Accept(Arrival{ID: "u", ArrivedAt: core.Now(), TimeLeft: 300})
+		y.NextAction().Attempt.Finish(policy.StatusServed, nil, policy.LoadReport{})
 		if a := y.NextAction(); a.Kind != ActionServe {
 			t.Errorf("the next request got %v", a.Kind)
 		}
--- a/internal/httpwire/crossings_test.go
+++ b/internal/httpwire/crossings_test.go
@@ -234,12 +234,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			s, asked, up := newAppliance(t), make(chan bool), make(chan bool)
 			l := newLoop(t, s.at(), barred(asked, up), c.revokes)
-			l.core.UpdateRelease(1, 0, policy.RollingOut, policy.NotAVote, 1, 0, true)
+			l.core.UpdateRelease(policy.ReleaseUpdate{Release: 1, Phase: policy.RollingOut, Cap: 1, Known: true})
 			client := l.client()
 			io.WriteString(client, get("r1"))
 			<-asked
 			if c.back {
-				l.core.UpdateRelease(1, 0, policy.RollingBack, policy.NotAVote, 0, 0, true)
+				l.core.UpdateRelease(policy.ReleaseUpdate{Release: 1, Phase: policy.RollingBack, Cap: 0, Known: true})
 			} else if c.leaves {
 				client.Close()
 				until(func() bool { return l.core.Counts().ClientGone == 1 })
@@ -495,7 +495,7 @@
 		a := newAgent(n, NewSockets(0))
 		p := NewPlatform(a.core, n.dial, "control", 800, 1)
 		for want := 1; want <= 2; want++ {
-			got, leaf, err := p.cast(context.Background(), vote{want, policy.Promote, 0})
+			got, leaf, err := p.cast(context.Background(), vote{policy.ReleaseID(want), policy.Promote, 0})
 			if err != nil || got != policy.VoteCounted || leaf("release") != fmt.Sprint(want) {
 				t.Errorf("vote %d: reply %v, build %s, %v", want, got, leaf("release"), err)
 			}
--- a/internal/httpwire/discovery.go
+++ b/internal/httpwire/discovery.go
@@ -46,7 +46,7 @@
 	zones, kinds []string
 	asked        bool
 	forget       func(address string)
-	tell         func(entries []policy.Endpoint, addresses []string, whole, old bool)
+	tell         func(update policy.EndpointUpdate, addresses []string)
 	lost         func()
 	chance       *rand.Rand
 	asks         chan bool // true: whole list, false: the watch
@@ -70,7 +70,7 @@
 // NewDiscovery makes one; where the list is only told to those who ask, the module opens the watch.
 func NewDiscovery(c *core.Core, dial Dial, address string, zones, kinds []string, asked bool, seed uint64) *Discovery {
 	return &Discovery{core: c, dial: dial, address: address, zones: zones, kinds: kinds, asked: asked,
-		forget: func(string) {}, lost: func() {}, tell: func(entries []policy.Endpoint, _ []string, whole, old bool) { c.UpdateEndpoints(entries, whole, old) }, chance: policy.NewRand(seed), asks: make(chan bool, 16), moved: make(chan bool, 1), first: make(chan struct{}), order: make(chan bool, 1),
+		forget: func(string) {}, lost: func() {}, tell: func(update policy.EndpointUpdate, _ []string) { c.UpdateEndpoints(update) }, chance: policy.NewRand(seed), asks: make(chan bool, 16), moved: make(chan bool, 1), first: make(chan struct{}), order: make(chan bool, 1),
 		where: map[string]string{}, who: map[string]holder{}}
 }
 
@@ -79,7 +79,7 @@
 
 // OnUpdate names who is told of lists and changes in place of the core: a merge with other sources.
 // lost is called whenever the watch breaks or falls silent.
-func (d *Discovery) OnUpdate(tell func(entries []policy.Endpoint, addresses []string, whole, old bool), lost func()) {
+func (d *Discovery) OnUpdate(tell func(update policy.EndpointUpdate, addresses []string), lost func()) {
 	d.tell, d.lost = tell, lost
 }
 
@@ -454,7 +454,7 @@
 			d.forget(address)
 		}
 	}
-	d.tell(entries, addresses, whole, from == FromConfiguration)
+	d.tell(policy.EndpointUpdate{Endpoints: entries, Snapshot: whole, Cached: from == FromConfiguration}, addresses)
 	if from != FromConfiguration {
 		select {
 		case <-d.first:
@@ -485,7 +485,7 @@
 	if w := e.Get("weight"); w.Type == gjson.Number {
 		weight = w.Num
 	}
-	return policy.Endpoint{ID: id.Str, Release: int(build.Int()), State: state, Weight: weight, StartedAt: start.Num,
+	return policy.Endpoint{ID: id.Str, Release: policy.ReleaseID(build.Int()), State: state, Weight: weight, StartedAt: start.Num,
 		Zone: max(slices.Index(d.zones, e.Get("zone").Str), 0), HardwareClass: max(slices.Index(d.kinds, e.Get("kind").Str), 0),
 		Cell: int(e.Get("cell").Int())}, address, nil
 }
--- a/internal/httpwire/front.go
+++ b/internal/httpwire/front.go
@@ -224,7 +224,8 @@
 
 	first := head(r, len(body))
 	submit := func(s *core.Attempt) { f.up.SendAttempt(s, first, body) }
-	t := f.core.Accept(came, id, key, mark, product, r.Header.Get("Req-Retry") == "1", left, full, submit)
+	t := f.core.Accept(core.Arrival{ID: id, Key: key, IdempotencyKey: mark, Class: product, Retry: r.Header.Get("Req-Retry") == "1",
+		ArrivedAt: came, TimeLeft: left, RejectReason: full, StartAttempt: submit})
 	if t == nil {
 		f.refuse(w, http.StatusBadRequest, "this id is held already")
 		return
@@ -235,7 +236,7 @@
 		if failed := recover(); failed != nil {
 			logrus.WithField("panic", failed).Error("a request's handler failed")
 			if under != nil {
-				under.Finish(policy.StatusReset, nil, -1, -1)
+				under.Finish(policy.StatusReset, nil, policy.LoadReport{})
 			}
 			if !answered {
 				t.Fail()
--- a/internal/httpwire/httpwire_test.go
+++ b/internal/httpwire/httpwire_test.go
@@ -24,10 +24,10 @@
 // nothing is what the module calls beside its requests, not carried out.
 type nothing struct{}
 
-func (nothing) SendVote(int, policy.Verdict, int) {}
-func (nothing) SendProbe(string)                  {}
-func (nothing) WatchEndpoints()                   {}
-func (nothing) FetchEndpoints()                   {}
+func (nothing) SendVote(policy.ReleaseID, policy.Verdict, int) {}
+func (nothing) SendProbe(string)                               {}
+func (nothing) WatchEndpoints()                                {}
+func (nothing) FetchEndpoints()                                {}
 
 // network is a loopback of pipes: who answers is named by address.
 type network map[string]func(net.Conn)
@@ -61,10 +61,8 @@
 		products[k].LatencyObjective, products[k].Timeout, products[k].Value, products[k].DedupWindow = 1000, 4000, 1, 9000
 	}
 	a.core.Start(func(port policy.Port) *policy.Instance {
-		m := policy.New(port, 7, 0, 1)
-		m.Serve(products, 1, false, true)
-		m.Expose(2, []float64{1}, 0, false, false)
-		return m
+		return policy.New(port, policy.Config{Seed: 7, Instances: 1, Classes: products, MaxAttempts: 1, CancelAllowed: true,
+			Exposure: policy.ExposureConfig{FreeAttempts: 2, Caps: []float64{1}}})
 	})
 	a.disc = NewDiscovery(a.core, n.dial, "list", []string{"z"}, []string{"k"}, false, 1)
 	a.up = NewUpstream(a.core, n.dial, a.disc.Address, sockets, 250, 30000, true, true)
@@ -370,8 +368,9 @@
 		{"qps=1", -1, -1}, {"", -1, -1}, {"queue=3,util=x", -1, -1}, {"queue=NaN,util=0.5", -1, -1}, {"queue=-3,util=0", -1, -1},
 		{"queue=3;util=0.5", -1, -1}, {"queue=3,", -1, -1}, {"queue=1e300", -1, -1}, {"queue=99999999", -1, -1},
 		{"\x00\x01=4", -1, -1}, {"queue=inf", -1, -1}} {
-		if waiting, busy := load(c.report); waiting != c.waiting || busy != c.busy {
-			t.Errorf("%q: %v, %v", c.report, waiting, busy)
+		want := policy.LoadReport{Present: c.waiting >= 0 || c.busy >= 0, Waiting: max(c.waiting, 0), Busy: max(c.busy, 0)}
+		if got := load(c.report); got != want {
+			t.Errorf("%q: %+v, want %+v", c.report, got, want)
 		}
 	}
 }
--- a/internal/httpwire/lists_test.go
+++ b/internal/httpwire/lists_test.go
@@ -134,12 +134,13 @@
 		a := newAgent(network{}, NewSockets(0))
 		var got []int
 		inside, on := make(chan bool, 1), make(chan bool)
-		a.disc.OnUpdate(func(entries []policy.Endpoint, _ []string, _, _ bool) {
+		a.disc.OnUpdate(func(update policy.EndpointUpdate, _ []string) {
+			entries := update.Endpoints
 			if entries[0].Release == 2 {
 				inside <- true
 				<-on
 			}
-			got = append(got, entries[0].Release)
+			got = append(got, int(entries[0].Release))
 		}, func() {})
 		entry := `{"id":"s","addr":"app:1","state":"Ready","version_no":%d}`
 		done := make(chan bool, 2)
--- a/internal/httpwire/parts_test.go
+++ b/internal/httpwire/parts_test.go
@@ -145,14 +145,14 @@
 		a := newAgent(network{"app:1": func(c net.Conn) { io.Copy(io.Discard, c) }}, NewSockets(0))
 		f := &follower{core: a.core}
 		a.core.AddInterceptor(f)
-		x := a.core.Accept(a.core.Now(), "t", "", "", 0, false, 500, "", nil)
+		x := a.core.Accept(core.Arrival{ID: "t", ArrivedAt: a.core.Now(), TimeLeft: 500})
 		x.NextAction()
 		x.ClientGone()
 		if x.NextAction().Kind != core.ActionAbandon {
 			t.Error("no end")
 		}
 		x.Close()
-		y := a.core.Accept(a.core.Now(), "u", "", "", 0, false, 500, "", nil)
+		y := a.core.Accept(core.Arrival{ID: "u", ArrivedAt: a.core.Now(), TimeLeft: 500})
 		y.Fail()
 		y.ResponseWritten(true)
 		y.Close()
--- a/internal/httpwire/platform.go
+++ b/internal/httpwire/platform.go
@@ -55,7 +55,7 @@
 }
 
 type vote struct {
-	build   int
+	build   policy.ReleaseID
 	verdict policy.Verdict
 	stage   int
 }
@@ -68,16 +68,19 @@
 
 // stand is where the newest build stands, as a notice, a vote's answer or the configuration says it.
 type stand struct {
-	build, stage int
-	limit, age   float64
-	phase        policy.Phase
+	build      policy.ReleaseID
+	stage      int
+	limit, age float64
+	phase      policy.Phase
 }
 
 // news reads a stand, whole or not at all.
 func news(field func(string) string) (s stand, err error) {
 	var errs [4]error
 	known := false
-	s.build, errs[0] = strconv.Atoi(field("release"))
+	var build int
+	build, errs[0] = strconv.Atoi(field("release"))
+	s.build = policy.ReleaseID(build)
 	s.stage, errs[1] = strconv.Atoi(field("tranche"))
 	s.limit, errs[2] = strconv.ParseFloat(field("exposure"), 64)
 	s.age, errs[3] = strconv.ParseFloat(field("old_ms"), 64)
@@ -97,7 +100,7 @@
 	if err != nil {
 		return err
 	}
-	p.core.UpdateRelease(s.build, s.stage, s.phase, reply, s.limit, s.age, true)
+	p.core.UpdateRelease(policy.ReleaseUpdate{Release: s.build, Stage: s.stage, Phase: s.phase, Response: reply, Cap: s.limit, Age: s.age, Known: true})
 	logrus.WithFields(logrus.Fields{"build": s.build, "stage": s.stage, "phase": field("mode"), "cap": s.limit,
 		"age_ms": s.age, "vote": reply != policy.NotAVote}).Info("news")
 	return nil
@@ -166,17 +169,17 @@
 	return cmp.Or(lines.Err(), errors.New("it ended"))
 }
 
-// Vote takes a vote to cast; it never waits.
-func (p *Platform) Vote(build int, verdict policy.Verdict, stage int) {
+// SendVote takes a vote to cast; it never waits.
+func (p *Platform) SendVote(release policy.ReleaseID, verdict policy.Verdict, stage int) {
 	select {
-	case p.votes <- vote{build, verdict, stage}:
+	case p.votes <- vote{release, verdict, stage}:
 	default:
 		go p.reply(policy.VoteRefused)
 	}
 }
 
 func (p *Platform) reply(r policy.VoteResponse) {
-	p.core.UpdateRelease(0, 0, policy.RollingOut, r, 0, 0, false)
+	p.core.UpdateRelease(policy.ReleaseUpdate{Response: r})
 }
 
 // SendVotes sends the votes in turn until ctx ends.
--- a/internal/httpwire/upstream.go
+++ b/internal/httpwire/upstream.go
@@ -472,11 +472,11 @@
 func (u *Upstream) SendAttempt(s *core.Attempt, head, body []byte) {
 	result, r, err := u.submit(s, head, body)
 	traceAttempt(s, result, err)
-	waiting, busy := -1.0, -1.0
+	var report policy.LoadReport
 	if u.onAnswers && r.load != "" {
-		waiting, busy = load(r.load)
+		report = load(r.load)
 	}
-	s.Finish(result, answer{r.kind, r.body}, waiting, busy)
+	s.Finish(result, answer{r.kind, r.body}, report)
 }
 
 var (
@@ -546,7 +546,7 @@
 		path = "/metrics/load"
 	}
 	address, ok := u.address(appliance), false
-	waiting, busy := -1.0, -1.0
+	var report policy.LoadReport
 	if c, err := u.get(nil, address); err == nil {
 		c.report = nil // of two probes' answers either will do
 		wait := time.AfterFunc(probeWait, c.Cancel)
@@ -560,23 +560,22 @@
 			u.put(c)
 		}
 		if ok = err == nil && r.status == http.StatusOK; ok && u.onProbes {
-			waiting, busy = load(string(r.body))
+			report = load(string(r.body))
 		}
 	}
-	u.core.ReportProbe(appliance, ok, u.core.Now()-from, waiting, busy)
+	u.core.ReportProbe(policy.ProbeResult{Backend: appliance, OK: ok, Took: u.core.Now() - from, Load: report})
 }
 
-// load reads what a load report may tell, whole or not at all; -1 stands for a figure that is not there. The settings
-// name the fields by the simulator's words, the protocol's example by its own: both are read.
-func load(report string) (waiting, busy float64) {
-	waiting, busy = -1, -1
-	inflight := -1.0
+// load reads what a load report may tell, whole or not at all. The settings name the fields by the simulator's words, the
+// protocol's example by its own: both are read.
+func load(report string) policy.LoadReport {
+	waiting, busy, inflight := -1.0, -1.0, -1.0 // -1: it is not there
 	for part := range strings.SplitSeq(report, ",") {
 		name, value, _ := strings.Cut(part, "=")
 		odd := strings.ContainsFunc(value, func(c rune) bool { return c != '.' && (c < '0' || c > '9') })
 		v, err := strconv.ParseFloat(value, 64)
 		if err != nil || odd || v > loadMost || !token([]byte(name)) {
-			return -1, -1
+			return policy.LoadReport{}
 		}
 		switch name {
 		case "q", "queue":
@@ -590,7 +589,7 @@
 	if waiting < 0 {
 		waiting = inflight
 	}
-	return waiting, busy
+	return policy.LoadReport{Present: waiting >= 0 || busy >= 0, Waiting: max(waiting, 0), Busy: max(busy, 0)}
 }
 
 // head is a call's first part as it came, less what each attempt tells anew and what belongs to a connection.
--- a/internal/record/recorder/recorder.go
+++ b/internal/record/recorder/recorder.go
@@ -93,7 +93,7 @@
 	if e.Class >= 0 && e.Class < len(k.products) {
 		product = k.products[e.Class]
 	}
-	entry := record.Entry{RequestID: e.RequestID, Class: product, Outcome: outcomes[e.Kind], Reason: e.Reason, Release: e.Release,
+	entry := record.Entry{RequestID: e.RequestID, Class: product, Outcome: outcomes[e.Kind], Reason: e.Reason, Release: int(e.Release),
 		Backend: e.Backend, Attempts: e.Attempts, ArrivedAt: e.ArrivedAt, AnsweredAt: e.Now,
 		BodyDigest: record.DigestOf(e.Body), KeyDigest: record.DigestOf([]byte(e.IdempotencyKey))}
 	k.mu.Lock()
--- a/internal/simadapter/simadapter.go
+++ b/internal/simadapter/simadapter.go
@@ -136,7 +136,7 @@
 	case "pool":
 		return h.pool(f)
 	case "init":
-		in.agent = siteconfig.NewInstance(in, f.Get("prng").Uint(), f.Get("profile-data"), 0)
+		in.agent = policy.New(in, siteconfig.InstanceConfig(f.Get("profile-data"), f.Get("prng").Uint(), 0))
 		return nil
 	}
 	a := in.agent
@@ -157,10 +157,13 @@
 		if slot < 0 || slot >= int64(len(h.pools)) || form != "D" && form != "F" && form != "C" {
 			return fmt.Errorf("list form %q, slot %d", form, slot)
 		}
-		a.OnEndpoints(now, h.pools[slot], form != "D", form == "C")
+		a.OnEndpoints(now, policy.EndpointUpdate{Endpoints: h.pools[slot], Snapshot: form != "D", Cached: form == "C"})
 	case "knock":
-		a.OnRequest(now, id, f.Get("affinity").Str, int(f.Get("kind").Int()), int(f.Get("owner").Int()),
-			f.Get("is-retry").Bool(), siteconfig.Milliseconds(f.Get("time-budget-us")), siteconfig.Milliseconds(f.Get("hint-us")))
+		a.OnRequest(now, policy.Request{
+			ID: id, Key: f.Get("affinity").Str, Class: int(f.Get("kind").Int()), Tenant: int(f.Get("owner").Int()),
+			Retry: f.Get("is-retry").Bool(), TimeLeft: siteconfig.Milliseconds(f.Get("time-budget-us")),
+			Work: siteconfig.Milliseconds(f.Get("hint-us")),
+		})
 	case "head-received":
 		a.OnStreamStarted(now, id, int(f.Get("copy").Int()))
 	case "done":
@@ -168,15 +171,18 @@
 		if how < 1 || how >= int64(len(results)) {
 			return fmt.Errorf("outcome %d", how)
 		}
-		waiting, busy := load(f.Get("feedback"))
-		a.OnAttemptResult(now, id, int(f.Get("copy").Int()), results[how], f.Get("final").Bool(), siteconfig.Milliseconds(f.Get("took-us")), waiting, busy)
+		a.OnAttemptResult(now, policy.AttemptResult{
+			RequestID: id, Attempt: int(f.Get("copy").Int()), Status: results[how], Final: f.Get("final").Bool(),
+			Took: siteconfig.Milliseconds(f.Get("took-us")), Load: load(f.Get("feedback")),
+		})
 	case "hangup":
 		a.OnClientGone(now, id)
 	case "wakeup":
 		a.OnTimer(now, f.Get("label").Uint())
 	case "checked":
-		waiting, busy := load(f.Get("feedback"))
-		a.OnProbeResult(now, app, f.Get("how").Int() == 1, siteconfig.Milliseconds(f.Get("took-us")), waiting, busy)
+		a.OnProbeResult(now, policy.ProbeResult{
+			Backend: app, OK: f.Get("how").Int() == 1, Took: siteconfig.Milliseconds(f.Get("took-us")), Load: load(f.Get("feedback")),
+		})
 	case "mail":
 		if raw, err := base64.StdEncoding.DecodeString(f.Get("raw").Str); err == nil {
 			a.OnMessage(now, raw)
@@ -190,11 +196,12 @@
 		if f.Get("how").Int() == 1 {
 			reply = replies[f.Get("status").Int()]
 		}
-		a.OnReleaseUpdate(now, int(f.Get("ver").Int()), int(f.Get("wave").Int()), phases[phase], reply,
-			f.Get("ceiling").Num, siteconfig.Milliseconds(f.Get("old-us")), f.Get("status").Int() == 1)
+		a.OnReleaseUpdate(now, policy.ReleaseUpdate{
+			Release: policy.ReleaseID(f.Get("ver").Int()), Stage: int(f.Get("wave").Int()), Phase: phases[phase],
+			Cap: f.Get("ceiling").Num, Age: siteconfig.Milliseconds(f.Get("old-us")), Response: reply, Known: f.Get("status").Int() == 1,
+		})
 	case "counts-by-build":
-		a.OnPlatformCounts(now, int(f.Get("ver").Int()), int(f.Get("kind").Int()), int(f.Get("many").Int()),
-			int(f.Get("bad").Int()), siteconfig.Milliseconds(f.Get("took-us")))
+		a.OnPlatformCounts(now)
 	case "reported-wrong":
 		a.OnWrongAnswer(now, app, int(f.Get("kind").Int()), siteconfig.Milliseconds(f.Get("old-us")))
 	default:
@@ -211,7 +218,7 @@
 	var list []policy.Endpoint
 	f.Get("items").ForEach(func(_, e gjson.Result) bool {
 		list = append(list, policy.Endpoint{
-			ID: e.Get("appliance").Str, Release: int(e.Get("ver").Num), State: states[e.Get("condition").Str],
+			ID: e.Get("appliance").Str, Release: policy.ReleaseID(e.Get("ver").Num), State: states[e.Get("condition").Str],
 			Weight: e.Get("rating").Num, StartedAt: siteconfig.Milliseconds(e.Get("boot-time-us")), Zone: int(e.Get("site").Int()),
 			HardwareClass: int(e.Get("machine").Int()), Cell: int(e.Get("stripe").Int()),
 		})
@@ -221,9 +228,9 @@
 	return nil
 }
 
-// load reads what a load report may tell; -1 stands for a figure that is not there.
-func load(f gjson.Result) (waiting, busy float64) {
-	waiting, busy = -1, -1
+// load reads what a load report may tell.
+func load(f gjson.Result) policy.LoadReport {
+	waiting, busy := -1.0, -1.0 // -1: it is not there
 	if v := f.Get("q"); v.Type == gjson.Number {
 		waiting = v.Num
 	} else if v := f.Get("rif"); v.Type == gjson.Number {
@@ -232,7 +239,7 @@
 	if v := f.Get("busy"); v.Type == gjson.Number {
 		busy = v.Num
 	}
-	return waiting, busy
+	return policy.LoadReport{Present: waiting >= 0 || busy >= 0, Waiting: max(waiting, 0), Busy: max(busy, 0)}
 }
 
 // act writes one action; fields come as name and value in turn.
@@ -276,9 +283,9 @@
 	in.act("revoke", "request-id", txn, "copy", submission)
 }
 
-func (in *instance) SendVote(build int, verdict policy.Verdict, stage int) {
+func (in *instance) SendVote(release policy.ReleaseID, verdict policy.Verdict, stage int) {
 	word := map[policy.Verdict]int{policy.Promote: 1, policy.Hold: 2, policy.Rollback: 3}[verdict]
-	in.act("say-so", "ver", build, "how", word, "wave", stage)
+	in.act("say-so", "ver", int(release), "how", word, "wave", stage)
 }
 
 func (in *instance) SendProbe(appliance string) { in.act("probe", "appliance", appliance) }
--- a/internal/siteconfig/siteconfig.go
+++ b/internal/siteconfig/siteconfig.go
@@ -22,41 +22,59 @@
 		"clocked": policy.ControlTimed}
 )
 
-// NewInstance hands each part of a new module its own settings; the agent can bear so many txns at once, 0: any number.
-func NewInstance(port policy.Port, seed uint64, s gjson.Result, most int) *policy.Instance {
-	rules, fam, lim := s.Get("contract"), s.Get("family-info"), s.Get("limits")
-	a := policy.New(port, seed, int(s.Get("me").Int()), int(s.Get("balancers").Int()))
-	_, products := Classes(s)
-	a.Serve(products, int(lim.Get("max-attempts").Int()), lim.Get("parallel-tries").Bool(), lim.Get("cancel").Bool())
-	if open := MaxOpenRequests(s); open > 0 && (most <= 0 || open < most) {
-		most = open
+// InstanceConfig is the settings in the terms of the decisions. The instance can hold maxOpen requests, 0: any number.
+func InstanceConfig(s gjson.Result, seed uint64, maxOpen int) policy.Config {
+	limits, tariffs := s.Get("limits"), s.Get("tariffs")
+	_, classes := Classes(s)
+	if open := MaxOpenRequests(s); open > 0 && (maxOpen <= 0 || open < maxOpen) {
+		maxOpen = open
 	}
-	if most > 0 {
-		a.Hold(float64(most))
+	retryAfter := 0.0
+	if limits.Get("retry-after").Bool() {
+		retryAfter = Milliseconds(limits.Get("max-retry-after-us"))
 	}
-	a.Share(lim.Get("peers").Bool())
-	a.Probing(lim.Get("probes").Bool(), s.Get("tariffs.probe").Num)
-	wait := 0.0
-	if lim.Get("retry-after").Bool() {
-		wait = Milliseconds(lim.Get("max-retry-after-us"))
+	return policy.Config{
+		Seed: seed, Index: int(s.Get("me").Int()), Instances: int(s.Get("balancers").Int()),
+		Classes: classes, MaxAttempts: int(limits.Get("max-attempts").Int()),
+		ConcurrentAttempts: limits.Get("parallel-tries").Bool(), CancelAllowed: CancelAllowed(s),
+		MaxOpenRequests: maxOpen, MaxRetryAfter: retryAfter,
+		PeerMessages: limits.Get("peers").Bool(), ProbesAllowed: limits.Get("probes").Bool(), ProbePrice: tariffs.Get("probe").Num,
+		Zone: int(s.Get("zone").Int()), CrossZonePrice: tariffs.Get("cross-zone").Num > 0,
+		Discovery: policy.DiscoveryConfig{OnDemand: OnDemandDiscovery(s), RefreshInterval: Milliseconds(s.Get("contract.ask-every-us"))},
+		SlowStart: slowStart(s.Get("contract")), Exposure: exposure(s.Get("family-info")), Rollout: rollout(s.Get("family-info")),
+		Tenants: tenants(s),
 	}
-	a.Advise(wait)
-	a.Zone(int(s.Get("zone").Int()), s.Get("tariffs.cross-zone").Num > 0)
-	a.Watch(OnDemandDiscovery(s), Milliseconds(rules.Get("drain-grace-us")), Milliseconds(rules.Get("ask-every-us")))
-	a.Warm(rules.Get("cold-from").Num, Milliseconds(rules.Get("warm-up-us")), rules.Get("overload-factor").Num,
-		Milliseconds(rules.Get("fall-us")))
-	a.Expose(fam.Get("spare-tries").Num, numbers(fam.Get("most-shares")), int(fam.Get("guarded-stages").Int()),
-		fam.Get("counted-by").Str == "per_lane", fam.Get("keys-stay").Bool())
-	a.CountOver(Milliseconds(fam.Get("counted-over-us")))
-	a.Judge(numbers(fam.Get("rings")), controls[fam.Get("decided-by").Str], int(fam.Get("back-votes").Int()),
-		Milliseconds(fam.Get("ballot-ttl-us")))
+}
+
+func slowStart(contract gjson.Result) policy.SlowStartConfig {
+	return policy.SlowStartConfig{
+		InitialCapacity: contract.Get("cold-from").Num, WarmUp: Milliseconds(contract.Get("warm-up-us")),
+		OverloadFactor: contract.Get("overload-factor").Num, OverloadWindow: Milliseconds(contract.Get("fall-us")),
+	}
+}
+
+func exposure(family gjson.Result) policy.ExposureConfig {
+	return policy.ExposureConfig{
+		FreeAttempts: family.Get("spare-tries").Num, Caps: numbers(family.Get("most-shares")),
+		Window: Milliseconds(family.Get("counted-over-us")), GuardedStages: int(family.Get("guarded-stages").Int()),
+		PerClass: family.Get("counted-by").Str == "per_lane", KeyAffinity: family.Get("keys-stay").Bool(),
+	}
+}
+
+func rollout(family gjson.Result) policy.RolloutConfig {
+	return policy.RolloutConfig{
+		Stages: numbers(family.Get("rings")), Control: controls[family.Get("decided-by").Str],
+		RollbackVotes: int(family.Get("back-votes").Int()), VoteLifetime: Milliseconds(family.Get("ballot-ttl-us")),
+	}
+}
+
+func tenants(s gjson.Result) policy.TenantConfig {
 	quotas := []float64{}
 	s.Get("customers").ForEach(func(_, c gjson.Result) bool {
 		quotas = append(quotas, c.Get("quota-per-s").Num/1000)
 		return true
 	})
-	a.Tenants(quotas, s.Get("over-share-worth").Num)
-	return a
+	return policy.TenantConfig{Quotas: quotas, OverQuotaValue: s.Get("over-share-worth").Num}
 }
 
 // Classes are the products' names and figures, under one index.
--- a/internal/sources/host/host.go
+++ b/internal/sources/host/host.go
@@ -81,7 +81,7 @@
 
 // Fleet is the core's side of it.
 type Fleet interface {
-	UpdateEndpoints(entries []policy.Endpoint, whole, old bool)
+	UpdateEndpoints(update policy.EndpointUpdate)
 	Now() float64
 }
 
@@ -159,7 +159,7 @@
 	h.show() // before the core: what it sends at once needs the address
 	if len(entries) > 0 || always {
 		h.dirty = h.dirty || len(entries) > 0
-		h.fleet.UpdateEndpoints(entries, false, old)
+		h.fleet.UpdateEndpoints(policy.EndpointUpdate{Endpoints: entries, Cached: old})
 	}
 	for _, address := range left {
 		h.forget(address)
@@ -192,15 +192,15 @@
 	return out
 }
 
-// List takes discovery's word.
-func (h *Host) List(entries []policy.Endpoint, addresses []string, whole, old bool) {
-	told := make([]sources.Entry, len(entries))
-	for i, e := range entries {
+// OnDiscovery takes what discovery tells of the endpoints and, in the same order, of their addresses.
+func (h *Host) OnDiscovery(update policy.EndpointUpdate, addresses []string) {
+	told := make([]sources.Entry, len(update.Endpoints))
+	for i, e := range update.Endpoints {
 		told[i] = sources.Entry{Endpoint: e, Address: addresses[i]}
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.apply(h.merge.List(h.fleet.Now(), told, whole), old, true)
+	h.apply(h.merge.List(h.fleet.Now(), told, update.Snapshot), update.Cached, true)
 }
 
 // Silent notes that discovery's stream broke.
@@ -317,7 +317,7 @@
 	h.mu.Lock()
 	s := State{At: h.fleet.Now(), Doubt: h.merge.Doubt, Memory: h.merge.Remember()}
 	h.merge.Fleet().Each(func(id string, e sources.Entry) {
-		s.Appliances = append(s.Appliances, Shown{id, e.Address, [...]string{"running", "draining", "gone"}[e.State], e.Release,
+		s.Appliances = append(s.Appliances, Shown{id, e.Address, [...]string{"running", "draining", "gone"}[e.State], int(e.Release),
 			e.Weight, e.Rule, h.merge.Explain(id, e.Address)})
 	})
 	h.mu.Unlock()
--- a/internal/sources/host/host_test.go
+++ b/internal/sources/host/host_test.go
@@ -35,12 +35,12 @@
 
 func (f *fleet) Now() float64 { return 1e12 + float64(time.Since(f.from))/1e6 }
 
-func (f *fleet) UpdateEndpoints(entries []policy.Endpoint, whole, _ bool) {
+func (f *fleet) UpdateEndpoints(update policy.EndpointUpdate) {
 	f.calls++
-	if whole {
+	if update.Snapshot {
 		clear(f.has)
 	}
-	for _, e := range entries {
+	for _, e := range update.Endpoints {
 		if e.State == policy.EndpointRemoved {
 			delete(f.has, e.ID)
 		} else {
@@ -100,10 +100,8 @@
 		name(1, 2, 3, 9)
 		h := New(table, f, func(string) {}, 0, 1, 1)
 		h.dns = dns.New(answering(func() []int { return *named.Load() }), rand.New(rand.NewPCG(1, 1)), 100*time.Millisecond)
-		h.List(func() ([]policy.Endpoint, []string, bool, bool) {
-			e, a := listed(0, 3, policy.EndpointRunning)
-			return e, a, true, true
-		}())
+		known, addresses := listed(0, 3, policy.EndpointRunning)
+		h.OnDiscovery(policy.EndpointUpdate{Endpoints: known, Snapshot: true, Cached: true}, addresses)
 		ctx, stop := context.WithCancel(context.Background())
 		ended := make(chan bool)
 		go func() { h.Run(ctx); close(ended) }()
@@ -111,7 +109,7 @@
 			time.Sleep(100 * time.Millisecond)
 			state := policy.EndpointState(k % 2)
 			e, a := listed(1, 2, state)
-			h.List(e, a, false, false)
+			h.OnDiscovery(policy.EndpointUpdate{Endpoints: e}, a)
 			if k%2 == 0 {
 				name(1, 3, 9)
 			} else {
@@ -126,7 +124,7 @@
 			t.Errorf("%+v", f.has)
 		}
 		e, a := listed(1, 2, policy.EndpointRemoved)
-		h.List(e, a, false, false)
+		h.OnDiscovery(policy.EndpointUpdate{Endpoints: e}, a)
 		name(1, 2, 3, 9)
 		time.Sleep(5 * time.Second)
 		synctest.Wait()
@@ -143,7 +141,7 @@
 			t.Errorf("remembered: %+v", f.has)
 		}
 		e, a = listed(0, 3, policy.EndpointRunning)
-		if h.List(e[:1], a[:1], true, true); f.has["a0"].ID == "" || len(f.has) != 3 {
+		if h.OnDiscovery(policy.EndpointUpdate{Endpoints: e[:1], Snapshot: true, Cached: true}, a[:1]); f.has["a0"].ID == "" || len(f.has) != 3 {
 			t.Errorf("with the known list: %+v", f.has)
 		}
 		// And one whose state can't be read, or is not there.
@@ -157,7 +155,7 @@
 		}
 		dead := h
 		dead.dns = dns.New(answering(func() []int { return nil }), rand.New(rand.NewPCG(1, 1)), 100*time.Millisecond)
-		dead.List(e, a, true, true)
+		dead.OnDiscovery(policy.EndpointUpdate{Endpoints: e, Snapshot: true, Cached: true}, a)
 		ctx, stop = context.WithCancel(context.Background())
 		ended = make(chan bool)
 		go func() { dead.Run(ctx); close(ended) }()
@@ -180,7 +178,7 @@
 	h := New(table, f, func(string) { left++ }, 3, 10, 1)
 	list := func(from, to int, state policy.EndpointState, whole bool) {
 		e, a := listed(from, to, state)
-		h.List(e, a, whole, false)
+		h.OnDiscovery(policy.EndpointUpdate{Endpoints: e, Snapshot: whole}, a)
 	}
 	list(0, 500, policy.EndpointRunning, true)
 	if len(f.has) < 20 || len(f.has) > 24 {
--- a/internal/sources/subset.go
+++ b/internal/sources/subset.go
@@ -24,7 +24,10 @@
 		}
 		return in
 	}
-	type group struct{ build, zone int }
+	type group struct {
+		release policy.ReleaseID
+		zone    int
+	}
 	ring := make([]place, 0, len(fleet))
 	groups := map[group][]place{}
 	var order []group
@@ -42,7 +45,7 @@
 		groups[g] = append(groups[g], p)
 	}
 	window(in, ring, me, agents, size)
-	slices.SortFunc(order, func(a, b group) int { return cmp.Or(cmp.Compare(a.build, b.build), cmp.Compare(a.zone, b.zone)) })
+	slices.SortFunc(order, func(a, b group) int { return cmp.Or(cmp.Compare(a.release, b.release), cmp.Compare(a.zone, b.zone)) })
 	for _, g := range order {
 		n := 0
 		for _, p := range groups[g] {
--- a/internal/sources/subset_test.go
+++ b/internal/sources/subset_test.go
@@ -13,7 +13,7 @@
 
 func fleetOf(n int) (out []Entry) {
 	for i := range n {
-		build := 1
+		build := policy.ReleaseID(1)
 		if i%50 == 0 {
 			build = 2 // on trial
 		}
--- /dev/null
+++ b/policy/config.go
@@ -0,0 +1,163 @@
+package policy
+
+// This file owns what an instance is told once, at its start: the deployment's settings in the terms of the decisions.
+
+import (
+	"errors"
+	"fmt"
+	"math"
+
+	"onyxgate/policy/exposure"
+	"onyxgate/policy/release"
+)
+
+// Config is all that an instance is told at its start. Times are in milliseconds, prices and values in any one unit. Validate says
+// what can't be used; New takes it as it is.
+type Config struct {
+	Seed      uint64 // of the instance's random numbers
+	Index     int    // of the instance in the fleet, from 0
+	Instances int    // in the fleet; less than 1 counts as 1
+
+	Classes            []RequestClass
+	MaxAttempts        int  // for one request
+	ConcurrentAttempts bool // a request may have two attempts open at the same time
+	CancelAllowed      bool // an open attempt may be canceled
+	MaxOpenRequests    int  // that the instance can hold, by its connections or its memory; 0: any number
+	MaxRetryAfter      float64
+
+	PeerMessages  bool // instances may send each other messages
+	ProbesAllowed bool
+	ProbePrice    float64 // of one probe, as a part of one request's value
+
+	Zone           int  // that the instance runs in
+	CrossZonePrice bool // attempts at backends in other zones cost something
+
+	Discovery DiscoveryConfig
+	SlowStart SlowStartConfig
+	Exposure  ExposureConfig
+	Rollout   RolloutConfig
+	Tenants   TenantConfig
+}
+
+// DiscoveryConfig says how endpoints become known.
+type DiscoveryConfig struct {
+	OnDemand        bool    // changes come only to instances that have asked for them
+	RefreshInterval float64 // an instance without a subscription counts as told of what was listed this long ago
+}
+
+// SlowStartConfig says what a backend bears after its start.
+type SlowStartConfig struct {
+	InitialCapacity float64 // share of its capacity right after the start, at the least
+	WarmUp          float64 // time after which it has all of its capacity
+	OverloadFactor  float64 // times its present capacity, at which it falls
+	OverloadWindow  float64 // time for which it has to get that much
+}
+
+// ExposureConfig limits how much of the traffic may go to a release that is rolling out.
+type ExposureConfig struct {
+	FreeAttempts  float64   // in any window, beside the share
+	Caps          []float64 // share of the requests taken, for each stage
+	Window        float64   // over which attempts are counted
+	GuardedStages int       // below this stage only safe requests may go there
+	PerClass      bool      // each class counts for itself
+	KeyAffinity   bool      // a key that a release has served goes to no earlier one
+}
+
+// RolloutConfig says what moves a release on or back.
+type RolloutConfig struct {
+	Stages        []float64 // share of the places that get the release, for each stage
+	Control       RolloutControl
+	RollbackVotes int // that roll a release back; less than 1 counts as 1
+	VoteLifetime  float64
+}
+
+// TenantConfig limits what each tenant may use at full value.
+type TenantConfig struct {
+	Quotas         []float64 // requests per millisecond, by all instances together
+	OverQuotaValue float64   // value of a request over its quota, as a part of its class's
+}
+
+// Errors of Config.Validate.
+var (
+	ErrNoClasses   = errors.New("no request class")
+	ErrClassTimes  = errors.New("a class needs a latency objective and a timeout above 0")
+	ErrMaxAttempts = errors.New("a request needs at least one attempt")
+)
+
+// Validate says what can't be used, as errors that errors.Is finds.
+func (c Config) Validate() error {
+	if len(c.Classes) == 0 {
+		return ErrNoClasses
+	}
+	for i, class := range c.Classes {
+		if class.LatencyObjective <= 0 || class.Timeout <= 0 {
+			return fmt.Errorf("class %d, %v ms and %v ms: %w", i, class.LatencyObjective, class.Timeout, ErrClassTimes)
+		}
+	}
+	if c.MaxAttempts < 1 {
+		return fmt.Errorf("%d attempts: %w", c.MaxAttempts, ErrMaxAttempts)
+	}
+	return nil
+}
+
+// New makes an instance that acts through a port. Its decisions follow from the configuration and the events alone.
+func New(port Port, c Config) *Instance {
+	a := &Instance{port: port, rnd: NewRand(c.Seed), me: c.Index, agents: max(c.Instances, 1), txns: map[string]*txn{}}
+	a.most, a.armed, a.recallAt, a.flow = math.Inf(1), math.Inf(1), math.Inf(1), [2]float64{1, 1}
+	a.salt = uint64(c.Index+1) << 32 // not by the seed: a process that starts anew draws the same keys for a release that rolls out
+	a.sightings = map[string]float64{}
+	a.affinity = exposure.NewAffinity()
+	a.index, a.hashes = map[string]int{}, map[uint32]int{}
+	a.judgeAt = math.Inf(1)
+	a.configureClasses(c)
+	a.configureSlowStart(c.SlowStart)
+	a.configureExposure(c.Exposure)
+	a.configureRollout(c.Rollout)
+	a.configureTenants(c.Tenants)
+	if c.MaxOpenRequests > 0 {
+		a.most = float64(c.MaxOpenRequests)
+	}
+	a.peers = c.PeerMessages
+	a.probes, a.probePrice = c.ProbesAllowed, c.ProbePrice
+	a.maxWait = c.MaxRetryAfter
+	a.home, a.zonePriced = c.Zone, c.CrossZonePrice
+	a.asked, a.within = c.Discovery.OnDemand, c.Discovery.RefreshInterval
+	return a
+}
+
+func (a *Instance) configureSlowStart(c SlowStartConfig) {
+	a.coldFrom, a.warmTime, a.multiple, a.fall = c.InitialCapacity, c.WarmUp, c.OverloadFactor, c.OverloadWindow
+}
+
+func (a *Instance) configureClasses(c Config) {
+	n := len(c.Classes)
+	a.products, a.maxSubs, a.copies, a.revoke = c.Classes, c.MaxAttempts, c.ConcurrentAttempts, c.CancelAllowed
+	a.usualLat, a.tail = make([]float64, n), make([]float64, n)
+	a.usual, a.longest = make([]float64, n), make([]float64, n)
+	for p := range a.tail {
+		a.tail[p] = math.Inf(1)
+	}
+	a.before.usual, a.hotSince, a.excuse = make([]float64, n), math.Inf(1), 1
+	for i := range a.evidence {
+		a.evidence[i] = make([][]outcome, n)
+	}
+}
+
+func (a *Instance) configureExposure(c ExposureConfig) {
+	a.guarded, a.perProduct, a.keysStay, a.window = c.GuardedStages, c.PerClass, c.KeyAffinity, c.Window
+	first := 0.0
+	if len(c.Caps) > 0 {
+		first = c.Caps[0]
+	}
+	a.book = release.NewBook(first)
+	a.allowance = exposure.NewAllowance(c.FreeAttempts, len(a.products))
+}
+
+func (a *Instance) configureRollout(c RolloutConfig) {
+	a.stages, a.control, a.backs, a.life = c.Stages, c.Control, max(c.RollbackVotes, 1), c.VoteLifetime
+}
+
+func (a *Instance) configureTenants(c TenantConfig) {
+	a.quotas, a.overWorth = c.Quotas, c.OverQuotaValue
+	a.purse, a.purseAt = make([]float64, len(c.Quotas)), make([]float64, len(c.Quotas))
+}
--- a/policy/decision_bench_test.go
+++ b/policy/decision_bench_test.go
@@ -17,20 +17,20 @@
 	for _, n := range []int{10, 200, 3200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			q := &quiet{}
-			a := New(q, 7, 0, 300)
-			a.Serve([]RequestClass{{LatencyObjective: 1000, Timeout: 4000, Value: 1}}, 5, true, true)
-			a.Expose(2, []float64{0.1, 0.5, 1}, 0, true, true)
-			a.Judge([]float64{0.1, 0.5, 1}, ControlMajority, 1, 4000)
-			a.OnReleaseUpdate(1, 2, 0, RollingOut, NotAVote, 0.1, 0, true)
+			a := New(q, Config{Seed: 7, Instances: 300})
+			a.configureClasses(Config{Classes: []RequestClass{{LatencyObjective: 1000, Timeout: 4000, Value: 1}}, MaxAttempts: 5, ConcurrentAttempts: true, CancelAllowed: true})
+			a.configureExposure(ExposureConfig{FreeAttempts: 2, Caps: []float64{0.1, 0.5, 1}, PerClass: true, KeyAffinity: true})
+			a.configureRollout(RolloutConfig{Stages: []float64{0.1, 0.5, 1}, Control: ControlMajority, RollbackVotes: 1, VoteLifetime: 4000})
+			a.OnReleaseUpdate(1, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.1, Known: true})
 			var list []Endpoint
 			for i := range n {
-				build := 1
+				build := ReleaseID(1)
 				if i%10 == 0 {
 					build = 2
 				}
 				list = append(list, Endpoint{ID: fmt.Sprint("s", i), Release: build, Weight: 1})
 			}
-			a.OnEndpoints(1, list, true, false)
+			a.OnEndpoints(1, EndpointUpdate{Endpoints: list, Snapshot: true})
 			keys := make([]string, 4096)
 			ids := make([]string, 4096)
 			for k := range keys {
@@ -41,8 +41,8 @@
 			for k := range b.N {
 				now := 10 + float64(k)*0.5
 				id := ids[k&4095]
-				a.OnRequest(now, id, keys[(k*7)&4095], 0, 0, false, 4000, 0)
-				a.OnAttemptResult(now+0.2, id, 0, StatusServed, true, 10, -1, -1)
+				a.OnRequest(now, Request{ID: id, Key: keys[(k*7)&4095], TimeLeft: 4000})
+				a.OnAttemptResult(now+0.2, AttemptResult{RequestID: id, Status: StatusServed, Final: true, Took: 10})
 			}
 		})
 	}
--- a/policy/exposure/affinity.go
+++ b/policy/exposure/affinity.go
@@ -3,7 +3,11 @@
 // number alone; where a release stands is package release's.
 package exposure
 
-import "github.com/cespare/xxhash/v2"
+import (
+	"github.com/cespare/xxhash/v2"
+
+	"onyxgate/policy/release"
+)
 
 // Key identifies a key by its hash; 0 stands for no key. Two keys of the same hash keep each other from earlier releases,
 // which costs a little and breaks nothing.
@@ -24,9 +28,9 @@
 // Affinity knows by which releases a key was answered, or may be about to be. Such a key goes to no earlier release until
 // that release goes back.
 type Affinity struct {
-	answered map[int]*keySet
-	pending  map[int]map[Key]int // attempts that are out
-	settled  int                 // every key counts as answered by this release: its own keys were let go
+	answered map[release.ID]*keySet
+	pending  map[release.ID]map[Key]int // attempts that are out
+	settled  release.ID                 // every key counts as answered by this release: its own keys were let go
 	most     int
 	changes  uint64 // counted, so that a floor need not be found again while nothing has changed
 }
@@ -44,11 +48,11 @@
 
 // NewAffinity makes an empty one.
 func NewAffinity() *Affinity {
-	return &Affinity{answered: map[int]*keySet{}, pending: map[int]map[Key]int{}, most: keysMost}
+	return &Affinity{answered: map[release.ID]*keySet{}, pending: map[release.ID]map[Key]int{}, most: keysMost}
 }
 
 // Floor is the earliest release that may serve a key; 0: any.
-func (f *Affinity) Floor(key Key) (release int) {
+func (f *Affinity) Floor(key Key) (release release.ID) {
 	if key == 0 {
 		return 0
 	}
@@ -70,7 +74,7 @@
 func (f *Affinity) Changes() uint64 { return f.changes }
 
 // AttemptStarted notes an attempt at a release: its answer may bind the key before it is seen.
-func (f *Affinity) AttemptStarted(key Key, release int) {
+func (f *Affinity) AttemptStarted(key Key, release release.ID) {
 	if key == 0 {
 		return
 	}
@@ -82,7 +86,7 @@
 }
 
 // AttemptEnded notes the end of an attempt that Sent has noted.
-func (f *Affinity) AttemptEnded(key Key, release int) {
+func (f *Affinity) AttemptEnded(key Key, release release.ID) {
 	keys := f.pending[release]
 	switch n := keys[key]; {
 	case n > 1:
@@ -94,7 +98,7 @@
 }
 
 // Bind notes that a release has answered a key.
-func (f *Affinity) Bind(key Key, release int) {
+func (f *Affinity) Bind(key Key, release release.ID) {
 	if key == 0 {
 		return
 	}
@@ -113,7 +117,7 @@
 }
 
 // ReleaseKeys ends what a release binds: it goes back.
-func (f *Affinity) ReleaseKeys(release int) {
+func (f *Affinity) ReleaseKeys(release release.ID) {
 	delete(f.answered, release)
 	delete(f.pending, release)
 	f.changes++
@@ -121,7 +125,7 @@
 
 // ForgetBefore lets the keys of all releases before one go, for none of these is to return. Should a backend of an even earlier
 // one do so all the same, it gets no key at all.
-func (f *Affinity) ForgetBefore(release int) {
+func (f *Affinity) ForgetBefore(release release.ID) {
 	for r := range f.answered {
 		if r < release {
 			f.settled = max(f.settled, r)
--- a/policy/exposure/exposure_test.go
+++ b/policy/exposure/exposure_test.go
@@ -3,6 +3,8 @@
 import (
 	"math/rand/v2"
 	"testing"
+
+	"onyxgate/policy/release"
 )
 
 // The earliest release that may serve a key, after answers and attempts.
@@ -11,7 +13,7 @@
 	for _, c := range []struct {
 		name string
 		do   func(f *Affinity)
-		want int
+		want release.ID
 	}{
 		{"nothing seen", func(f *Affinity) {}, 0},
 		{"answered", func(f *Affinity) { f.Bind(k, 3) }, 3},
@@ -56,7 +58,7 @@
 // always is a cap on every release.
 type always float64
 
-func (c always) Cap(int) (float64, bool) { return float64(c), true }
+func (c always) Cap(release.ID) (float64, bool) { return float64(c), true }
 
 // In no stretch of requests do more than the free attempts and the cap's share leave, whatever the cap does meanwhile, and
 // a process that starts inside the window begins with nothing.
--- a/policy/helper_test.go
+++ b/policy/helper_test.go
@@ -16,13 +16,15 @@
 func (r *record) Reject(txn string, wait float64)          { r.add("decline %s", txn) }
 func (r *record) Fail(txn string)                          { r.add("void %s", txn) }
 func (r *record) CancelAttempt(txn string, submission int) { r.add("revoke %s %d", txn, submission) }
-func (r *record) SendVote(build int, v Verdict, stage int) { r.add("vote %d %d %d", build, v, stage) }
-func (r *record) SendProbe(appliance string)               { r.add("probe %s", appliance) }
-func (r *record) SendMessage(agent int, note []byte)       { r.add("tell %d %x", agent, note) }
-func (r *record) SetTimer(after float64, token uint64)     {}
-func (r *record) WatchEndpoints()                          { r.add("subscribe") }
-func (r *record) FetchEndpoints()                          {}
-func (r *record) Log(line string)                          {}
+func (r *record) SendVote(build ReleaseID, v Verdict, stage int) {
+	r.add("vote %d %d %d", build, v, stage)
+}
+func (r *record) SendProbe(appliance string)           { r.add("probe %s", appliance) }
+func (r *record) SendMessage(agent int, note []byte)   { r.add("tell %d %x", agent, note) }
+func (r *record) SetTimer(after float64, token uint64) {}
+func (r *record) WatchEndpoints()                      { r.add("subscribe") }
+func (r *record) FetchEndpoints()                      {}
+func (r *record) Log(line string)                      {}
 
 // take returns what was done since the last call.
 func (r *record) take() []string {
@@ -34,19 +36,19 @@
 // tier starts an agent with one product on appliances of build 1 called a, b, c and so on.
 func tier(p RequestClass, appliances int) (*Instance, *record) {
 	r := &record{}
-	a := New(r, 12345, 0, 2)
+	a := New(r, Config{Seed: 12345, Instances: 2})
 	if p.LatencyObjective == 0 {
 		p.LatencyObjective, p.Timeout, p.Value, p.DedupWindow = 1000, 4000, 1, 2000
 	}
-	a.Serve([]RequestClass{p}, 5, true, true)
-	a.Warm(0.4, 5000, 3, 1000)
-	a.Expose(2, []float64{0.1, 0.5, 1}, 0, false, false)
-	a.Judge([]float64{0.1, 0.5, 1}, ControlMajority, 1, 4000)
+	a.configureClasses(Config{Classes: []RequestClass{p}, MaxAttempts: 5, ConcurrentAttempts: true, CancelAllowed: true})
+	a.configureSlowStart(SlowStartConfig{InitialCapacity: 0.4, WarmUp: 5000, OverloadFactor: 3, OverloadWindow: 1000})
+	a.configureExposure(ExposureConfig{FreeAttempts: 2, Caps: []float64{0.1, 0.5, 1}})
+	a.configureRollout(RolloutConfig{Stages: []float64{0.1, 0.5, 1}, Control: ControlMajority, RollbackVotes: 1, VoteLifetime: 4000})
 	var list []Endpoint
 	for i := range appliances {
 		list = append(list, Endpoint{ID: string(rune('a' + i)), Release: 1, Weight: 1, Zone: i % 2, Cell: i % 2})
 	}
-	a.OnEndpoints(1, list, true, false)
+	a.OnEndpoints(1, EndpointUpdate{Endpoints: list, Snapshot: true})
 	return a, r
 }
 
@@ -56,3 +58,8 @@
 		t.Errorf("%s: got %v, want %v", what, got, want)
 	}
 }
+
+// loadReport is a report of two figures, of which one below 0 is not told.
+func loadReport(waiting, busy float64) LoadReport {
+	return LoadReport{Present: waiting >= 0 || busy >= 0, Waiting: max(waiting, 0), Busy: max(busy, 0)}
+}
--- a/policy/notes.go
+++ b/policy/notes.go
@@ -17,7 +17,7 @@
 	return h.Sum32()
 }
 
-func (a *Instance) jot(o outcome, build, product int) {
+func (a *Instance) jot(o outcome, build ReleaseID, product int) {
 	flags := byte(0)
 	if o.bad {
 		flags = 1
@@ -62,7 +62,7 @@
 	a.at(now)
 	for ; len(raw) >= noteSize; raw = raw[noteSize:] {
 		i, ok := a.hashes[binary.LittleEndian.Uint32(raw)]
-		build, product := int(binary.LittleEndian.Uint16(raw[4:])), int(raw[6])
+		build, product := ReleaseID(binary.LittleEndian.Uint16(raw[4:])), int(raw[6])
 		lat := float64(math.Float32frombits(binary.LittleEndian.Uint32(raw[8:])))
 		if !ok || product >= len(a.products) || !a.known || !(lat >= 0 && lat < 1e9) {
 			continue
@@ -75,7 +75,7 @@
 }
 
 // file keeps evidence in order of time.
-func (a *Instance) file(build, product int, o outcome) {
+func (a *Instance) file(build ReleaseID, product int, o outcome) {
 	u := &a.usualLat[product]
 	if *u == 0 {
 		*u = o.lat
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -170,13 +170,13 @@
 }
 
 // admit sets a new txn's SLA time and counts it where the cap, the reserve for the dear and the heat need it.
-func (a *Instance) admit(t *txn, again bool, left, hint float64) {
+func (a *Instance) admit(t *txn, r Request) {
 	p := &a.products[t.product]
-	t.sla = t.came + p.LatencyObjective + p.ObjectivePerWork*hint
+	t.sla = t.came + p.LatencyObjective + p.ObjectivePerWork*r.Work
 	// A repeat's SLA time began with the first try: what is left of the expiry tells, once less than usual.
-	a.longest[t.product] = max(a.longest[t.product], left)
-	if again && left < a.longest[t.product]-1 {
-		t.sla -= p.Timeout - left
+	a.longest[t.product] = max(a.longest[t.product], r.TimeLeft)
+	if r.Retry && r.TimeLeft < a.longest[t.product]-1 {
+		t.sla -= p.Timeout - r.TimeLeft
 	}
 	t.sla = min(t.sla, t.expiry)
 	t.revenue = p.Value
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -35,9 +35,9 @@
 			p := RequestClass{LatencyObjective: 1000, Timeout: 4000, Value: 1, Semantics: c.effect, DedupScope: c.group, DedupWindow: 250}
 			a, r := tier(p, 8)
 			a.rnd.IntN(n + 1)
-			a.OnRequest(10, "t", "", 0, 0, false, 4000, 0)
+			a.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
 			first := r.take()[0]
-			a.OnAttemptResult(10+c.after, "t", 0, c.result, false, c.after, -1, -1)
+			a.OnAttemptResult(10+c.after, AttemptResult{RequestID: "t", Status: c.result, Took: c.after})
 			for now := 10 + c.after; len(r.did) == 0 && now < 5000; now += 10 {
 				a.OnTimer(now, a.token)
 			}
@@ -59,13 +59,13 @@
 		want   string
 	}{{Safe, "[decline t revoke t 0]"}, {Idempotent, "[decline t revoke t 0]"}, {NonIdempotent, "[void t revoke t 0]"}} {
 		a, r := tier(RequestClass{LatencyObjective: 1000, Timeout: 4000, Value: 1, Semantics: c.effect, DedupWindow: 9000}, 2)
-		a.OnRequest(10, "t", "", 0, 0, false, 500, 0)
+		a.OnRequest(10, Request{ID: "t", TimeLeft: 500})
 		r.take()
 		for now := 15.0; now < 510; now += 5 {
 			a.OnTimer(now, a.token)
 		}
 		expect(t, "at the expiry", r.take(), c.want)
-		a.OnAttemptResult(520, "t", 0, StatusTimedOut, true, 510, -1, -1)
+		a.OnAttemptResult(520, AttemptResult{RequestID: "t", Status: StatusTimedOut, Final: true, Took: 510})
 		a.OnClientGone(521, "t")
 		expect(t, "afterwards", r.take(), "[]")
 		expect(t, "still held", len(a.txns), 0)
@@ -86,12 +86,12 @@
 		{"runs", Endpoint{ID: "a", Release: 1, Weight: 1}, false, "[submit t a]"},
 	} {
 		a, r := tier(RequestClass{}, 1)
-		a.OnEndpoints(5, []Endpoint{c.entry}, c.whole, false)
-		a.OnRequest(10, "t", "", 0, 0, false, 4000, 0)
+		a.OnEndpoints(5, EndpointUpdate{Endpoints: []Endpoint{c.entry}, Snapshot: c.whole})
+		a.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
 		expect(t, c.name, r.take(), c.want)
 	}
 	a, r := tier(RequestClass{}, 1)
-	a.Watch(true, 1000, 10000)
+	a.asked, a.within = true, 10000
 	a.OnTimer(2, 0)
 	a.OnEndpointsFailed(3)
 	expect(t, "asked once", r.take(), "[subscribe]")
@@ -121,8 +121,8 @@
 		phase       Phase
 		guarded     int
 		effect      Semantics
-		news        int // build of the news; the machines run 2
-		most, least int // submissions at it of 100 txns, each settled at once
+		news        ReleaseID // build of the news; the machines run 2
+		most, least int       // submissions at it of 100 txns, each settled at once
 	}{
 		{"cap 0", 0, RollingOut, 0, Safe, 2, 0, 0},
 		{"cap 0.1", 0.1, RollingOut, 0, Safe, 2, 12, 2},
@@ -133,19 +133,19 @@
 		{"released", 1, Released, 0, Safe, 2, 100, 30},
 	} {
 		a, r := tier(RequestClass{LatencyObjective: 1000, Timeout: 4000, Value: 1, Semantics: c.effect}, 4)
-		a.Expose(2, []float64{0.1, 0.5, 1}, c.guarded, false, false)
-		a.OnReleaseUpdate(2, c.news, 0, c.phase, NotAVote, c.limit, 0, true)
-		a.OnEndpoints(3, []Endpoint{{ID: "x", Release: 2, Weight: 1}, {ID: "y", Release: 2, Weight: 1}, {ID: "z", Release: 2, Weight: 4}}, false, false)
+		a.configureExposure(ExposureConfig{FreeAttempts: 2, Caps: []float64{0.1, 0.5, 1}, GuardedStages: c.guarded})
+		a.OnReleaseUpdate(2, ReleaseUpdate{Release: c.news, Phase: c.phase, Cap: c.limit, Known: true})
+		a.OnEndpoints(3, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, Weight: 1}, {ID: "y", Release: 2, Weight: 1}, {ID: "z", Release: 2, Weight: 4}}})
 		n := 0
 		for k := range 100 {
 			id, now := fmt.Sprint(k), 10+float64(k)*20
-			a.OnRequest(now, id, "", 0, 0, false, 4000, 0)
+			a.OnRequest(now, Request{ID: id, TimeLeft: 4000})
 			for _, did := range r.take() {
 				if strings.ContainsAny(did[len(did)-1:], "xyz") {
 					n++
 				}
 			}
-			a.OnAttemptResult(now+10, id, 0, StatusServed, true, 10, -1, -1)
+			a.OnAttemptResult(now+10, AttemptResult{RequestID: id, Status: StatusServed, Final: true, Took: 10})
 		}
 		if n > c.most || n < c.least {
 			t.Errorf("%s: %d submissions, want %d to %d", c.name, n, c.least, c.most)
@@ -160,15 +160,15 @@
 		open  bool // an earlier build may serve the key
 	}{{RollingOut, false}, {Released, false}, {RollingBack, true}, {Withdrawn, true}} {
 		a, r := tier(RequestClass{}, 1)
-		a.Expose(2, []float64{1}, 0, false, true)
-		a.OnReleaseUpdate(2, 2, 0, RollingOut, NotAVote, 1, 0, true)
-		a.OnEndpoints(3, []Endpoint{{ID: "x", Release: 2, Weight: 1}, {ID: "a", Release: 1, State: EndpointDraining, Weight: 1}}, false, false)
-		a.OnRequest(10, "t", "k", 0, 0, false, 4000, 0)
-		a.OnAttemptResult(20, "t", 0, StatusServed, true, 10, -1, -1)
+		a.configureExposure(ExposureConfig{FreeAttempts: 2, Caps: []float64{1}, KeyAffinity: true})
+		a.OnReleaseUpdate(2, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 1, Known: true})
+		a.OnEndpoints(3, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, Weight: 1}, {ID: "a", Release: 1, State: EndpointDraining, Weight: 1}}})
+		a.OnRequest(10, Request{ID: "t", Key: "k", TimeLeft: 4000})
+		a.OnAttemptResult(20, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Took: 10})
 		expect(t, "first", r.take(), "[submit t x]")
-		a.OnEndpoints(30, []Endpoint{{ID: "x", Release: 2, State: EndpointDraining, Weight: 1}, {ID: "a", Release: 1, Weight: 1}}, false, false)
-		a.OnReleaseUpdate(31, 2, 0, c.phase, NotAVote, 1, 0, true)
-		a.OnRequest(40, "u", "k", 0, 0, false, 4000, 0)
+		a.OnEndpoints(30, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, State: EndpointDraining, Weight: 1}, {ID: "a", Release: 1, Weight: 1}}})
+		a.OnReleaseUpdate(31, ReleaseUpdate{Release: 2, Phase: c.phase, Cap: 1, Known: true})
+		a.OnRequest(40, Request{ID: "u", Key: "k", TimeLeft: 4000})
 		expect(t, fmt.Sprint("phase ", c.phase), len(r.take()) == 1, c.open)
 	}
 }
@@ -184,17 +184,17 @@
 		{0, RollingOut, false}, {StatusErrored, RollingOut, true}, {StatusRejected, RollingOut, true}, {StatusConnectFailed, RollingOut, true},
 		{0, RollingBack, true}, {StatusServed, RollingBack, true}} {
 		a, r := tier(RequestClass{}, 1)
-		a.Expose(2, []float64{1}, 0, false, true)
-		a.OnReleaseUpdate(2, 2, 0, RollingOut, NotAVote, 1, 0, true)
-		a.OnEndpoints(3, []Endpoint{{ID: "x", Release: 2, Weight: 1}, {ID: "a", Release: 1, State: EndpointDraining, Weight: 1}}, false, false)
-		a.OnRequest(10, "t", "k", 0, 0, false, 400, 0)
-		a.OnReleaseUpdate(15, 2, 0, c.phase, NotAVote, 1, 0, true)
+		a.configureExposure(ExposureConfig{FreeAttempts: 2, Caps: []float64{1}, KeyAffinity: true})
+		a.OnReleaseUpdate(2, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 1, Known: true})
+		a.OnEndpoints(3, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, Weight: 1}, {ID: "a", Release: 1, State: EndpointDraining, Weight: 1}}})
+		a.OnRequest(10, Request{ID: "t", Key: "k", TimeLeft: 400})
+		a.OnReleaseUpdate(15, ReleaseUpdate{Release: 2, Phase: c.phase, Cap: 1, Known: true})
 		if c.result != 0 {
-			a.OnAttemptResult(20, "t", 0, c.result, true, 10, -1, -1)
+			a.OnAttemptResult(20, AttemptResult{RequestID: "t", Status: c.result, Final: true, Took: 10})
 		}
 		expect(t, "first", r.take()[0], "submit t x")
-		a.OnEndpoints(30, []Endpoint{{ID: "x", Release: 2, State: EndpointDraining, Weight: 1}, {ID: "a", Release: 1, Weight: 1}}, false, false)
-		a.OnRequest(40, "u", "k", 0, 0, false, 4000, 0)
+		a.OnEndpoints(30, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, State: EndpointDraining, Weight: 1}, {ID: "a", Release: 1, Weight: 1}}})
+		a.OnRequest(40, Request{ID: "u", Key: "k", TimeLeft: 4000})
 		expect(t, fmt.Sprint("result ", c.result, ", phase ", c.phase), len(r.take()) == 1, c.open)
 	}
 }
@@ -202,25 +202,25 @@
 // What comes and goes for good leaves nothing behind, and an id that returns is new in all that is believed of it.
 func TestTurnover(t *testing.T) {
 	a, r := tier(RequestClass{}, 3)
-	a.Expose(2, []float64{1}, 0, false, true)
+	a.configureExposure(ExposureConfig{FreeAttempts: 2, Caps: []float64{1}, KeyAffinity: true})
 	now := 10.0
 	for k := range 40000 {
 		now += 4
 		if k%20 == 0 {
 			id := fmt.Sprint("x", k)
-			a.OnEndpoints(now, []Endpoint{{ID: id, Release: 1 + k/400, Weight: 1}}, false, false)
+			a.OnEndpoints(now, EndpointUpdate{Endpoints: []Endpoint{{ID: id, Release: ReleaseID(1 + k/400), Weight: 1}}})
 			if k >= 200 {
-				a.OnEndpoints(now, []Endpoint{{ID: fmt.Sprint("x", k-200), State: EndpointRemoved}}, false, false)
+				a.OnEndpoints(now, EndpointUpdate{Endpoints: []Endpoint{{ID: fmt.Sprint("x", k-200), State: EndpointRemoved}}})
 			}
 		}
 		if k%400 == 0 {
-			a.OnReleaseUpdate(now, 1+k/400, 0, Released, NotAVote, 1, 0, true)
+			a.OnReleaseUpdate(now, ReleaseUpdate{Release: ReleaseID(1 + k/400), Phase: Released, Cap: 1, Known: true})
 		}
 		id := fmt.Sprint(k)
-		a.OnRequest(now, id, "key"+id, 0, 0, false, 400, 0)
+		a.OnRequest(now, Request{ID: id, Key: "key" + id, TimeLeft: 400})
 		for _, did := range r.take() {
 			if strings.HasPrefix(did, "submit "+id+" ") {
-				a.OnAttemptResult(now+2, id, 0, StatusServed, true, 2, -1, -1)
+				a.OnAttemptResult(now+2, AttemptResult{RequestID: id, Status: StatusServed, Final: true, Took: 2})
 			}
 		}
 		if k == 39999 {
@@ -241,11 +241,11 @@
 			t.Errorf("%s: %d left, %d at the most", c.name, c.got, c.most)
 		}
 	}
-	a.OnEndpoints(now, []Endpoint{{ID: "y", Release: 500, Weight: 1}}, true, false)
+	a.OnEndpoints(now, EndpointUpdate{Endpoints: []Endpoint{{ID: "y", Release: 500, Weight: 1}}, Snapshot: true})
 	a.OnTimer(now+judgePause, 0)
 	i := a.index["y"]
 	a.good[i], a.poor[i], a.rel[i], a.inRow[i], a.told[i], a.limit[i] = 5, 9, 4, 3, 7, 1
-	a.OnEndpoints(now+1, []Endpoint{{ID: "y", Release: 501, Weight: 1}}, false, false)
+	a.OnEndpoints(now+1, EndpointUpdate{Endpoints: []Endpoint{{ID: "y", Release: 501, Weight: 1}}})
 	expect(t, "believed", []float64{a.good[i], a.poor[i], a.rel[i], a.inRow[i], a.told[i], a.limit[i]}, "[0 0 1 0 0 4]")
 }
 
@@ -268,11 +268,11 @@
 		tries, settled := map[string]int{}, 0
 		for now := 10.0; now < 7000; now++ {
 			if k := int(now) / 10; int(now)%10 == 0 && k <= 600 {
-				a.OnRequest(now, fmt.Sprint(k), "", 0, 0, false, 4000, 0)
+				a.OnRequest(now, Request{ID: fmt.Sprint(k), TimeLeft: 4000})
 			}
 			for len(coming) > 0 && coming[0].at <= now {
 				if t := a.txns[coming[0].id]; t != nil {
-					a.OnAttemptResult(now, coming[0].id, coming[0].sub, StatusServed, true, 20, -1, -1)
+					a.OnAttemptResult(now, AttemptResult{RequestID: coming[0].id, Attempt: coming[0].sub, Status: StatusServed, Final: true, Took: 20})
 					if k, _ := strconv.Atoi(coming[0].id); k > 500 {
 						settled++
 					}
@@ -285,7 +285,7 @@
 				fmt.Sscan(did[0], &what, &id, &x)
 				k, _ := strconv.Atoi(id)
 				if what == "revoke" {
-					a.OnAttemptResult(now, id, tries[id]-1, StatusCanceled, false, 150, -1, -1)
+					a.OnAttemptResult(now, AttemptResult{RequestID: id, Attempt: tries[id] - 1, Status: StatusCanceled, Took: 150})
 				}
 				if what == "submit" {
 					if k <= 500 || tries[id] > 0 || k*c.lost/100 == (k-1)*c.lost/100 {
@@ -305,7 +305,7 @@
 func TestHalfGone(t *testing.T) {
 	for _, c := range []struct{ left, after float64 }{{4000, 1000}, {1600, 720}, {300, 135}} {
 		a, r := tier(RequestClass{}, 0)
-		a.OnRequest(10, "t", "", 0, 0, false, c.left, 0)
+		a.OnRequest(10, Request{ID: "t", TimeLeft: c.left})
 		for now := 10.0; now < 5000; now++ {
 			if len(a.alarms) > 0 && a.alarms[0].at <= now {
 				a.OnTimer(now, a.token)
@@ -332,19 +332,19 @@
 		a, r := tier(RequestClass{}, c.warm)
 		for k := range 400 {
 			id, now := fmt.Sprint("w", k), 10+float64(k)*5
-			a.OnRequest(now, id, "", 0, 0, false, 4000, 0)
-			a.OnAttemptResult(now+4, id, 0, StatusServed, true, 50, -1, -1)
+			a.OnRequest(now, Request{ID: id, TimeLeft: 4000})
+			a.OnAttemptResult(now+4, AttemptResult{RequestID: id, Status: StatusServed, Final: true, Took: 50})
 		}
-		a.OnEndpoints(2100, []Endpoint{{ID: "x", Release: 1, Weight: 1, StartedAt: 2050}}, false, false)
+		a.OnEndpoints(2100, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 1, Weight: 1, StartedAt: 2050}}})
 		r.take()
 		n := 0
 		for k := range c.txns {
 			id, now := fmt.Sprint(k), 2101+float64(k)*5
-			a.OnRequest(now, id, "", 0, 0, false, 4000, 0)
+			a.OnRequest(now, Request{ID: id, TimeLeft: 4000})
 			for _, did := range r.take() {
 				if strings.HasSuffix(did, " x") {
 					n++
-					a.OnAttemptResult(now+4, strings.Fields(did)[1], 0, StatusServed, true, 50, -1, -1)
+					a.OnAttemptResult(now+4, AttemptResult{RequestID: strings.Fields(did)[1], Status: StatusServed, Final: true, Took: 50})
 				}
 			}
 		}
@@ -413,13 +413,13 @@
 		{"full, then counted", ControlMajority, []VoteResponse{VoteRefused, VoteUnanswered, VoteCounted}, 1, 0, "vote 2 1 0", 4000, 8},
 	} {
 		a, r := tier(RequestClass{}, 9)
-		a.Judge([]float64{0.1, 1}, c.control, 1, 4000)
-		a.OnReleaseUpdate(900, 2, 0, RollingOut, NotAVote, 0.3, 0, true)
-		a.OnEndpoints(1001, []Endpoint{{ID: "x", Release: 2, Weight: 1, StartedAt: 1000}}, false, false)
+		a.configureRollout(RolloutConfig{Stages: []float64{0.1, 1}, Control: c.control, RollbackVotes: 1, VoteLifetime: 4000})
+		a.OnReleaseUpdate(900, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.3, Known: true})
+		a.OnEndpoints(1001, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, Weight: 1, StartedAt: 1000}}})
 		votes, first, at := 0, "", 0.0
 		for k := range 1900 {
 			now, id := 1010+float64(k)*10, fmt.Sprint(k)
-			a.OnRequest(now, id, "", 0, 0, false, 4000, 0)
+			a.OnRequest(now, Request{ID: id, TimeLeft: 4000})
 			for _, did := range r.take() {
 				switch {
 				case strings.HasPrefix(did, "vote"):
@@ -428,11 +428,11 @@
 					}
 					reply := c.replies[min(votes, len(c.replies)-1)]
 					votes++
-					a.OnReleaseUpdate(now, 2, 0, RollingOut, reply, 0.3, now-900, reply == VoteCounted)
+					a.OnReleaseUpdate(now, ReleaseUpdate{Release: 2, Phase: RollingOut, Response: reply, Cap: 0.3, Age: now - 900, Known: reply == VoteCounted})
 				case strings.HasPrefix(did, "submit "+id+" x") && c.fail > 0 && k%c.fail == 0:
-					a.OnAttemptResult(now+5, id, 0, StatusErrored, true, 5, -1, -1)
+					a.OnAttemptResult(now+5, AttemptResult{RequestID: id, Status: StatusErrored, Final: true, Took: 5})
 				case strings.HasPrefix(did, "submit"):
-					a.OnAttemptResult(now+5, id, 0, StatusServed, true, 50+float64(k*37%101), -1, -1)
+					a.OnAttemptResult(now+5, AttemptResult{RequestID: id, Status: StatusServed, Final: true, Took: 50 + float64(k*37%101)})
 				}
 			}
 		}
@@ -446,27 +446,27 @@
 func TestQuickFailures(t *testing.T) {
 	for _, result := range []AttemptStatus{StatusRejected, StatusConnectFailed, StatusErrored} {
 		one, did := tier(RequestClass{}, 1)
-		one.OnRequest(10, "t", "", 0, 0, false, 4000, 0)
-		one.OnAttemptResult(11, "t", 0, result, false, 1, -1, -1)
+		one.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
+		one.OnAttemptResult(11, AttemptResult{RequestID: "t", Status: result, Took: 1})
 		expect(t, "sent, and not again at once", did.take(), "[submit t a]")
 		a, r := tier(RequestClass{}, 4)
 		n, late := 0, 0
 		for k := range 900 {
 			id, now := fmt.Sprint(k), 10+float64(k)*10
-			a.OnRequest(now, id, "", 0, 0, false, 4000, 0)
+			a.OnRequest(now, Request{ID: id, TimeLeft: 4000})
 			for s := 0; s < 5; s++ {
 				did := r.take()
 				if len(did) == 0 {
 					break
 				}
 				if !strings.HasSuffix(did[0], " a") {
-					a.OnAttemptResult(now+9, id, s, StatusServed, true, 9, -1, -1)
+					a.OnAttemptResult(now+9, AttemptResult{RequestID: id, Attempt: s, Status: StatusServed, Final: true, Took: 9})
 				} else if k < 300 {
 					n++
-					a.OnAttemptResult(now+1, id, s, result, false, 1, -1, -1)
+					a.OnAttemptResult(now+1, AttemptResult{RequestID: id, Attempt: s, Status: result, Took: 1})
 				} else {
 					late++
-					a.OnAttemptResult(now+9, id, s, StatusServed, true, 9, -1, -1)
+					a.OnAttemptResult(now+9, AttemptResult{RequestID: id, Attempt: s, Status: StatusServed, Final: true, Took: 9})
 				}
 			}
 		}
@@ -482,11 +482,11 @@
 	expect(t, "generator", []uint64{g.next(), g.next(), g.next()}, []uint64{4294957665, 92756161, 18591715})
 	run := func(seed uint64) string {
 		r := &record{}
-		a := New(r, seed, 0, 1)
-		a.Serve([]RequestClass{{LatencyObjective: 1000, Timeout: 4000, Value: 1}}, 5, true, true)
-		a.OnEndpoints(1, []Endpoint{{ID: "a", Weight: 1}, {ID: "b", Weight: 1}, {ID: "c", Weight: 1}}, true, false)
+		a := New(r, Config{Seed: seed, Instances: 1})
+		a.configureClasses(Config{Classes: []RequestClass{{LatencyObjective: 1000, Timeout: 4000, Value: 1}}, MaxAttempts: 5, ConcurrentAttempts: true, CancelAllowed: true})
+		a.OnEndpoints(1, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Weight: 1}, {ID: "b", Weight: 1}, {ID: "c", Weight: 1}}, Snapshot: true})
 		for k := range 50 {
-			a.OnRequest(float64(k), fmt.Sprint(k), "", 0, 0, false, 4000, 0)
+			a.OnRequest(float64(k), Request{ID: fmt.Sprint(k), TimeLeft: 4000})
 		}
 		return fmt.Sprint(r.did)
 	}
@@ -508,10 +508,12 @@
 		{"ended", func(a *Instance, x *txn) { x.ended = true }},
 		{"allowance used up", func(a *Instance, x *txn) { a.allowance.Use(1, 0, a.now); a.allowance.Use(1, 0, a.now) }},
 		{"draining", func(a *Instance, x *txn) { a.state[0] = EndpointDraining }},
-		{"its release goes back", func(a *Instance, x *txn) { a.OnReleaseUpdate(3, 1, 1, RollingBack, NotAVote, 0, 0, true) }},
+		{"its release goes back", func(a *Instance, x *txn) {
+			a.OnReleaseUpdate(3, ReleaseUpdate{Release: 1, Stage: 1, Phase: RollingBack, Cap: 0, Known: true})
+		}},
 	} {
 		a, _ := tier(RequestClass{}, 1)
-		a.OnReleaseUpdate(2, 1, 1, RollingOut, NotAVote, 0.5, 0, true)
+		a.OnReleaseUpdate(2, ReleaseUpdate{Release: 1, Stage: 1, Phase: RollingOut, Cap: 0.5, Known: true})
 		x := &txn{expiry: 100, work: 1}
 		expect(t, "before: "+c.name, a.mayGo(x, 0), true)
 		c.spoil(a, x)
@@ -579,15 +581,15 @@
 	} {
 		a, r := tier(RequestClass{}, 8)
 		a.agents = 300
-		a.Probing(true, 0.01)
-		a.OnRequest(10, "t", "", 0, 0, false, 4000, 0)
+		a.probes, a.probePrice = true, 0.01
+		a.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
 		probed := r.take()
 		if len(probed) == 0 || !strings.HasPrefix(probed[0], "probe") {
 			t.Fatalf("%s: %v", c.name, probed)
 		}
 		last := strings.Fields(probed[len(probed)-1])[1]
 		if c.answer {
-			a.OnProbeResult(12, last, c.ok, 2, -1, -1)
+			a.OnProbeResult(12, ProbeResult{Backend: last, OK: c.ok, Took: 2})
 		}
 		got := fmt.Sprint(r.take())
 		if c.want != "" && got != "[submit t "+last+"]" || c.want == "" && got != "[]" {
@@ -617,7 +619,7 @@
 	} {
 		a, _ := tier(RequestClass{}, 0)
 		var list []Endpoint
-		add := func(n, build int, state EndpointState) {
+		add := func(n int, build ReleaseID, state EndpointState) {
 			for k := range n {
 				list = append(list, Endpoint{ID: fmt.Sprint(build, "-", k), Release: build, Weight: 1, State: state})
 			}
@@ -628,8 +630,8 @@
 			list[k].State = EndpointDraining
 		}
 		add(c.new, 3, EndpointRunning)
-		a.OnEndpoints(5, list, true, false)
-		a.OnReleaseUpdate(10, 3, 0, RollingOut, NotAVote, 0.1, 0, true)
+		a.OnEndpoints(5, EndpointUpdate{Endpoints: list, Snapshot: true})
+		a.OnReleaseUpdate(10, ReleaseUpdate{Release: 3, Phase: RollingOut, Cap: 0.1, Known: true})
 		expect(t, c.name, a.places, c.want)
 	}
 }
@@ -642,8 +644,8 @@
 	}{{0, "probe"}, {0.02, "probe"}, {0.03, "submit"}, {0.08, "submit"}} {
 		a, r := tier(RequestClass{}, 4)
 		a.agents = manyAgents
-		a.Probing(true, c.price)
-		a.OnRequest(10, "t", "", 0, 0, false, 4000, 0)
+		a.probes, a.probePrice = true, c.price
+		a.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
 		if did := r.take(); len(did) == 0 || !strings.HasPrefix(did[0], c.first) {
 			t.Errorf("at %v: %v", c.price, did)
 		}
@@ -743,7 +745,7 @@
 		t.Errorf("flow %.2f, then %.2f; %d dear and %d cheap of 1000", low, a.flowNow(0), dear, cheap)
 	}
 	a.usual[0] = 5000 // past the SLA time of 1000
-	a.OnRequest(a.now, "t", "", 0, 0, false, 4000, 0)
+	a.OnRequest(a.now, Request{ID: "t", TimeLeft: 4000})
 	expect(t, "sent all the same", strings.HasPrefix(fmt.Sprint(r.take()), "[submit t"), true)
 }
 
@@ -755,13 +757,13 @@
 		proofs int
 	}{{"awake", false, 1}, {"stood still", true, 0}} {
 		a, r := tier(RequestClass{}, 1)
-		a.OnReleaseUpdate(2, 1, 0, RollingOut, NotAVote, 1, 0, true)
-		a.OnRequest(10, "t", "", 0, 0, false, 4000, 0)
+		a.OnReleaseUpdate(2, ReleaseUpdate{Release: 1, Phase: RollingOut, Cap: 1, Known: true})
+		a.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
 		r.take()
 		for now := 20.0; now < 900 && !c.stood; now += 20 {
 			a.OnTimer(now, a.token)
 		}
-		a.OnAttemptResult(900, "t", 0, StatusServed, true, 890, -1, -1)
+		a.OnAttemptResult(900, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Took: 890})
 		expect(t, c.name, len(a.evidence[1][0]), c.proofs)
 	}
 }
@@ -792,10 +794,10 @@
 func TestNotes(t *testing.T) {
 	teller, r := tier(RequestClass{}, 3)
 	teller.agents, teller.me = 300, 7
-	teller.Share(true)
-	teller.OnReleaseUpdate(2, 1, 0, RollingOut, NotAVote, 1, 0, true)
-	teller.OnRequest(10, "t", "", 0, 0, false, 4000, 0)
-	teller.OnAttemptResult(60, "t", 0, StatusServed, true, 50, -1, -1)
+	teller.peers = true
+	teller.OnReleaseUpdate(2, ReleaseUpdate{Release: 1, Phase: RollingOut, Cap: 1, Known: true})
+	teller.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
+	teller.OnAttemptResult(60, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Took: 50})
 	var note []byte
 	for _, did := range r.take() {
 		if strings.HasPrefix(did, "tell 0 ") {
@@ -810,7 +812,7 @@
 		{"unknown appliance", append([]byte{1, 2, 3, 4}, note[4:]...), 0},
 		{"unknown product", append(append([]byte{}, note[:6]...), append([]byte{9}, note[7:]...)...), 0}} {
 		judge, _ := tier(RequestClass{}, 3)
-		judge.OnReleaseUpdate(2, 1, 0, RollingOut, NotAVote, 1, 0, true)
+		judge.OnReleaseUpdate(2, ReleaseUpdate{Release: 1, Phase: RollingOut, Cap: 1, Known: true})
 		judge.OnMessage(70, c.note)
 		expect(t, c.name, len(judge.evidence[1][0]), c.want)
 	}
@@ -822,12 +824,12 @@
 	at := map[float64]int{5: 0, 1000: 0}
 	for k := range agents {
 		r := &record{}
-		a := New(r, uint64(k)*977+1, k, agents)
-		a.Serve([]RequestClass{{LatencyObjective: 1000, Timeout: 4000, Value: 1}}, 5, true, true)
-		a.Warm(0.4, 5000, 3, 1000)
-		a.OnEndpoints(1, []Endpoint{{ID: "x", Release: 1, Weight: 1, StartedAt: 1}}, true, false)
+		a := New(r, Config{Seed: uint64(k)*977 + 1, Index: k, Instances: agents})
+		a.configureClasses(Config{Classes: []RequestClass{{LatencyObjective: 1000, Timeout: 4000, Value: 1}}, MaxAttempts: 5, ConcurrentAttempts: true, CancelAllowed: true})
+		a.configureSlowStart(SlowStartConfig{InitialCapacity: 0.4, WarmUp: 5000, OverloadFactor: 3, OverloadWindow: 1000})
+		a.OnEndpoints(1, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 1, Weight: 1, StartedAt: 1}}, Snapshot: true})
 		for _, now := range []float64{5, 1000} {
-			a.OnRequest(now, fmt.Sprint(now), "", 0, 0, false, 300, 0)
+			a.OnRequest(now, Request{ID: fmt.Sprint(now), TimeLeft: 300})
 			at[now] += len(r.take())
 			a.OnClientGone(now, fmt.Sprint(now))
 			r.take()
@@ -847,10 +849,10 @@
 		decline int
 	}{{math.Inf(1), 30, 0}, {20, 12, 0}, {20, 30, 18}} {
 		a, r := tier(RequestClass{}, 1)
-		a.Hold(c.most)
+		a.most = c.most
 		declined := 0
 		for k := range c.taken {
-			a.OnRequest(2+float64(k)/1000, fmt.Sprint(k), "", 0, 0, false, 4000, 0)
+			a.OnRequest(2+float64(k)/1000, Request{ID: fmt.Sprint(k), TimeLeft: 4000})
 			for _, did := range r.take() {
 				if did == fmt.Sprintf("decline %d", k) {
 					declined++
@@ -870,9 +872,9 @@
 		a, _ := tier(RequestClass{}, 1)
 		for k := range 20 {
 			a.now = float64(10 + 1000*k)
-			a.OnRequest(a.now, fmt.Sprint(k), "", 0, 0, false, 4000, 0)
+			a.OnRequest(a.now, Request{ID: fmt.Sprint(k), TimeLeft: 4000})
 			if len(a.txns[fmt.Sprint(k)].subs) > 0 {
-				a.OnAttemptResult(a.now+1, fmt.Sprint(k), 0, c.result, true, 1, -1, -1)
+				a.OnAttemptResult(a.now+1, AttemptResult{RequestID: fmt.Sprint(k), Status: c.result, Final: true, Took: 1})
 			}
 		}
 		expect(t, fmt.Sprint("after result ", c.result, " the limit fell"), a.limit[0] < limitFirst, c.falls)
@@ -888,13 +890,13 @@
 	}{{"in time", 0, 300, false, true}, {"late by the wait here", 950, 100, false, true},
 		{"slow after a wait", 950, 400, true, false}, {"slow", 0, 1100, true, false}} {
 		a, r := tier(RequestClass{}, 1)
-		a.OnRequest(2, "t", "", 0, 0, false, 4000, 0)
+		a.OnRequest(2, Request{ID: "t", TimeLeft: 4000})
 		a.txns["t"].sla -= c.waited
 		a.txns["t"].subs[0].due = a.due(a.txns["t"])
 		a.limit[0] = 1.5
 		was := a.limit[0]
 		a.OnTimer(2+c.took, 0)
-		a.OnAttemptResult(2+c.took, "t", 0, StatusServed, true, c.took, -1, -1)
+		a.OnAttemptResult(2+c.took, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Took: c.took})
 		r.take()
 		if got := a.limit[0]; got < was != c.lowers || got > was != c.raises {
 			t.Errorf("%s: the limit went from %.1f to %.1f", c.name, was, got)
--- a/policy/port.go
+++ b/policy/port.go
@@ -9,7 +9,7 @@
 	Reject(txn string, wait float64)
 	Fail(txn string)
 	CancelAttempt(txn string, submission int)
-	SendVote(build int, verdict Verdict, stage int)
+	SendVote(release ReleaseID, verdict Verdict, stage int)
 	SendProbe(appliance string)
 	SendMessage(agent int, note []byte)
 	SetTimer(after float64, token uint64)
@@ -61,7 +61,7 @@
 // Endpoint is one appliance as the list shows it.
 type Endpoint struct {
 	ID                        string
-	Release                   int
+	Release                   ReleaseID
 	State                     EndpointState
 	Weight                    float64
 	StartedAt                 float64 // time of its last start; 0: long ago
@@ -82,6 +82,60 @@
 	StatusNotSent                     // never sent
 )
 
+// Request is one request as it arrives. Times are in milliseconds.
+type Request struct {
+	ID       string
+	Key      string // requests with one key belong together; empty: it has none
+	Class    int    // index into Config.Classes
+	Tenant   int    // index into Config.Tenants.Quotas
+	Retry    bool   // the client marks it as a repeat of an earlier request
+	TimeLeft float64
+	Work     float64 // as the client tells it, in any one unit; 0: not told
+}
+
+// LoadReport is what a backend tells of its load. The zero value stands for no report.
+type LoadReport struct {
+	Present bool
+	Waiting float64 // requests that wait at the backend
+	Busy    float64 // share of its capacity in use, 0 to 1
+}
+
+// AttemptResult is the end of one attempt.
+type AttemptResult struct {
+	RequestID string
+	Attempt   int // counted from 0 in each request
+	Status    AttemptStatus
+	Final     bool    // the request has its answer by this attempt or had it before
+	Took      float64 // ms since the attempt was sent
+	Load      LoadReport
+}
+
+// ProbeResult is the end of one load probe.
+type ProbeResult struct {
+	Backend string
+	OK      bool
+	Took    float64 // ms
+	Load    LoadReport
+}
+
+// EndpointUpdate is what discovery tells: a snapshot replaces the endpoint list, anything else changes it.
+type EndpointUpdate struct {
+	Endpoints []Endpoint
+	Snapshot  bool
+	Cached    bool // held since before the process started: discovery itself has told nothing yet
+}
+
+// ReleaseUpdate is the state of a release as the platform tells it, as a notice or in its response to a vote.
+type ReleaseUpdate struct {
+	Release  ReleaseID
+	Stage    int
+	Phase    Phase
+	Cap      float64 // share of the requests taken that may go to the release, 0 to 1
+	Age      float64 // ms for which the release has been in this state
+	Response VoteResponse
+	Known    bool // the fields above Response are told; the response to a vote may be all there is
+}
+
 // Verdict is what a vote says of a build.
 type Verdict uint8
 
@@ -92,6 +146,9 @@
 	Rollback
 )
 
+// ReleaseID identifies a release. A later release has a higher one.
+type ReleaseID = release.ID
+
 // UnknownRelease is the release of a backend of which no source has told one.
 const UnknownRelease = release.Unknown
 
--- a/policy/release/release.go
+++ b/policy/release/release.go
@@ -8,9 +8,12 @@
 // for good: one that is forgotten would open a withdrawn release.
 package release
 
+// ID identifies a release. A later release has a higher one.
+type ID int
+
 // Unknown is the release of a backend of which no source has told one. It may be any: it gets what the first stage may, binds keys as
 // the latest release would, and serves only those that the oldest one may.
-const Unknown = 1 << 30
+const Unknown ID = 1 << 30
 
 // Phase is where a release stands.
 type Phase uint8
@@ -33,7 +36,7 @@
 
 // Update is one telling of where a release stands.
 type Update struct {
-	Release int
+	Release ID
 	Stage   int
 	Phase   Phase
 	Cap     float64 // share of the requests taken, 0 to 1
@@ -59,16 +62,16 @@
 
 // Book is the records of all releases.
 type Book struct {
-	records  map[int]*Record
-	newest   int // announced; valid if announced is set
+	records  map[ID]*Record
+	newest   ID // announced; valid if announced is set
 	known    bool
-	oldest   int // listed
+	oldest   ID // listed
 	firstCap float64
 }
 
 // NewBook makes an empty book; a release of which nothing was told has the cap of the first stage.
 func NewBook(firstCap float64) *Book {
-	return &Book{records: map[int]*Record{}, firstCap: firstCap}
+	return &Book{records: map[ID]*Record{}, firstCap: firstCap}
 }
 
 // Newest is the newest announced release's record, and whether there is one.
@@ -80,10 +83,10 @@
 }
 
 // SetOldestListed tells the oldest release that is listed: as long as nothing is announced, that one is the fleet's.
-func (b *Book) SetOldestListed(release int) { b.oldest = release }
+func (b *Book) SetOldestListed(release ID) { b.oldest = release }
 
 // ServesAs is the release by which it is judged which keys a backend may serve: its own, or the oldest where that is unknown.
-func (b *Book) ServesAs(release int) int {
+func (b *Book) ServesAs(release ID) ID {
 	if release == Unknown {
 		return b.oldest
 	}
@@ -91,7 +94,7 @@
 }
 
 // BindsAs is the release to which an answer of a backend binds its key: its own, or the latest that is known of.
-func (b *Book) BindsAs(release int) int {
+func (b *Book) BindsAs(release ID) ID {
 	if release != Unknown {
 		return release
 	}
@@ -103,7 +106,7 @@
 }
 
 // Record is what is known of a release.
-func (b *Book) Record(release int) Record {
+func (b *Book) Record(release ID) Record {
 	if r := b.records[release]; r != nil {
 		return *r
 	}
@@ -116,7 +119,7 @@
 
 // before tells, of a release of which nothing was ever told, that the fleet ran it before the newest one came: it is what is
 // being replaced.
-func (b *Book) before(release int) bool {
+func (b *Book) before(release ID) bool {
 	return b.known && release < b.newest || !b.known && release <= b.oldest
 }
 
@@ -136,7 +139,7 @@
 
 // OnListed notes that a backend of a release is listed; it tells whether nothing was known of that release and something
 // should have been, its news being still to come.
-func (b *Book) OnListed(release int) (early bool) {
+func (b *Book) OnListed(release ID) (early bool) {
 	if release == Unknown || b.records[release] != nil || !b.known || release <= b.newest {
 		return false
 	}
@@ -196,14 +199,14 @@
 
 // MarkPrevailing tells that a superseded release runs on most of the backends of earlier releases: it was released, and that news
 // missed, for one that is taken off never gets there.
-func (b *Book) MarkPrevailing(release int) {
+func (b *Book) MarkPrevailing(release ID) {
 	if r := b.records[release]; r != nil && r.Superseded && r.Phase == RollingOut {
 		r.Phase, r.Cap, r.Superseded = Released, 1, false
 	}
 }
 
 // Cap is the share of the requests taken that may go to a release, and whether that is limited at all.
-func (b *Book) Cap(release int) (limit float64, limited bool) {
+func (b *Book) Cap(release ID) (limit float64, limited bool) {
 	r := b.records[release]
 	switch {
 	case r != nil && r.Phase == Released, r == nil && b.before(release):
@@ -215,18 +218,18 @@
 }
 
 // IsClosed tells that a release goes back or has gone: its answers bind no key.
-func (b *Book) IsClosed(release int) bool {
+func (b *Book) IsClosed(release ID) bool {
 	p := b.Record(release).Phase
 	return p == RollingBack || p == Withdrawn
 }
 
 // IsEvaluated tells that outcomes of a release are evidence: it is the newest one, or runs in the fleet without a limit.
-func (b *Book) IsEvaluated(release int) bool {
+func (b *Book) IsEvaluated(release ID) bool {
 	return b.known && (release == b.newest || release < b.newest && b.Record(release).Phase == Released)
 }
 
 // Baseline is the newest release that is out without a limit, before the newest announced one; 0: none is known by name.
-func (b *Book) Baseline() (base int) {
+func (b *Book) Baseline() (base ID) {
 	for release, r := range b.records {
 		if release < b.newest && r.Phase == Released {
 			base = max(base, release)
--- a/policy/release/release_test.go
+++ b/policy/release/release_test.go
@@ -9,14 +9,14 @@
 
 // Where a release stands after updates in this order, told of it and of others.
 func TestTell(t *testing.T) {
-	trial := func(release, stage int, limit float64) Update { return Update{release, stage, RollingOut, limit} }
-	out := func(release int) Update { return Update{release, 2, Released, 1} }
-	back := func(release int, limit float64) Update { return Update{release, 0, RollingBack, limit} }
-	gone := func(release int) Update { return Update{release, 0, Withdrawn, 0} }
+	trial := func(release ID, stage int, limit float64) Update { return Update{release, stage, RollingOut, limit} }
+	out := func(release ID) Update { return Update{release, 2, Released, 1} }
+	back := func(release ID, limit float64) Update { return Update{release, 0, RollingBack, limit} }
+	gone := func(release ID) Update { return Update{release, 0, Withdrawn, 0} }
 	for _, c := range []struct {
 		name    string
 		updates []Update
-		of      int
+		of      ID
 		phase   Phase
 		stage   int
 		limit   float64
@@ -71,7 +71,7 @@
 	}
 	b.Apply(Update{2, 0, Withdrawn, 0})
 	for _, c := range []struct {
-		release int
+		release ID
 		early   bool
 	}{{1, false}, {2, false}, {3, true}, {3, false}} {
 		if early := b.OnListed(c.release); early != c.early {
@@ -109,10 +109,10 @@
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewBook(0.08)
-		furthest, newest := map[int]Phase{}, 0
-		closed := map[int]bool{}
+		furthest, newest := map[ID]Phase{}, ID(0)
+		closed := map[ID]bool{}
 		for range rapid.IntRange(1, 40).Draw(t, "updates") {
-			u := Update{Release: rapid.IntRange(1, 4).Draw(t, "release"), Stage: rapid.IntRange(0, 2).Draw(t, "stage"),
+			u := Update{Release: ID(rapid.IntRange(1, 4).Draw(t, "release")), Stage: rapid.IntRange(0, 2).Draw(t, "stage"),
 				Phase: Phase(rapid.IntRange(0, 3).Draw(t, "phase")), Cap: float64(rapid.IntRange(0, 4).Draw(t, "cap")) / 4}
 			if rapid.Bool().Draw(t, "listed first") {
 				b.OnListed(u.Release)
--- a/policy/releases.go
+++ b/policy/releases.go
@@ -21,8 +21,8 @@
 // ReleaseStatus is what is known of exposure now.
 type ReleaseStatus struct {
 	Newest     release.Record
-	RollingOut int // the newest running release under a cap; 0: none
-	Keys       int // remembered, with the releases that answered them
+	RollingOut ReleaseID // the newest running release under a cap; 0: none
+	Keys       int       // remembered, with the releases that answered them
 	Skipped    SkippedBackends
 }
 
@@ -33,13 +33,13 @@
 }
 
 // limited tells that a release is under a cap.
-func (a *Instance) limited(build int) bool {
+func (a *Instance) limited(build ReleaseID) bool {
 	_, limited := a.book.Cap(build)
 	return limited
 }
 
 // floor is the earliest release that may serve a request, by its key.
-func (a *Instance) floor(t *txn) int {
+func (a *Instance) floor(t *txn) ReleaseID {
 	if now := a.affinity.Changes() + 1; t.floorOf != now {
 		t.floor, t.floorOf = a.affinity.Floor(t.affinity), now
 	}
@@ -72,7 +72,7 @@
 // bind notes that a release may have answered a request's key. Where the backend was listed with another release meanwhile, it
 // may have been either that answered.
 func (a *Instance) bind(t *txn, s *submission) {
-	for _, build := range [...]int{s.build, a.builds[s.app]} {
+	for _, build := range [...]ReleaseID{s.build, a.builds[s.app]} {
 		if to := a.book.BindsAs(build); !a.book.IsClosed(to) {
 			a.affinity.Bind(t.affinity, to)
 		}
@@ -95,7 +95,7 @@
 }
 
 // releaseListed notes that a backend of a release is listed.
-func (a *Instance) releaseListed(build int) {
+func (a *Instance) releaseListed(build ReleaseID) {
 	if a.book.OnListed(build) {
 		limit, _ := a.book.Cap(build)
 		a.port.Log(fmt.Sprintf("release %d: listed before any news of it, first stage, cap %.2f", build, limit))
@@ -141,7 +141,7 @@
 // concluded looks which release the fleet runs: the oldest listed one as long as nothing is announced, and one whose end was
 // missed where most backends of earlier releases run it.
 func (a *Instance) concluded() {
-	oldest, earlier, counts := math.MaxInt, 0, map[int]int{}
+	oldest, earlier, counts := ReleaseID(math.MaxInt), 0, map[ReleaseID]int{}
 	for i, build := range a.builds {
 		if a.state[i] == EndpointRemoved || build == release.Unknown {
 			continue
--- a/policy/releases_test.go
+++ b/policy/releases_test.go
@@ -11,8 +11,8 @@
 // keyed starts an agent whose keys stay, on so many backends of release 1, with news of that and a cap for the first stage.
 func keyed(backends int, limit float64) (*Instance, *record) {
 	a, r := tier(RequestClass{}, backends)
-	a.Expose(2, []float64{limit, 1}, 0, false, true)
-	a.OnReleaseUpdate(2, 1, 2, Released, NotAVote, 1, 0, true)
+	a.configureExposure(ExposureConfig{FreeAttempts: 2, Caps: []float64{limit, 1}, KeyAffinity: true})
+	a.OnReleaseUpdate(2, ReleaseUpdate{Release: 1, Stage: 2, Phase: Released, Cap: 1, Known: true})
 	return a, r
 }
 
@@ -28,15 +28,15 @@
 
 // A key that a release has answered, or may be answering, goes to no earlier one, whichever came first, the list or the news.
 func TestAffinityCrossings(t *testing.T) {
-	trial := func(a *Instance, now float64, release int) {
-		a.OnReleaseUpdate(now, release, 0, RollingOut, NotAVote, 1, 0, true)
+	trial := func(a *Instance, now float64, release ReleaseID) {
+		a.OnReleaseUpdate(now, ReleaseUpdate{Release: release, Phase: RollingOut, Cap: 1, Known: true})
 	}
-	listed := func(a *Instance, now float64, id string, release int, state EndpointState) {
-		a.OnEndpoints(now, []Endpoint{{ID: id, Release: release, Weight: 1, State: state}}, false, false)
+	listed := func(a *Instance, now float64, id string, release ReleaseID, state EndpointState) {
+		a.OnEndpoints(now, EndpointUpdate{Endpoints: []Endpoint{{ID: id, Release: release, Weight: 1, State: state}}})
 	}
-	withdrawn := func(a *Instance, now float64, release int) {
-		a.OnReleaseUpdate(now, release, 0, RollingOut, NotAVote, 1, 0, true)
-		a.OnReleaseUpdate(now+1, release, 0, Withdrawn, NotAVote, 0, 0, true)
+	withdrawn := func(a *Instance, now float64, release ReleaseID) {
+		a.OnReleaseUpdate(now, ReleaseUpdate{Release: release, Phase: RollingOut, Cap: 1, Known: true})
+		a.OnReleaseUpdate(now+1, ReleaseUpdate{Release: release, Phase: Withdrawn, Cap: 0, Known: true})
 	}
 	for _, c := range []struct {
 		name   string
@@ -51,31 +51,35 @@
 		{"the one before withdrawn, list, then news", func(a *Instance) { withdrawn(a, 3, 2); listed(a, 6, "x", 3, EndpointRunning) },
 			func(a *Instance) { trial(a, 25, 3) }, false},
 		{"the one before going back is told on", func(a *Instance) { withdrawn(a, 3, 2); listed(a, 6, "x", 3, EndpointRunning) },
-			func(a *Instance) { a.OnReleaseUpdate(25, 2, 0, RollingBack, NotAVote, 0, 0, true) }, false},
+			func(a *Instance) {
+				a.OnReleaseUpdate(25, ReleaseUpdate{Release: 2, Phase: RollingBack, Cap: 0, Known: true})
+			}, false},
 		{"two unannounced", func(a *Instance) { listed(a, 6, "x", 2, EndpointRunning) }, func(a *Instance) { trial(a, 25, 3) }, false},
 		{"released, and an earlier one's fresh backend before the word", func(a *Instance) { trial(a, 5, 2); listed(a, 6, "x", 2, EndpointRunning) },
 			func(a *Instance) {
-				a.OnReleaseUpdate(25, 2, 1, Released, NotAVote, 1, 0, true)
-				a.OnEndpoints(26, []Endpoint{{ID: "x", Release: 2, Weight: 1}}, true, false) // nothing earlier is listed
+				a.OnReleaseUpdate(25, ReleaseUpdate{Release: 2, Stage: 1, Phase: Released, Cap: 1, Known: true})
+				a.OnEndpoints(26, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, Weight: 1}}, Snapshot: true}) // nothing earlier is listed
 				a.OnTimer(26+2*judgePause, 0)
 			}, false},
 		{"goes back, told after the list", func(a *Instance) { trial(a, 5, 2); listed(a, 6, "x", 2, EndpointRunning) },
-			func(a *Instance) { a.OnReleaseUpdate(25, 2, 0, RollingBack, NotAVote, 0, 0, true) }, true},
+			func(a *Instance) {
+				a.OnReleaseUpdate(25, ReleaseUpdate{Release: 2, Phase: RollingBack, Cap: 0, Known: true})
+			}, true},
 		{"goes back, and an answer on its trial comes late", func(a *Instance) { trial(a, 5, 2); listed(a, 6, "x", 2, EndpointRunning) },
 			func(a *Instance) {
-				a.OnReleaseUpdate(25, 2, 0, RollingBack, NotAVote, 0, 0, true)
-				a.OnReleaseUpdate(26, 2, 0, RollingOut, VoteCounted, 1, 0, true)
+				a.OnReleaseUpdate(25, ReleaseUpdate{Release: 2, Phase: RollingBack, Cap: 0, Known: true})
+				a.OnReleaseUpdate(26, ReleaseUpdate{Release: 2, Phase: RollingOut, Response: VoteCounted, Cap: 1, Known: true})
 			}, true},
 		{"the later of two goes back", func(a *Instance) {
 			trial(a, 3, 2)
-			a.OnReleaseUpdate(4, 2, 1, Released, NotAVote, 1, 0, true)
+			a.OnReleaseUpdate(4, ReleaseUpdate{Release: 2, Stage: 1, Phase: Released, Cap: 1, Known: true})
 			listed(a, 6, "x", 2, EndpointRunning)
 		}, func(a *Instance) {
 			trial(a, 25, 3)
-			a.OnEndpoints(26, []Endpoint{{ID: "x", Release: 2, State: EndpointDraining}, {ID: "y", Release: 3, Weight: 1}}, false, false)
-			a.OnRequest(30, "t2", "k", 0, 0, false, 4000, 0)
-			a.OnAttemptResult(31, "t2", 0, StatusServed, true, 1, -1, -1)
-			a.OnReleaseUpdate(32, 3, 0, RollingBack, NotAVote, 0, 0, true)
+			a.OnEndpoints(26, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, State: EndpointDraining}, {ID: "y", Release: 3, Weight: 1}}})
+			a.OnRequest(30, Request{ID: "t2", Key: "k", TimeLeft: 4000})
+			a.OnAttemptResult(31, AttemptResult{RequestID: "t2", Status: StatusServed, Final: true, Took: 1})
+			a.OnReleaseUpdate(32, ReleaseUpdate{Release: 3, Phase: RollingBack, Cap: 0, Known: true})
 		}, false},
 	} {
 		a, r := keyed(1, 1)
@@ -83,18 +87,18 @@
 		c.before(a)
 		now := 10.0
 		// The first of a process's attempts at a release on trial needs no more than the free ones.
-		a.OnRequest(now, "t", "k", 0, 0, false, 4000, 0)
+		a.OnRequest(now, Request{ID: "t", Key: "k", TimeLeft: 4000})
 		if got := where(r.take()); got != "x" {
 			t.Fatalf("%s: first %q", c.name, got)
 		}
-		a.OnAttemptResult(now+5, "t", 0, StatusServed, true, 5, -1, -1)
+		a.OnAttemptResult(now+5, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Took: 5})
 		if c.after != nil {
 			c.after(a)
 		}
 		now = 1000
-		a.OnEndpoints(now, []Endpoint{{ID: "a", Release: 1, Weight: 1, StartedAt: 0}, {ID: "x", Release: 2, State: EndpointRemoved}, {ID: "y", Release: 3, State: EndpointRemoved}}, false, false)
+		a.OnEndpoints(now, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1, StartedAt: 0}, {ID: "x", Release: 2, State: EndpointRemoved}, {ID: "y", Release: 3, State: EndpointRemoved}}})
 		r.take()
-		a.OnRequest(now+1, "u", "k", 0, 0, false, 4000, 0)
+		a.OnRequest(now+1, Request{ID: "u", Key: "k", TimeLeft: 4000})
 		if got := where(r.take()); (got == "a") != c.open {
 			t.Errorf("%s: the key goes to %q, open %v", c.name, got, c.open)
 		}
@@ -104,31 +108,31 @@
 // An id that returns with another release while its answer is out: either may have given it.
 func TestAnswerAcrossReleases(t *testing.T) {
 	a, r := keyed(2, 1)
-	a.OnEndpoints(3, []Endpoint{{ID: "b", State: EndpointRemoved}}, false, false)
-	a.OnRequest(10, "t", "k", 0, 0, false, 4000, 0)
+	a.OnEndpoints(3, EndpointUpdate{Endpoints: []Endpoint{{ID: "b", State: EndpointRemoved}}})
+	a.OnRequest(10, Request{ID: "t", Key: "k", TimeLeft: 4000})
 	expect(t, "first", where(r.take()), "a")
-	a.OnEndpoints(12, []Endpoint{{ID: "a", Release: 2, Weight: 1}}, false, false)
-	a.OnAttemptResult(15, "t", 0, StatusServed, true, 5, -1, -1)
-	a.OnEndpoints(16, []Endpoint{{ID: "a", Release: 2, Weight: 1, State: EndpointDraining}, {ID: "b", Release: 1, Weight: 1}}, false, false)
-	a.OnRequest(20, "u", "k", 0, 0, false, 4000, 0)
+	a.OnEndpoints(12, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 2, Weight: 1}}})
+	a.OnAttemptResult(15, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Took: 5})
+	a.OnEndpoints(16, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 2, Weight: 1, State: EndpointDraining}, {ID: "b", Release: 1, Weight: 1}}})
+	a.OnRequest(20, Request{ID: "u", Key: "k", TimeLeft: 4000})
 	expect(t, "again, with only the earlier release there", where(r.take()), "")
-	a.OnRequest(21, "v", "other", 0, 0, false, 4000, 0)
+	a.OnRequest(21, Request{ID: "v", Key: "other", TimeLeft: 4000})
 	expect(t, "another key", where(r.take()), "b")
 }
 
 // With the next release announced, the one before still binds the keys that it has answered, and no others.
 func TestKeysOfReleaseBefore(t *testing.T) {
 	a, r := keyed(1, 1)
-	a.OnReleaseUpdate(3, 2, 0, RollingOut, NotAVote, 1, 0, true)
-	a.OnEndpoints(4, []Endpoint{{ID: "a", Release: 1, Weight: 1, State: EndpointDraining}, {ID: "x", Release: 2, Weight: 1}}, false, false)
-	a.OnRequest(10, "t", "k", 0, 0, false, 4000, 0)
-	a.OnAttemptResult(15, "t", 0, StatusServed, true, 5, -1, -1)
-	a.OnReleaseUpdate(20, 2, 1, Released, NotAVote, 1, 0, true)
-	a.OnReleaseUpdate(21, 3, 0, RollingOut, NotAVote, 1, 0, true)
-	a.OnEndpoints(22, []Endpoint{{ID: "a", Release: 1, Weight: 1}, {ID: "x", Release: 2, Weight: 1, State: EndpointDraining}}, false, false)
+	a.OnReleaseUpdate(3, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 1, Known: true})
+	a.OnEndpoints(4, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1, State: EndpointDraining}, {ID: "x", Release: 2, Weight: 1}}})
+	a.OnRequest(10, Request{ID: "t", Key: "k", TimeLeft: 4000})
+	a.OnAttemptResult(15, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Took: 5})
+	a.OnReleaseUpdate(20, ReleaseUpdate{Release: 2, Stage: 1, Phase: Released, Cap: 1, Known: true})
+	a.OnReleaseUpdate(21, ReleaseUpdate{Release: 3, Phase: RollingOut, Cap: 1, Known: true})
+	a.OnEndpoints(22, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1}, {ID: "x", Release: 2, Weight: 1, State: EndpointDraining}}})
 	r.take()
 	for key, want := range map[string]string{"k": "", "other": "a"} {
-		a.OnRequest(30, key, key, 0, 0, false, 4000, 0)
+		a.OnRequest(30, Request{ID: key, Key: key, TimeLeft: 4000})
 		expect(t, key, where(r.take()), want)
 	}
 }
@@ -143,31 +147,35 @@
 	}{
 		{"nothing", func(a *Instance) {}, true, false},
 		{"its backend drains", func(a *Instance) {
-			a.OnEndpoints(11, []Endpoint{{ID: "a", Release: 1, Weight: 1, State: EndpointDraining}}, false, false)
+			a.OnEndpoints(11, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1, State: EndpointDraining}}})
+		}, false, false},
+		{"its backend has another release", func(a *Instance) {
+			a.OnEndpoints(11, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 2, Weight: 1}}})
 		}, false, false},
-		{"its backend has another release", func(a *Instance) { a.OnEndpoints(11, []Endpoint{{ID: "a", Release: 2, Weight: 1}}, false, false) }, false, false},
 		{"a later release answers the key", func(a *Instance) {
-			a.OnEndpoints(11, []Endpoint{{ID: "a", Release: 1, Weight: 1, State: EndpointDraining}, {ID: "x", Release: 2, Weight: 1}}, false, false)
-			a.OnRequest(12, "other", "k", 0, 0, false, 4000, 0)
-			a.OnAttemptResult(13, "other", 0, StatusServed, true, 1, -1, -1)
-			a.OnEndpoints(14, []Endpoint{{ID: "a", Release: 1, Weight: 1}}, false, false)
+			a.OnEndpoints(11, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1, State: EndpointDraining}, {ID: "x", Release: 2, Weight: 1}}})
+			a.OnRequest(12, Request{ID: "other", Key: "k", TimeLeft: 4000})
+			a.OnAttemptResult(13, AttemptResult{RequestID: "other", Status: StatusServed, Final: true, Took: 1})
+			a.OnEndpoints(14, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1}}})
 		}, false, false},
 		{"an attempt at a later release is out", func(a *Instance) {
-			a.OnEndpoints(11, []Endpoint{{ID: "a", Release: 1, Weight: 1, State: EndpointDraining}, {ID: "x", Release: 2, Weight: 1}}, false, false)
-			a.OnRequest(12, "other", "k", 0, 0, false, 4000, 0)
-			a.OnEndpoints(14, []Endpoint{{ID: "a", Release: 1, Weight: 1}}, false, false)
+			a.OnEndpoints(11, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1, State: EndpointDraining}, {ID: "x", Release: 2, Weight: 1}}})
+			a.OnRequest(12, Request{ID: "other", Key: "k", TimeLeft: 4000})
+			a.OnEndpoints(14, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1}}})
 		}, false, false},
 		{"on trial, nothing", func(a *Instance) {}, true, true},
-		{"its release goes back", func(a *Instance) { a.OnReleaseUpdate(11, 2, 0, RollingBack, NotAVote, 0, 0, true) }, false, true},
+		{"its release goes back", func(a *Instance) {
+			a.OnReleaseUpdate(11, ReleaseUpdate{Release: 2, Phase: RollingBack, Cap: 0, Known: true})
+		}, false, true},
 	} {
 		a, r := keyed(1, 1)
 		want := "a"
 		if c.trial {
 			want = "x"
-			a.OnReleaseUpdate(3, 2, 0, RollingOut, NotAVote, 1, 0, true)
-			a.OnEndpoints(4, []Endpoint{{ID: "a", Release: 1, Weight: 1, State: EndpointDraining}, {ID: "x", Release: 2, Weight: 1}}, false, false)
+			a.OnReleaseUpdate(3, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 1, Known: true})
+			a.OnEndpoints(4, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1, State: EndpointDraining}, {ID: "x", Release: 2, Weight: 1}}})
 		}
-		a.OnRequest(10, "t", "k", 0, 0, false, 4000, 0)
+		a.OnRequest(10, Request{ID: "t", Key: "k", TimeLeft: 4000})
 		if got := where(r.take()); got != want {
 			t.Fatalf("%s: first %q", c.name, got)
 		}
@@ -179,13 +187,13 @@
 // The keys of a trial are the same ones before its news, after it and in the process that follows, and others for another agent.
 func TestTrialKeys(t *testing.T) {
 	drawn := func(seed uint64, me int, told bool) (set string) {
-		a := New(&record{}, seed, me, 2)
-		a.Serve([]RequestClass{{LatencyObjective: 1000, Timeout: 4000, Value: 1}}, 5, true, true)
-		a.Expose(2, []float64{0.5, 1}, 0, false, true)
-		a.OnReleaseUpdate(1, 2, 0, Withdrawn, NotAVote, 0, 0, true)
-		a.OnEndpoints(2, []Endpoint{{ID: "a", Release: 1, Weight: 1}, {ID: "x", Release: 3, Weight: 1}}, true, false)
+		a := New(&record{}, Config{Seed: seed, Index: me, Instances: 2})
+		a.configureClasses(Config{Classes: []RequestClass{{LatencyObjective: 1000, Timeout: 4000, Value: 1}}, MaxAttempts: 5, ConcurrentAttempts: true, CancelAllowed: true})
+		a.configureExposure(ExposureConfig{FreeAttempts: 2, Caps: []float64{0.5, 1}, KeyAffinity: true})
+		a.OnReleaseUpdate(1, ReleaseUpdate{Release: 2, Phase: Withdrawn, Cap: 0, Known: true})
+		a.OnEndpoints(2, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1}, {ID: "x", Release: 3, Weight: 1}}, Snapshot: true})
 		if told {
-			a.OnReleaseUpdate(3, 3, 0, RollingOut, NotAVote, 0.5, 0, true)
+			a.OnReleaseUpdate(3, ReleaseUpdate{Release: 3, Phase: RollingOut, Cap: 0.5, Known: true})
 		}
 		for k := range 64 {
 			x := &txn{key: fmt.Sprint(k), affinity: 1}
@@ -209,23 +217,23 @@
 				list[k].State = EndpointDraining
 			}
 		}
-		a.OnEndpoints(now, list, false, false)
+		a.OnEndpoints(now, EndpointUpdate{Endpoints: list})
 	}
 	for _, c := range []struct {
 		first, then string
 		serves      bool
 	}{{"a", "u", true}, {"x", "u", false}, {"u", "x", true}, {"u", "a", false}, {"u", "u", false}} {
 		a, r := keyed(1, 1)
-		a.OnReleaseUpdate(3, 2, 0, RollingOut, NotAVote, 1, 0, true)
+		a.OnReleaseUpdate(3, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 1, Known: true})
 		only(a, 4, "")
 		drawn := a.draw(&txn{key: "k", affinity: 1})
 		only(a, 5, c.first)
 		expect(t, "drawn", a.draw(&txn{key: "k", affinity: 1}), drawn)
-		a.OnRequest(10, "t", "k", 0, 0, false, 4000, 0)
+		a.OnRequest(10, Request{ID: "t", Key: "k", TimeLeft: 4000})
 		expect(t, "first", where(r.take()), c.first)
-		a.OnAttemptResult(15, "t", 0, StatusServed, true, 5, -1, -1)
+		a.OnAttemptResult(15, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Took: 5})
 		only(a, 20, c.then)
-		a.OnRequest(30, "v", "k", 0, 0, false, 4000, 0)
+		a.OnRequest(30, Request{ID: "v", Key: "k", TimeLeft: 4000})
 		expect(t, fmt.Sprint(c.first, " has answered, ", c.then, " is there"), where(r.take()) == c.then, c.serves)
 	}
 }
@@ -235,15 +243,19 @@
 	for _, c := range []struct {
 		name       string
 		news       func(a *Instance)
-		release    int
+		release    ReleaseID
 		old, newer int // outcomes on record
 	}{
-		{"the newest", func(a *Instance) { a.OnReleaseUpdate(5, 2, 0, RollingOut, NotAVote, 0.5, 0, true) }, 2, 0, 1},
-		{"the one before", func(a *Instance) { a.OnReleaseUpdate(5, 2, 0, RollingOut, NotAVote, 0.5, 0, true) }, 1, 1, 0},
+		{"the newest", func(a *Instance) {
+			a.OnReleaseUpdate(5, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.5, Known: true})
+		}, 2, 0, 1},
+		{"the one before", func(a *Instance) {
+			a.OnReleaseUpdate(5, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.5, Known: true})
+		}, 1, 1, 0},
 		{"its news is to come", func(a *Instance) {}, 2, 0, 0},
 		{"it was withdrawn, and the next one came", func(a *Instance) {
-			a.OnReleaseUpdate(5, 2, 0, Withdrawn, NotAVote, 0, 0, true)
-			a.OnReleaseUpdate(6, 3, 0, RollingOut, NotAVote, 0.5, 0, true)
+			a.OnReleaseUpdate(5, ReleaseUpdate{Release: 2, Phase: Withdrawn, Cap: 0, Known: true})
+			a.OnReleaseUpdate(6, ReleaseUpdate{Release: 3, Phase: RollingOut, Cap: 0.5, Known: true})
 		}, 2, 0, 0},
 	} {
 		a, _ := keyed(1, 0.5)
@@ -256,14 +268,14 @@
 // An answer to a vote on the release before is no vote on the one that has come meanwhile.
 func TestVoteOnReleaseBefore(t *testing.T) {
 	a, r := keyed(1, 0.5)
-	a.OnReleaseUpdate(5, 2, 0, RollingOut, NotAVote, 0.5, 0, true)
+	a.OnReleaseUpdate(5, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.5, Known: true})
 	a.want = Promote
 	a.OnTimer(6, 0)
 	if did := fmt.Sprint(r.take()); !strings.Contains(did, "vote 2") {
 		t.Fatalf("no vote: %s", did)
 	}
-	a.OnReleaseUpdate(7, 3, 0, RollingOut, NotAVote, 0.5, 0, true)
-	a.OnReleaseUpdate(8, 2, 0, RollingOut, VoteCounted, 0.5, 0, true)
+	a.OnReleaseUpdate(7, ReleaseUpdate{Release: 3, Phase: RollingOut, Cap: 0.5, Known: true})
+	a.OnReleaseUpdate(8, ReleaseUpdate{Release: 2, Phase: RollingOut, Response: VoteCounted, Cap: 0.5, Known: true})
 	expect(t, "stands for release 3", a.stands, NoVerdict)
 	expect(t, "newest", a.newest, 3)
 	a.want = Promote
@@ -275,18 +287,18 @@
 
 // exposureRule is the rule on exposure as the pages give it, counted from events and actions alone.
 type exposureRule struct {
-	phase    map[int]Phase // as told, the furthest
-	limit    map[int]float64
-	newest   int
-	answered map[string][]int // releases by key
+	phase    map[ReleaseID]Phase // as told, the furthest
+	limit    map[ReleaseID]float64
+	newest   ReleaseID
+	answered map[string][]ReleaseID // releases by key
 	taken    int
-	sent     map[int]int // at a release under a cap, since its cap last fell
-	from     map[int]int // and the requests taken by then
+	sent     map[ReleaseID]int // at a release under a cap, since its cap last fell
+	from     map[ReleaseID]int // and the requests taken by then
 }
 
 // capped: by the wire's page the newest announced release is on trial until it is released, and so are later ones, in their first
 // stage. Beyond the page, one that was told to go back is closed for good.
-func (x *exposureRule) capped(release int) (limit float64, capped bool) {
+func (x *exposureRule) capped(release ReleaseID) (limit float64, capped bool) {
 	phase, told := x.phase[release]
 	switch {
 	case told && (phase == RollingBack || phase == Withdrawn):
@@ -303,9 +315,9 @@
 func TestExposureAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, r := keyed(0, 0.5)
-		rule := &exposureRule{phase: map[int]Phase{1: Released}, limit: map[int]float64{}, newest: 1, answered: map[string][]int{},
-			sent: map[int]int{}, from: map[int]int{}}
-		runs, at, out := map[string]int{}, map[string][2]string{}, []string{}
+		rule := &exposureRule{phase: map[ReleaseID]Phase{1: Released}, limit: map[ReleaseID]float64{}, newest: 1, answered: map[string][]ReleaseID{},
+			sent: map[ReleaseID]int{}, from: map[ReleaseID]int{}}
+		runs, at, out := map[string]ReleaseID{}, map[string][2]string{}, []string{}
 		now, ids := 10.0, 0
 		attempts := func() {
 			for did := r.take(); len(did) > 0; did = r.take() {
@@ -331,7 +343,7 @@
 				}
 			}
 		}
-		tell := func(release int, phase Phase, stage int, limit float64, reply VoteResponse) {
+		tell := func(release ReleaseID, phase Phase, stage int, limit float64, reply VoteResponse) {
 			was, told := rule.phase[release]
 			rank := map[Phase]int{RollingOut: 0, Released: 1, RollingBack: 2, Withdrawn: 3}
 			if !told || rank[phase] >= rank[was] {
@@ -346,7 +358,7 @@
 			}
 			if rule.phase[release] == RollingBack || rule.phase[release] == Withdrawn {
 				for key, by := range rule.answered {
-					kept := []int(nil)
+					kept := []ReleaseID(nil)
 					for _, one := range by {
 						if one != release {
 							kept = append(kept, one)
@@ -356,21 +368,21 @@
 				}
 			}
 			rule.newest = max(rule.newest, release)
-			a.OnReleaseUpdate(now, release, stage, phase, reply, limit, 0, true)
+			a.OnReleaseUpdate(now, ReleaseUpdate{Release: release, Stage: stage, Phase: phase, Response: reply, Cap: limit, Known: true})
 		}
 		for range rapid.IntRange(20, 120).Draw(t, "events") {
 			now += float64(rapid.IntRange(1, 300).Draw(t, "after"))
 			switch rapid.IntRange(0, 9).Draw(t, "event") {
 			case 0, 1: // a backend is listed, drains, goes or comes back with another release
 				id := string(rune('a' + rapid.IntRange(0, 4).Draw(t, "backend")))
-				release := rapid.IntRange(1, 4).Draw(t, "release")
+				release := ReleaseID(rapid.IntRange(1, 4).Draw(t, "release"))
 				state := EndpointState(rapid.IntRange(0, 5).Draw(t, "state") % 4 % 3)
 				if state != EndpointRemoved {
 					runs[id] = release
 				}
-				a.OnEndpoints(now, []Endpoint{{ID: id, Release: release, State: state, Weight: 1}}, false, false)
+				a.OnEndpoints(now, EndpointUpdate{Endpoints: []Endpoint{{ID: id, Release: release, State: state, Weight: 1}}})
 			case 2: // the platform tells a state, in any order
-				release := rapid.IntRange(1, 4).Draw(t, "release")
+				release := ReleaseID(rapid.IntRange(1, 4).Draw(t, "release"))
 				phase := Phase(rapid.IntRange(0, 3).Draw(t, "phase"))
 				limit := [...]float64{RollingOut: 0.5, RollingBack: 0, Released: 1, Withdrawn: 0}[phase]
 				tell(release, phase, 0, limit, VoteResponse(rapid.IntRange(0, 1).Draw(t, "reply")))
@@ -379,7 +391,7 @@
 				id, key := fmt.Sprint(ids), fmt.Sprint("k", rapid.IntRange(0, 5).Draw(t, "key"))
 				at[id] = [2]string{key}
 				rule.taken++
-				a.OnRequest(now, id, key, 0, 0, false, 2000, 0)
+				a.OnRequest(now, Request{ID: id, Key: key, TimeLeft: 2000})
 			case 7, 8: // an attempt ends
 				if len(out) > 0 {
 					k := rapid.IntRange(0, len(out)-1).Draw(t, "which")
@@ -398,7 +410,7 @@
 					if phase, told := rule.phase[release]; result == StatusServed && !(told && (phase == RollingBack || phase == Withdrawn)) {
 						rule.answered[at[id][0]] = append(rule.answered[at[id][0]], release)
 					}
-					a.OnAttemptResult(now, id, sub, result, result == StatusServed, 10, -1, -1)
+					a.OnAttemptResult(now, AttemptResult{RequestID: id, Attempt: sub, Status: result, Final: result == StatusServed, Took: 10})
 				}
 			case 9:
 				a.OnTimer(now, a.token)
--- a/policy/replay_test.go
+++ b/policy/replay_test.go
@@ -46,11 +46,11 @@
 
 func (s *schedule) backend() string { return string(rune('a' + s.rng.IntN(8))) }
 
-func (s *schedule) release() int {
+func (s *schedule) release() ReleaseID {
 	if s.rng.IntN(12) == 0 {
 		return UnknownRelease
 	}
-	return 1 + s.rng.IntN(5)
+	return ReleaseID(1 + s.rng.IntN(5))
 }
 
 func (s *schedule) request() string {
@@ -70,13 +70,13 @@
 			start = now - s.rng.Float64()*40000
 		}
 		whole := s.rng.IntN(30) == 0
-		s.a.OnEndpoints(now, []Endpoint{{ID: id, Release: release, State: state, Weight: 1 + s.rng.Float64(), StartedAt: start, Zone: s.rng.IntN(2), Cell: s.rng.IntN(2)}}, whole, s.rng.IntN(50) == 0)
+		s.a.OnEndpoints(now, EndpointUpdate{Endpoints: []Endpoint{{ID: id, Release: release, State: state, Weight: 1 + s.rng.Float64(), StartedAt: start, Zone: s.rng.IntN(2), Cell: s.rng.IntN(2)}}, Snapshot: whole, Cached: s.rng.IntN(50) == 0})
 		return fmt.Sprint("list ", id, release, int(state), start, whole)
 	case 1:
-		release, stage, phase, reply := 1+s.rng.IntN(5), s.rng.IntN(3), Phase(s.rng.IntN(4)), VoteResponse(s.rng.IntN(5))
+		release, stage, phase, reply := ReleaseID(1+s.rng.IntN(5)), s.rng.IntN(3), Phase(s.rng.IntN(4)), VoteResponse(s.rng.IntN(5))
 		limit := []float64{0.5, 0, 1, 0}[phase]
 		told := s.rng.IntN(3) > 0
-		s.a.OnReleaseUpdate(now, release, stage, phase, reply, limit, s.rng.Float64()*100, told)
+		s.a.OnReleaseUpdate(now, ReleaseUpdate{Release: release, Stage: stage, Phase: phase, Response: reply, Cap: limit, Age: s.rng.Float64() * 100, Known: told})
 		return fmt.Sprint("news ", release, stage, int(phase), int(reply), told)
 	case 2, 3, 4, 5, 6, 7:
 		s.ids++
@@ -86,13 +86,13 @@
 		}
 		s.open = append(s.open, id)
 		class, left, hint := s.rng.IntN(4), 100+s.rng.Float64()*4000, s.rng.Float64()*20-5
-		s.a.OnRequest(now, id, key, class, s.rng.IntN(3), s.rng.IntN(6) == 0, left, hint)
+		s.a.OnRequest(now, Request{ID: id, Key: key, Class: class, Tenant: s.rng.IntN(3), Retry: s.rng.IntN(6) == 0, TimeLeft: left, Work: hint})
 		return fmt.Sprint("request ", id, key, class, left, hint)
 	case 8, 9, 10, 11, 12, 13, 14:
 		id, attempt := s.request(), s.rng.IntN(3)
 		result := []AttemptStatus{StatusServed, StatusServed, StatusServed, StatusServed, StatusErrored, StatusRejected, StatusTimedOut, StatusConnectFailed, StatusReset, StatusCanceled, StatusNotSent}[s.rng.IntN(11)]
 		took, waiting := s.rng.Float64()*300, float64(s.rng.IntN(4)-1)
-		s.a.OnAttemptResult(now, id, attempt, result, result == StatusServed, took, waiting, waiting/2)
+		s.a.OnAttemptResult(now, AttemptResult{RequestID: id, Attempt: attempt, Status: result, Final: result == StatusServed, Took: took, Load: loadReport(waiting, waiting/2)})
 		return fmt.Sprint("outcome ", id, attempt, int(result), took, waiting)
 	case 15:
 		id := s.request()
@@ -100,7 +100,7 @@
 		return "hangup " + id
 	case 16:
 		id := s.backend()
-		s.a.OnProbeResult(now, id, s.rng.IntN(3) > 0, s.rng.Float64()*50, float64(s.rng.IntN(4)-1), -1)
+		s.a.OnProbeResult(now, ProbeResult{Backend: id, OK: s.rng.IntN(3) > 0, Took: s.rng.Float64() * 50, Load: loadReport(float64(s.rng.IntN(4)-1), -1)})
 		return "probed " + id
 	case 17:
 		if len(s.port.sent) > 0 {
@@ -120,7 +120,7 @@
 			s.a.OnEndpointsFailed(now)
 			return "list failed"
 		case 2:
-			s.a.OnPlatformCounts(now, 2, 0, 100, 3, 20)
+			s.a.OnPlatformCounts(now)
 			return "counted"
 		}
 		s.a.OnStreamStarted(now, s.request(), 0)
@@ -144,22 +144,22 @@
 // configured is an instance of a kind drawn from the schedule's seed.
 func configured(s *schedule) *Instance {
 	agents := []int{1, 2, 8, 40, 300}[s.rng.IntN(5)]
-	a := New(s.port, s.rng.Uint64(), s.rng.IntN(min(agents, 4)), agents)
+	a := New(s.port, Config{Seed: s.rng.Uint64(), Index: s.rng.IntN(min(agents, 4)), Instances: agents})
 	classes := []RequestClass{{LatencyObjective: 1000, Timeout: 4000, Value: 1}, {LatencyObjective: 800, Timeout: 3000, Value: 3, Semantics: Idempotent, DedupWindow: 2000},
 		{LatencyObjective: 1000, Timeout: 4000, Value: 5, Semantics: NonIdempotent, LateValue: 0.2},
 		{LatencyObjective: 500, ObjectivePerWork: 2, Timeout: 4000, Value: 2, Semantics: Idempotent, DedupScope: DedupScope(1 + s.rng.IntN(2)), DedupWindow: 1500}}
-	a.Serve(classes, 2+s.rng.IntN(4), s.rng.IntN(2) == 0, s.rng.IntN(2) == 0)
-	a.Hold(float64(20 + s.rng.IntN(200)))
-	a.Share(s.rng.IntN(2) == 0)
-	a.Probing(s.rng.IntN(2) == 0, 0.01)
-	a.Advise(2000)
-	a.Zone(s.rng.IntN(2), s.rng.IntN(2) == 0)
-	a.Watch(s.rng.IntN(2) == 0, 2000, 10000)
-	a.Warm(0.4, 5000, 3, 1000)
-	a.Expose(2, []float64{0.1, 0.5, 1}, s.rng.IntN(2), s.rng.IntN(2) == 0, s.rng.IntN(3) > 0)
-	a.CountOver(float64(s.rng.IntN(2) * 3000))
-	a.Judge([]float64{0.1, 0.5, 1}, RolloutControl(s.rng.IntN(3)), 1+s.rng.IntN(5), 4000)
-	a.Tenants([]float64{0.02, 0.005}, 0.1)
+	a.configureClasses(Config{Classes: classes, MaxAttempts: 2 + s.rng.IntN(4), ConcurrentAttempts: s.rng.IntN(2) == 0, CancelAllowed: s.rng.IntN(2) == 0})
+	a.most = float64(20 + s.rng.IntN(200))
+	a.peers = s.rng.IntN(2) == 0
+	a.probes, a.probePrice = s.rng.IntN(2) == 0, 0.01
+	a.maxWait = 2000
+	a.home, a.zonePriced = s.rng.IntN(2), s.rng.IntN(2) == 0
+	a.asked, a.within = s.rng.IntN(2) == 0, 10000
+	a.configureSlowStart(SlowStartConfig{InitialCapacity: 0.4, WarmUp: 5000, OverloadFactor: 3, OverloadWindow: 1000})
+	a.configureExposure(ExposureConfig{FreeAttempts: 2, Caps: []float64{0.1, 0.5, 1}, GuardedStages: s.rng.IntN(2), PerClass: s.rng.IntN(2) == 0, KeyAffinity: s.rng.IntN(3) > 0})
+	a.window = float64(s.rng.IntN(2) * 3000)
+	a.configureRollout(RolloutConfig{Stages: []float64{0.1, 0.5, 1}, Control: RolloutControl(s.rng.IntN(3)), RollbackVotes: 1 + s.rng.IntN(5), VoteLifetime: 4000})
+	a.configureTenants(TenantConfig{Quotas: []float64{0.02, 0.005}, OverQuotaValue: 0.1})
 	return a
 }
 
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -33,12 +33,12 @@
 		a, _ := tier(RequestClass{}, 0)
 		a.listed = false
 		if c.listed {
-			a.OnEndpoints(1, []Endpoint{{ID: "a", Release: 1, Weight: 1}}, true, false)
+			a.OnEndpoints(1, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1}}, Snapshot: true})
 		}
 		if c.seen {
 			a.OnClockStep(2)
 		}
-		a.OnEndpoints(now, []Endpoint{{ID: "x", Release: 1, Weight: 1, StartedAt: c.start}}, false, false)
+		a.OnEndpoints(now, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 1, Weight: 1, StartedAt: c.start}}})
 		a.OnTimer(c.at, 0)
 		if got := a.coldness(a.index["x"]); got < c.minimum-1e-9 || got > c.maximum+1e-9 {
 			t.Errorf("%s: %.2f of its capacity, want %.2f to %.2f", c.name, got, c.minimum, c.maximum)
@@ -49,8 +49,8 @@
 // A start that is told in the future keeps no stage waiting for it.
 func TestFutureStartVotes(t *testing.T) {
 	a, _ := tier(RequestClass{}, 3)
-	a.OnReleaseUpdate(10, 2, 0, RollingOut, NotAVote, 0.5, 0, true)
-	a.OnEndpoints(1000, []Endpoint{{ID: "x", Release: 2, Weight: 1, StartedAt: 3600_000}}, false, false)
+	a.OnReleaseUpdate(10, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.5, Known: true})
+	a.OnEndpoints(1000, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, Weight: 1, StartedAt: 3600_000}}})
 	a.newMachines()
 	expect(t, "last start", a.lastStart, 1000.0)
 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -12,19 +12,20 @@
 
 // submission is one try of a txn at an appliance.
 type submission struct {
-	app, build int
-	binds      int // the release to which its answer may bind the key
-	at, due    float64
-	out        bool // no outcome yet
-	unrun      bool // proven not to have run
-	late       bool // already held against the appliance
-	called     bool // off
+	app     int
+	build   ReleaseID
+	binds   ReleaseID // the release to which its answer may bind the key
+	at, due float64
+	out     bool // no outcome yet
+	unrun   bool // proven not to have run
+	late    bool // already held against the appliance
+	called  bool // off
 }
 
 type txn struct {
 	id, key   string
 	affinity  exposure.Key // 0: any release may serve it
-	floor     int          // the earliest release that may, as of so many changes
+	floor     ReleaseID    // the earliest release that may, as of so many changes
 	floorOf   uint64
 	product   int
 	came, sla float64
@@ -66,39 +67,41 @@
 
 // fleet holds what is known of each appliance, in parallel arrays under a small index.
 type fleet struct {
-	index                       map[string]int
-	hashes                      map[uint32]int
-	id                          []string
-	builds, zones, kinds, cells []int
-	state                       []EndpointState
-	rating, start               []float64
-	up                          []float64 // since when, at the latest, it has been up; 0: long ago
-	clockStepped                bool      // the wall clock, since the start
-	listed                      bool      // a list other than the one that the process started with has come
-	open                        []int
-	limit                       []float64 // own open submissions that it may have
-	good, poor, seenAt          []float64 // fading record of answers within the SLA time and others
-	rel                         []float64 // latency against the product's usual
-	inRow, restUntil            []float64 // quick failures in a row, and the rest after them
-	told, toldAt                []float64 // load by the last report
-	level, levelAt              []float64 // cold budget
-	recent                      [][]float64
-	goodAll, poorAll, notedAt   float64 // the record of all
-	openAll                     int
-	goneAt                      []float64
-	members                     [2][]int // running appliances, of earlier builds and on trial
-	bear                        [2]float64
-	limitAll, warm, heaviest    float64
-	trialCap, surveyAt          float64
-	trialRelease                int // the newest running release under a cap; 0: none
-	asked, subscribed           bool
-	failures                    float64 // of list calls in a row
-	grace, within, askAt        float64
+	index                     map[string]int
+	hashes                    map[uint32]int
+	id                        []string
+	builds                    []ReleaseID
+	zones, kinds, cells       []int
+	state                     []EndpointState
+	rating, start             []float64
+	up                        []float64 // since when, at the latest, it has been up; 0: long ago
+	clockStepped              bool      // the wall clock, since the start
+	listed                    bool      // a list other than the one that the process started with has come
+	open                      []int
+	limit                     []float64 // own open submissions that it may have
+	good, poor, seenAt        []float64 // fading record of answers within the SLA time and others
+	rel                       []float64 // latency against the product's usual
+	inRow, restUntil          []float64 // quick failures in a row, and the rest after them
+	told, toldAt              []float64 // load by the last report
+	level, levelAt            []float64 // cold budget
+	recent                    [][]float64
+	goodAll, poorAll, notedAt float64 // the record of all
+	openAll                   int
+	goneAt                    []float64
+	members                   [2][]int // running appliances, of earlier builds and on trial
+	bear                      [2]float64
+	limitAll, warm, heaviest  float64
+	trialCap, surveyAt        float64
+	trialRelease              ReleaseID // the newest running release under a cap; 0: none
+	asked, subscribed         bool
+	failures                  float64 // of list calls in a row
+	within, askAt             float64
 }
 
 // trial is what is known of the newest build.
 type trial struct {
-	newest, stage int
+	newest        ReleaseID
+	stage         int
 	phase         Phase
 	known         bool
 	places        int     // running appliances when the newest build was first heard of
@@ -122,7 +125,7 @@
 	pending       bool
 	asking        Verdict
 	askingStage   int
-	askingRelease int
+	askingRelease ReleaseID
 }
 
 // Instance is one instance of the decisions.
@@ -190,78 +193,6 @@
 	workMean                     float64
 }
 
-// New makes an agent; seed starts its generator.
-func New(port Port, seed uint64, me, agents int) *Instance {
-	a := &Instance{port: port, rnd: NewRand(seed), agents: max(agents, 1), txns: map[string]*txn{}}
-	a.most, a.armed, a.recallAt, a.flow = math.Inf(1), math.Inf(1), math.Inf(1), [2]float64{1, 1}
-	a.salt = uint64(me+1) << 32 // not by the seed: a process that starts anew draws the same keys for a trial
-	a.sightings = map[string]float64{}
-	a.book, a.affinity = release.NewBook(0), exposure.NewAffinity()
-	a.allowance = exposure.NewAllowance(0, 1)
-	a.index, a.hashes, a.me = map[string]int{}, map[uint32]int{}, me
-	a.judgeAt = math.Inf(1)
-	return a
-}
-
-func (a *Instance) Serve(products []RequestClass, maxSubs int, copies, revoke bool) {
-	a.products, a.maxSubs, a.copies, a.revoke = products, maxSubs, copies, revoke
-	a.usualLat, a.tail = make([]float64, len(products)), make([]float64, len(products))
-	a.usual, a.longest = make([]float64, len(products)), make([]float64, len(products))
-	for p := range a.tail {
-		a.tail[p] = math.Inf(1)
-	}
-	a.before.usual, a.hotSince, a.excuse = make([]float64, len(products)), math.Inf(1), 1
-	for i := range a.evidence {
-		a.evidence[i] = make([][]outcome, len(products))
-	}
-}
-
-// Hold: so many txns can be open at once, by the agent's connections or its memory.
-func (a *Instance) Hold(most float64) { a.most = most }
-
-// Share: agents may send each other messages.
-func (a *Instance) Share(allowed bool) { a.peers = allowed }
-
-// Probing: a probe costs so much of a request's worth.
-func (a *Instance) Probing(allowed bool, price float64) { a.probes, a.probePrice = allowed, price }
-
-func (a *Instance) Advise(maxWait float64) { a.maxWait = maxWait }
-
-func (a *Instance) Zone(zone int, priced bool) { a.home, a.zonePriced = zone, priced }
-
-func (a *Instance) Watch(asked bool, grace, within float64) {
-	a.asked, a.grace, a.within = asked, grace, within
-}
-
-func (a *Instance) Warm(from, time, multiple, fall float64) {
-	a.coldFrom, a.warmTime, a.multiple, a.fall = from, time, multiple, fall
-}
-
-// Expose: within any window the free attempts and the cap's share may go to a release on trial. Serve comes before it.
-func (a *Instance) Expose(free float64, caps []float64, guarded int, perProduct, keysStay bool) {
-	a.guarded, a.perProduct, a.keysStay = guarded, perProduct, keysStay
-	first := 0.0
-	if len(caps) > 0 {
-		first = caps[0]
-	}
-	a.book = release.NewBook(first)
-	a.allowance = exposure.NewAllowance(free, len(a.products))
-}
-
-// CountOver: attempts at a release on trial are counted within so long (ms).
-func (a *Instance) CountOver(window float64) { a.window = window }
-
-// Judge: backs is how many agents undo a build.
-func (a *Instance) Judge(stages []float64, control RolloutControl, backs int, life float64) {
-	a.stages, a.control, a.backs, a.life = stages, control, max(backs, 1), life
-}
-
-// Tenants: quotas are txns per millisecond, by all agents together.
-func (a *Instance) Tenants(quotas []float64, overWorth float64) {
-	a.quotas, a.overWorth = quotas, overWorth
-	a.purse, a.purseAt = make([]float64, len(quotas)), make([]float64, len(quotas))
-}
-
 func index(second bool) int {
 	if second {
 		return 1
@@ -373,17 +304,17 @@
 	return 1 - (1-a.flow[k])*math.Exp(-(a.now-a.flowAt[k])/flowTime)
 }
 
-// OnEndpoints takes entries as the list shows them; whole lists drop what they no longer name.
-func (a *Instance) OnEndpoints(now float64, entries []Endpoint, whole, old bool) {
+// OnEndpoints takes what discovery tells of the endpoints; a snapshot drops what it no longer names.
+func (a *Instance) OnEndpoints(now float64, update EndpointUpdate) {
 	a.at(now)
-	if whole {
+	if update.Snapshot {
 		for i := range a.state {
 			if a.state[i] != EndpointRemoved {
 				a.state[i], a.goneAt[i] = EndpointRemoved, now
 			}
 		}
 	}
-	for _, e := range entries {
+	for _, e := range update.Endpoints {
 		i, ok := a.index[e.ID]
 		if !ok {
 			i = a.spare()
@@ -405,7 +336,7 @@
 		a.builds[i], a.zones[i], a.kinds[i], a.cells[i] = e.Release, e.Zone, e.HardwareClass, e.Cell
 		a.state[i], a.rating[i], a.start[i], a.goneAt[i] = e.State, max(e.Weight, 0.01), e.StartedAt, now
 	}
-	if !old {
+	if !update.Cached {
 		a.failures, a.listed = 0, true
 	}
 	a.surveyAt = now
@@ -426,7 +357,8 @@
 			return i
 		}
 	}
-	for _, x := range []*[]int{&a.builds, &a.zones, &a.kinds, &a.cells, &a.open} {
+	a.builds = append(a.builds, 0)
+	for _, x := range []*[]int{&a.zones, &a.kinds, &a.cells, &a.open} {
 		*x = append(*x, 0)
 	}
 	for _, x := range []*[]float64{&a.rating, &a.start, &a.good, &a.poor, &a.seenAt, &a.rel, &a.level, &a.levelAt, &a.limit,
@@ -468,28 +400,27 @@
 	a.settle()
 }
 
-func (a *Instance) OnProbeResult(now float64, app string, ok bool, took, waiting, busy float64) {
+// OnProbeResult takes the end of a load probe.
+func (a *Instance) OnProbeResult(now float64, result ProbeResult) {
 	a.at(now)
-	i, known := a.index[app]
+	i, known := a.index[result.Backend]
 	if known && a.zones[i] == a.home { // else the way may be at fault
 		a.mute -= relStep * a.mute
-		if !ok {
+		if !result.OK {
 			a.mute += relStep
 		}
 	}
-	if known && ok {
-		if waiting >= 0 || busy >= 0 {
-			a.told[i], a.toldAt[i] = max(waiting, 0)+max(busy, 0), now
-		}
+	if known && result.OK {
+		a.reportLoad(i, result.Load)
 		a.raced(i)
 	}
 	a.racing = slices.DeleteFunc(a.racing, func(r racer) bool { return r.t.ended || r.t.out > 0 })
 	a.settle()
 }
 
-// OnPlatformCounts are the platform's own figures; the vote's evidence is the agent's own outcomes, so they decide
+// OnPlatformCounts takes the platform's own figures. Votes go by the outcomes that the instance has seen itself, so they decide
 // nothing.
-func (a *Instance) OnPlatformCounts(now float64, build, product, many, bad int, took float64) {
+func (a *Instance) OnPlatformCounts(now float64) {
 	a.at(now)
 }
 
@@ -566,7 +497,7 @@
 }
 
 // offered turns the page: what a released build has shown becomes the earlier build's record.
-func (a *Instance) offered(build int) {
+func (a *Instance) offered(build ReleaseID) {
 	was := [2][][]outcome{slices.Clone(a.evidence[0]), slices.Clone(a.evidence[1])}
 	if a.known && a.book.Record(a.newest).Phase == Released {
 		a.evidence[0], a.evidence[1] = a.evidence[1], a.evidence[0]
@@ -605,8 +536,8 @@
 }
 
 // prevailing is the build that most of the running appliances have, of those before a build; the newest of such.
-func (a *Instance) prevailing(build int) (base int) {
-	counts, most := map[int]int{}, 0
+func (a *Instance) prevailing(build ReleaseID) (base ReleaseID) {
+	counts, most := map[ReleaseID]int{}, 0
 	for i := range a.id {
 		if b := a.builds[i]; a.state[i] == EndpointRunning && b < build {
 			if counts[b]++; counts[b] > most || counts[b] == most && b > base {
@@ -683,31 +614,31 @@
 	}
 }
 
-// OnRequest takes a txn; left is the time of this try, hint its told cost.
-func (a *Instance) OnRequest(now float64, id, key string, product, tenant int, again bool, left, hint float64) {
+// OnRequest takes a request. It ends with SendAttempt and that attempt's result, with Reject or with Fail.
+func (a *Instance) OnRequest(now float64, r Request) {
 	a.at(now)
-	t := &txn{id: id, key: key, product: product, tenant: tenant, came: now, expiry: now + left, work: 1, cost: 1}
+	t := &txn{id: r.ID, key: r.Key, product: r.Class, tenant: r.Tenant, came: now, expiry: now + r.TimeLeft, work: 1, cost: 1}
 	if a.keysStay {
-		t.affinity = exposure.KeyOf(key)
+		t.affinity = exposure.KeyOf(r.Key)
 	}
-	if hint > 0 {
+	if r.Work > 0 {
 		if a.workMean == 0 {
-			a.workMean = hint
+			a.workMean = r.Work
 		}
-		a.workMean += usualStep * (hint - a.workMean)
-		t.work, t.cost = hint/a.workMean, hint
+		a.workMean += usualStep * (r.Work - a.workMean)
+		t.work, t.cost = r.Work/a.workMean, r.Work
 	}
 	a.taken++
-	if a.keysStay && key != "" {
-		if a.sightings[key]++; len(a.sightings) > keysMost {
+	if a.keysStay && r.Key != "" {
+		if a.sightings[r.Key]++; len(a.sightings) > keysMost {
 			a.fade()
 		}
 	}
-	if !again {
+	if !r.Retry {
 		a.asks(now)
 	}
-	a.txns[id] = t
-	a.admit(t, again, left, hint)
+	a.txns[r.ID] = t
+	a.admit(t, r)
 	a.settle()
 }
 
@@ -720,35 +651,34 @@
 	}
 }
 
-// OnAttemptResult ends one submission; one that is not held is passed over.
-func (a *Instance) OnAttemptResult(now float64, id string, sub int, r AttemptStatus, final bool, took, waiting, busy float64) {
+// OnAttemptResult takes the end of one attempt; one that is not open is ignored.
+func (a *Instance) OnAttemptResult(now float64, result AttemptResult) {
 	a.at(now)
-	if t := a.txns[id]; t != nil && sub >= 0 && sub < len(t.subs) && t.subs[sub].out {
-		s := &t.subs[sub]
+	sub := result.Attempt
+	if t := a.txns[result.RequestID]; t != nil && sub >= 0 && sub < len(t.subs) && t.subs[sub].out {
+		s, r := &t.subs[sub], result.Status
 		s.out, s.unrun = false, r == StatusRejected || r == StatusConnectFailed || r == StatusNotSent
 		t.out--
-		t.ended = t.ended || final
+		t.ended = t.ended || result.Final
 		a.affinity.AttemptEnded(t.affinity, s.binds)
 		a.open[s.app]--
 		a.openAll--
 		a.recallAt = now
-		if waiting >= 0 || busy >= 0 {
-			a.told[s.app], a.toldAt[s.app] = max(waiting, 0)+max(busy, 0), now
-		}
-		a.ended(t, s, r, took)
+		a.reportLoad(s.app, result.Load)
+		a.ended(t, s, r, result.Took)
 	}
 	a.settle()
 }
 
-// OnReleaseUpdate tells where the newest build stands; reply is set when it answers a vote, and told when the rest is
-// true.
-func (a *Instance) OnReleaseUpdate(now float64, build, stage int, phase Phase, reply VoteResponse, limit, age float64, told bool) {
+// OnReleaseUpdate takes the state of a release, or the response to a vote, which may tell one too.
+func (a *Instance) OnReleaseUpdate(now float64, update ReleaseUpdate) {
 	a.at(now)
-	if reply != NotAVote && a.pending {
-		a.answered(reply)
+	if update.Response != NotAVote && a.pending {
+		a.answered(update.Response)
 	}
-	if reply == NotAVote || told {
-		a.releaseTold(release.Update{Release: build, Stage: stage, Phase: phase, Cap: limit}, age, reply)
+	if update.Response == NotAVote || update.Known {
+		a.releaseTold(release.Update{Release: update.Release, Stage: update.Stage, Phase: update.Phase, Cap: update.Cap}, update.Age,
+			update.Response)
 	}
 	a.settle()
 }
@@ -783,6 +713,13 @@
 	return a.demand * math.Exp(-(a.now-a.demandAt)/heatTime) / max(1-math.Exp(-(a.now-a.demandFrom)/heatTime), 0.05)
 }
 
+// reportLoad notes what a backend tells of its load.
+func (a *Instance) reportLoad(i int, load LoadReport) {
+	if load.Present {
+		a.told[i], a.toldAt[i] = load.Waiting+load.Busy, a.now
+	}
+}
+
 // reported is an appliance's load by its last report, txns waiting and how busy it is, fading with its age.
 func (a *Instance) reported(i int) float64 {
 	return a.told[i] * math.Exp(-(a.now-a.toldAt[i])/reportTime)
