--- a/policy/config.go
+++ b/policy/config.go
@@ -102,62 +102,62 @@
 
 // New makes an instance that acts through a port. Its decisions follow from the configuration and the events alone.
 func New(port Port, c Config) *Instance {
-	a := &Instance{port: port, rnd: NewRand(c.Seed), me: c.Index, agents: max(c.Instances, 1), txns: map[string]*txn{}}
-	a.most, a.armed, a.recallAt, a.flow = math.Inf(1), math.Inf(1), math.Inf(1), [2]float64{1, 1}
+	a := &Instance{port: port, rng: NewRand(c.Seed), index: c.Index, instances: max(c.Instances, 1), requests: map[string]*request{}}
+	a.maxOpenRequests, a.armedAt, a.retryQueuedAt, a.admission = math.Inf(1), math.Inf(1), math.Inf(1), [2]float64{1, 1}
 	a.salt = uint64(c.Index+1) << 32 // not by the seed: a process that starts anew draws the same keys for a release that rolls out
-	a.sightings = map[string]float64{}
+	a.popularKeys = map[string]float64{}
 	a.affinity = exposure.NewAffinity()
-	a.index, a.hashes = map[string]int{}, map[uint32]int{}
-	a.judgeAt = math.Inf(1)
+	a.indexOf, a.indexOfHash = map[string]int{}, map[uint32]int{}
+	a.evaluateAt = math.Inf(1)
 	a.configureClasses(c)
 	a.configureSlowStart(c.SlowStart)
 	a.configureExposure(c.Exposure)
 	a.configureRollout(c.Rollout)
 	a.configureTenants(c.Tenants)
 	if c.MaxOpenRequests > 0 {
-		a.most = float64(c.MaxOpenRequests)
+		a.maxOpenRequests = float64(c.MaxOpenRequests)
 	}
-	a.peers = c.PeerMessages
-	a.probes, a.probePrice = c.ProbesAllowed, c.ProbePrice
-	a.maxWait = c.MaxRetryAfter
-	a.home, a.zonePriced = c.Zone, c.CrossZonePrice
-	a.asked, a.within = c.Discovery.OnDemand, c.Discovery.RefreshInterval
+	a.peerMessages = c.PeerMessages
+	a.probesAllowed, a.probePrice = c.ProbesAllowed, c.ProbePrice
+	a.maxRetryAfter = c.MaxRetryAfter
+	a.zoneIndex, a.crossZonePrice = c.Zone, c.CrossZonePrice
+	a.discoveryOnDemand, a.refreshInterval = c.Discovery.OnDemand, c.Discovery.RefreshInterval
 	return a
 }
 
 func (a *Instance) configureSlowStart(c SlowStartConfig) {
-	a.coldFrom, a.warmTime, a.multiple, a.fall = c.InitialCapacity, c.WarmUp, c.OverloadFactor, c.OverloadWindow
+	a.initialCapacity, a.warmUpTime, a.overloadFactor, a.overloadWindow = c.InitialCapacity, c.WarmUp, c.OverloadFactor, c.OverloadWindow
 }
 
 func (a *Instance) configureClasses(c Config) {
 	n := len(c.Classes)
-	a.products, a.maxSubs, a.copies, a.revoke = c.Classes, c.MaxAttempts, c.ConcurrentAttempts, c.CancelAllowed
-	a.usualLat, a.tail = make([]float64, n), make([]float64, n)
-	a.usual, a.longest = make([]float64, n), make([]float64, n)
-	for p := range a.tail {
-		a.tail[p] = math.Inf(1)
+	a.classes, a.maxAttempts, a.concurrentAttempts, a.cancelAllowed = c.Classes, c.MaxAttempts, c.ConcurrentAttempts, c.CancelAllowed
+	a.meanLatencyPerWork, a.tailLatency = make([]float64, n), make([]float64, n)
+	a.meanLatency, a.longestTimeLeft = make([]float64, n), make([]float64, n)
+	for p := range a.tailLatency {
+		a.tailLatency[p] = math.Inf(1)
 	}
-	a.before.usual, a.hotSince, a.excuse = make([]float64, n), math.Inf(1), 1
+	a.baseline.usual, a.saturatedSince, a.baselineCorrection = make([]float64, n), math.Inf(1), 1
 	for i := range a.evidence {
 		a.evidence[i] = make([][]outcome, n)
 	}
 }
 
 func (a *Instance) configureExposure(c ExposureConfig) {
-	a.guarded, a.perProduct, a.keysStay, a.window = c.GuardedStages, c.PerClass, c.KeyAffinity, c.Window
+	a.guardedStages, a.exposurePerClass, a.keyAffinity, a.exposureWindow = c.GuardedStages, c.PerClass, c.KeyAffinity, c.Window
 	first := 0.0
 	if len(c.Caps) > 0 {
 		first = c.Caps[0]
 	}
-	a.book = release.NewBook(first)
-	a.allowance = exposure.NewAllowance(c.FreeAttempts, len(a.products))
+	a.releases = release.NewBook(first)
+	a.allowance = exposure.NewAllowance(c.FreeAttempts, len(a.classes))
 }
 
 func (a *Instance) configureRollout(c RolloutConfig) {
-	a.stages, a.control, a.backs, a.life = c.Stages, c.Control, max(c.RollbackVotes, 1), c.VoteLifetime
+	a.stages, a.control, a.rollbackVotes, a.voteLifetime = c.Stages, c.Control, max(c.RollbackVotes, 1), c.VoteLifetime
 }
 
 func (a *Instance) configureTenants(c TenantConfig) {
-	a.quotas, a.overWorth = c.Quotas, c.OverQuotaValue
-	a.purse, a.purseAt = make([]float64, len(c.Quotas)), make([]float64, len(c.Quotas))
+	a.quotas, a.overQuotaValue = c.Quotas, c.OverQuotaValue
+	a.quotaTokens, a.quotaTokensAt = make([]float64, len(c.Quotas)), make([]float64, len(c.Quotas))
 }
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -5,30 +5,30 @@
 	"math/rand/v2"
 )
 
-func (a *Instance) arm() {
-	a.token++
-	a.armed = a.alarms[0].at
-	a.port.SetTimer(max(a.armed-a.now, 0.001), a.token)
+func (a *Instance) armTimer() {
+	a.timerToken++
+	a.armedAt = a.timers[0].at
+	a.port.SetTimer(max(a.armedAt-a.now, 0.001), a.timerToken)
 }
 
-func (a *Instance) look(at float64, t *txn) { heap.Push(&a.alarms, alarm{at, t}) }
+func (a *Instance) schedule(at float64, t *request) { heap.Push(&a.timers, timer{at, t}) }
 
-func (h alarms) Len() int           { return len(h) }
-func (h alarms) Less(i, j int) bool { return h[i].at < h[j].at }
-func (h alarms) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *alarms) Push(x any)        { *h = append(*h, x.(alarm)) }
-func (h *alarms) Pop() any {
+func (h timerQueue) Len() int           { return len(h) }
+func (h timerQueue) Less(i, j int) bool { return h[i].at < h[j].at }
+func (h timerQueue) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *timerQueue) Push(x any)        { *h = append(*h, x.(timer)) }
+func (h *timerQueue) Pop() any {
 	old := *h
 	x := old[len(old)-1]
 	*h = old[:len(old)-1]
 	return x
 }
 
-type alarms []alarm
+type timerQueue []timer
 
-type alarm struct {
-	at float64
-	t  *txn
+type timer struct {
+	at      float64
+	request *request
 }
 
 func (g *mwc) Uint64() uint64 { return g.next()<<32 | g.next() }
@@ -49,24 +49,24 @@
 
 // rule is a condition and an effect that makes the condition false.
 type rule struct {
-	name string
-	when func(*Instance) bool
-	do   func(*Instance)
+	name  string
+	when  func(*Instance) bool
+	apply func(*Instance)
 }
 
-func (a *Instance) settle() {
+func (a *Instance) applyRules() {
 	for i := 0; i < len(rules); i++ {
 		if rules[i].when(a) {
-			rules[i].do(a)
+			rules[i].apply(a)
 			i = -1
 		}
 	}
 }
 
-func (a *Instance) ring() {
-	if t := heap.Pop(&a.alarms).(alarm).t; t != nil && !t.ended {
-		a.todo = append(a.todo, t)
+func (a *Instance) timerFired() {
+	if t := heap.Pop(&a.timers).(timer).request; t != nil && !t.ended {
+		a.pending = append(a.pending, t)
 	}
 }
 
-func (a *Instance) next() { a.todo = a.todo[1:] }
+func (a *Instance) dropPending() { a.pending = a.pending[1:] }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -34,12 +34,12 @@
 		for n := range 20 { // the pick is by chance
 			p := RequestClass{LatencyObjective: 1000, Timeout: 4000, Value: 1, Semantics: c.effect, DedupScope: c.group, DedupWindow: 250}
 			a, r := tier(p, 8)
-			a.rnd.IntN(n + 1)
+			a.rng.IntN(n + 1)
 			a.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
 			first := r.take()[0]
 			a.OnAttemptResult(10+c.after, AttemptResult{RequestID: "t", Status: c.result, Took: c.after})
 			for now := 10 + c.after; len(r.did) == 0 && now < 5000; now += 10 {
-				a.OnTimer(now, a.token)
+				a.OnTimer(now, a.timerToken)
 			}
 			got := r.take()
 			if len(got) != 1 || !strings.HasPrefix(got[0], c.want) {
@@ -62,13 +62,13 @@
 		a.OnRequest(10, Request{ID: "t", TimeLeft: 500})
 		r.take()
 		for now := 15.0; now < 510; now += 5 {
-			a.OnTimer(now, a.token)
+			a.OnTimer(now, a.timerToken)
 		}
 		expect(t, "at the expiry", r.take(), c.want)
 		a.OnAttemptResult(520, AttemptResult{RequestID: "t", Status: StatusTimedOut, Final: true, Took: 510})
 		a.OnClientGone(521, "t")
 		expect(t, "afterwards", r.take(), "[]")
-		expect(t, "still held", len(a.txns), 0)
+		expect(t, "still held", len(a.requests), 0)
 	}
 }
 
@@ -91,13 +91,13 @@
 		expect(t, c.name, r.take(), c.want)
 	}
 	a, r := tier(RequestClass{}, 1)
-	a.asked, a.within = true, 10000
+	a.discoveryOnDemand, a.refreshInterval = true, 10000
 	a.OnTimer(2, 0)
 	a.OnEndpointsFailed(3)
 	expect(t, "asked once", r.take(), "[subscribe]")
 	var asked []float64
 	for now := 3.0; now < 60000; now += 5 {
-		a.OnTimer(now, a.token)
+		a.OnTimer(now, a.timerToken)
 		if len(r.take()) > 0 {
 			asked = append(asked, now)
 			a.OnEndpointsFailed(now)
@@ -226,27 +226,27 @@
 		if k == 39999 {
 			for range 100 { // alarms that are still set
 				now += 10
-				a.OnTimer(now, a.token)
+				a.OnTimer(now, a.timerToken)
 			}
 		}
 	}
 	for _, c := range []struct {
 		name      string
 		got, most int
-	}{{"txns", len(a.txns), 0}, {"keys pending", a.affinity.Pending(), 0}, {"keys bound", a.affinity.Len(), 3 * 400},
-		{"keys counted", len(a.sightings), keysMost + 1}, {"appliances", len(a.id), 1000}, {"names", len(a.index), 1000},
-		{"hashes", len(a.hashes), 1000}, {"alarms", len(a.alarms), 9}, {"allowances", a.allowance.Len(), 3},
-		{"held", len(a.held), 0}, {"to do", len(a.todo), 0}} {
+	}{{"txns", len(a.requests), 0}, {"keys pending", a.affinity.Pending(), 0}, {"keys bound", a.affinity.Len(), 3 * 400},
+		{"keys counted", len(a.popularKeys), maxCountedKeys + 1}, {"appliances", len(a.id), 1000}, {"names", len(a.indexOf), 1000},
+		{"hashes", len(a.indexOfHash), 1000}, {"alarms", len(a.timers), 9}, {"allowances", a.allowance.Len(), 3},
+		{"held", len(a.retryQueue), 0}, {"to do", len(a.pending), 0}} {
 		if c.got > c.most {
 			t.Errorf("%s: %d left, %d at the most", c.name, c.got, c.most)
 		}
 	}
 	a.OnEndpoints(now, EndpointUpdate{Endpoints: []Endpoint{{ID: "y", Release: 500, Weight: 1}}, Snapshot: true})
-	a.OnTimer(now+judgePause, 0)
-	i := a.index["y"]
-	a.good[i], a.poor[i], a.rel[i], a.inRow[i], a.told[i], a.limit[i] = 5, 9, 4, 3, 7, 1
+	a.OnTimer(now+evaluationInterval, 0)
+	i := a.indexOf["y"]
+	a.successes[i], a.failures[i], a.latencyInflation[i], a.consecutiveFailures[i], a.reportedLoad[i], a.concurrencyLimit[i] = 5, 9, 4, 3, 7, 1
 	a.OnEndpoints(now+1, EndpointUpdate{Endpoints: []Endpoint{{ID: "y", Release: 501, Weight: 1}}})
-	expect(t, "believed", []float64{a.good[i], a.poor[i], a.rel[i], a.inRow[i], a.told[i], a.limit[i]}, "[0 0 1 0 0 4]")
+	expect(t, "believed", []float64{a.successes[i], a.failures[i], a.latencyInflation[i], a.consecutiveFailures[i], a.reportedLoad[i], a.concurrencyLimit[i]}, "[0 0 1 0 0 4]")
 }
 
 // A submission that outlasts nearly all answers is given up and tried elsewhere, where that may be; no more than a part.
@@ -271,7 +271,7 @@
 				a.OnRequest(now, Request{ID: fmt.Sprint(k), TimeLeft: 4000})
 			}
 			for len(coming) > 0 && coming[0].at <= now {
-				if t := a.txns[coming[0].id]; t != nil {
+				if t := a.requests[coming[0].id]; t != nil {
 					a.OnAttemptResult(now, AttemptResult{RequestID: coming[0].id, Attempt: coming[0].sub, Status: StatusServed, Final: true, Took: 20})
 					if k, _ := strconv.Atoi(coming[0].id); k > 500 {
 						settled++
@@ -279,7 +279,7 @@
 				}
 				coming = coming[1:]
 			}
-			a.OnTimer(now, a.token)
+			a.OnTimer(now, a.timerToken)
 			for did := r.take(); len(did) > 0; did = append(did[1:], r.take()...) {
 				var what, id, x string
 				fmt.Sscan(did[0], &what, &id, &x)
@@ -307,11 +307,11 @@
 		a, r := tier(RequestClass{}, 0)
 		a.OnRequest(10, Request{ID: "t", TimeLeft: c.left})
 		for now := 10.0; now < 5000; now++ {
-			if len(a.alarms) > 0 && a.alarms[0].at <= now {
-				a.OnTimer(now, a.token)
+			if len(a.timers) > 0 && a.timers[0].at <= now {
+				a.OnTimer(now, a.timerToken)
 			}
 			if len(r.did) > 0 {
-				if took := now - 10; took > c.after+retryPause || took < c.after-retryPause {
+				if took := now - 10; took > c.after+queueRetryInterval || took < c.after-queueRetryInterval {
 					t.Errorf("%.0f ms: declined after %.0f", c.left, took)
 				}
 				break
@@ -376,18 +376,18 @@
 	} {
 		arm := func(slow, bad, jump float64) (out []outcome) {
 			for k := range c.n {
-				o := outcome{at: float64(k), lat: (50 + float64(k*37%101)) * slow, app: k % 4, steady: true}
+				o := outcome{at: float64(k), latency: (50 + float64(k*37%101)) * slow, backend: k % 4, comparable: true}
 				if k*5/c.n == 2 {
-					o.lat *= jump
+					o.latency *= jump
 				}
-				if o.bad = float64(k*7%10) < bad*10; o.bad {
-					o.steady = false
+				if o.failed = float64(k*7%10) < bad*10; o.failed {
+					o.comparable = false
 				}
 				out = append(out, o)
 			}
 			return out
 		}
-		earned, worse := compare(arm(c.slow, c.bad, c.jump), arm(1, 0, 1), true, false, 0.01, 1)
+		earned, worse := compareReleases(arm(c.slow, c.bad, c.jump), arm(1, 0, 1), true, false, 0.01, 1)
 		if earned != c.earned || !strings.HasPrefix(worse, c.worse) || (worse != "") != (c.worse != "") {
 			t.Errorf("%s: earned %v, worse %q", c.name, earned, worse)
 		}
@@ -498,26 +498,26 @@
 func TestGuard(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		spoil func(a *Instance, x *txn)
+		spoil func(a *Instance, x *request)
 	}{
-		{"once-only, may have run", func(a *Instance, x *txn) { a.products[0].Semantics = NonIdempotent; x.subs = []submission{{}} }},
-		{"too many submissions", func(a *Instance, x *txn) { x.subs = make([]submission, 5) }},
-		{"past its expiry", func(a *Instance, x *txn) { a.now = x.expiry }},
-		{"two out", func(a *Instance, x *txn) { x.out = 2 }},
-		{"one out, no copies allowed", func(a *Instance, x *txn) { x.out, a.copies = 1, false }},
-		{"ended", func(a *Instance, x *txn) { x.ended = true }},
-		{"allowance used up", func(a *Instance, x *txn) { a.allowance.Use(1, 0, a.now); a.allowance.Use(1, 0, a.now) }},
-		{"draining", func(a *Instance, x *txn) { a.state[0] = EndpointDraining }},
-		{"its release goes back", func(a *Instance, x *txn) {
+		{"once-only, may have run", func(a *Instance, x *request) { a.classes[0].Semantics = NonIdempotent; x.attempts = []attempt{{}} }},
+		{"too many submissions", func(a *Instance, x *request) { x.attempts = make([]attempt, 5) }},
+		{"past its expiry", func(a *Instance, x *request) { a.now = x.deadline }},
+		{"two out", func(a *Instance, x *request) { x.openAttempts = 2 }},
+		{"one out, no copies allowed", func(a *Instance, x *request) { x.openAttempts, a.concurrentAttempts = 1, false }},
+		{"ended", func(a *Instance, x *request) { x.ended = true }},
+		{"allowance used up", func(a *Instance, x *request) { a.allowance.Use(1, 0, a.now); a.allowance.Use(1, 0, a.now) }},
+		{"draining", func(a *Instance, x *request) { a.state[0] = EndpointDraining }},
+		{"its release goes back", func(a *Instance, x *request) {
 			a.OnReleaseUpdate(3, ReleaseUpdate{Release: 1, Stage: 1, Phase: RollingBack, Cap: 0, Known: true})
 		}},
 	} {
 		a, _ := tier(RequestClass{}, 1)
 		a.OnReleaseUpdate(2, ReleaseUpdate{Release: 1, Stage: 1, Phase: RollingOut, Cap: 0.5, Known: true})
-		x := &txn{expiry: 100, work: 1}
-		expect(t, "before: "+c.name, a.mayGo(x, 0), true)
+		x := &request{deadline: 100, relativeWork: 1}
+		expect(t, "before: "+c.name, a.maySendTo(x, 0), true)
 		c.spoil(a, x)
-		expect(t, c.name, a.mayGo(x, 0), false)
+		expect(t, c.name, a.maySendTo(x, 0), false)
 	}
 }
 
@@ -539,7 +539,7 @@
 			}
 			s = append(s, lat)
 		}
-		expect(t, fmt.Sprint("last slice times ", c.times), agree(s, farMore), c.want)
+		expect(t, fmt.Sprint("last slice times ", c.times), slicesAgree(s, maxSliceDistance), c.want)
 	}
 }
 
@@ -551,12 +551,12 @@
 		least, most int     // of 1000 picks among 5
 	}{{"alike", 1, 0.8, 150, 250}, {"rated higher", 1.5, 0.8, 220, 340}, {"tells no load", 1, 0, 150, 250}} {
 		a, _ := tier(RequestClass{}, 5)
-		a.agents, a.rating[0], a.surveyAt = 300, c.rated, 0
+		a.instances, a.weight[0], a.aggregatesDueAt = 300, c.rated, 0
 		a.OnTimer(2, 0)
-		a.told, a.toldAt = []float64{c.told, 0.8, 0.8, 0.8, 0.8}, []float64{2, 2, 2, 2, 2}
+		a.reportedLoad, a.reportedAt = []float64{c.told, 0.8, 0.8, 0.8, 0.8}, []float64{2, 2, 2, 2, 2}
 		n := 0
 		for range 1000 {
-			if a.pick(&txn{expiry: 100, work: 1}) == 0 {
+			if a.pickBackend(&request{deadline: 100, relativeWork: 1}) == 0 {
 				n++
 			}
 		}
@@ -580,8 +580,8 @@
 		{"unanswered", false, false, "", "submit"},
 	} {
 		a, r := tier(RequestClass{}, 8)
-		a.agents = 300
-		a.probes, a.probePrice = true, 0.01
+		a.instances = 300
+		a.probesAllowed, a.probePrice = true, 0.01
 		a.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
 		probed := r.take()
 		if len(probed) == 0 || !strings.HasPrefix(probed[0], "probe") {
@@ -595,8 +595,8 @@
 		if c.want != "" && got != "[submit t "+last+"]" || c.want == "" && got != "[]" {
 			t.Errorf("%s: %s", c.name, got)
 		}
-		a.OnTimer(140, a.token) // a second race
-		a.OnTimer(270, a.token)
+		a.OnTimer(140, a.timerToken) // a second race
+		a.OnTimer(270, a.timerToken)
 		if did := r.take(); c.later != "" && (len(did) == 0 || !strings.HasPrefix(did[len(did)-1], c.later)) {
 			t.Errorf("%s, later: %v", c.name, did)
 		}
@@ -643,8 +643,8 @@
 		first string
 	}{{0, "probe"}, {0.02, "probe"}, {0.03, "submit"}, {0.08, "submit"}} {
 		a, r := tier(RequestClass{}, 4)
-		a.agents = manyAgents
-		a.probes, a.probePrice = true, c.price
+		a.instances = manyInstances
+		a.probesAllowed, a.probePrice = true, c.price
 		a.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
 		if did := r.take(); len(did) == 0 || !strings.HasPrefix(did[0], c.first) {
 			t.Errorf("at %v: %v", c.price, did)
@@ -667,9 +667,9 @@
 			rnd := NewRand(seed * 7919)
 			arm := func(n, machines int, times float64, ailing func(app int) bool) (out []outcome) {
 				for k := range n {
-					o := outcome{at: float64(k) / float64(n), lat: 70 * times * math.Exp(0.7*rnd.NormFloat64()), app: k % machines, steady: true}
-					if ailing(o.app) {
-						o.lat *= 4
+					o := outcome{at: float64(k) / float64(n), latency: 70 * times * math.Exp(0.7*rnd.NormFloat64()), backend: k % machines, comparable: true}
+					if ailing(o.backend) {
+						o.latency *= 4
 					}
 					out = append(out, o)
 				}
@@ -677,7 +677,7 @@
 			}
 			neu := arm(50, c.machines, c.times, func(app int) bool { return app < c.ailing })
 			old := arm(600, 18, 1, func(app int) bool { return app%6 == 0 && c.ailing > 0 })
-			if _, worse := compare(neu, old, true, false, 0.0133, 1); worse != "" {
+			if _, worse := compareReleases(neu, old, true, false, 0.0133, 1); worse != "" {
 				backs++
 			}
 		}
@@ -709,42 +709,42 @@
 		{"few agents: one error is not", 4, 1, 1, 0, 1, 1, 24, 0, false},
 	} {
 		a, _ := tier(RequestClass{}, 3)
-		a.agents, a.backs = c.agents, c.backs
+		a.instances, a.rollbackVotes = c.agents, c.backs
 		neu, old := make([]outcome, c.n), make([]outcome, c.old)
 		for k := range neu {
-			neu[k].app = k % 3
+			neu[k].backend = k % 3
 		}
 		for k := range c.bad + c.broken {
-			neu[k].bad, neu[k].broken, neu[k].app = true, k >= c.bad, k%c.apps
+			neu[k].failed, neu[k].connectionBroken, neu[k].backend = true, k >= c.bad, k%c.apps
 		}
 		for k := range old {
-			old[k].app, old[k].bad, old[k].broken = 3+k%5, k < c.oldBroken, k < c.oldBroken
+			old[k].backend, old[k].failed, old[k].connectionBroken = 3+k%5, k < c.oldBroken, k < c.oldBroken
 		}
-		expect(t, c.name, failing(neu, old, false, a.err(), a.backs), c.want)
+		expect(t, c.name, failsMore(neu, old, false, a.errorBudget(), a.rollbackVotes), c.want)
 	}
 }
 
 // Late answers lower what is taken on, the cheap first; time forgets; no product is locked out for ever.
 func TestShortage(t *testing.T) {
 	a, r := tier(RequestClass{}, 3)
-	a.agents = 300
+	a.instances = 300
 	for range 8 {
-		a.feel(false, 1)
+		a.onOverloadSignal(false, 1)
 	}
-	low, dear, cheap := a.flowNow(0), 0, 0
-	a.worth = 3
+	low, dear, cheap := a.admissionProbability(0), 0, 0
+	a.meanValue = 3
 	for range 1000 {
-		if a.flows(0, &txn{revenue: 9}) {
+		if a.admits(0, &request{value: 9}) {
 			dear++
 		}
-		if a.flows(0, &txn{revenue: 1}) {
+		if a.admits(0, &request{value: 1}) {
 			cheap++
 		}
 	}
-	if a.now += 60000; low > 0.1 || a.flowNow(0) < 0.9 || dear <= cheap {
-		t.Errorf("flow %.2f, then %.2f; %d dear and %d cheap of 1000", low, a.flowNow(0), dear, cheap)
+	if a.now += 60000; low > 0.1 || a.admissionProbability(0) < 0.9 || dear <= cheap {
+		t.Errorf("flow %.2f, then %.2f; %d dear and %d cheap of 1000", low, a.admissionProbability(0), dear, cheap)
 	}
-	a.usual[0] = 5000 // past the SLA time of 1000
+	a.meanLatency[0] = 5000 // past the SLA time of 1000
 	a.OnRequest(a.now, Request{ID: "t", TimeLeft: 4000})
 	expect(t, "sent all the same", strings.HasPrefix(fmt.Sprint(r.take()), "[submit t"), true)
 }
@@ -761,7 +761,7 @@
 		a.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
 		r.take()
 		for now := 20.0; now < 900 && !c.stood; now += 20 {
-			a.OnTimer(now, a.token)
+			a.OnTimer(now, a.timerToken)
 		}
 		a.OnAttemptResult(900, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Took: 890})
 		expect(t, c.name, len(a.evidence[1][0]), c.proofs)
@@ -777,14 +777,14 @@
 	}{{"none", 1, 1, false}, {"comes with the second stage", 1, 1.8, true}, {"was there before", 1.9, 2, false},
 		{"was there, and grows", 1.9, 3.2, true}} {
 		a, _ := tier(RequestClass{}, 4)
-		a.known, a.before.typical, a.before.usual[0], a.before.demand = true, 1, 1, 1
+		a.announced, a.baseline.typical, a.baseline.usual[0], a.baseline.demand = true, 1, 1, 1
 		hot := false
 		for k, heat := range []float64{c.first, c.second} {
 			a.stage, a.now = k, a.now+10000
 			for i := range 40 {
-				a.evidence[0][0] = append(a.evidence[0][0], outcome{at: a.now, lat: heat, app: i % 4, steady: true})
+				a.evidence[0][0] = append(a.evidence[0][0], outcome{at: a.now, latency: heat, backend: i % 4, comparable: true})
 			}
-			hot, _ = a.burning()
+			hot, _ = a.trackSaturation()
 		}
 		expect(t, c.name, hot, c.hot)
 	}
@@ -793,8 +793,8 @@
 // Outcomes told by other agents count like own ones; what cannot be read is passed over.
 func TestNotes(t *testing.T) {
 	teller, r := tier(RequestClass{}, 3)
-	teller.agents, teller.me = 300, 7
-	teller.peers = true
+	teller.instances, teller.index = 300, 7
+	teller.peerMessages = true
 	teller.OnReleaseUpdate(2, ReleaseUpdate{Release: 1, Phase: RollingOut, Cap: 1, Known: true})
 	teller.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
 	teller.OnAttemptResult(60, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Took: 50})
@@ -849,7 +849,7 @@
 		decline int
 	}{{math.Inf(1), 30, 0}, {20, 12, 0}, {20, 30, 18}} {
 		a, r := tier(RequestClass{}, 1)
-		a.most = c.most
+		a.maxOpenRequests = c.most
 		declined := 0
 		for k := range c.taken {
 			a.OnRequest(2+float64(k)/1000, Request{ID: fmt.Sprint(k), TimeLeft: 4000})
@@ -873,11 +873,11 @@
 		for k := range 20 {
 			a.now = float64(10 + 1000*k)
 			a.OnRequest(a.now, Request{ID: fmt.Sprint(k), TimeLeft: 4000})
-			if len(a.txns[fmt.Sprint(k)].subs) > 0 {
+			if len(a.requests[fmt.Sprint(k)].attempts) > 0 {
 				a.OnAttemptResult(a.now+1, AttemptResult{RequestID: fmt.Sprint(k), Status: c.result, Final: true, Took: 1})
 			}
 		}
-		expect(t, fmt.Sprint("after result ", c.result, " the limit fell"), a.limit[0] < limitFirst, c.falls)
+		expect(t, fmt.Sprint("after result ", c.result, " the limit fell"), a.concurrencyLimit[0] < initialConcurrencyLimit, c.falls)
 	}
 }
 
@@ -891,14 +891,14 @@
 		{"slow after a wait", 950, 400, true, false}, {"slow", 0, 1100, true, false}} {
 		a, r := tier(RequestClass{}, 1)
 		a.OnRequest(2, Request{ID: "t", TimeLeft: 4000})
-		a.txns["t"].sla -= c.waited
-		a.txns["t"].subs[0].due = a.due(a.txns["t"])
-		a.limit[0] = 1.5
-		was := a.limit[0]
+		a.requests["t"].objectiveAt -= c.waited
+		a.requests["t"].attempts[0].dueAt = a.latencyDeadline(a.requests["t"])
+		a.concurrencyLimit[0] = 1.5
+		was := a.concurrencyLimit[0]
 		a.OnTimer(2+c.took, 0)
 		a.OnAttemptResult(2+c.took, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Took: c.took})
 		r.take()
-		if got := a.limit[0]; got < was != c.lowers || got > was != c.raises {
+		if got := a.concurrencyLimit[0]; got < was != c.lowers || got > was != c.raises {
 			t.Errorf("%s: the limit went from %.1f to %.1f", c.name, was, got)
 		}
 	}
--- a/policy/releases.go
+++ b/policy/releases.go
@@ -28,53 +28,53 @@
 
 // ReleaseStatus is the state of releases for logs and metrics.
 func (a *Instance) ReleaseStatus() ReleaseStatus {
-	newest, _ := a.book.Newest()
-	return ReleaseStatus{Newest: newest, RollingOut: a.trialRelease, Keys: a.affinity.Len(), Skipped: a.withheld}
+	newest, _ := a.releases.Newest()
+	return ReleaseStatus{Newest: newest, RollingOut: a.rolloutRelease, Keys: a.affinity.Len(), Skipped: a.skipped}
 }
 
-// limited tells that a release is under a cap.
-func (a *Instance) limited(build ReleaseID) bool {
-	_, limited := a.book.Cap(build)
+// underCap tells that a release is under a cap.
+func (a *Instance) underCap(build ReleaseID) bool {
+	_, limited := a.releases.Cap(build)
 	return limited
 }
 
-// floor is the earliest release that may serve a request, by its key.
-func (a *Instance) floor(t *txn) ReleaseID {
-	if now := a.affinity.Changes() + 1; t.floorOf != now {
-		t.floor, t.floorOf = a.affinity.Floor(t.affinity), now
+// oldestAllowedRelease is the earliest release that may serve a request, by its key.
+func (a *Instance) oldestAllowedRelease(t *request) ReleaseID {
+	if now := a.affinity.Changes() + 1; t.oldestReleaseAsOf != now {
+		t.oldestRelease, t.oldestReleaseAsOf = a.affinity.Floor(t.affinityKey), now
 	}
-	return t.floor
+	return t.oldestRelease
 }
 
-// exposed guards the rule on exposure for one attempt of a request at a backend.
-func (a *Instance) exposed(t *txn, i int) bool {
-	build := a.builds[i]
-	if a.book.ServesAs(build) < a.floor(t) {
-		a.withheld.Affinity++
+// withinExposureCap guards the rule on exposure for one attempt of a request at a backend.
+func (a *Instance) withinExposureCap(t *request, i int) bool {
+	build := a.release[i]
+	if a.releases.ServesAs(build) < a.oldestAllowedRelease(t) {
+		a.skipped.Affinity++
 		return false
 	}
-	limit, limited := a.book.Cap(build)
+	limit, limited := a.releases.Cap(build)
 	if !limited {
 		return true
 	}
-	guarded := a.guarded > 0 && a.products[t.product].Semantics != Safe && a.book.Record(build).Stage < a.guarded
+	guarded := a.guardedStages > 0 && a.classes[t.class].Semantics != Safe && a.releases.Record(build).Stage < a.guardedStages
 	if limit <= 0 || guarded {
-		a.withheld.Closed++
+		a.skipped.Closed++
 		return false
 	}
-	if !a.allowance.Allows(build, a.lane(t.product), a.now) {
-		a.withheld.CapReached++
+	if !a.allowance.Allows(build, a.exposureLane(t.class), a.now) {
+		a.skipped.CapReached++
 		return false
 	}
 	return true
 }
 
-// bind notes that a release may have answered a request's key. Where the backend was listed with another release meanwhile, it
+// bindKey notes that a release may have answered a request's key. Where the backend was listed with another release meanwhile, it
 // may have been either that answered.
-func (a *Instance) bind(t *txn, s *submission) {
-	for _, build := range [...]ReleaseID{s.build, a.builds[s.app]} {
-		if to := a.book.BindsAs(build); !a.book.IsClosed(to) {
-			a.affinity.Bind(t.affinity, to)
+func (a *Instance) bindKey(t *request, s *attempt) {
+	for _, build := range [...]ReleaseID{s.release, a.release[s.backend]} {
+		if to := a.releases.BindsAs(build); !a.releases.IsClosed(to) {
+			a.affinity.Bind(t.affinityKey, to)
 		}
 	}
 }
@@ -82,49 +82,49 @@
 // MaySend tells whether an attempt that was decided a while ago may still go out: its connection came up late, and the list,
 // the news or another attempt's answer came meanwhile. One that may not counts as never sent.
 func (a *Instance) MaySend(id string, attempt int) bool {
-	t := a.txns[id]
-	if t == nil || attempt < 0 || attempt >= len(t.subs) {
+	t := a.requests[id]
+	if t == nil || attempt < 0 || attempt >= len(t.attempts) {
 		return false
 	}
-	s := &t.subs[attempt]
-	if a.state[s.app] != EndpointRunning || a.builds[s.app] != s.build || a.book.ServesAs(s.build) < a.floor(t) {
+	s := &t.attempts[attempt]
+	if a.state[s.backend] != EndpointRunning || a.release[s.backend] != s.release || a.releases.ServesAs(s.release) < a.oldestAllowedRelease(t) {
 		return false
 	}
-	limit, limited := a.book.Cap(s.build)
+	limit, limited := a.releases.Cap(s.release)
 	return !limited || limit > 0
 }
 
-// releaseListed notes that a backend of a release is listed.
-func (a *Instance) releaseListed(build ReleaseID) {
-	if a.book.OnListed(build) {
-		limit, _ := a.book.Cap(build)
+// onReleaseListed notes that a backend of a release is listed.
+func (a *Instance) onReleaseListed(build ReleaseID) {
+	if a.releases.OnListed(build) {
+		limit, _ := a.releases.Cap(build)
 		a.port.Log(fmt.Sprintf("release %d: listed before any news of it, first stage, cap %.2f", build, limit))
 	}
 }
 
-// releaseTold takes an update on a release; age is how long it has stood so.
-func (a *Instance) releaseTold(u release.Update, age float64, by VoteResponse) {
-	was, known := a.book.Newest()
-	change := a.book.Apply(u)
+// applyReleaseUpdate takes an update on a release; age is how long it has stood so.
+func (a *Instance) applyReleaseUpdate(u release.Update, age float64, by VoteResponse) {
+	was, known := a.releases.Newest()
+	change := a.releases.Apply(u)
 	a.logUpdate(u, change, by)
 	if change != release.Moved {
 		return
 	}
-	a.surveyAt = a.now
-	if a.book.IsClosed(u.Release) {
+	a.aggregatesDueAt = a.now
+	if a.releases.IsClosed(u.Release) {
 		a.affinity.ReleaseKeys(u.Release)
 	}
-	now, _ := a.book.Newest()
+	now, _ := a.releases.Newest()
 	if !known || now.Release != was.Release {
-		a.offered(now.Release)
-		a.affinity.ForgetBefore(a.book.Baseline())
-		a.allowance.Forget(a.book.Baseline())
+		a.startRollout(now.Release)
+		a.affinity.ForgetBefore(a.releases.Baseline())
+		a.allowance.Forget(a.releases.Baseline())
 	}
 	if now.Stage != a.stage || now.Phase != a.phase {
-		a.phaseAt, a.voteAt = a.now-age, 0
-		a.begun, a.want = false, NoVerdict // what was seen of one stage carries no vote on the next
+		a.stateSince, a.voteNotBefore = a.now-age, 0
+		a.stageStarted, a.desiredVerdict = false, NoVerdict // what was seen of one stage carries no vote on the next
 	}
-	a.known, a.newest, a.stage, a.phase = true, now.Release, now.Stage, now.Phase
+	a.announced, a.newest, a.stage, a.phase = true, now.Release, now.Stage, now.Phase
 }
 
 func (a *Instance) logUpdate(u release.Update, change release.Change, by VoteResponse) {
@@ -133,16 +133,16 @@
 	case release.Moved:
 		a.port.Log(what)
 	case release.StaleUpdate:
-		held := a.book.Record(u.Release)
+		held := a.releases.Record(u.Release)
 		a.port.Log(fmt.Sprintf("%s: passed over, it is at stage %d, %s, cap %.2f", what, held.Stage, held.Phase, held.Cap))
 	}
 }
 
-// concluded looks which release the fleet runs: the oldest listed one as long as nothing is announced, and one whose end was
+// inferReleasedReleases looks which release the fleet runs: the oldest listed one as long as nothing is announced, and one whose end was
 // missed where most backends of earlier releases run it.
-func (a *Instance) concluded() {
+func (a *Instance) inferReleasedReleases() {
 	oldest, earlier, counts := ReleaseID(math.MaxInt), 0, map[ReleaseID]int{}
-	for i, build := range a.builds {
+	for i, build := range a.release {
 		if a.state[i] == EndpointRemoved || build == release.Unknown {
 			continue
 		}
@@ -153,11 +153,11 @@
 		}
 	}
 	if oldest < math.MaxInt {
-		a.book.SetOldestListed(oldest)
+		a.releases.SetOldestListed(oldest)
 	}
 	for build, n := range counts { // one at most has more than half
 		if 2*n > earlier {
-			a.book.MarkPrevailing(build)
+			a.releases.MarkPrevailing(build)
 		}
 	}
 }
--- a/policy/releases_test.go
+++ b/policy/releases_test.go
@@ -59,7 +59,7 @@
 			func(a *Instance) {
 				a.OnReleaseUpdate(25, ReleaseUpdate{Release: 2, Stage: 1, Phase: Released, Cap: 1, Known: true})
 				a.OnEndpoints(26, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, Weight: 1}}, Snapshot: true}) // nothing earlier is listed
-				a.OnTimer(26+2*judgePause, 0)
+				a.OnTimer(26+2*evaluationInterval, 0)
 			}, false},
 		{"goes back, told after the list", func(a *Instance) { trial(a, 5, 2); listed(a, 6, "x", 2, EndpointRunning) },
 			func(a *Instance) {
@@ -196,8 +196,8 @@
 			a.OnReleaseUpdate(3, ReleaseUpdate{Release: 3, Phase: RollingOut, Cap: 0.5, Known: true})
 		}
 		for k := range 64 {
-			x := &txn{key: fmt.Sprint(k), affinity: 1}
-			set += fmt.Sprint(index(a.draw(x) < 0.5))
+			x := &request{key: fmt.Sprint(k), affinityKey: 1}
+			set += fmt.Sprint(boolIndex(a.rolloutDraw(x) < 0.5))
 		}
 		return set
 	}
@@ -226,9 +226,9 @@
 		a, r := keyed(1, 1)
 		a.OnReleaseUpdate(3, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 1, Known: true})
 		only(a, 4, "")
-		drawn := a.draw(&txn{key: "k", affinity: 1})
+		drawn := a.rolloutDraw(&request{key: "k", affinityKey: 1})
 		only(a, 5, c.first)
-		expect(t, "drawn", a.draw(&txn{key: "k", affinity: 1}), drawn)
+		expect(t, "drawn", a.rolloutDraw(&request{key: "k", affinityKey: 1}), drawn)
 		a.OnRequest(10, Request{ID: "t", Key: "k", TimeLeft: 4000})
 		expect(t, "first", where(r.take()), c.first)
 		a.OnAttemptResult(15, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Took: 5})
@@ -260,7 +260,7 @@
 	} {
 		a, _ := keyed(1, 0.5)
 		c.news(a)
-		a.file(c.release, 0, outcome{at: 10, lat: 5})
+		a.addEvidence(c.release, 0, outcome{at: 10, latency: 5})
 		expect(t, c.name, []int{len(a.evidence[0][0]), len(a.evidence[1][0])}, []int{c.old, c.newer})
 	}
 }
@@ -269,16 +269,16 @@
 func TestVoteOnReleaseBefore(t *testing.T) {
 	a, r := keyed(1, 0.5)
 	a.OnReleaseUpdate(5, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.5, Known: true})
-	a.want = Promote
+	a.desiredVerdict = Promote
 	a.OnTimer(6, 0)
 	if did := fmt.Sprint(r.take()); !strings.Contains(did, "vote 2") {
 		t.Fatalf("no vote: %s", did)
 	}
 	a.OnReleaseUpdate(7, ReleaseUpdate{Release: 3, Phase: RollingOut, Cap: 0.5, Known: true})
 	a.OnReleaseUpdate(8, ReleaseUpdate{Release: 2, Phase: RollingOut, Response: VoteCounted, Cap: 0.5, Known: true})
-	expect(t, "stands for release 3", a.stands, NoVerdict)
+	expect(t, "stands for release 3", a.acceptedVerdict, NoVerdict)
 	expect(t, "newest", a.newest, 3)
-	a.want = Promote
+	a.desiredVerdict = Promote
 	a.OnTimer(9, 0)
 	if did := fmt.Sprint(r.take()); !strings.Contains(did, "vote 3") {
 		t.Errorf("no vote on release 3: %s", did)
@@ -398,22 +398,22 @@
 					id := out[k]
 					out = append(out[:k], out[k+1:]...)
 					result := []AttemptStatus{StatusServed, StatusServed, StatusServed, StatusErrored, StatusRejected, StatusReset}[rapid.IntRange(0, 5).Draw(t, "result")]
-					x := a.txns[id]
+					x := a.requests[id]
 					if x == nil {
 						continue
 					}
-					sub := len(x.subs) - 1
-					for sub > 0 && !x.subs[sub].out {
+					sub := len(x.attempts) - 1
+					for sub > 0 && !x.attempts[sub].open {
 						sub--
 					}
-					release := x.subs[sub].build
+					release := x.attempts[sub].release
 					if phase, told := rule.phase[release]; result == StatusServed && !(told && (phase == RollingBack || phase == Withdrawn)) {
 						rule.answered[at[id][0]] = append(rule.answered[at[id][0]], release)
 					}
 					a.OnAttemptResult(now, AttemptResult{RequestID: id, Attempt: sub, Status: result, Final: result == StatusServed, Took: 10})
 				}
 			case 9:
-				a.OnTimer(now, a.token)
+				a.OnTimer(now, a.timerToken)
 			}
 			attempts()
 		}
--- a/policy/replay_test.go
+++ b/policy/replay_test.go
@@ -149,15 +149,15 @@
 		{LatencyObjective: 1000, Timeout: 4000, Value: 5, Semantics: NonIdempotent, LateValue: 0.2},
 		{LatencyObjective: 500, ObjectivePerWork: 2, Timeout: 4000, Value: 2, Semantics: Idempotent, DedupScope: DedupScope(1 + s.rng.IntN(2)), DedupWindow: 1500}}
 	a.configureClasses(Config{Classes: classes, MaxAttempts: 2 + s.rng.IntN(4), ConcurrentAttempts: s.rng.IntN(2) == 0, CancelAllowed: s.rng.IntN(2) == 0})
-	a.most = float64(20 + s.rng.IntN(200))
-	a.peers = s.rng.IntN(2) == 0
-	a.probes, a.probePrice = s.rng.IntN(2) == 0, 0.01
-	a.maxWait = 2000
-	a.home, a.zonePriced = s.rng.IntN(2), s.rng.IntN(2) == 0
-	a.asked, a.within = s.rng.IntN(2) == 0, 10000
+	a.maxOpenRequests = float64(20 + s.rng.IntN(200))
+	a.peerMessages = s.rng.IntN(2) == 0
+	a.probesAllowed, a.probePrice = s.rng.IntN(2) == 0, 0.01
+	a.maxRetryAfter = 2000
+	a.zoneIndex, a.crossZonePrice = s.rng.IntN(2), s.rng.IntN(2) == 0
+	a.discoveryOnDemand, a.refreshInterval = s.rng.IntN(2) == 0, 10000
 	a.configureSlowStart(SlowStartConfig{InitialCapacity: 0.4, WarmUp: 5000, OverloadFactor: 3, OverloadWindow: 1000})
 	a.configureExposure(ExposureConfig{FreeAttempts: 2, Caps: []float64{0.1, 0.5, 1}, GuardedStages: s.rng.IntN(2), PerClass: s.rng.IntN(2) == 0, KeyAffinity: s.rng.IntN(3) > 0})
-	a.window = float64(s.rng.IntN(2) * 3000)
+	a.exposureWindow = float64(s.rng.IntN(2) * 3000)
 	a.configureRollout(RolloutConfig{Stages: []float64{0.1, 0.5, 1}, Control: RolloutControl(s.rng.IntN(3)), RollbackVotes: 1 + s.rng.IntN(5), VoteLifetime: 4000})
 	a.configureTenants(TenantConfig{Quotas: []float64{0.02, 0.005}, OverQuotaValue: 0.1})
 	return a
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -3,36 +3,36 @@
 // This file owns how long a backend has been up, and by that what part of its capacity it has at the least. Its start is told by
 // others' wall clock, which may be stepped, as may ours; this process's own time runs on evenly.
 
-// listingLate (ms) is how long a backend can have been up when it is first listed while a process runs: discovery tells within seconds, an
+// maxStartAge (ms) is how long a backend can have been up when it is first listed while a process runs: discovery tells within seconds, an
 // outage included. One that was up for longer is told by another clock. It trades the warm-up of backends after a very long outage.
-const listingLate = 20000
+const maxStartAge = 20000
 
 // OnClockStep tells that the wall clock was stepped since this process started.
 func (a *Instance) OnClockStep(now float64) {
-	a.at(now)
+	a.advanceClock(now)
 	a.clockStepped = true
-	a.settle()
+	a.applyRules()
 }
 
-// upSince is since when a backend has been up for certain, by a start as told (0: long ago). A fresh backend must never pass for
+// believedStart is since when a backend has been up for certain, by a start as told (0: long ago). A fresh backend must never pass for
 // a warm one. So the start is believed only as long as no step of the clock was seen and where it can be true of a backend that is listed
 // just now; else it has been up since now, which is later than its start by the list's delay and never too soon. In a process's first
 // list there is nothing else to go by.
-func (a *Instance) upSince(start float64) float64 {
+func (a *Instance) believedStart(start float64) float64 {
 	switch {
 	case start <= 0:
 		return 0
-	case a.listed && (a.clockStepped || a.now-start > listingLate):
+	case a.discoveryHeard && (a.clockStepped || a.now-start > maxStartAge):
 		return a.now
 	}
 	return min(start, a.now)
 }
 
-// coldness is the part of its capacity that a backend has at the least.
-func (a *Instance) coldness(i int) float64 {
-	up := a.now - a.up[i]
-	if a.up[i] <= 0 || a.warmTime <= 0 || up >= a.warmTime {
+// warmUpProgress is the part of its capacity that a backend has at the least.
+func (a *Instance) warmUpProgress(i int) float64 {
+	up := a.now - a.upSince[i]
+	if a.upSince[i] <= 0 || a.warmUpTime <= 0 || up >= a.warmUpTime {
 		return 1
 	}
-	return a.coldFrom + (1-a.coldFrom)*max(up, 0)/a.warmTime
+	return a.initialCapacity + (1-a.initialCapacity)*max(up, 0)/a.warmUpTime
 }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -31,7 +31,7 @@
 		{"long ago", true, false, 0, now, 1, 1},
 	} {
 		a, _ := tier(RequestClass{}, 0)
-		a.listed = false
+		a.discoveryHeard = false
 		if c.listed {
 			a.OnEndpoints(1, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1}}, Snapshot: true})
 		}
@@ -40,7 +40,7 @@
 		}
 		a.OnEndpoints(now, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 1, Weight: 1, StartedAt: c.start}}})
 		a.OnTimer(c.at, 0)
-		if got := a.coldness(a.index["x"]); got < c.minimum-1e-9 || got > c.maximum+1e-9 {
+		if got := a.warmUpProgress(a.indexOf["x"]); got < c.minimum-1e-9 || got > c.maximum+1e-9 {
 			t.Errorf("%s: %.2f of its capacity, want %.2f to %.2f", c.name, got, c.minimum, c.maximum)
 		}
 	}
@@ -51,6 +51,6 @@
 	a, _ := tier(RequestClass{}, 3)
 	a.OnReleaseUpdate(10, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.5, Known: true})
 	a.OnEndpoints(1000, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, Weight: 1, StartedAt: 3600_000}}})
-	a.newMachines()
-	expect(t, "last start", a.lastStart, 1000.0)
+	a.newestReleaseBackends()
+	expect(t, "last start", a.lastBackendStart, 1000.0)
 }
--- a/policy/stats.go
+++ b/policy/stats.go
@@ -10,9 +10,9 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-func fails(s []outcome) (n int) {
+func failureCount(s []outcome) (n int) {
 	for _, o := range s {
-		if o.bad {
+		if o.failed {
 			n++
 		}
 	}
@@ -23,32 +23,32 @@
 func withoutWorst(s []outcome) []outcome {
 	count, worst := map[int]int{}, -1
 	for _, o := range s {
-		if o.bad {
-			if count[o.app]++; worst < 0 || count[o.app] > count[worst] {
-				worst = o.app
+		if o.failed {
+			if count[o.backend]++; worst < 0 || count[o.backend] > count[worst] {
+				worst = o.backend
 			}
 		}
 	}
-	return slices.DeleteFunc(slices.Clone(s), func(o outcome) bool { return o.app == worst })
+	return slices.DeleteFunc(slices.Clone(s), func(o outcome) bool { return o.backend == worst })
 }
 
-func breaks(s []outcome) (n int) {
+func breakCount(s []outcome) (n int) {
 	for _, o := range s {
-		if o.broken {
+		if o.connectionBroken {
 			n++
 		}
 	}
 	return n
 }
 
-func kept(s []outcome) float64 {
+func successShare(s []outcome) float64 {
 	if len(s) == 0 {
 		return 1
 	}
-	return 1 - float64(fails(s))/float64(len(s))
+	return 1 - float64(failureCount(s))/float64(len(s))
 }
 
-func cv(x []float64) float64 {
+func variationCoefficient(x []float64) float64 {
 	m, sd := stat.MeanStdDev(x, nil)
 	return sd / max(m, 1e-9)
 }
@@ -59,9 +59,9 @@
 	return m - h, m + h
 }
 
-// slice cuts by count, or by the times at which by is cut, so that what befalls both arms falls out of the
+// timeSlices cuts by count, or by the times at which by is cut, so that what befalls both arms falls out of the
 // difference.
-func slice(s, by []outcome, cut, least int) (out [][]outcome, paired bool) {
+func timeSlices(s, by []outcome, cut, least int) (out [][]outcome, paired bool) {
 	if by == nil {
 		for k := 0; k < cut; k++ {
 			out = append(out, s[k*len(s)/cut:(k+1)*len(s)/cut])
@@ -80,7 +80,7 @@
 		}
 		out = append(out, s[from:to])
 		if to-from < least {
-			out, _ = slice(s, nil, cut, least)
+			out, _ = timeSlices(s, nil, cut, least)
 			return out, false
 		}
 		from = to
@@ -98,16 +98,16 @@
 	return d
 }
 
-// spread is how far machines of one build differ among themselves, beyond what chance makes of so few outcomes: a
+// backendVariation is how far machines of one build differ among themselves, beyond what chance makes of so few outcomes: a
 // negative control. A difference between builds that machines of one build show too is no word on the build.
-func spread(s []outcome, least int, fewest int, figure func(outcome) (float64, bool)) float64 {
+func backendVariation(s []outcome, least int, fewest int, figure func(outcome) (float64, bool)) float64 {
 	var by [][]float64
 	for _, o := range s {
-		for len(by) <= o.app {
+		for len(by) <= o.backend {
 			by = append(by, nil)
 		}
 		if v, ok := figure(o); ok {
-			by[o.app] = append(by[o.app], v)
+			by[o.backend] = append(by[o.backend], v)
 		}
 	}
 	var means []float64
@@ -125,10 +125,10 @@
 	return math.Sqrt(max(stat.Variance(means, nil)-chance/float64(len(means)), 0))
 }
 
-func machines(s []outcome) float64 {
+func backendCount(s []outcome) float64 {
 	seen := map[int]bool{}
 	for _, o := range s {
-		seen[o.app] = true
+		seen[o.backend] = true
 	}
 	return max(float64(len(seen)), 1)
 }
@@ -138,8 +138,8 @@
 	return stat.Quantile(q, stat.Empirical, x, nil)
 }
 
-// agree is gate two for latency: the distance between slices against that between halves of one.
-func agree(s [][]float64, farMore float64) bool {
+// slicesAgree is gate two for latency: the distance between slices against that between halves of one.
+func slicesAgree(s [][]float64, farMore float64) bool {
 	// Halves are taken from the order of time: from an order of size they would be alike by construction.
 	var between, within float64
 	n := 0.0
@@ -157,12 +157,14 @@
 	return between/n <= farMore*within
 }
 
-func (o outcome) latency() (float64, bool) { return o.lat, o.steady }
+func (o outcome) comparableLatency() (float64, bool) { return o.latency, o.comparable }
 
-func (o outcome) logged() (float64, bool) { return math.Log(max(o.lat, 1e-6)), o.steady }
+func (o outcome) comparableLogLatency() (float64, bool) {
+	return math.Log(max(o.latency, 1e-6)), o.comparable
+}
 
-func (o outcome) failed() (float64, bool) {
-	if o.bad {
+func (o outcome) failureIndicator() (float64, bool) {
+	if o.failed {
 		return 1, true
 	}
 	return 0, true
@@ -172,15 +174,15 @@
 func latencies(s []outcome) []float64 {
 	var out []float64
 	for _, o := range s {
-		if o.steady {
-			out = append(out, o.lat)
+		if o.comparable {
+			out = append(out, o.latency)
 		}
 	}
 	return out
 }
 
-// spot is a key's place in [0,1), another for each salt.
-func spot(key string, salt uint64) float64 {
+// keyPosition is a key's place in [0,1), another for each salt.
+func keyPosition(key string, salt uint64) float64 {
 	h := fnv.New64a()
 	h.Write([]byte(key))
 	x := (h.Sum64() ^ salt*0x9e3779b97f4a7c15) * 0xff51afd7ed558ccd
@@ -188,8 +190,8 @@
 	return float64((x^x>>29)>>11) / (1 << 53)
 }
 
-// above counts the values of x beyond so many times the median of y.
-func above(x, y []float64, times float64) (n float64) {
+// countAbove counts the values of x beyond so many times the median of y.
+func countAbove(x, y []float64, times float64) (n float64) {
 	if len(y) == 0 {
 		return 0
 	}
@@ -202,13 +204,13 @@
 	return n
 }
 
-// ratio is the lower end of an interval on how many times larger x is than y, by the mean of logarithms.
-func ratio(x, y []float64, least int, level float64) float64 {
+// latencyRatioLowerBound is the lower end of an interval on how many times larger x is than y, by the mean of logarithms.
+func latencyRatioLowerBound(x, y []float64, least int, level float64) float64 {
 	if len(x) < least || len(y) < least {
 		return 0
 	}
-	m, sx := stat.MeanStdDev(logs(x), nil)
-	n, sy := stat.MeanStdDev(logs(y), nil)
+	m, sx := stat.MeanStdDev(logarithms(x), nil)
+	n, sy := stat.MeanStdDev(logarithms(y), nil)
 	h := max(sx, sy) * math.Sqrt(1/float64(len(x))+1/float64(len(y)))
 	return math.Exp(m - n - h*distuv.StudentsT{Sigma: 1, Nu: float64(len(x) - 1)}.Quantile(level))
 }
@@ -221,7 +223,7 @@
 	return out
 }
 
-func minus(x, y []float64) []float64 {
+func differences(x, y []float64) []float64 {
 	out := make([]float64, len(x))
 	for k := range x {
 		out[k] = x[k] - y[k]
@@ -229,8 +231,8 @@
 	return out
 }
 
-// since leaves out what ended before the first of by.
-func since(s, by []outcome) []outcome {
+// outcomesSince leaves out what ended before the first of by.
+func outcomesSince(s, by []outcome) []outcome {
 	from := 0
 	for from < len(s) && len(by) > 0 && s[from].at < by[0].at {
 		from++
@@ -238,16 +240,16 @@
 	return s[from:]
 }
 
-// pooled joins products in order of time, by latency over each product's usual one.
-func pooled(products [][]outcome) []outcome {
+// poolClasses joins products in order of time, by latency over each product's usual one.
+func poolClasses(products [][]outcome) []outcome {
 	all := slices.Concat(products...)
 	slices.SortStableFunc(all, func(x, y outcome) int { return cmp.Compare(x.at, y.at) })
 	for k := range all {
-		all[k].lat = all[k].rel
+		all[k].latency = all[k].relativeLatency
 	}
 	return all
 }
 
-func logs(x []float64) []float64 {
+func logarithms(x []float64) []float64 {
 	return each(x, func(v float64) float64 { return math.Log(max(v, 1e-6)) })
 }
