--- a/policy/notes.go
+++ b/policy/gossip.go
@@ -4,7 +4,6 @@
 	"encoding/binary"
 	"hash/fnv"
 	"math"
-	"slices"
 )
 
 // Outcomes go to the judging agents as fixed records: appliance by hash, build, product, how it went, latency
@@ -56,45 +55,3 @@
 		}
 	}
 }
-
-// OnMessage takes another agent's outcomes; what names an unknown appliance or product is passed over.
-func (a *Instance) OnMessage(now float64, raw []byte) {
-	a.advanceClock(now)
-	for ; len(raw) >= summarySize; raw = raw[summarySize:] {
-		i, ok := a.indexOfHash[binary.LittleEndian.Uint32(raw)]
-		build, product := ReleaseID(binary.LittleEndian.Uint16(raw[4:])), int(raw[6])
-		lat := float64(math.Float32frombits(binary.LittleEndian.Uint32(raw[8:])))
-		if !ok || product >= len(a.classes) || !a.announced || !(lat >= 0 && lat < 1e9) {
-			continue
-		}
-		a.countArrival(now)
-		at := now - float64(binary.LittleEndian.Uint16(raw[12:]))
-		a.addEvidence(build, product, outcome{at: at, latency: lat, failed: raw[7]&1 != 0, connectionBroken: raw[7]&2 != 0, backend: i})
-	}
-	a.applyRules()
-}
-
-// addEvidence keeps evidence in order of time.
-func (a *Instance) addEvidence(build ReleaseID, product int, o outcome) {
-	u := &a.meanLatencyPerWork[product]
-	if *u == 0 {
-		*u = o.latency
-	}
-	*u += meanStep * (o.latency - *u)
-	o.relativeLatency = o.latency / max(*u, 1e-9)
-	o.comparable = !o.failed && a.isSteady(o.backend, o.relativeLatency)
-	if !a.releases.IsEvaluated(build) { // of a release whose news is to come, or one that has been taken off
-		return
-	}
-	arm := boolIndex(build >= a.newest)
-	e := a.evidence[arm][product]
-	k := len(e)
-	for k > 0 && e[k-1].at > o.at {
-		k--
-	}
-	e = slices.Insert(e, k, o)
-	if len(e) > 2*maxEvidence {
-		e = slices.Clone(e[len(e)-maxEvidence:])
-	}
-	a.evidence[arm][product] = e
-}
--- a/policy/releases.go
+++ b/policy/releases.go
@@ -161,3 +161,20 @@
 		}
 	}
 }
+
+func (a *Instance) exposureLane(product int) int {
+	if a.exposurePerClass {
+		return product
+	}
+	return 0
+}
+
+// decayPopularKeys forgets keys seen long ago: popularity is of late, and the record must not grow for ever.
+func (a *Instance) decayPopularKeys() {
+	for k, n := range a.popularKeys {
+		if a.popularKeys[k] = n / 2; n < 2 {
+			delete(a.popularKeys, k)
+		}
+	}
+	a.requestsTaken /= 2
+}
--- a/policy/stats.go
+++ b/policy/statistics.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"hash/fnv"
 	"math"
 	"slices"
 
@@ -181,15 +180,6 @@
 	return out
 }
 
-// keyPosition is a key's place in [0,1), another for each salt.
-func keyPosition(key string, salt uint64) float64 {
-	h := fnv.New64a()
-	h.Write([]byte(key))
-	x := (h.Sum64() ^ salt*0x9e3779b97f4a7c15) * 0xff51afd7ed558ccd
-	x = (x ^ x>>33) * 0xc4ceb9fe1a85ec53
-	return float64((x^x>>29)>>11) / (1 << 53)
-}
-
 // countAbove counts the values of x beyond so many times the median of y.
 func countAbove(x, y []float64, times float64) (n float64) {
 	if len(y) == 0 {
