--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -328,6 +328,7 @@
 }
 
 func (a *Instance) line() {
+	a.core.CheckClock() // once a second, as its comment asks
 	n := a.core.Counts()
 	opened, idle, unsent := a.upstream.Connections()
 	all, clients, resting := a.budget.Used()
--- a/internal/core/interceptor.go
+++ b/internal/core/interceptor.go
@@ -1,167 +1,134 @@
 package core
 
-// This file owns the points at which other parts of an agent join the path of a request, whichever front it came by: may it
-// enter, what will be answered, what was answered, it has gone. It must never know a part by name, call one under the
-// lock, or let one choose what the module chooses: a part may turn a request away before the module has it, and no later.
+// This file owns the points at which other parts of an instance follow a request, whichever front it came by: may it enter, what
+// will be answered, what was answered, the client has gone. It never knows an interceptor by name, never calls one under the lock,
+// and lets none choose what the decisions choose: one may turn a request away before the decisions have it, and not later.
 
 import (
 	"onyxgate/policy"
 )
 
-// Interceptor follows every request. Its methods are called from the requests' own goroutines, many at once.
+// responseMargin (ms) is how long before the client's deadline an interceptor has to let go of an answer, which still has to be
+// written.
+const responseMargin = 6.0
+
+// maxReserveDivisor bounds what an interceptor reserves to a quarter of the client's time: the request still has to run.
+const maxReserveDivisor = 4
+
+// Interceptor follows every request. Its methods are called from the goroutines of the requests' handlers, many at once, and never
+// under the lock of Core. For one request they come in the order Admit, BeforeResponse, AfterResponse, or Admit, Closed.
 type Interceptor interface {
-	// Admit is asked before the module has a request: what it keeps back (ms) of the client's time for its own work between the
-	// decision and the answer, and one word where the request is to be declined at once. It must not wait.
-	Admit(now float64) (reserve float64, why string)
-	// BeforeResponse comes before the answer's first byte and may hold it until `until` (ms, the clock of Core.Now) and no
-	// longer. What it returns is handed to Answered.
-	BeforeResponse(e Completion, until float64) any
-	// AfterResponse comes after the last byte, or once that can't be written any more: whole tells which.
-	AfterResponse(kept any, now float64, whole bool)
-	// Closed comes instead of both where nothing was answered: the client had left.
+	// Admit is asked before the decisions have a request. reserve (ms) is what it keeps of the client's time for its own work
+	// between the decision and the answer. rejectReason is empty, or one word where the request is to be rejected at once. Admit must
+	// not wait. Where Core.Accept returns nil, nothing follows.
+	Admit(now float64) (reserve float64, rejectReason string)
+	// BeforeResponse comes before the first byte of an answer, also of a request that was rejected at once. It may hold the answer
+	// until `until` (ms, as Core.Now) and no longer. What it returns is handed to AfterResponse.
+	BeforeResponse(completion Completion, until float64) (state any)
+	// AfterResponse comes after the last byte of an answer (complete), or once it can't be written any more.
+	AfterResponse(state any, now float64, complete bool)
+	// Closed comes in place of the two above where nothing is answered, for the client has gone.
 	Closed(now float64)
 }
 
-// Completion is what a request's end is made of. Times are ms, Unix time at the start and even from there.
+// Completion is how a request ends, as the interceptors see it. Times are ms, as Core.Now.
 type Completion struct {
 	RequestID, IdempotencyKey string
 	Class                     int
-	Kind                      ActionKind // Settle, Decline or Void
-	Reason                    string     // one word
-	Backend                   string     // that answered, or empty
-	Release                   policy.ReleaseID
+	Kind                      ActionKind       // ActionServe, ActionReject or ActionFail
+	Reason                    string           // one word, which may be stored
+	Backend                   string           // that answered, or empty
+	Release                   policy.ReleaseID // of Backend
 	Attempts                  int
 	ArrivedAt, Now            float64
-	Body                      []byte // as the client gets it; nil unless settled
+	Body                      []byte // as the client gets it; nil unless served. It must not be changed.
 }
 
-// responseMargin (ms): a part may hold an answer to so long before the client's time is up, for the answer still has to be
-// written.
-const responseMargin = 6.0
-
-// AddInterceptor adds a part; before the first request only.
-func (c *Core) AddInterceptor(p Interceptor) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.interceptors = append(c.interceptors, p)
+// interception is what a request keeps of its interceptors. It belongs to the handler's goroutine.
+type interception struct {
+	states       []any   // what BeforeResponse of each returned; nil before, and after AfterResponse
+	reservedTime float64 // ms of the client's time
+	notified     bool    // BeforeResponse or Closed was called
 }
 
-// noteReleases notes which build each appliance runs.
-func (c *Core) noteReleases(update policy.EndpointUpdate) {
+// AddInterceptor adds an interceptor. It is called before the first request only.
+func (c *Core) AddInterceptor(interceptor Interceptor) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if update.Snapshot {
-		clear(c.releases)
-	}
-	for _, e := range update.Endpoints {
-		if e.State == policy.EndpointRemoved {
-			delete(c.releases, e.ID)
-		} else {
-			c.releases[e.ID] = e.Release
-		}
-	}
+	c.interceptors = append(c.interceptors, interceptor)
 }
 
-// Intercepted tells that parts follow the request, so that the end of its answer is of interest.
-func (t *Request) Intercepted() bool { return t != nil && len(t.core.interceptors) > 0 }
+// Intercepted tells that interceptors follow the request, so that its handler must see whether the answer's last byte went out. It
+// is false for a nil request.
+func (r *Request) Intercepted() bool { return r != nil && len(r.core.interceptors) > 0 }
 
-// admit asks the parts whether the request may enter; else it returns why not.
-func (t *Request) admit(left float64) (why string) {
-	for _, p := range t.core.interceptors {
-		reserve, why := p.Admit(t.core.Now())
-		if why != "" {
-			return why
+// admit asks the interceptors whether the request, which has timeLeft (ms), may enter. It returns why not, or an empty string.
+func (r *Request) admit(timeLeft float64) (rejectReason string) {
+	for _, interceptor := range r.core.interceptors {
+		reserve, rejectReason := interceptor.Admit(r.core.Now())
+		if rejectReason != "" {
+			return rejectReason
 		}
-		// Of a short time no more than a quarter: the request still has to run.
-		reserve = min(reserve, left/4)
-		t.Deadline -= reserve
-		t.reservedTime += reserve
+		reserve = min(reserve, timeLeft/maxReserveDivisor)
+		r.Deadline -= reserve
+		r.interception.reservedTime += reserve
 	}
 	return ""
 }
 
-// rejectUnadmitted declines a request that never reaches the module; it is answered like any other.
-func (t *Request) rejectUnadmitted(why string) {
-	t.core.mu.Lock()
-	defer t.core.mu.Unlock()
-	t.core.counts.Accepted++
-	t.finish(Action{Kind: ActionReject, Reason: why}, &t.core.counts.Rejected)
-}
-
-// reasonWords are the reasons that attempts' ends give.
-var reasonWords = [...]string{policy.StatusServed: "answered", policy.StatusErrored: "errored", policy.StatusRejected: "rejected",
-	policy.StatusTimedOut: "timeout", policy.StatusConnectFailed: "unconnected", policy.StatusReset: "broken", policy.StatusCanceled: "revoked",
-	policy.StatusNotSent: "unsent"}
-
-// reason is one word for why a request ended as it did; under the lock.
-func (t *Request) reason(a Action) string {
-	switch {
-	case a.Reason != "":
-		return a.Reason
-	case a.Kind == ActionServe:
-		return reasonWords[policy.StatusServed]
-	case len(t.attempts) == 0:
-		return "none" // nothing was tried
-	case t.openAttempts > 0 || t.lastStatus == 0:
-		return "late" // nothing had come back yet
-	}
-	return reasonWords[t.lastStatus]
-}
-
-// beforeResponse tells the parts what will be answered, or that nothing will.
-func (t *Request) beforeResponse(a *Action) {
-	if len(t.core.interceptors) == 0 || a.Kind == ActionSendAttempt {
+// beforeResponse tells the interceptors what will be answered, or that nothing will be.
+func (r *Request) beforeResponse(action Action) {
+	if len(r.core.interceptors) == 0 || action.Kind == ActionSendAttempt {
 		return
 	}
-	if a.Kind == ActionAbandon {
-		t.closeInterceptors()
+	if action.Kind == ActionAbandon {
+		r.closeInterceptors()
 		return
 	}
-	t.interceptorsNotified = true
-	e := Completion{RequestID: t.ID, IdempotencyKey: t.IdempotencyKey, Class: t.Class, Kind: a.Kind, Reason: a.Reason, ArrivedAt: t.ArrivedAt, Now: t.core.Now()}
-	t.core.mu.Lock()
-	e.Attempts = len(t.attempts)
-	if t.servedBy != nil && a.Kind == ActionServe {
-		e.Backend, e.Release = t.servedBy.Backend, t.servedBy.Release
-	}
-	t.core.mu.Unlock()
-	if bytes, ok := a.Answer.(interface{ Bytes() []byte }); ok && a.Kind == ActionServe {
-		e.Body = bytes.Bytes()
-	}
-	t.interceptorState = make([]any, len(t.core.interceptors))
-	for i, p := range t.core.interceptors {
-		t.interceptorState[i] = p.BeforeResponse(e, t.Deadline+t.reservedTime-responseMargin)
+	r.interception.notified = true
+	completion, until := r.completion(action)
+	r.interception.states = make([]any, len(r.core.interceptors))
+	for i, interceptor := range r.core.interceptors {
+		r.interception.states[i] = interceptor.BeforeResponse(completion, until)
 	}
 }
 
-// Fail voids a request whose handler has failed before it answered.
-func (t *Request) Fail() {
-	a := Action{Kind: ActionFail, Reason: "failed"}
-	t.core.mu.Lock()
-	if !t.ended {
-		t.finish(a, &t.core.counts.Failed)
+// completion describes the end of a request by its final action, and until when (ms) its interceptors may hold the answer.
+func (r *Request) completion(action Action) (completion Completion, until float64) {
+	completion = Completion{
+		RequestID: r.ID, IdempotencyKey: r.IdempotencyKey, Class: r.Class, Kind: action.Kind, Reason: action.Reason,
+		ArrivedAt: r.ArrivedAt, Now: r.core.Now(),
+	}
+	if action.Kind == ActionServe && action.Answer != nil {
+		completion.Body = action.Answer.Bytes()
 	}
-	t.core.mu.Unlock()
-	if !t.interceptorsNotified {
-		t.beforeResponse(&a)
+	r.core.mu.Lock()
+	defer r.core.mu.Unlock()
+	completion.Attempts = len(r.attempts)
+	if action.Kind == ActionServe && r.servedBy != nil {
+		completion.Backend, completion.Release = r.servedBy.Backend, r.servedBy.Release
 	}
+	return completion, r.Deadline + r.interception.reservedTime - responseMargin
 }
 
-// ResponseWritten tells that the answer's last byte was written, or that it can't be.
-func (t *Request) ResponseWritten(whole bool) {
-	if len(t.interceptorState) == 0 {
+// ResponseWritten tells the interceptors that the answer's last byte was written (complete), or that it can't be. The handler calls
+// it once, after it has written the last action that NextAction returned, or after Fail, and before Close. Where no answer was
+// announced to the interceptors it does nothing.
+func (r *Request) ResponseWritten(complete bool) {
+	if len(r.interception.states) == 0 {
 		return
 	}
-	now := t.core.Now()
-	for i, p := range t.core.interceptors {
-		p.AfterResponse(t.interceptorState[i], now, whole)
+	now := r.core.Now()
+	for i, interceptor := range r.core.interceptors {
+		interceptor.AfterResponse(r.interception.states[i], now, complete)
 	}
-	t.interceptorState = nil
+	r.interception.states = nil
 }
 
-func (t *Request) closeInterceptors() {
-	t.interceptorsNotified = true
-	for _, p := range t.core.interceptors {
-		p.Closed(t.core.Now())
+// closeInterceptors tells the interceptors that nothing is answered.
+func (r *Request) closeInterceptors() {
+	r.interception.notified = true
+	for _, interceptor := range r.core.interceptors {
+		interceptor.Closed(r.core.Now())
 	}
 }
--- a/internal/core/watchdog_test.go
+++ b/internal/core/watchdog_test.go
@@ -11,25 +11,24 @@
 	"onyxgate/policy"
 )
 
-// A module that fails costs its request an early answer, never the answer.
+// Decisions that fail cost their request an early answer, never the answer.
 func TestWatchdog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		core, _ := hosted(policy.RequestClass{}, 1)
-		from, was := time.Now(), invariant.Violations()
-		x := core.Accept(Arrival{ID: "t", Class: 9, ArrivedAt: core.Now(), TimeLeft: 300}) // a product that the module does not have
-		if a := x.NextAction(); a.Kind != ActionFail {
-			t.Errorf("got %v", a.Kind)
+		core, _ := hosted(t, policy.RequestClass{}, 1)
+		arrived, violations := time.Now(), invariant.Violations()
+		failed := core.Accept(Arrival{ID: "t", Class: 9, ArrivedAt: core.Now(), TimeLeft: 300}) // a class that the decisions do not have
+		if action := failed.NextAction(); action.Kind != ActionFail {
+			t.Errorf("got %v", action.Kind)
 		}
-		if took := time.Since(from); took > 320*time.Millisecond || invariant.Violations() <= was {
-			t.Errorf("after %v, %d breaches", took, invariant.Violations()-was)
+		if took := time.Since(arrived); took > 320*time.Millisecond || invariant.Violations() <= violations {
+			t.Errorf("after %v, %d violations", took, invariant.Violations()-violations)
 		}
-		x.Close()
-		y := core.Accept(Arrival{ID: "u", ArrivedAt: core.Now(), TimeLeft: 300})
-		y.NextAction().Attempt.Finish(policy.StatusServed, nil, policy.LoadReport{})
-		if a := y.NextAction(); a.Kind != ActionServe {
-			t.Errorf("the next request got %v", a.Kind)
+		failed.Close()
+		next := accept(core, "u", 300)
+		next.NextAction().Attempt.Finish(policy.StatusServed, nil, policy.LoadReport{})
+		if action := next.NextAction(); action.Kind != ActionServe {
+			t.Errorf("the next request got %v", action.Kind)
 		}
-		y.Close()
-		core.wakeTimer.Stop()
+		next.Close()
 	})
 }
