--- a/internal/invariant/debug.go
+++ b/internal/invariant/debug.go
@@ -2,4 +2,5 @@
 
 package invariant
 
-func stop(what string) { panic("must hold: " + what) }
+// stop ends a debug build at the first violation.
+func stop(name string) { panic("invariant violated: " + name) }
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,5 +1,6 @@
-// Package invariant says what has to hold whatever the network does. A debug build stops at the first breach, so that
-// tests and staging show where; a release build counts and logs it and serves on. It must never decide anything.
+// Package invariant checks what has to hold whatever the network does. A process built with the debug tag panics at the first
+// violation, so that tests and staging show where it is; any other counts and logs it and goes on. The package never decides
+// anything.
 package invariant
 
 import (
@@ -8,17 +9,18 @@
 	"github.com/sirupsen/logrus"
 )
 
-var broken atomic.Int64
+var violations atomic.Int64
 
-// Check states a condition; what is said is logged where it does not hold.
-func Check(ok bool, what string, detail ...any) bool {
+// Check returns ok. Where ok is false it counts a violation of the named invariant and logs it with the detail, and a debug build
+// panics. It may be called from any goroutine and under any lock.
+func Check(ok bool, name string, detail ...any) bool {
 	if !ok {
-		broken.Add(1)
-		logrus.WithField("detail", detail).Error("must hold: " + what)
-		stop(what)
+		violations.Add(1)
+		logrus.WithFields(logrus.Fields{"invariant": name, "detail": detail}).Error("invariant violated")
+		stop(name)
 	}
 	return ok
 }
 
-// Violations counts what did not hold since the start.
-func Violations() int64 { return broken.Load() }
+// Violations counts the violations since the start of the process.
+func Violations() int64 { return violations.Load() }
--- a/internal/invariant/release.go
+++ b/internal/invariant/release.go
@@ -2,4 +2,5 @@
 
 package invariant
 
+// stop does nothing: in production a request must not end for a violation.
 func stop(string) {}
--- a/internal/simadapter/fleet_test.go
+++ b/internal/simadapter/fleet_test.go
@@ -130,8 +130,10 @@
 }
 
 func newFleet(s scenario) *fleet {
-	f := &fleet{scenario: s, rng: rand.New(rand.NewPCG(s.seed, 1)), now: 1000 * second, byID: map[string]*fleetBackend{}, surge: 1,
-		shared: 1, release: 1, phase: 2, places: s.backends}
+	f := &fleet{
+		scenario: s, rng: rand.New(rand.NewPCG(s.seed, 1)), now: 1000 * second, byID: map[string]*fleetBackend{}, surge: 1,
+		shared: 1, release: 1, phase: 2, places: s.backends,
+	}
 	family := s.settings["family-info"].(map[string]any)
 	f.caps, f.rings = family["most-shares"].([]float64), family["rings"].([]float64)
 	f.stage = len(f.rings) - 1
@@ -176,8 +178,10 @@
 
 func (f *fleet) addBackend(release, zone int, boot int64) *fleetBackend {
 	f.ids++
-	b := &fleetBackend{id: fmt.Sprintf("10.0.%d.%d:80", f.ids/250, f.ids%250), release: release, condition: "on",
-		rating: []float64{1, 1, 1.5}[f.rng.IntN(3)], boot: boot, zone: zone, kind: f.rng.IntN(2), cell: f.ids % 3, slow: 1}
+	b := &fleetBackend{
+		id: fmt.Sprintf("10.0.%d.%d:80", f.ids/250, f.ids%250), release: release, condition: "on",
+		rating: []float64{1, 1, 1.5}[f.rng.IntN(3)], boot: boot, zone: zone, kind: f.rng.IntN(2), cell: f.ids % 3, slow: 1,
+	}
 	if release == f.release {
 		b.defectSlow, b.defectError = f.defectSlow, f.defectError
 	}
@@ -191,8 +195,10 @@
 	if b.boot > 0 {
 		boot = b.boot
 	}
-	return map[string]any{"ver": b.release, "condition": b.condition, "rating": b.rating, "boot-time-us": boot, "site": b.zone,
-		"appliance": b.id, "machine": b.kind, "stripe": b.cell}
+	return map[string]any{
+		"ver": b.release, "condition": b.condition, "rating": b.rating, "boot-time-us": boot, "site": b.zone,
+		"appliance": b.id, "machine": b.kind, "stripe": b.cell,
+	}
 }
 
 func (f *fleet) changed(form string, to int, backends ...*fleetBackend) {
@@ -257,8 +263,10 @@
 	case 1, 3:
 		ceiling = 0
 	}
-	f.tell(to, "promotion", map[string]any{"ver": f.release, "wave": f.stage, "standing": f.phase, "how": how, "status": status,
-		"ceiling": ceiling, "old-us": f.now - f.stageSince})
+	f.tell(to, "promotion", map[string]any{
+		"ver": f.release, "wave": f.stage, "standing": f.phase, "how": how, "status": status,
+		"ceiling": ceiling, "old-us": f.now - f.stageSince,
+	})
 }
 
 func (f *fleet) newsToAll() {
@@ -395,8 +403,10 @@
 	budget := []int64{4000, 2500, 1200}[min(try, 3)-1] * millisecond
 	r := &fleetRequest{id: fmt.Sprint("t/", f.ids), instance: k, life: in.seed, class: class, key: key, deadline: f.now + budget, tries: try}
 	in.requests[r.id] = r
-	fields := map[string]any{"request-id": r.id, "affinity": nil, "kind": class, "time-budget-us": budget, "is-retry": try > 1,
-		"owner": nil, "hint-us": nil}
+	fields := map[string]any{
+		"request-id": r.id, "affinity": nil, "kind": class, "time-budget-us": budget, "is-retry": try > 1,
+		"owner": nil, "hint-us": nil,
+	}
 	if key != "" {
 		fields["affinity"] = key
 	}
@@ -455,8 +465,10 @@
 	a.out = false
 	served := how == 1 && !r.closed
 	r.closed = r.closed || served
-	f.tell(r.instance, "done", map[string]any{"request-id": r.id, "appliance": a.backend, "how": how, "copy": n, "final": r.closed,
-		"took-us": f.now - a.sent, "feedback": f.report(f.byID[a.backend])})
+	f.tell(r.instance, "done", map[string]any{
+		"request-id": r.id, "appliance": a.backend, "how": how, "copy": n, "final": r.closed,
+		"took-us": f.now - a.sent, "feedback": f.report(f.byID[a.backend]),
+	})
 	if served && f.rng.IntN(150) == 0 {
 		f.after(second, func() {
 			f.tell(r.instance, "reported-wrong", map[string]any{"appliance": a.backend, "kind": r.class, "old-us": f.now - a.sent})
--- a/internal/simadapter/simadapter_test.go
+++ b/internal/simadapter/simadapter_test.go
@@ -2,8 +2,12 @@
 
 import (
 	"bytes"
+	"errors"
+	"io"
 	"strings"
 	"testing"
+
+	"onyxgate/policy"
 )
 
 const hello = `{"now-us":1000,"agents":[{"who":"agent_0","happened":[` +
@@ -13,37 +17,118 @@
 
 const knock = `{"now-us":2000,"agents":[{"who":"agent_0","happened":[{"knock":{"request-id":"t/a","affinity":null,"kind":0,"time-budget-us":4000000,"extra":{}}}]}]}` + "\n"
 
+// happened is a batch with these events of the instance that hello starts.
+func happened(events string) string {
+	return `{"now-us":3000,"agents":[{"who":"agent_0","happened":[` + events + `]}]}` + "\n"
+}
+
+// A batch is answered, and what can't be is named.
 func TestServe(t *testing.T) {
 	for _, c := range []struct{ name, in, out, err string }{
 		{"empty batch", `{"now-us":1,"agents":[]}` + "\n", `{"agents":[]}`, ""},
-		{"a txn is placed", hello + knock, `{"place":{"request-id":"t/a","appliance":"h:1"`, ""},
-		{"large labels are read", hello + `{"now-us":3000,"agents":[{"who":"agent_0","happened":[{"wakeup":{"label":9223372036854775808}}]}]}` + "\n", "", ""},
-		{"an ended id is passed over", hello + `{"now-us":3000,"agents":[{"who":"agent_0","happened":[{"hangup":{"request-id":"t/z"}}]}]}` + "\n", "", ""},
+		{"a request is placed", hello + knock, `{"place":{"request-id":"t/a","appliance":"h:1"`, ""},
+		{"large labels are read", hello + happened(`{"wakeup":{"label":9223372036854775808}}`), "", ""},
+		{"an ended ID is ignored", hello + happened(`{"hangup":{"request-id":"t/z"}}`), "", ""},
 		{"not JSON", "{\"now-us\":\n", "", "not a JSON value"},
 		{"no clock", `{"agents":[]}` + "\n", "", "without now-us"},
 		{"never started", knock, "", "never started"},
-		{"unknown event", hello + `{"now-us":3000,"agents":[{"who":"agent_0","happened":[{"storm":{}}]}]}` + "\n", "", "unknown event"},
-		{"a killed instance", hello + `{"now-us":3000,"agents":[{"who":"agent_0","happened":[{"killed":{}},{"wakeup":{"label":1}}]}]}` + "\n", "", "never started"},
+		{"unknown event", hello + happened(`{"storm":{}}`), "", "unknown event"},
+		{"a killed instance", hello + happened(`{"killed":{}},{"wakeup":{"label":1}}`), "", "never started"},
 		{"a panic is told", hello + strings.Replace(knock, `"kind":0`, `"kind":7`, 1), `{"panic":{"line":"runtime error`, ""},
 	} {
-		var out bytes.Buffer
-		err := Serve(strings.NewReader(c.in), &out)
-		if (err == nil) != (c.err == "") || err != nil && !strings.Contains(err.Error(), c.err) {
-			t.Errorf("%s: error %v, want %q", c.name, err, c.err)
-		}
-		if !strings.Contains(out.String(), c.out) {
-			t.Errorf("%s: wrote %s, want %s", c.name, out.String(), c.out)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			var out bytes.Buffer
+			err := Serve(strings.NewReader(c.in), &out)
+			if (err == nil) != (c.err == "") || err != nil && !strings.Contains(err.Error(), c.err) {
+				t.Errorf("error %v, want %q", err, c.err)
+			}
+			if !strings.Contains(out.String(), c.out) {
+				t.Errorf("wrote %s, want %s", out.String(), c.out)
+			}
+		})
+	}
+}
+
+// An error says in full where and what, and a caller can tell its kind.
+func TestServeErrors(t *testing.T) {
+	for _, c := range []struct {
+		name, in, text string
+		kind           error // for errors.Is, or nil where it is a ValueError
+		value          ValueError
+	}{
+		{"not JSON", "{\n", "line 1: not a JSON value", ErrNotJSON, ValueError{}},
+		{"no instances", `{"now-us":1}` + "\n", "line 1: a batch without now-us or agents", ErrIncompleteBatch, ValueError{}},
+		{"not started", knock, "line 1: agent_0, knock: an event for an instance that was never started", ErrNotStarted, ValueError{}},
+		{"unknown event", hello + happened(`{"storm":{}}`), "line 2: agent_0, storm: unknown event", ErrUnknownEvent, ValueError{}},
+		{"unknown event, not started", happened(`{"storm":{}}`), "line 1: agent_0, storm: an event for an instance that was never started", ErrNotStarted, ValueError{}},
+		{"outcome", hello + happened(`{"done":{"how":9}}`), "line 2: agent_0, done: outcome 9", nil, ValueError{"outcome", "9"}},
+		{"no outcome", hello + happened(`{"done":{}}`), "line 2: agent_0, done: outcome 0", nil, ValueError{"outcome", "0"}},
+		{"phase", hello + happened(`{"promotion":{"standing":4}}`), "line 2: agent_0, promotion: standing 4", nil, ValueError{"standing", "4"}},
+		{"pool's slot", hello + happened(`{"pool":{"slot":16}}`), "line 2: agent_0, pool: slot 16", nil, ValueError{"slot", "16"}},
+		{
+			"list's slot", hello + happened(`{"backends-changed":{"form":"D","slot":-1}}`),
+			`line 2: agent_0, backends-changed: list form "D", slot -1`, nil,
+			ValueError{"list form", `"D", slot -1`},
+		},
+		{
+			"list's form", hello + happened(`{"backends-changed":{"form":"Z","slot":3}}`),
+			`line 2: agent_0, backends-changed: list form "Z", slot 3`, nil,
+			ValueError{"list form", `"Z", slot 3`},
+		},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			err := Serve(strings.NewReader(c.in), io.Discard)
+			if err == nil || err.Error() != c.text {
+				t.Fatalf("error %v, want %q", err, c.text)
+			}
+			var value *ValueError
+			if c.kind != nil && !errors.Is(err, c.kind) {
+				t.Errorf("%v is no %v", err, c.kind)
+			}
+			if c.kind == nil && (!errors.As(err, &value) || *value != c.value) {
+				t.Errorf("value %+v, want %+v", value, c.value)
+			}
+		})
+	}
+}
+
+// Each effect of the decisions has its own text on the wire.
+func TestActions(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		effect func(policy.Port)
+		want   string
+	}{
+		{"attempt", func(p policy.Port) { p.SendAttempt("t/\"", "h:1", 1.2346) }, `{"place":{"request-id":"t/\"","appliance":"h:1","limit-us":1235}}`},
+		{"reject", func(p policy.Port) { p.Reject("t", 2) }, `{"deny":{"request-id":"t","wait-us":2000}}`},
+		{"fail", func(p policy.Port) { p.Fail("t") }, `{"surrender":{"request-id":"t"}}`},
+		{"cancel", func(p policy.Port) { p.CancelAttempt("t", 1) }, `{"revoke":{"request-id":"t","copy":1}}`},
+		{"promote", func(p policy.Port) { p.SendVote(7, policy.Promote, 2) }, `{"say-so":{"ver":7,"how":1,"wave":2}}`},
+		{"hold", func(p policy.Port) { p.SendVote(7, policy.Hold, 2) }, `{"say-so":{"ver":7,"how":2,"wave":2}}`},
+		{"rollback", func(p policy.Port) { p.SendVote(7, policy.Rollback, 2) }, `{"say-so":{"ver":7,"how":3,"wave":2}}`},
+		{"probe", func(p policy.Port) { p.SendProbe("h:1") }, `{"probe":{"appliance":"h:1"}}`},
+		{"message", func(p policy.Port) { p.SendMessage(3, []byte{0xff, 0}) }, `{"signal":{"recipient":3,"raw":"/wA="}}`},
+		{"timer", func(p policy.Port) { p.SetTimer(0.5, 1<<63) }, `{"notify-me":{"after-us":500,"label":9223372036854775808}}`},
+		{"stream", func(p policy.Port) { p.WatchEndpoints() }, `{"stream-changes":{"active":true}}`},
+		{"list", func(p policy.Port) { p.FetchEndpoints() }, `{"read-list":{}}`},
+		{"log", func(p policy.Port) { p.Log("x") }, `{"log":{"line":"x"}}`},
+		{"two", func(p policy.Port) { p.Fail("a"); p.Fail("b") }, `{"surrender":{"request-id":"a"}},{"surrender":{"request-id":"b"}}`},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			in := &instance{}
+			c.effect(in)
+			if got := string(in.actions); got != c.want {
+				t.Errorf("wrote %s, want %s", got, c.want)
+			}
+		})
 	}
 }
 
 // Instances share nothing: two with the same events act alike, whatever else the process hosts.
 func TestApart(t *testing.T) {
-	two := func(s string) string {
-		i := strings.Index(s, `{"who"`)
-		j := strings.LastIndex(s, "]}")
-		g := s[i:j]
-		return s[:j] + "," + strings.Replace(g, "agent_0", "agent_1", 1) + s[j:]
+	two := func(batch string) string {
+		from, to := strings.Index(batch, `{"who"`), strings.LastIndex(batch, "]}")
+		return batch[:to] + "," + strings.Replace(batch[from:to], "agent_0", "agent_1", 1) + batch[to:]
 	}
 	var one, both bytes.Buffer
 	if err := Serve(strings.NewReader(hello+knock), &one); err != nil {
@@ -52,8 +137,8 @@
 	if err := Serve(strings.NewReader(two(hello)+two(knock)), &both); err != nil {
 		t.Fatal(err)
 	}
-	last := func(b bytes.Buffer) string {
-		lines := strings.Split(strings.TrimSpace(b.String()), "\n")
+	last := func(out bytes.Buffer) string {
+		lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 		return strings.TrimSuffix(lines[len(lines)-1], "]}")
 	}
 	if want := last(one) + "," + strings.Replace(strings.TrimPrefix(last(one), `{"agents":[`), "agent_0", "agent_1", 1); last(both) != want {
