--- /dev/null
+++ b/internal/simadapter/fleet_actions_test.go
@@ -0,0 +1,82 @@
+package simadapter
+
+import "github.com/tidwall/gjson"
+
+// This file carries out the actions of the instances.
+
+// perform carries out one action of an instance.
+func (f *fleet) perform(k int, name string, fields gjson.Result) {
+	request := f.instances[k].requests[fields.Get("request-id").Str]
+	number := func(field string) int { return int(fields.Get(field).Int()) }
+	switch name {
+	case "place":
+		f.startAttempt(request, fields.Get("appliance").Str)
+	case "deny", "surrender":
+		if request != nil && !request.closed {
+			request.closed = true
+			f.retry(request, name == "deny")
+		}
+	case "revoke":
+		attempt := number("copy")
+		f.after(200, func() { f.finishAttempt(request, attempt, outcomeCanceled) })
+	case "probe":
+		f.startProbe(k, fields.Get("appliance").Str)
+	case "signal":
+		f.sendMessage(k, number("recipient"), fields.Get("raw").Str)
+	case "notify-me":
+		f.setTimer(k, number("label"), fields.Get("after-us").Int())
+	case "stream-changes", "read-list":
+		f.askDiscovery(k)
+	case "say-so":
+		f.receiveVote(k, number("ver"), number("how"), number("wave"))
+	}
+}
+
+// sendMessage brings a message to another instance, if that one is played here.
+func (f *fleet) sendMessage(from, to int, raw string) {
+	f.after(f.randomTime(2*millisecond), func() {
+		if to < len(f.instances) {
+			f.send(to, "mail", map[string]any{"sender": from, "raw": raw})
+		}
+	})
+}
+
+// setTimer wakes an instance up, if it has not been killed by then.
+func (f *fleet) setTimer(k, label int, delay int64) {
+	in := f.instances[k]
+	seed := in.seed
+	f.after(delay, func() {
+		if in.seed == seed {
+			f.send(k, "wakeup", map[string]any{"label": label})
+		}
+	})
+}
+
+// askDiscovery brings the whole list, or that it can't be had: one answer in six fails.
+func (f *fleet) askDiscovery(k int) {
+	f.after(f.randomTime(10*millisecond), func() {
+		if f.discovery.down || f.rng.IntN(6) == 0 {
+			f.sendEndpointsFailed(k)
+			return
+		}
+		f.instances[k].subscribed = true
+		f.sendEndpoints(listSnapshot, k, f.listedBackends()...)
+	})
+}
+
+// startProbe asks a backend for its load.
+func (f *fleet) startProbe(k int, backend string) {
+	b, sentAt := f.byID[backend], f.now
+	outcome, took := outcomeServed, 2*millisecond+f.randomTime(3*millisecond*b.slowdown)
+	switch {
+	case b.unreachable:
+		outcome, took = outcomeConnectFailed, connectTimeout
+	case b.hanging || f.rng.IntN(50) == 0:
+		outcome, took = outcomeTimedOut, 600*millisecond
+	}
+	f.after(took, func() {
+		f.send(k, "checked", map[string]any{
+			"appliance": backend, "how": outcome, "took-us": f.now - sentAt, "feedback": f.loadReport(b),
+		})
+	})
+}
--- /dev/null
+++ b/internal/simadapter/fleet_faults_test.go
@@ -0,0 +1,103 @@
+package simadapter
+
+import "maps"
+
+// This file holds what befalls the fleet: faults, starts of instances, and what the platform tells every so often.
+
+// injectFault has one fault begin, which heals by itself, and schedules the next one.
+func (f *fleet) injectFault() {
+	f.after(f.randomTime(f.faultEvery*second), f.injectFault)
+	b := f.backends[f.rng.IntN(len(f.backends))]
+	length := second + f.randomTime(4*second)
+	switch f.rng.IntN(9) {
+	case 0:
+		b.slowdown = 6
+		f.after(length, func() { b.slowdown = 1 })
+	case 1:
+		b.errors = 0.5
+		f.after(length, func() { b.errors = 0 })
+	case 2:
+		b.hanging = true
+		f.after(length, func() { b.hanging = false })
+	case 3:
+		f.restartBackend(b, length)
+	case 4:
+		f.arrivalFactor = 3
+		f.after(length, func() { f.arrivalFactor = 1 })
+	case 5:
+		f.stopDiscovery(length)
+	case 6:
+		f.cutZone(length)
+	case 7:
+		f.killInstance()
+	case 8: // all stand still: timers come late
+		f.now += 300 * millisecond
+	}
+}
+
+// restartBackend has a backend die and come back cold, unless it was to go meanwhile.
+func (f *fleet) restartBackend(b *fleetBackend, length int64) {
+	b.unreachable = true
+	f.after(length, func() {
+		b.unreachable, b.startedAt = b.condition == conditionRemoved, f.now
+		f.announce(b)
+	})
+}
+
+func (f *fleet) stopDiscovery(length int64) {
+	f.discovery.down = true
+	f.after(length, func() {
+		f.discovery.down = false
+		for k := range f.instances {
+			f.sendEndpoints(listSnapshot, k, f.listedBackends()...)
+		}
+	})
+	for k, in := range f.instances {
+		if in.subscribed {
+			in.subscribed = !f.onSubscription()
+			f.sendEndpointsFailed(k)
+		}
+	}
+}
+
+// cutZone cuts off a zone, where there is more than one.
+func (f *fleet) cutZone(length int64) {
+	zone := f.randomZone()
+	for _, b := range f.backends {
+		if b.zone == zone && f.zones > 1 {
+			b.unreachable = true
+			f.after(length/2, func() { b.unreachable = b.condition == conditionRemoved })
+		}
+	}
+}
+
+// killInstance kills an instance, which starts anew at once.
+func (f *fleet) killInstance() {
+	k := f.rng.IntN(len(f.instances))
+	f.instances[k].pending = nil
+	f.send(k, "killed", map[string]any{})
+	f.instances[k].live = false
+	f.startInstance(k)
+}
+
+func (f *fleet) startInstance(k int) {
+	in := f.instances[k]
+	in.live, in.requests, in.subscribed, in.vote = true, map[string]*fleetRequest{}, !f.onSubscription(), voteNone
+	settings := map[string]any{"me": k, "zone": k % max(f.zones, 1)}
+	maps.Copy(settings, f.settings)
+	f.send(k, "init", map[string]any{"prng": in.seed, "profile-data": settings})
+	in.seed++
+	f.sendEndpoints(listCached, k, f.listedBackends()...)
+	f.after(50*millisecond, func() { f.sendRelease(k, 0, voteCounted) })
+}
+
+// periodicUpdates has the platform tell of the newest release and of its counts.
+func (f *fleet) periodicUpdates() {
+	f.after(4*second, f.periodicUpdates)
+	f.sendReleaseToAll()
+	for k := range f.instances {
+		f.send(k, "counts-by-build", map[string]any{
+			"ver": f.rollout.release, "kind": 0, "many": 100, "bad": 3, "took-us": 21500, "old-us": 1250000,
+		})
+	}
+}
--- /dev/null
+++ b/internal/simadapter/fleet_requests_test.go
@@ -0,0 +1,156 @@
+package simadapter
+
+import "fmt"
+
+// This file holds the fleet's clients: requests, their attempts and their retries.
+
+// Outcomes of an attempt or a probe on the wire.
+const (
+	outcomeServed = iota + 1
+	outcomeErrored
+	outcomeRejected
+	outcomeTimedOut
+	outcomeConnectFailed
+	outcomeReset
+	outcomeCanceled
+	outcomeNotSent
+)
+
+const maxTries = 3 // of a client
+
+// patience is how long (us) a client waits at its first, second and third try.
+var patience = [maxTries]int64{4000 * millisecond, 2500 * millisecond, 1200 * millisecond}
+
+type fleetAttempt struct {
+	backend string
+	sentAt  int64
+	open    bool
+}
+
+type fleetRequest struct {
+	id       string
+	instance int
+	seed     uint64 // of the instance's life in which it came
+	class    int
+	key      string
+	closed   bool // answered, or the client has gone
+	attempts []*fleetAttempt
+	try      int // of the client, from 1
+}
+
+// nextArrival has a new request come to an instance, and schedules the one after it.
+func (f *fleet) nextArrival(k int) {
+	f.after(f.randomTime(second/(f.rate*f.arrivalFactor)), func() { f.nextArrival(k) })
+	key := ""
+	if f.rng.IntN(4) > 0 { // some keys are asked for far more often than others
+		key = fmt.Sprint("key/", min(f.rng.IntN(400), f.rng.IntN(400), f.rng.IntN(400)))
+	}
+	f.sendRequest(&fleetRequest{instance: k, class: f.rng.IntN(len(f.streamed)), key: key, try: 1})
+}
+
+// sendRequest sends a request under an ID of its own. One client in forty leaves before its time is up.
+func (f *fleet) sendRequest(r *fleetRequest) {
+	in := f.instances[r.instance]
+	if !in.live {
+		return
+	}
+	f.lastID++
+	r.id, r.seed = fmt.Sprint("t/", f.lastID), in.seed
+	in.requests[r.id] = r
+	wait := patience[min(r.try, maxTries)-1]
+	f.send(r.instance, "knock", f.requestFields(r, wait))
+	f.after(wait, func() { f.timeOut(r) })
+	if f.rng.IntN(40) == 0 {
+		f.after(f.randomTime(300*millisecond), func() { f.clientGone(r) })
+	}
+}
+
+func (f *fleet) requestFields(r *fleetRequest, wait int64) map[string]any {
+	fields := map[string]any{
+		"request-id": r.id, "affinity": nil, "kind": r.class, "time-budget-us": wait, "is-retry": r.try > 1,
+		"owner": nil, "hint-us": nil,
+	}
+	if r.key != "" {
+		fields["affinity"] = r.key
+	}
+	if f.tenants > 0 {
+		fields["owner"] = min(f.rng.IntN(f.tenants), f.rng.IntN(f.tenants))
+	}
+	if f.settings["hints"] == true {
+		fields["hint-us"] = 2000 + f.randomTime(9000)
+	}
+	return fields
+}
+
+// instanceKilled tells that the instance that accepted a request has been killed.
+func (f *fleet) instanceKilled(r *fleetRequest) bool { return f.instances[r.instance].seed != r.seed }
+
+func (f *fleet) clientGone(r *fleetRequest) {
+	if !r.closed && !f.instanceKilled(r) {
+		r.closed = true
+		f.send(r.instance, "hangup", map[string]any{"request-id": r.id})
+	}
+}
+
+// timeOut ends a request's attempts at its deadline. The client leaves a little later.
+func (f *fleet) timeOut(r *fleetRequest) {
+	for n, attempt := range r.attempts {
+		if attempt.open {
+			f.finishAttempt(r, n, outcomeTimedOut)
+		}
+	}
+	f.after(20*millisecond, func() { f.clientGone(r) })
+}
+
+// startAttempt carries out an attempt.
+func (f *fleet) startAttempt(r *fleetRequest, backend string) {
+	n, attempt := len(r.attempts), &fleetAttempt{backend: backend, sentAt: f.now, open: true}
+	r.attempts = append(r.attempts, attempt)
+	if r.closed {
+		f.after(1, func() { f.finishAttempt(r, n, outcomeNotSent) })
+		return
+	}
+	outcome, took := f.runAttempt(f.byID[backend], r.class)
+	if outcome == outcomeServed && f.streamed[r.class] {
+		f.after(took/2, func() {
+			if attempt.open && !r.closed && !f.instanceKilled(r) {
+				f.send(r.instance, "head-received", map[string]any{
+					"request-id": r.id, "copy": n, "appliance": backend, "took-us": f.now - attempt.sentAt,
+				})
+			}
+		})
+	}
+	f.after(took, func() { f.finishAttempt(r, n, outcome) })
+}
+
+// finishAttempt tells how an attempt ended, unless it has ended. Of the answers one in 150 turns out wrong later.
+func (f *fleet) finishAttempt(r *fleetRequest, n, outcome int) {
+	attempt := r.attempts[n]
+	if !attempt.open || f.instanceKilled(r) {
+		return
+	}
+	attempt.open = false
+	served := outcome == outcomeServed && !r.closed
+	r.closed = r.closed || served
+	f.send(r.instance, "done", map[string]any{
+		"request-id": r.id, "appliance": attempt.backend, "how": outcome, "copy": n, "final": r.closed,
+		"took-us": f.now - attempt.sentAt, "feedback": f.loadReport(f.byID[attempt.backend]),
+	})
+	if served && f.rng.IntN(150) == 0 {
+		f.after(second, func() {
+			f.send(r.instance, "reported-wrong", map[string]any{
+				"appliance": attempt.backend, "kind": r.class, "old-us": f.now - attempt.sentAt,
+			})
+		})
+	}
+}
+
+// retry is the client's next try; half of the clients give up instead.
+func (f *fleet) retry(r *fleetRequest, harmless bool) {
+	mayRetry := r.try < maxTries && (harmless || r.class == 0)
+	if mayRetry && f.rng.IntN(2) == 0 {
+		f.after(50*millisecond+f.randomTime(200*millisecond), func() {
+			f.sendRequest(&fleetRequest{instance: r.instance, class: r.class, key: r.key, try: r.try + 1})
+		})
+	}
+}
