--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,5 @@
-// Command simadapter runs the decision module on the simulator's wire, from standard input to standard output.
+// Command simadapter runs the decisions on the simulator's wire, from standard input to standard output. It exits with 1, and says
+// why on standard error, where it can't read or answer a line.
 package main
 
 import (
--- a/internal/fake/replay/replay.go
+++ b/internal/fake/replay/replay.go
@@ -14,7 +14,6 @@
 	"fmt"
 	"hash"
 	"hash/fnv"
-	"io"
 	"os"
 	"strings"
 	"testing"
@@ -23,51 +22,57 @@
 // blockEffects is the number of effects under one hash.
 const blockEffects = 1000
 
+// hashBytes is how much of a block's SHA-256 is kept.
+const hashBytes = 12
+
+// record has Close write the recording in place of comparing with it.
 var record = flag.Bool("record", false, "write the recordings of replay tests in place of comparing with them")
 
-// Recorder takes one stream of events and effects and compares it with the recording in a file.
+// Recorder takes one stream of events and effects and compares it with the recording in a file. It is used by the goroutine of its
+// test only.
 type Recorder struct {
 	t        testing.TB
 	path     string
-	recorded []block
-	written  []block
-	current  block
-	hash     hash.Hash
-	event    string
+	recorded []block   // as read from the file
+	written  []block   // of this stream, the ended ones
+	current  block     // of this stream, not ended yet
+	hash     hash.Hash // of the events and effects of current
+	event    string    // the latest
 	events   int
 	effects  int
 	differs  bool
 }
 
-// block is what a recording keeps of a thousand effects, or of the last ones.
+// block is what a recording keeps of blockEffects effects, or of the last ones. It is one line of the file.
 type block struct {
-	hash   string
+	hash   string // hexadecimal
 	checks []byte // one for each effect
 }
 
-// Open begins a stream; the recording is read from path, or written there by Close where the test runs with -record.
+// Open begins a stream; the recording is read from path, or written there by Close where the test runs with -record. A recording
+// that can't be read ends the test.
 func Open(t testing.TB, path string) *Recorder {
 	t.Helper()
 	r := &Recorder{t: t, path: path, hash: sha256.New()}
 	if *record {
 		return r
 	}
-	text, err := os.Open(path)
+	file, err := os.Open(path)
 	if err != nil {
 		t.Fatalf("no recording: %v", err)
 	}
-	defer text.Close()
-	lines := bufio.NewScanner(text)
+	defer file.Close()
+	lines := bufio.NewScanner(file)
 	for lines.Scan() {
-		sum, checks, found := strings.Cut(lines.Text(), " ")
+		sum, encoded, found := strings.Cut(lines.Text(), " ")
 		if !found {
 			t.Fatalf("%s: line without checks: %q", path, lines.Text())
 		}
-		bytes, err := base64.StdEncoding.DecodeString(checks)
+		checks, err := base64.StdEncoding.DecodeString(encoded)
 		if err != nil {
 			t.Fatalf("%s: %v", path, err)
 		}
-		r.recorded = append(r.recorded, block{hash: sum, checks: bytes})
+		r.recorded = append(r.recorded, block{hash: sum, checks: checks})
 	}
 	if err := lines.Err(); err != nil {
 		t.Fatalf("%s: %v", path, err)
@@ -89,10 +94,10 @@
 	}
 	r.hashText(text)
 	check := checkByte(text)
-	number, at := len(r.written), len(r.current.checks)
+	matches := *record || r.matches(check)
 	r.current.checks = append(r.current.checks, check)
 	r.effects++
-	if !*record && !r.matches(number, at, check) {
+	if !matches {
 		r.fail(text)
 		return
 	}
@@ -101,7 +106,7 @@
 	}
 }
 
-// Differs tells that the test has failed already: the rest of the stream need not be played.
+// Differs tells that the test has failed already, so that the rest of the stream need not be played.
 func (r *Recorder) Differs() bool { return r.differs }
 
 // Close ends the stream: what is left is compared, and an effect that the recording has beyond it fails the test.
@@ -121,22 +126,31 @@
 	r.t.Logf("%s: %d events, %d effects, differences: %v", r.path, r.events, r.effects, r.differs)
 }
 
+// hashText adds a line to the hash of the current block.
 func (r *Recorder) hashText(text string) {
-	io.WriteString(r.hash, text)
+	r.hash.Write([]byte(text))
 	r.hash.Write([]byte{'\n'})
 }
 
-func (r *Recorder) matches(number, at int, check byte) bool {
-	return number < len(r.recorded) && at < len(r.recorded[number].checks) && r.recorded[number].checks[at] == check
+// matches tells whether the recording has this check for the effect that comes next.
+func (r *Recorder) matches(check byte) bool {
+	number, effect := len(r.written), len(r.current.checks)
+	if number >= len(r.recorded) {
+		return false
+	}
+	recorded := r.recorded[number].checks
+	return effect < len(recorded) && recorded[effect] == check
 }
 
+// fail fails the test by its first effect that differs.
 func (r *Recorder) fail(text string) {
 	r.differs = true
 	r.t.Errorf("%s: effect %d differs from the recording: %s\nits event, number %d: %s", r.path, r.effects, text, r.events, r.event)
 }
 
+// endBlock ends the current block and compares its hash with that of the recording, which covers the events too.
 func (r *Recorder) endBlock() {
-	r.current.hash = hex.EncodeToString(r.hash.Sum(nil)[:12])
+	r.current.hash = hex.EncodeToString(r.hash.Sum(nil)[:hashBytes])
 	r.hash.Reset()
 	if number := len(r.written); !*record && r.recorded[number].hash != r.current.hash {
 		r.differs = true
@@ -146,6 +160,7 @@
 	r.current = block{}
 }
 
+// write writes the recording anew.
 func (r *Recorder) write() {
 	var text strings.Builder
 	for _, b := range r.written {
@@ -156,9 +171,10 @@
 	}
 }
 
+// checkByte folds a text into one byte: two different texts have different bytes in 255 of 256 cases.
 func checkByte(text string) byte {
 	sum := fnv.New32a()
-	io.WriteString(sum, text)
+	sum.Write([]byte(text))
 	folded := sum.Sum32()
 	return byte(folded ^ folded>>8 ^ folded>>16 ^ folded>>24)
 }
--- a/internal/fake/replay/replay_test.go
+++ b/internal/fake/replay/replay_test.go
@@ -7,16 +7,30 @@
 	"testing"
 )
 
-// spy is a test that notes its failures.
-type spy struct {
+// failures is a test that keeps its failures.
+type failures struct {
 	testing.TB
-	failures []string
+	lines []string
 }
 
-func (s *spy) Helper()             {}
-func (s *spy) Logf(string, ...any) {}
-func (s *spy) Errorf(format string, a ...any) {
-	s.failures = append(s.failures, fmt.Sprintf(format, a...))
+func (f *failures) Helper()             {}
+func (f *failures) Logf(string, ...any) {}
+func (f *failures) Errorf(format string, args ...any) {
+	f.lines = append(f.lines, fmt.Sprintf(format, args...))
+}
+
+// play plays a stream in which each effect has an event of its own, and writes the recording or compares with it.
+func play(t testing.TB, path string, write bool, event string, effects []string) {
+	t.Helper()
+	before := *record
+	*record = write
+	defer func() { *record = before }()
+	r := Open(t, path)
+	for _, effect := range effects {
+		r.Event(event)
+		r.Effect(effect)
+	}
+	r.Close()
 }
 
 // A stream that differs from its recording by one effect, one event, or in length fails with the place named.
@@ -25,7 +39,7 @@
 		name   string
 		change func(effects []string) []string
 		event  string
-		wants  string // empty: nothing differs
+		want   string // empty: nothing differs
 	}{
 		{"the same", func(e []string) []string { return e }, "event", ""},
 		{"one effect", func(e []string) []string { e[1500] = "other"; return e }, "event", "effect 1501 differs"},
@@ -37,27 +51,16 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "recording")
-			play := func(tb testing.TB, write bool, event string, effects []string) {
-				was := *record
-				*record = write
-				defer func() { *record = was }()
-				r := Open(tb, path)
-				for _, effect := range effects {
-					r.Event(event)
-					r.Effect(effect)
-				}
-				r.Close()
-			}
 			effects := make([]string, 2500)
 			for k := range effects {
 				effects[k] = fmt.Sprint("effect ", k)
 			}
-			play(t, true, "event", effects)
-			watched := &spy{TB: t}
-			play(watched, false, c.event, c.change(effects))
-			got := strings.Join(watched.failures, "; ")
-			if c.wants == "" && got != "" || c.wants != "" && (len(watched.failures) != 1 || !strings.Contains(got, c.wants)) {
-				t.Errorf("got %q, want %q", got, c.wants)
+			play(t, path, true, "event", effects)
+			found := &failures{TB: t}
+			play(found, path, false, c.event, c.change(effects))
+			got := strings.Join(found.lines, "; ")
+			if c.want == "" && got != "" || c.want != "" && (len(found.lines) != 1 || !strings.Contains(got, c.want)) {
+				t.Errorf("got %q, want %q", got, c.want)
 			}
 		})
 	}
