--- a/internal/core/interceptor_test.go
+++ b/internal/core/interceptor_test.go
@@ -51,64 +51,69 @@
 	}
 }
 
-// An interceptor sees each request once from its arrival to its end, in order, whichever way it ends.
-func TestInterceptorOrder(t *testing.T) {
-	for _, c := range []struct {
-		name         string
-		rejectReason string
-		handler      func(request *Request)
-		want         []string
-	}{
-		{
-			"served", "", func(r *Request) { handle(r, policy.StatusServed) },
-			[]string{"admit", `before: t served answered, 1 at "s0" of 1, "body"`, "after: t true"},
-		},
-		{
-			"the answer can't be written", "", func(r *Request) {
-				r.NextAction().Attempt.Finish(policy.StatusServed, body("body"), policy.LoadReport{})
-				r.NextAction()
-				r.ResponseWritten(false)
-				r.Close()
-			},
-			[]string{"admit", `before: t served answered, 1 at "s0" of 1, "body"`, "after: t false"},
-		},
-		{
-			"failed by the decisions", "", func(r *Request) { handle(r, policy.StatusReset) },
-			[]string{"admit", `before: t failed broken, 1 at "" of 0, ""`, "after: t true"},
-		},
-		{
-			"rejected at once", "unrecorded", func(r *Request) { handle(r, policy.StatusServed) },
-			[]string{"admit", `before: t rejected unrecorded, 0 at "" of 0, ""`, "after: t true"},
+// interceptorCase is a request, what its handler does and what its interceptor sees.
+type interceptorCase struct {
+	name         string
+	rejectReason string
+	handler      func(request *Request)
+	want         []string
+}
+
+var interceptorCases = []interceptorCase{
+	{
+		"served", "", func(r *Request) { handle(r, policy.StatusServed) },
+		[]string{"admit", `before: t served answered, 1 at "s0" of 1, "body"`, "after: t true"},
+	},
+	{
+		"the answer can't be written", "", func(r *Request) {
+			r.NextAction().Attempt.Finish(policy.StatusServed, body("body"), policy.LoadReport{})
+			r.NextAction()
+			r.ResponseWritten(false)
+			r.Close()
 		},
-		{
-			"the client goes", "", func(r *Request) {
-				r.ClientGone()
-				r.ClientGone()
-				handle(r, policy.StatusNotSent)
-			},
-			[]string{"admit", "closed"},
+		[]string{"admit", `before: t served answered, 1 at "s0" of 1, "body"`, "after: t false"},
+	},
+	{
+		"failed by the decisions", "", func(r *Request) { handle(r, policy.StatusReset) },
+		[]string{"admit", `before: t failed broken, 1 at "" of 0, ""`, "after: t true"},
+	},
+	{
+		"rejected at once", "unrecorded", func(r *Request) { handle(r, policy.StatusServed) },
+		[]string{"admit", `before: t rejected unrecorded, 0 at "" of 0, ""`, "after: t true"},
+	},
+	{
+		"the client goes", "", func(r *Request) {
+			r.ClientGone()
+			r.ClientGone()
+			handle(r, policy.StatusNotSent)
 		},
-		{
-			"the handler fails", "", func(r *Request) {
-				r.NextAction()
-				r.Fail()
-				r.ResponseWritten(true)
-				r.Close()
-			},
-			[]string{"admit", `before: t failed failed, 1 at "" of 0, ""`, "after: t true"},
+		[]string{"admit", "closed"},
+	},
+	{
+		"the handler fails", "", func(r *Request) {
+			r.NextAction()
+			r.Fail()
+			r.ResponseWritten(true)
+			r.Close()
 		},
-		{
-			"the handler fails with the answer announced", "", func(r *Request) {
-				r.NextAction().Attempt.Finish(policy.StatusServed, body("body"), policy.LoadReport{})
-				r.NextAction()
-				r.Fail()
-				r.ResponseWritten(false)
-				r.Close()
-			},
-			[]string{"admit", `before: t served answered, 1 at "s0" of 1, "body"`, "after: t false"},
+		[]string{"admit", `before: t failed failed, 1 at "" of 0, ""`, "after: t true"},
+	},
+	{
+		"the handler fails with the answer announced", "", func(r *Request) {
+			r.NextAction().Attempt.Finish(policy.StatusServed, body("body"), policy.LoadReport{})
+			r.NextAction()
+			r.Fail()
+			r.ResponseWritten(false)
+			r.Close()
 		},
-		{"closed without an answer", "", func(r *Request) { r.Close() }, []string{"admit", "closed"}},
-	} {
+		[]string{"admit", `before: t served answered, 1 at "s0" of 1, "body"`, "after: t false"},
+	},
+	{"closed without an answer", "", func(r *Request) { r.Close() }, []string{"admit", "closed"}},
+}
+
+// An interceptor sees each request once from its arrival to its end, in order, whichever way it ends.
+func TestInterceptorOrder(t *testing.T) {
+	for _, c := range interceptorCases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				core, _ := hosted(t, policy.RequestClass{Semantics: policy.NonIdempotent}, 1)
--- a/internal/simadapter/scenarios_test.go
+++ b/internal/simadapter/scenarios_test.go
@@ -41,34 +41,40 @@
 // scenarios are an hour in all, over the ways in which deployments differ.
 var scenarios = []scenario{
 	{name: "few", seed: 11, instances: 3, seconds: 600, backends: 12, zones: 1, rate: 6, faultEvery: 15, settings: map[string]any{
-		"balancers": 3, "discovery": "automatic", "contract": contract(), "limits": limits(nil), "tariffs": map[string]any{"probe": 0.01},
+		"balancers": 3, "discovery": "automatic", "contract": contract(),
+		"limits": limits(nil), "tariffs": map[string]any{"probe": 0.01},
 		"grades":      []map[string]any{class("repeatable", "all", 2, false), class("by_key", "all", 3, false), class("once", "all", 5, false)},
 		"family-info": family("majority", nil),
 	}},
 	{name: "one-subscribes", seed: 12, instances: 1, seconds: 900, backends: 6, zones: 1, rate: 12, faultEvery: 20, settings: map[string]any{
-		"balancers": 1, "discovery": "subscribe", "contract": contract(), "limits": limits(map[string]any{"cancel": false, "parallel-tries": false, "max-attempts": 3}),
+		"balancers": 1, "discovery": "subscribe", "contract": contract(),
+		"limits":      limits(map[string]any{"cancel": false, "parallel-tries": false, "max-attempts": 3}),
 		"grades":      []map[string]any{class("repeatable", "all", 1, true), class("by_key", "cell", 3, false)},
 		"family-info": family("single", map[string]any{"counted-by": "all", "keys-stay": false}),
 	}},
 	{name: "zones-tenants", seed: 13, instances: 2, seconds: 600, backends: 18, zones: 3, rate: 9, faultEvery: 12, settings: map[string]any{
-		"balancers": 6, "discovery": "automatic", "contract": contract(), "limits": limits(nil), "tariffs": map[string]any{"cross-zone": 0.05},
+		"balancers": 6, "discovery": "automatic", "contract": contract(),
+		"limits": limits(nil), "tariffs": map[string]any{"cross-zone": 0.05},
 		"customers":        []map[string]any{{"name": "a", "quota-per-s": 20.0}, {"name": "b", "quota-per-s": 10.0}, {"name": "c", "quota-per-s": 3.0}},
 		"over-share-worth": 0.1, "hints": true,
 		"grades":      []map[string]any{class("repeatable", "all", 2, false), class("by_key", "zone", 3, false), class("once", "all", 9, false)},
 		"family-info": family("clocked", map[string]any{"guarded-stages": 2}),
 	}},
 	{name: "many", seed: 14, instances: 3, seconds: 600, backends: 30, zones: 2, rate: 5, faultEvery: 15, settings: map[string]any{
-		"balancers": 300, "discovery": "automatic", "contract": contract(), "limits": limits(nil), "tariffs": map[string]any{"probe": 0.01},
+		"balancers": 300, "discovery": "automatic", "contract": contract(),
+		"limits": limits(nil), "tariffs": map[string]any{"probe": 0.01},
 		"grades":      []map[string]any{class("repeatable", "all", 2, false), class("by_key", "all", 3, false), class("by_key", "cell", 4, false)},
 		"family-info": family("majority", map[string]any{"back-votes": 1}),
 	}},
 	{name: "many-peers", seed: 15, instances: 3, seconds: 600, backends: 20, zones: 1, rate: 7, faultEvery: 25, settings: map[string]any{
-		"balancers": 40, "discovery": "automatic", "contract": contract(), "limits": limits(map[string]any{"peers": true}), "tariffs": map[string]any{"probe": 0.05},
+		"balancers": 40, "discovery": "automatic", "contract": contract(),
+		"limits": limits(map[string]any{"peers": true}), "tariffs": map[string]any{"probe": 0.05},
 		"grades":      []map[string]any{class("repeatable", "all", 2, false), class("repeatable", "all", 1, true)},
 		"family-info": family("majority", map[string]any{"back-votes": 5}),
 	}},
 	{name: "overload", seed: 16, instances: 2, seconds: 300, backends: 4, zones: 1, rate: 32, faultEvery: 20, settings: map[string]any{
-		"balancers": 24, "discovery": "automatic", "contract": contract(), "limits": limits(map[string]any{"max-open": 150}), "tariffs": map[string]any{"probe": 0.01},
+		"balancers": 24, "discovery": "automatic", "contract": contract(),
+		"limits": limits(map[string]any{"max-open": 150}), "tariffs": map[string]any{"probe": 0.01},
 		"grades":      []map[string]any{class("repeatable", "all", 2, false), class("once", "all", 9, false)},
 		"family-info": family("majority", map[string]any{"back-votes": 2}),
 	}},
