--- a/internal/core/clock_test.go
+++ b/internal/core/clock_test.go
@@ -73,12 +73,12 @@
 		}
 	}
 	if len(core.LogLines()) != 0 {
-		t.Errorf("told again: %q", <-core.LogLines())
+		t.Errorf("reported again: %q", <-core.LogLines())
 	}
 	request.Close()
 }
 
-// A step between two endpoint updates is told by the next check of the clock, once.
+// A step between two endpoint updates is reported by the next check of the clock, once.
 func TestCheckClock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core, _ := hosted(t, policy.RequestClass{}, 1)
--- a/internal/core/port.go
+++ b/internal/core/port.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// CancelAttempt interrupts an attempt. Its end is still told, by Attempt.Finish.
+// CancelAttempt interrupts an attempt. Its end is still reported, by Attempt.Finish.
 func (p port) CancelAttempt(id string, attempt int) {
 	if r := p.openRequest(id); r != nil && attempt >= 0 && attempt < len(r.attempts) {
 		r.attempts[attempt].cancel()
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -159,7 +159,7 @@
 	if r.wakeup != nil {
 		select {
 		case r.wakeup <- struct{}{}:
-		default: // it has been told and has not looked yet
+		default: // a wake-up is pending already
 		}
 	}
 }
--- a/internal/simadapter/fleet_releases_test.go
+++ b/internal/simadapter/fleet_releases_test.go
@@ -40,7 +40,7 @@
 	rollbackDelay = 2 * second // from the verdict until the backends are replaced
 )
 
-// fleetRollout is the newest release and where it stands.
+// fleetRollout is the newest release and its phase.
 type fleetRollout struct {
 	release, stage, phase int
 	stageSince            int64
@@ -188,14 +188,14 @@
 	}
 }
 
-// countVotes moves the newest release on or back by the votes that stand.
+// countVotes moves the newest release on or back by the votes that it has accepted.
 func (f *fleet) countVotes() {
 	f.after(500*millisecond, f.countVotes)
 	r := &f.rollout
 	if r.phase != phaseRollingOut {
 		return
 	}
-	promote, rollback := f.standingVotes()
+	promote, rollback := f.acceptedVotes()
 	soaked := f.now > r.stageSince+soakTime
 	timed := f.family()["decided-by"] == "clocked" && f.now > r.stageSince+timedStage
 	majority := 2*promote > len(f.instances)
@@ -212,7 +212,7 @@
 	}
 }
 
-func (f *fleet) standingVotes() (promote, rollback int) {
+func (f *fleet) acceptedVotes() (promote, rollback int) {
 	for _, in := range f.instances {
 		if in.vote == votePromote && in.voteStage == f.rollout.stage {
 			promote++
--- a/internal/simadapter/fleet_test.go
+++ b/internal/simadapter/fleet_test.go
@@ -52,7 +52,7 @@
 	pending    []string // events of the next batch
 	requests   map[string]*fleetRequest
 	subscribed bool
-	vote       int // verdict that stands
+	vote       int // the accepted verdict
 	voteStage  int
 }
 
