--- a/cmd/e2e/day.go
+++ b/cmd/e2e/day.go
@@ -54,7 +54,7 @@
 	defer os.RemoveAll(dir)
 	program := d.Program
 	if program == "" {
-		if program, err = build(dir, ""); err != nil {
+		if program, err = buildProgram(dir, ""); err != nil {
 			return err
 		}
 	}
@@ -63,7 +63,7 @@
 		return err
 	}
 	defer w.Close()
-	c, err := newCrew(w, program, dir)
+	c, err := newCluster(w, program, dir)
 	if err != nil {
 		return err
 	}
@@ -73,24 +73,24 @@
 		}
 	}
 	defer c.stop()
-	clients := fleet.NewClients(w, c.address, d.Seed)
+	clients := fleet.NewClients(w, c.addresses, d.Seed)
 	defer clients.Close()
 	ctx, stop := context.WithTimeout(context.Background(), d.Length)
 	defer stop()
 	began := time.Now()
-	time.AfterFunc(d.Length/8, func() { w.Offer(2, d.Bad) })
+	time.AfterFunc(d.Length/8, func() { w.StartRollout(2, d.Bad) })
 	go progress(ctx, d.Length, w)
 	clients.Run(ctx, func() float64 { return d.Rate }, d.Seed)
 	f := figures{Seed: d.Seed, Outcomes: map[string]map[string]int{}, Broken: w.Audit()}
 	cpu := time.Duration(0)
-	for _, p := range c.run {
+	for _, p := range c.processes {
 		f.Resident = append(f.Resident, resident(p.cmd.Process.Pid))
 	}
 	broken := c.stop()
-	for _, p := range c.run {
+	for _, p := range c.processes {
 		cpu += p.cmd.ProcessState.UserTime() + p.cmd.ProcessState.SystemTime()
 	}
-	c.run = make([]*process, w.Instances)
+	c.processes = make([]*process, w.Instances)
 	times := hdrhistogram.New(1, 60_000_000, 3)
 	for _, g := range clients.Log() {
 		f.Txns++
@@ -117,9 +117,14 @@
 		what  string
 		n     int
 		timed bool // judged by this machine's clock, which a slow one can't be held to
-	}{{"txns lost", f.Lost, false}, {"effects twice", f.Broken.Twice, false},
-		{"sends to a draining appliance", f.Broken.Drains, true}, {"cold appliances pushed over", f.Broken.Fallen, true},
-		{"windows with too much exposure", f.Broken.Exposure, true}, {"answers late", f.Late, true}} {
+	}{
+		{"txns lost", f.Lost, false},
+		{"effects twice", f.Broken.Twice, false},
+		{"sends to a draining appliance", f.Broken.Drains, true},
+		{"cold appliances pushed over", f.Broken.Fallen, true},
+		{"windows with too much exposure", f.Broken.Exposure, true},
+		{"answers late", f.Late, true},
+	} {
 		if c.n > 0 && !(c.timed && d.Short) {
 			broken = append(broken, fmt.Sprintf("%s: %d", c.what, c.n))
 		}
@@ -128,12 +133,12 @@
 		broken = append(broken, "no build was ever on trial")
 	}
 	if d.JSON {
-		return verdict(f, broken)
+		return report(f, broken)
 	}
 	d.table(f, times)
 	if len(broken) > 0 {
 		fmt.Println("broken:", broken)
-		return errBroken
+		return errViolations
 	}
 	return nil
 }
@@ -160,7 +165,7 @@
 	}
 	bar := progressbar.Default(int64(length/time.Second), "the day")
 	for tick := time.NewTicker(time.Second); ctx.Err() == nil; <-tick.C {
-		s := w.At()
+		s := w.CurrentStage()
 		bar.Describe(fmt.Sprintf("build %d stage %d %s", s.Release, s.Stage, s.Mode))
 		bar.Add(1)
 	}
@@ -198,7 +203,12 @@
 	t = table.NewWriter()
 	t.SetOutputMirror(os.Stdout)
 	t.AppendHeader(table.Row{"rule", "broken, seen from outside"})
-	t.AppendRows([]table.Row{{"no txn lost", f.Lost}, {"no effect twice", f.Broken.Twice}, {"drains kept", f.Broken.Drains},
-		{"no cold appliance pushed over", f.Broken.Fallen}, {"exposure within the cap", f.Broken.Exposure}})
+	t.AppendRows([]table.Row{
+		{"no txn lost", f.Lost},
+		{"no effect twice", f.Broken.Twice},
+		{"drains kept", f.Broken.Drains},
+		{"no cold appliance pushed over", f.Broken.Fallen},
+		{"exposure within the cap", f.Broken.Exposure},
+	})
 	t.Render()
 }
--- a/cmd/e2e/faults_test.go
+++ b/cmd/e2e/faults_test.go
@@ -19,37 +19,37 @@
 // go test ./cmd/e2e -run UnderFaults -args -schedules 24
 var schedules = flag.Uint64("schedules", 3, "how many schedules TestExposureUnderFaults draws, from seed 0 on")
 
-// told finds a release's state in what the platform writes, as a notice or as a vote's answer.
-var told = regexp.MustCompile(`release=(\d+)&tranche=\d+&mode=\w+&exposure=([0-9.]+)`)
+// writtenState finds a release's state in what the platform writes, as a notice or as a vote's answer.
+var writtenState = regexp.MustCompile(`release=(\d+)&tranche=\d+&mode=\w+&exposure=([0-9.]+)`)
 
 // rollout is a schedule drawn from a seed: releases in succession, each listed before or after its news, withdrawn or
 // released; words of the platform held back for an agent; agents killed and told to end.
 type rollout struct {
 	t       *testing.T
-	chance  *rand.Rand
-	world   *fleet.Fleet
+	random  *rand.Rand
+	fleet   *fleet.Fleet
 	proxies []*faultproxy.Proxy
-	crew    *crew
+	cluster *cluster
 	base    int // the release that carries the fleet
 	newest  int
 	state   fleet.Stage
 	counts  map[string]int
-	did     []string
+	history []string
 }
 
 const (
-	faultAgents = 2
-	faultSteps  = 22
+	faultInstances = 2
+	faultSteps     = 22
 )
 
 func (x *rollout) do(what string, format string, args ...any) {
 	x.counts[what]++
-	x.did = append(x.did, what+" "+fmt.Sprintf(format, args...))
+	x.history = append(x.history, what+" "+fmt.Sprintf(format, args...))
 }
 
 // list starts backends of a release.
 func (x *rollout) list(release, n int) {
-	if err := x.world.StartBackends(release, n, 4); err != nil {
+	if err := x.fleet.StartBackends(release, n, 4); err != nil {
 		x.t.Fatal(err)
 	}
 	x.do("list", "%d of release %d", n, release)
@@ -57,14 +57,14 @@
 
 func (x *rollout) tell(mode string, stage int, limit float64) {
 	x.state = fleet.Stage{Release: x.newest, Stage: stage, Mode: mode, Cap: limit}
-	x.world.Announce(x.state)
+	x.fleet.Announce(x.state)
 	x.do("tell", "release %d %s, stage %d, cap %g", x.newest, mode, stage, limit)
 }
 
 // step draws the next event among those that a platform may bring about now.
 func (x *rollout) step() {
-	agent := x.chance.IntN(faultAgents)
-	switch x.chance.IntN(8) {
+	agent := x.random.IntN(faultInstances)
+	switch x.random.IntN(8) {
 	case 0: // the platform's words to an agent stop, or come again
 		if x.counts["hold"]%2 == 0 {
 			x.proxies[agent].Hold(func(line string) bool { return notices(line) || votes(line) })
@@ -73,16 +73,16 @@
 			x.release()
 		}
 	case 1: // an agent ends
-		signal := []syscall.Signal{syscall.SIGKILL, syscall.SIGTERM}[x.chance.IntN(2)]
-		p := x.crew.run[agent]
+		signal := []syscall.Signal{syscall.SIGKILL, syscall.SIGTERM}[x.random.IntN(2)]
+		p := x.cluster.processes[agent]
 		p.cmd.Process.Signal(signal)
 		<-p.done
 		time.Sleep(100 * time.Millisecond) // what it had sent arrives
-		x.world.Forget(agent)
-		if _, err := x.crew.start(agent, x.chance.Uint64(), ""); err != nil {
+		x.fleet.ForgetInstance(agent)
+		if _, err := x.cluster.start(agent, x.random.Uint64(), ""); err != nil {
 			x.t.Fatal(err)
 		}
-		x.world.Tells(agent, x.state.Release, x.state.Cap) // by its configuration
+		x.fleet.StageNotified(agent, x.state.Release, x.state.Cap) // by its configuration
 		x.do(signal.String(), "n%d", agent)
 	default:
 		x.turn()
@@ -99,24 +99,24 @@
 // turn moves the newest release on, takes it off, or brings the next one.
 func (x *rollout) turn() {
 	switch mode := x.state.Mode; {
-	case mode == "canary" && x.world.ReadyBackends(x.newest) == 0:
+	case mode == "canary" && x.fleet.ReadyBackends(x.newest) == 0:
 		x.list(x.newest, 1)
-	case mode == "canary" && x.chance.IntN(3) == 0:
+	case mode == "canary" && x.random.IntN(3) == 0:
 		x.tell("reverting", x.state.Stage, 0)
 	case mode == "canary" && x.state.Stage < 2:
 		x.list(x.newest, 1)
 		x.tell("canary", x.state.Stage+1, []float64{0.25, 0.6, 1}[x.state.Stage+1])
 	case mode == "canary":
 		x.list(x.newest, 4)
-		x.world.DrainBackends(x.base, 20)
+		x.fleet.DrainBackends(x.base, 20)
 		x.tell("stable", 2, 1)
 		x.base = x.newest
 	case mode == "reverting":
 		x.tell("reverted", x.state.Stage, 0)
-		if x.chance.IntN(2) == 0 { // else it stays listed: the list lags
-			x.world.DrainBackends(x.newest, 20)
+		if x.random.IntN(2) == 0 { // else it stays listed: the list lags
+			x.fleet.DrainBackends(x.newest, 20)
 		}
-	case x.chance.IntN(2) == 0: // the next release, its list or its news first
+	case x.random.IntN(2) == 0: // the next release, its list or its news first
 		x.newest++
 		x.list(x.newest, 1)
 		x.state.Mode = "listed"
@@ -131,7 +131,7 @@
 // The rule on exposure holds, as backends see it, whatever order the schedule brings.
 func TestExposureUnderFaults(t *testing.T) {
 	dir := t.TempDir()
-	program, err := build(dir, "")
+	program, err := buildProgram(dir, "")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -144,40 +144,42 @@
 }
 
 func underFaults(t *testing.T, program string, seed uint64) {
-	x := &rollout{t: t, chance: rand.New(rand.NewPCG(seed, 27)), base: 1, newest: 1, counts: map[string]int{},
-		state: fleet.Stage{Release: 1, Mode: "stable", Cap: 1}}
+	x := &rollout{
+		t: t, random: rand.New(rand.NewPCG(seed, 27)), base: 1, newest: 1, counts: map[string]int{},
+		state: fleet.Stage{Release: 1, Mode: "stable", Cap: 1},
+	}
 	var err error
-	if x.world, err = fleet.New(faultAgents, 6, 4, seed); err != nil {
+	if x.fleet, err = fleet.New(faultInstances, 6, 4, seed); err != nil {
 		t.Fatal(err)
 	}
-	defer x.world.Close()
-	x.world.KeysStay, x.world.Linger = true, time.Minute
-	x.world.Manual()
-	for agent := range faultAgents {
-		p, err := faultproxy.New(x.world.PlatformAddress())
+	defer x.fleet.Close()
+	x.fleet.KeyAffinity, x.fleet.Linger = true, time.Minute
+	x.fleet.Manual()
+	for agent := range faultInstances {
+		p, err := faultproxy.New(x.fleet.PlatformAddress())
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer p.Close()
 		p.OnPass(func(line string, bytes []byte) {
-			for _, m := range told.FindAllSubmatch(bytes, -1) {
+			for _, m := range writtenState.FindAllSubmatch(bytes, -1) {
 				release, _ := strconv.Atoi(string(m[1]))
 				limit, _ := strconv.ParseFloat(string(m[2]), 64)
-				x.world.Tells(agent, release, limit)
+				x.fleet.StageNotified(agent, release, limit)
 			}
 		})
-		x.world.Platform[agent] = p.Address()
+		x.fleet.PlatformOverride[agent] = p.Address()
 		x.proxies = append(x.proxies, p)
 	}
-	if x.crew, err = newCrew(x.world, program, t.TempDir()); err != nil {
+	if x.cluster, err = newCluster(x.fleet, program, t.TempDir()); err != nil {
 		t.Fatal(err)
 	}
-	for agent := range faultAgents {
-		if _, err := x.crew.start(agent, seed, ""); err != nil {
+	for agent := range faultInstances {
+		if _, err := x.cluster.start(agent, seed, ""); err != nil {
 			t.Fatal(err)
 		}
 	}
-	clients := fleet.NewClients(x.world, x.crew.address, seed)
+	clients := fleet.NewClients(x.fleet, x.cluster.addresses, seed)
 	clients.Keys = 1500
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -193,23 +195,23 @@
 	answers(100)
 	for range faultSteps {
 		x.step()
-		answers(50 + x.chance.IntN(200))
+		answers(50 + x.random.IntN(200))
 	}
 	x.release()
 	answers(200)
 	cancel()
 	<-ended
 	clients.Close()
-	for _, line := range x.crew.stop() {
+	for _, line := range x.cluster.stop() {
 		t.Error(line)
 	}
-	affinity, closed := x.world.Affinity(), x.world.Closed()
-	t.Logf("keys of a later release asked for %d times, closings told %d, schedule %v", affinity.Asked, closed.Told, x.counts)
-	if affinity.Asked < 20 || closed.Told == 0 || x.counts["hold"] == 0 {
-		t.Errorf("not put to the test: %d keys asked for, %d closings, %v", affinity.Asked, closed.Told, x.counts)
+	affinity, closed := x.fleet.Affinity(), x.fleet.ClosedReleases()
+	t.Logf("keys of a later release asked for %d times, closings told %d, schedule %v", affinity.Asked, closed.Notified, x.counts)
+	if affinity.Asked < 20 || closed.Notified == 0 || x.counts["hold"] == 0 {
+		t.Errorf("not put to the test: %d keys asked for, %d closings, %v", affinity.Asked, closed.Notified, x.counts)
 	}
-	if broken := append(affinity.Broken, closed.Broken...); len(broken) > 0 {
+	if broken := append(affinity.Violations, closed.Violations...); len(broken) > 0 {
 		t.Errorf("%d attempts broke the rule on exposure:\n%s\nschedule:\n%s", len(broken),
-			strings.Join(broken[:min(len(broken), 5)], "\n"), strings.Join(x.did, "\n"))
+			strings.Join(broken[:min(len(broken), 5)], "\n"), strings.Join(x.history, "\n"))
 	}
 }
--- a/cmd/e2e/main.go
+++ b/cmd/e2e/main.go
@@ -30,7 +30,7 @@
 	}
 	c := kong.Parse(&line, kong.Name("e2e"), kong.UsageOnError())
 	switch err := c.Run(); {
-	case errors.Is(err, errBroken):
+	case errors.Is(err, errViolations):
 		os.Exit(1)
 	case err != nil:
 		fmt.Fprintln(os.Stderr, "e2e:", err)
@@ -38,10 +38,10 @@
 	}
 }
 
-var errBroken = errors.New("a claim broke")
+var errViolations = errors.New("a claim broke")
 
-// verdict prints a run's figures and what broke; exit code and "held" say the same.
-func verdict(figures any, broken []string) error {
+// report prints a run's figures and what broke; exit code and "held" say the same.
+func report(figures any, broken []string) error {
 	text, err := json.Marshal(figures)
 	if err != nil {
 		return err
@@ -57,13 +57,13 @@
 	}
 	fmt.Println(string(text))
 	if len(broken) > 0 {
-		return errBroken
+		return errViolations
 	}
 	return nil
 }
 
-// build makes the agent, with what a rehearsal may switch off where tags ask for it.
-func build(dir, tags string) (string, error) {
+// buildProgram makes the agent, with what a rehearsal may switch off where tags ask for it.
+func buildProgram(dir, tags string) (string, error) {
 	out := filepath.Join(dir, "onyxgate")
 	args := []string{"build", "-o", out}
 	if tags != "" {
@@ -84,38 +84,38 @@
 	log  *os.File
 }
 
-// crew are the agents of a rehearsal, under their own names and addresses.
-type crew struct {
-	world   *fleet.Fleet
-	program string
-	dir     string
-	address []string
-	mu      sync.Mutex
-	run     []*process
+// cluster are the agents of a rehearsal, under their own names and addresses.
+type cluster struct {
+	fleet     *fleet.Fleet
+	program   string
+	dir       string
+	addresses []string
+	mu        sync.Mutex
+	processes []*process
 }
 
-func newCrew(w *fleet.Fleet, program, dir string) (*crew, error) {
-	c := &crew{world: w, program: program, dir: dir, run: make([]*process, w.Instances)}
+func newCluster(w *fleet.Fleet, program, dir string) (*cluster, error) {
+	c := &cluster{fleet: w, program: program, dir: dir, processes: make([]*process, w.Instances)}
 	for range w.Instances { // the kernel chooses, and the number stays free: the agent listens there again and again
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return nil, err
 		}
-		c.address = append(c.address, l.Addr().String())
+		c.addresses = append(c.addresses, l.Addr().String())
 		l.Close()
 	}
 	return c, nil
 }
 
-func agentName(i int) string { return fmt.Sprintf("n%d", i) }
+func instanceName(i int) string { return fmt.Sprintf("n%d", i) }
 
 // start starts an agent and waits until it is ready.
-func (c *crew) start(i int, seed uint64, settings string, env ...string) (*process, error) {
-	config := filepath.Join(c.dir, agentName(i)+".json")
-	if err := os.WriteFile(config, c.world.Configuration(i, agentName(i), c.address[i], seed), 0o600); err != nil {
+func (c *cluster) start(i int, seed uint64, settings string, env ...string) (*process, error) {
+	config := filepath.Join(c.dir, instanceName(i)+".json")
+	if err := os.WriteFile(config, c.fleet.Configuration(i, instanceName(i), c.addresses[i], seed), 0o600); err != nil {
 		return nil, err
 	}
-	log, err := os.OpenFile(filepath.Join(c.dir, agentName(i)+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(filepath.Join(c.dir, instanceName(i)+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
 	}
@@ -136,33 +136,33 @@
 		close(p.done)
 	}()
 	c.mu.Lock()
-	c.run[i] = p
+	c.processes[i] = p
 	c.mu.Unlock()
 	for range 500 {
 		select {
 		case <-p.done:
-			if killed(p.err) {
+			if endedBySIGKILL(p.err) {
 				return p, nil
 			}
-			return p, fmt.Errorf("agent %s ended at its start: %w\n%s", agentName(i), p.err, c.tail(i))
+			return p, fmt.Errorf("agent %s ended at its start: %w\n%s", instanceName(i), p.err, c.tail(i))
 		default:
 		}
-		if conn, err := net.DialTimeout("tcp", c.address[i], 100*time.Millisecond); err == nil {
+		if conn, err := net.DialTimeout("tcp", c.addresses[i], 100*time.Millisecond); err == nil {
 			conn.Close()
 			return p, nil
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	return p, fmt.Errorf("agent %s does not listen\n%s", agentName(i), c.tail(i))
+	return p, fmt.Errorf("agent %s does not listen\n%s", instanceName(i), c.tail(i))
 }
 
-func (c *crew) tail(i int) string {
-	text, _ := os.ReadFile(filepath.Join(c.dir, agentName(i)+".log"))
+func (c *cluster) tail(i int) string {
+	text, _ := os.ReadFile(filepath.Join(c.dir, instanceName(i)+".log"))
 	return string(text[max(0, len(text)-2000):])
 }
 
-// killed tells that a process ended by SIGKILL and by nothing of its own.
-func killed(err error) bool {
+// endedBySIGKILL tells that a process ended by SIGKILL and by nothing of its own.
+func endedBySIGKILL(err error) bool {
 	var exit *exec.ExitError
 	if !errors.As(err, &exit) {
 		return false
@@ -172,31 +172,31 @@
 }
 
 // stop tells all agents to leave and says which did not end well.
-func (c *crew) stop() (broken []string) {
-	for _, p := range c.run {
+func (c *cluster) stop() (broken []string) {
+	for _, p := range c.processes {
 		if p != nil {
 			p.cmd.Process.Signal(syscall.SIGTERM)
 		}
 	}
-	for i, p := range c.run {
+	for i, p := range c.processes {
 		if p == nil {
 			continue
 		}
 		select {
 		case <-p.done:
 			if p.err != nil {
-				broken = append(broken, fmt.Sprintf("agent %s ended with %v: %s", agentName(i), p.err, c.tail(i)))
+				broken = append(broken, fmt.Sprintf("agent %s ended with %v: %s", instanceName(i), p.err, c.tail(i)))
 			}
 		case <-time.After(8 * time.Second):
 			p.cmd.Process.Kill()
-			broken = append(broken, fmt.Sprintf("agent %s did not leave", agentName(i)))
+			broken = append(broken, fmt.Sprintf("agent %s did not leave", instanceName(i)))
 		}
 	}
 	return broken
 }
 
 // command runs the operators' command line and returns what it printed.
-func (c *crew) command(args ...string) ([]byte, error) {
+func (c *cluster) command(args ...string) ([]byte, error) {
 	cmd := exec.Command(c.program, args...)
 	var out, wrong bytes.Buffer
 	cmd.Stdout, cmd.Stderr = &out, &wrong
--- a/cmd/e2e/record.go
+++ b/cmd/e2e/record.go
@@ -46,9 +46,21 @@
 var killPoints = []struct {
 	name string
 	most int
-}{{"record.queued", 60}, {"spool.write", 60}, {"spool.wrote", 60}, {"spool.synced", 60}, {"record.durable", 60},
-	{"record.answered", 60}, {"spool.turn", 2}, {"spool.begin", 1}, {"ship.begun", 6}, {"ship.commit", 6},
-	{"ship.committed", 6}, {"spool.prune", 1}, {"spool.drop", 1}}
+}{
+	{"record.queued", 60},
+	{"spool.write", 60},
+	{"spool.wrote", 60},
+	{"spool.synced", 60},
+	{"record.durable", 60},
+	{"record.answered", 60},
+	{"spool.turn", 2},
+	{"spool.begin", 1},
+	{"ship.begun", 6},
+	{"ship.commit", 6},
+	{"ship.committed", 6},
+	{"spool.prune", 1},
+	{"spool.drop", 1},
+}
 
 type recFigures struct {
 	Seed         uint64 `json:"seed"`
@@ -86,7 +98,7 @@
 	} else {
 		fmt.Fprintln(os.Stderr, "kept:", dir)
 	}
-	program, err := build(dir, "defect")
+	program, err := buildProgram(dir, "defect")
 	if err != nil {
 		return err
 	}
@@ -105,7 +117,7 @@
 		return err
 	}
 	defer w.Close()
-	c, err := newCrew(w, program, dir)
+	c, err := newCluster(w, program, dir)
 	if err != nil {
 		return err
 	}
@@ -116,7 +128,7 @@
 		}
 	}
 	defer c.stop()
-	clients := fleet.NewClients(w, c.address, r.Seed)
+	clients := fleet.NewClients(w, c.addresses, r.Seed)
 	defer clients.Close()
 	calm, stalled, most := 6*time.Second, 6*time.Second, 26*time.Second
 	if r.Short {
@@ -177,7 +189,7 @@
 					enough()
 				}
 			}
-			if at, _ := armed(c.run[i]); at != "" && failed == nil { // it would die in leaving
+			if at, _ := armed(c.processes[i]); at != "" && failed == nil { // it would die in leaving
 				r.restart(c, i, own.Uint64(), settings, env, &f, &mu, &failed)
 			}
 		})
@@ -211,9 +223,9 @@
 	stop()
 	<-sent
 	broken := c.stop()
-	c.run = make([]*process, w.Instances)
+	c.processes = make([]*process, w.Instances)
 	for i := range w.Instances {
-		if _, err := c.command("record", "ship", "--settings", settings, "--agent", agentName(i)); err != nil {
+		if _, err := c.command("record", "ship", "--settings", settings, "--agent", instanceName(i)); err != nil {
 			broken = append(broken, err.Error())
 		}
 	}
@@ -250,7 +262,7 @@
 		claim(f.SettledStall >= f.SettledCalm-0.01, "settled while the store stalled: %.4f, calm %.4f", f.SettledStall, f.SettledCalm)
 		claim(f.Took <= 50, "took %.0f s", f.Took)
 	}
-	return verdict(f, broken)
+	return report(f, broken)
 }
 
 func pause(ctx context.Context, d time.Duration) {
@@ -279,10 +291,11 @@
 
 // life lets one agent live until it dies at a drawn point, or is killed from outside, and starts it again. It returns where
 // it died, empty where the rehearsal ended first.
-func (r rec) life(ctx context.Context, c *crew, i int, chance *rand.Rand, settings string, env []string, f *recFigures,
-	mu *sync.Mutex, failed *error) (at string) {
+func (r rec) life(ctx context.Context, c *cluster, i int, chance *rand.Rand, settings string, env []string, f *recFigures,
+	mu *sync.Mutex, failed *error,
+) (at string) {
 	c.mu.Lock()
-	p := c.run[i]
+	p := c.processes[i]
 	c.mu.Unlock()
 	timer := time.NewTimer(time.Duration(600+chance.IntN(1200)) * time.Millisecond)
 	defer timer.Stop()
@@ -304,16 +317,17 @@
 }
 
 // restart kills an agent that does not lie dead yet, and starts it again.
-func (r rec) restart(c *crew, i int, seed uint64, settings string, env []string, f *recFigures, mu *sync.Mutex,
-	failed *error) {
-	p := c.run[i]
+func (r rec) restart(c *cluster, i int, seed uint64, settings string, env []string, f *recFigures, mu *sync.Mutex,
+	failed *error,
+) {
+	p := c.processes[i]
 	at := time.Now()
 	p.cmd.Process.Kill()
 	<-p.done
 	mu.Lock()
 	f.deaths = append(f.deaths, death{i, at})
-	if !killed(p.err) && *failed == nil {
-		*failed = fmt.Errorf("agent %s ended by itself: %w\n%s", agentName(i), p.err, c.tail(i))
+	if !endedBySIGKILL(p.err) && *failed == nil {
+		*failed = fmt.Errorf("agent %s ended by itself: %w\n%s", instanceName(i), p.err, c.tail(i))
 	}
 	mu.Unlock()
 	if _, err := c.start(i, seed, settings, env...); err != nil {
@@ -394,7 +408,7 @@
 	if g.Outcome == "settled" {
 		body = hex.EncodeToString(g.Body[:])
 	}
-	return g.Outcome == r.Outcome && g.Class == r.Class && body == r.BodyDigest && r.Agent == agentName(g.Instance)
+	return g.Outcome == r.Outcome && g.Class == r.Class && body == r.BodyDigest && r.Agent == instanceName(g.Instance)
 }
 
 // share is how many of the answers in a span were settled, their p99 in ms and their number.
@@ -436,8 +450,10 @@
 		if err != nil {
 			return nil, err
 		}
-		s := &pgStore{address: l.Addr().String(), file: filepath.Join(dir, "pg.ndjson"),
-			password: filepath.Join(dir, "password")}
+		s := &pgStore{
+			address: l.Addr().String(), file: filepath.Join(dir, "pg.ndjson"),
+			password: filepath.Join(dir, "password"),
+		}
 		l.Close()
 		if err := os.WriteFile(s.password, []byte(pgPassword+"\n"), 0o600); err != nil {
 			return nil, err
--- a/cmd/e2e/srv.go
+++ b/cmd/e2e/srv.go
@@ -56,7 +56,7 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	program, err := build(dir, "defect")
+	program, err := buildProgram(dir, "defect")
 	if err != nil {
 		return err
 	}
@@ -67,7 +67,7 @@
 	}
 	defer w.Close()
 	w.Linger = time.Minute // what is listed as gone still stands: only the agents' own word keeps work from it
-	c, err := newCrew(w, program, dir)
+	c, err := newCluster(w, program, dir)
 	if err != nil {
 		return err
 	}
@@ -97,7 +97,7 @@
 		}
 	}
 	defer c.stop()
-	clients := fleet.NewClients(w, c.address, s.Seed)
+	clients := fleet.NewClients(w, c.addresses, s.Seed)
 	defer clients.Close()
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -123,10 +123,10 @@
 	}
 	time.Sleep(part)
 	from := time.Now()
-	w.Offer(2, 0) // a wave: drains at every stage, while the resolver fails and names who drained
+	w.StartRollout(2, 0) // a wave: drains at every stage, while the resolver fails and names who drained
 	faults(9 * part)
 	// The agent is killed in the wave and starts with what it wrote down.
-	p := c.run[faulty]
+	p := c.processes[faulty]
 	p.cmd.Process.Kill()
 	<-p.done
 	killedAt := time.Now()
@@ -140,9 +140,9 @@
 	time.Sleep(4 * part)
 	// Discovery falls silent for one agent while machines change, and SRV tells the truth.
 	stale = false
-	w.Mute(faulty, true)
+	w.MuteDiscovery(faulty, true)
 	mutedAt := time.Now()
-	fresh, err := w.Swap(2)
+	fresh, err := w.ReplaceBackends(2)
 	if err != nil {
 		return err
 	}
@@ -155,7 +155,7 @@
 	stop()
 	<-sent
 	broken := c.stop()
-	c.run = make([]*process, w.Instances)
+	c.processes = make([]*process, w.Instances)
 
 	log := clients.Log()
 	of := func(agent int, from, to time.Time) float64 {
@@ -170,12 +170,12 @@
 	}
 	f.SettledAlone, f.SettledDead, f.SettledFaults = of(alone, from, end), of(dead, from, end), of(faulty, from, killedAt)
 	f.SettledCalm, f.SettledDNS, f.SettledNone = of(faulty, calmFrom, mutedAt), of(faulty, mutedAt, noneFrom), of(faulty, noneFrom, end)
-	f.Met = w.Met(faulty, fresh, mutedAt, end)
-	f.FleetMin = w.Reached(faulty, from, killedAt)
+	f.Met = w.CountReached(faulty, fresh, mutedAt, end)
+	f.FleetMin = w.MinReached(faulty, from, killedAt)
 	for _, span := range [][2]time.Time{{killedAt.Add(time.Second), waveEnd}, {waveEnd, end}} {
-		f.FleetMin = min(f.FleetMin, w.Reached(faulty, span[0], span[1]))
+		f.FleetMin = min(f.FleetMin, w.MinReached(faulty, span[0], span[1]))
 	}
-	f.FleetMin = min(f.FleetMin, w.Reached(dead, from, end))
+	f.FleetMin = min(f.FleetMin, w.MinReached(dead, from, end))
 	last := map[int]time.Time{}
 	for _, g := range log {
 		if g.Outcome == "broken" && (g.Instance != faulty || g.Sent.After(killedAt) || g.Done.Before(killedAt.Add(-time.Second))) || g.Outcome == "silent" {
@@ -191,7 +191,7 @@
 		}
 	}
 	rules := w.Audit()
-	f.Drains, f.LateMax, f.Exposure, f.Cold, f.Twice = w.Drains, w.Late.Seconds()*1000, rules.Exposure, rules.Fallen, rules.Twice
+	f.Drains, f.LateMax, f.Exposure, f.Cold, f.Twice = w.DrainsNotified, w.LatestAfterDrain.Seconds()*1000, rules.Exposure, rules.Fallen, rules.Twice
 	f.Queries = servers[0].Queries.Load() + servers[1].Queries.Load()
 	f.Took = time.Since(began).Seconds()
 	claim := func(ok bool, format string, args ...any) {
@@ -214,5 +214,5 @@
 		claim(f.Cold == 0, "cold appliances pushed over: %d", f.Cold)
 		claim(f.Took <= 50, "took %.0f s", f.Took)
 	}
-	return verdict(f, broken)
+	return report(f, broken)
 }
--- a/internal/fake/dnsserver/dnsserver.go
+++ b/internal/fake/dnsserver/dnsserver.go
@@ -86,10 +86,14 @@
 		host, port, _ := net.SplitHostPort(a)
 		n, _ := strconv.Atoi(port)
 		target := "h" + strconv.Itoa(i) + ".fleet.example.org."
-		m.Answer = append(m.Answer, &dns.SRV{Hdr: dns.RR_Header{Name: q.Question[0].Name, Rrtype: dns.TypeSRV,
-			Class: dns.ClassINET, Ttl: ttl}, Priority: 1, Weight: 1, Port: uint16(n), Target: target})
-		m.Extra = append(m.Extra, &dns.A{Hdr: dns.RR_Header{Name: target, Rrtype: dns.TypeA, Class: dns.ClassINET, Ttl: ttl},
-			A: net.ParseIP(host)})
+		m.Answer = append(m.Answer, &dns.SRV{Hdr: dns.RR_Header{
+			Name: q.Question[0].Name, Rrtype: dns.TypeSRV,
+			Class: dns.ClassINET, Ttl: ttl,
+		}, Priority: 1, Weight: 1, Port: uint16(n), Target: target})
+		m.Extra = append(m.Extra, &dns.A{
+			Hdr: dns.RR_Header{Name: target, Rrtype: dns.TypeA, Class: dns.ClassINET, Ttl: ttl},
+			A:   net.ParseIP(host),
+		})
 	}
 	if !strings.EqualFold(q.Question[0].Name, Service) {
 		m.Answer, m.Extra = nil, nil
--- a/internal/fake/fleet/affinity.go
+++ b/internal/fake/fleet/affinity.go
@@ -13,13 +13,13 @@
 
 // Affinity counts what was seen of the rule.
 type Affinity struct {
-	Asked  int      // attempts with a key that a later release than the first had answered before
-	Broken []string // those that reached an earlier release than that
+	Asked      int      // attempts with a key that a later release than the first had answered before
+	Violations []string // those that reached an earlier release than that
 }
 
-type agentKey struct {
-	agent int
-	key   string
+type instanceKey struct {
+	instance int
+	key      string
 }
 
 type answeredBy struct {
@@ -29,14 +29,14 @@
 
 // affinity is under the world's lock.
 type affinity struct {
-	answers map[agentKey][]answeredBy // the first answer of each release
-	back    map[int]bool              // releases that go back: they bind nothing from there on
-	seen    Affinity
+	answers    map[instanceKey][]answeredBy // the first answer of each release
+	rolledBack map[int]bool                 // releases that go back: they bind nothing from there on
+	seen       Affinity
 }
 
-// attempt notes one that has reached a backend.
-func (a *affinity) attempt(agent int, key, id string, release int) {
-	for _, answer := range a.answers[agentKey{agent, key}] {
+// checkAttempt notes one that has reached a backend.
+func (a *affinity) checkAttempt(agent int, key, id string, release int) {
+	for _, answer := range a.answers[instanceKey{agent, key}] {
 		if time.Since(answer.at) < answerSeen {
 			continue
 		}
@@ -44,18 +44,18 @@
 			a.seen.Asked++
 		}
 		if release < answer.release {
-			a.seen.Broken = append(a.seen.Broken, fmt.Sprintf("request %s, key %s, agent n%d: release %d, answered by release %d %d ms before",
+			a.seen.Violations = append(a.seen.Violations, fmt.Sprintf("request %s, key %s, agent n%d: release %d, answered by release %d %d ms before",
 				id, key, agent, release, answer.release, time.Since(answer.at).Milliseconds()))
 		}
 	}
 }
 
-// answered notes that a good answer has been written.
-func (a *affinity) answered(agent int, key string, release int) {
-	if a.back[release] {
+// recordAnswer notes that a good answer has been written.
+func (a *affinity) recordAnswer(agent int, key string, release int) {
+	if a.rolledBack[release] {
 		return
 	}
-	k := agentKey{agent, key}
+	k := instanceKey{agent, key}
 	for _, answer := range a.answers[k] {
 		if answer.release == release {
 			return
@@ -67,61 +67,61 @@
 // closedFor is how long after an agent was told of a cap of 0 attempts at its release may still arrive.
 const closedFor = Grace + 150*time.Millisecond
 
-type agentRelease struct{ agent, release int }
+type instanceRelease struct{ instance, release int }
 
 // Closed counts attempts at releases that an agent was told are closed.
 type Closed struct {
-	Told   int // closings told
-	Broken []string
+	Notified   int // closings told
+	Violations []string
 }
 
-// Tells notes a state of a release that has been written to an agent.
-func (w *Fleet) Tells(agent, release int, limit float64) {
+// StageNotified notes a state of a release that has been written to an agent.
+func (w *Fleet) StageNotified(agent, release int, limit float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	k := agentRelease{agent, release}
-	if _, told := w.closed[k]; limit == 0 && !told {
-		w.closed[k] = time.Now()
-		w.seenClosed.Told++
+	k := instanceRelease{agent, release}
+	if _, told := w.closedAt[k]; limit == 0 && !told {
+		w.closedAt[k] = time.Now()
+		w.closedSeen.Notified++
 	}
 }
 
-// Forget begins an agent's records anew: its process has ended, and the next one starts from nothing. Answers to what the one
+// ForgetInstance begins an agent's records anew: its process has ended, and the next one starts from nothing. Answers to what the one
 // before had sent are nobody's from here on.
-func (w *Fleet) Forget(agent int) {
+func (w *Fleet) ForgetInstance(agent int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.process[agent]++
+	w.incarnation[agent]++
 	for k := range w.affinity.answers {
-		if k.agent == agent {
+		if k.instance == agent {
 			delete(w.affinity.answers, k)
 		}
 	}
-	for k := range w.closed {
-		if k.agent == agent {
-			delete(w.closed, k)
+	for k := range w.closedAt {
+		if k.instance == agent {
+			delete(w.closedAt, k)
 		}
 	}
 }
 
-// Closed is what was seen of closed releases so far.
-func (w *Fleet) Closed() Closed {
+// ClosedReleases is what was seen of closed releases so far.
+func (w *Fleet) ClosedReleases() Closed {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.seenClosed
+	return w.closedSeen
 }
 
-// reaches notes an attempt at a release; under the lock.
-func (w *Fleet) reaches(agent, release int, id string) {
-	if at, told := w.closed[agentRelease{agent, release}]; told && time.Since(at) > closedFor {
-		w.seenClosed.Broken = append(w.seenClosed.Broken, fmt.Sprintf("request %s, agent n%d: release %d, told closed %d ms before", id,
+// checkClosed notes an attempt at a release; under the lock.
+func (w *Fleet) checkClosed(agent, release int, id string) {
+	if at, told := w.closedAt[instanceRelease{agent, release}]; told && time.Since(at) > closedFor {
+		w.closedSeen.Violations = append(w.closedSeen.Violations, fmt.Sprintf("request %s, agent n%d: release %d, told closed %d ms before", id,
 			agent, release, time.Since(at).Milliseconds()))
 	}
 }
 
-// goesBack frees the keys of a release.
-func (a *affinity) goesBack(release int) {
-	a.back[release] = true
+// rolledBackRelease frees the keys of a release.
+func (a *affinity) rolledBackRelease(release int) {
+	a.rolledBack[release] = true
 	for k, answers := range a.answers {
 		kept := answers[:0]
 		for _, answer := range answers {
--- a/internal/fake/fleet/clients.go
+++ b/internal/fake/fleet/clients.go
@@ -29,22 +29,24 @@
 
 // Clients send txns to agents at a rate.
 type Clients struct {
-	world   *Fleet
-	address []string
-	mu      sync.Mutex
-	log     []Response
-	idle    [][]net.Conn
-	open    []int // txns under way, by agent
-	down    []time.Time
-	ids     uint64
-	prefix  string
-	Keys    int // distinct keys of requests
+	fleet         *Fleet
+	addresses     []string
+	mu            sync.Mutex
+	log           []Response
+	idle          [][]net.Conn
+	inFlight      []int // txns under way, by agent
+	unreachableAt []time.Time
+	lastID        uint64
+	prefix        string
+	Keys          int // distinct keys of requests
 }
 
 // NewClients makes clients of agents at these addresses.
 func NewClients(w *Fleet, address []string, seed uint64) *Clients {
-	return &Clients{world: w, address: address, idle: make([][]net.Conn, len(address)), open: make([]int, len(address)),
-		down: make([]time.Time, len(address)), prefix: fmt.Sprintf("%04x", seed&0xffff), Keys: 1000}
+	return &Clients{
+		fleet: w, addresses: address, idle: make([][]net.Conn, len(address)), inFlight: make([]int, len(address)),
+		unreachableAt: make([]time.Time, len(address)), prefix: fmt.Sprintf("%04x", seed&0xffff), Keys: 1000,
+	}
 }
 
 // Log is what all of them got so far.
@@ -54,11 +56,11 @@
 	return append([]Response(nil), c.log...)
 }
 
-// Open is how many txns an agent has under way.
-func (c *Clients) Open(agent int) int {
+// InFlight is how many txns an agent has under way.
+func (c *Clients) InFlight(agent int) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.open[agent]
+	return c.inFlight[agent]
 }
 
 // Run sends `rate` txns a second until ctx ends, and waits for what is under way.
@@ -74,35 +76,35 @@
 			}
 			share -= q.Share
 		}
-		agent, key, mark := chance.IntN(len(c.address)), chance.IntN(c.Keys), fmt.Sprintf("%016x", chance.Uint64())
-		all.Go(func() { c.txn(p, agent, key, mark) })
+		agent, key, mark := chance.IntN(len(c.addresses)), chance.IntN(c.Keys), fmt.Sprintf("%016x", chance.Uint64())
+		all.Go(func() { c.send(p, agent, key, mark) })
 	}
 	all.Wait()
 }
 
-// txn tries up to three times: what was declined or never reached anybody may be sent again, and what may have run where
+// send tries up to three times: what was declined or never reached anybody may be sent again, and what may have run where
 // the product allows it.
-func (c *Clients) txn(p Class, agent, key int, mark string) {
+func (c *Clients) send(p Class, agent, key int, mark string) {
 	for retry := range 3 {
 		c.mu.Lock()
-		for range c.address { // the front hands new connections to agents that stand
-			if time.Since(c.down[agent]) > 300*time.Millisecond {
+		for range c.addresses { // the front hands new connections to agents that stand
+			if time.Since(c.unreachableAt[agent]) > 300*time.Millisecond {
 				break
 			}
-			agent = (agent + 1) % len(c.address)
+			agent = (agent + 1) % len(c.addresses)
 		}
-		c.ids++
-		g := Response{ID: fmt.Sprintf("%s%08x", c.prefix, c.ids), Class: p.Name, Instance: agent, Sent: time.Now(), Retry: retry}
-		c.open[agent]++
+		c.lastID++
+		g := Response{ID: fmt.Sprintf("%s%08x", c.prefix, c.lastID), Class: p.Name, Instance: agent, Sent: time.Now(), Retry: retry}
+		c.inFlight[agent]++
 		c.mu.Unlock()
-		c.world.Took(agent)
-		c.try(p, &g, key, mark)
+		c.fleet.RequestSent(agent)
+		c.attempt(p, &g, key, mark)
 		g.Done = time.Now()
 		c.mu.Lock()
-		c.open[agent]--
+		c.inFlight[agent]--
 		c.log = append(c.log, g)
 		if g.Outcome == "nobody" {
-			c.down[agent] = time.Now()
+			c.unreachableAt[agent] = time.Now()
 		}
 		c.mu.Unlock()
 		safe := g.Outcome == "declined" || g.Outcome == "nobody" || p.Semantics != "once"
@@ -113,7 +115,7 @@
 	}
 }
 
-func (c *Clients) try(p Class, g *Response, key int, mark string) {
+func (c *Clients) attempt(p Class, g *Response, key int, mark string) {
 	conn := c.connect(g.Instance)
 	if conn == nil {
 		g.Outcome = "nobody"
@@ -191,7 +193,7 @@
 		}
 		conn.Close()
 	}
-	conn, err := net.DialTimeout("tcp", c.address[agent], time.Second)
+	conn, err := net.DialTimeout("tcp", c.addresses[agent], time.Second)
 	if err != nil {
 		return nil
 	}
--- a/internal/fake/fleet/control.go
+++ b/internal/fake/fleet/control.go
@@ -17,11 +17,11 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for range n {
-		if err := w.start(release, cores, time.Time{}); err != nil {
+		if err := w.startBackend(release, cores, time.Time{}); err != nil {
 			return err
 		}
 	}
-	w.publish()
+	w.publishEndpoints()
 	return nil
 }
 
@@ -29,13 +29,13 @@
 func (w *Fleet) DrainBackends(release, n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, a := range w.fleet {
+	for _, a := range w.backends {
 		if a.Release == release && a.state == "Ready" && n > 0 {
 			n--
 			w.drain(a)
 		}
 	}
-	w.publish()
+	w.publishEndpoints()
 }
 
 // Announce makes a state the newest release's, and tells it on every stream of notices.
@@ -43,19 +43,19 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s.At = time.Now()
-	w.stage, w.began = s, s.At
+	w.stage, w.stageBegan = s, s.At
 	w.Stages = append(w.Stages, s)
 	if s.Mode == "reverting" || s.Mode == "reverted" {
-		w.affinity.goesBack(s.Release)
+		w.affinity.rolledBackRelease(s.Release)
 	}
-	w.tell()
+	w.broadcastStage()
 }
 
 // ReadyBackends is how many backends of a release are listed as ready.
 func (w *Fleet) ReadyBackends(release int) (n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, a := range w.fleet {
+	for _, a := range w.backends {
 		if a.Release == release && a.state == "Ready" {
 			n++
 		}
--- a/internal/fake/fleet/serve.go
+++ b/internal/fake/fleet/serve.go
@@ -19,42 +19,44 @@
 
 // Backend has some cores and a queue, is cold after its start and falls over when pushed.
 type Backend struct {
-	ID      string
-	Release int
-	world   *Fleet
-	cores   int
-	started time.Time
-	state   string
-	bad     float64
-	told    []time.Time // by agent: that it drains or is gone
-	servers []*http.Server
-	listens []net.Listener
-	slots   chan bool
-	waiting atomic.Int64
-	inside  atomic.Int64
-	mu      sync.Mutex
-	pushed  time.Time // since when it has been pushed too hard
-	fallen  bool
+	ID              string
+	Release         int
+	fleet           *Fleet
+	cores           int
+	startedAt       time.Time
+	state           string
+	failureShare    float64
+	notifiedAt      []time.Time // by agent: that it drains or is gone
+	servers         []*http.Server
+	listeners       []net.Listener
+	slots           chan bool
+	queued          atomic.Int64
+	inFlight        atomic.Int64
+	mu              sync.Mutex
+	overloadedSince time.Time // since when it has been pushed too hard
+	failed          bool
 }
 
-const queueMost = 64
+const maxQueue = 64
 
-func newAppliance(w *Fleet, id string, build, cores int, at time.Time) (*Backend, error) {
-	a := &Backend{ID: id, Release: build, world: w, cores: cores, started: at, state: "Ready",
-		told: make([]time.Time, w.Instances), slots: make(chan bool, cores)}
+func newBackend(w *Fleet, id string, build, cores int, at time.Time) (*Backend, error) {
+	a := &Backend{
+		ID: id, Release: build, fleet: w, cores: cores, startedAt: at, state: "Ready",
+		notifiedAt: make([]time.Time, w.Instances), slots: make(chan bool, cores),
+	}
 	for i := range w.Instances { // an address for each agent, by which its calls are known
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return nil, err
 		}
 		s := &http.Server{Handler: http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) { a.serve(i, rw, r) })}
-		a.listens, a.servers = append(a.listens, l), append(a.servers, s)
+		a.listeners, a.servers = append(a.listeners, l), append(a.servers, s)
 		go s.Serve(l)
 	}
 	return a, nil
 }
 
-func (a *Backend) address(agent int) string { return a.listens[agent].Addr().String() }
+func (a *Backend) address(agent int) string { return a.listeners[agent].Addr().String() }
 
 func (a *Backend) close() {
 	for _, s := range a.servers {
@@ -64,30 +66,30 @@
 
 // speed is its part of full speed: a fresh one is cold.
 func (a *Backend) speed() float64 {
-	if a.started.IsZero() {
+	if a.startedAt.IsZero() {
 		return 1
 	}
-	return min(ColdFrom+(1-ColdFrom)*float64(time.Since(a.started))/float64(WarmUp), 1)
+	return min(ColdFrom+(1-ColdFrom)*float64(time.Since(a.startedAt))/float64(WarmUp), 1)
 }
 
-// push tells whether it still stands: more than Overload times what it can do now, for FallTime, and it falls for good.
-func (a *Backend) push() bool {
+// survivesLoad tells whether it still stands: more than Overload times what it can do now, for FallTime, and it falls for good.
+func (a *Backend) survivesLoad() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.started.IsZero() || a.speed() >= 1 {
-		return !a.fallen
+	if a.startedAt.IsZero() || a.speed() >= 1 {
+		return !a.failed
 	}
-	if float64(a.inside.Load()) <= Overload*a.speed()*float64(a.cores) {
-		a.pushed = time.Time{}
-	} else if a.pushed.IsZero() {
-		a.pushed = time.Now()
-	} else if time.Since(a.pushed) > FallTime && !a.fallen {
-		a.fallen = true
-		a.world.mu.Lock()
-		a.world.Violations.Fallen++
-		a.world.mu.Unlock()
+	if float64(a.inFlight.Load()) <= Overload*a.speed()*float64(a.cores) {
+		a.overloadedSince = time.Time{}
+	} else if a.overloadedSince.IsZero() {
+		a.overloadedSince = time.Now()
+	} else if time.Since(a.overloadedSince) > FallTime && !a.failed {
+		a.failed = true
+		a.fleet.mu.Lock()
+		a.fleet.Violations.Fallen++
+		a.fleet.mu.Unlock()
 	}
-	return !a.fallen
+	return !a.failed
 }
 
 func (a *Backend) serve(agent int, rw http.ResponseWriter, r *http.Request) {
@@ -102,53 +104,53 @@
 			product = p
 		}
 	}
-	w := a.world
+	w := a.fleet
 	w.mu.Lock()
-	if t := a.told[agent]; !t.IsZero() {
-		w.Late = max(w.Late, time.Since(t))
+	if t := a.notifiedAt[agent]; !t.IsZero() {
+		w.LatestAfterDrain = max(w.LatestAfterDrain, time.Since(t))
 		if time.Since(t) > Grace+50*time.Millisecond {
 			w.Violations.Drains++
 		}
 	}
 	second := time.Now().Unix()
-	if w.reach[agent][second] == nil {
-		w.reach[agent][second] = map[string]bool{}
+	if w.reachedInSecond[agent][second] == nil {
+		w.reachedInSecond[agent][second] = map[string]bool{}
 	}
-	w.reach[agent][second][a.ID] = true
+	w.reachedInSecond[agent][second][a.ID] = true
 	if s := w.stage; a.Release == s.Release && s.Mode == "canary" {
-		w.trials[agent] = append(w.trials[agent], time.Now())
+		w.canaryAttemptsAt[agent] = append(w.canaryAttemptsAt[agent], time.Now())
 	}
 	key := r.URL.Path[strings.LastIndexByte(r.URL.Path, '/')+1:]
 	w.attempts[a.Release]++
-	w.affinity.attempt(agent, key, id, a.Release)
-	w.reaches(agent, a.Release, id)
-	draining, process := a.state != "Ready", w.process[agent]
+	w.affinity.checkAttempt(agent, key, id, a.Release)
+	w.checkClosed(agent, a.Release, id)
+	draining, process := a.state != "Ready", w.incarnation[agent]
 	w.mu.Unlock()
-	a.inside.Add(1)
-	defer a.inside.Add(-1)
-	if !a.push() {
+	a.inFlight.Add(1)
+	defer a.inFlight.Add(-1)
+	if !a.survivesLoad() {
 		panic(http.ErrAbortHandler)
 	}
-	rw.Header().Set("Srv-Load", fmt.Sprintf("inflight=%d,queue=%d,util=%.2f", a.inside.Load(), a.waiting.Load(),
+	rw.Header().Set("Srv-Load", fmt.Sprintf("inflight=%d,queue=%d,util=%.2f", a.inFlight.Load(), a.queued.Load(),
 		float64(len(a.slots))/float64(a.cores)))
-	if draining || a.waiting.Load() >= queueMost {
-		decline(rw)
+	if draining || a.queued.Load() >= maxQueue {
+		reject(rw)
 		return
 	}
-	a.waiting.Add(1)
+	a.queued.Add(1)
 	select {
 	case a.slots <- true:
-		a.waiting.Add(-1)
+		a.queued.Add(-1)
 	case <-r.Context().Done(): // given up while it waited: it never ran
-		a.waiting.Add(-1)
+		a.queued.Add(-1)
 		return
 	}
 	defer func() { <-a.slots }()
-	again := w.runs(product, id, mark)
+	again := w.beginExecution(product, id, mark)
 	if !again {
 		time.Sleep(time.Duration(float64(product.Work) / a.speed() * (0.8 + 0.4*rand.Float64())))
 	}
-	if rand.Float64() < a.bad {
+	if rand.Float64() < a.failureShare {
 		http.Error(rw, "broken", http.StatusInternalServerError)
 		return
 	}
@@ -157,45 +159,45 @@
 	rw.Header().Set("Content-Length", strconv.Itoa(len(answer)))
 	io.WriteString(rw, answer)
 	w.mu.Lock()
-	if process == w.process[agent] {
-		w.affinity.answered(agent, key, a.Release)
+	if process == w.incarnation[agent] {
+		w.affinity.recordAnswer(agent, key, a.Release)
 	}
 	w.mu.Unlock()
 }
 
-func decline(rw http.ResponseWriter) {
+func reject(rw http.ResponseWriter) {
 	rw.Header().Set("Srv-Declined", "1")
 	http.Error(rw, "full", http.StatusServiceUnavailable)
 }
 
-// runs notes that a txn runs, and tells whether it is a repeat that is dropped.
-func (w *Fleet) runs(p Class, id, mark string) (dropped bool) {
+// beginExecution notes that a txn runs, and tells whether it is a repeat that is dropped.
+func (w *Fleet) beginExecution(p Class, id, mark string) (dropped bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch p.Semantics {
 	case "once":
-		if w.ran[id]++; w.ran[id] > 1 {
+		if w.executions[id]++; w.executions[id] > 1 {
 			w.Violations.Twice++
 		}
 	case "by_key":
-		if at, ok := w.marks[mark]; ok {
+		if at, ok := w.keyRanAt[mark]; ok {
 			if time.Since(at) < p.DedupWindow {
 				return true
 			}
 			w.Violations.Twice++
 		}
-		w.marks[mark] = time.Now()
+		w.keyRanAt[mark] = time.Now()
 	}
 	return false
 }
 
-// listener is one open stream.
-type listener struct {
-	agent int
-	lines chan string
+// subscriber is one open stream.
+type subscriber struct {
+	instance int
+	lines    chan string
 }
 
-func (l *listener) send(text string) {
+func (l *subscriber) send(text string) {
 	select {
 	case l.lines <- text:
 	default: // a reader that far behind gets the rest when it comes again
@@ -204,8 +206,9 @@
 
 // stream writes what comes to one listener until it goes away.
 // where quiet tells so, no sign of life is given.
-func stream(ctx context.Context, rw http.ResponseWriter, l *listener, kind, first, life string, every time.Duration,
-	quiet func() bool) {
+func stream(ctx context.Context, rw http.ResponseWriter, l *subscriber, kind, first, life string, every time.Duration,
+	quiet func() bool,
+) {
 	rw.Header().Set("Content-Type", kind)
 	out := http.NewResponseController(rw)
 	tick := time.NewTicker(every)
@@ -227,7 +230,7 @@
 	}
 }
 
-func (w *Fleet) discovery(agent int, l net.Listener) {
+func (w *Fleet) serveDiscovery(agent int, l net.Listener) {
 	http.Serve(l, http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		w.mu.Lock()
 		if w.muted[agent] { // silent to the end of the connection
@@ -235,15 +238,15 @@
 			<-r.Context().Done()
 			return
 		}
-		text, _ := json.Marshal(w.list(agent, true))
-		w.telling(agent)
+		text, _ := json.Marshal(w.endpointList(agent, true))
+		w.noteNotified(agent)
 		if r.URL.Query().Get("watch") == "" {
 			w.mu.Unlock()
 			rw.Write(text)
 			return
 		}
-		s := &listener{agent, make(chan string, 64)}
-		w.watch[s] = true
+		s := &subscriber{agent, make(chan string, 64)}
+		w.endpointStreams[s] = true
 		w.mu.Unlock()
 		stream(r.Context(), rw, s, "application/json", string(text)+"\n", "\n", 2*time.Second, func() bool {
 			w.mu.Lock()
@@ -251,22 +254,22 @@
 			return w.muted[agent]
 		})
 		w.mu.Lock()
-		delete(w.watch, s)
+		delete(w.endpointStreams, s)
 		w.mu.Unlock()
 	}))
 }
 
-func (w *Fleet) platform(l net.Listener) {
+func (w *Fleet) servePlatform(l net.Listener) {
 	http.Serve(l, http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/notices" {
 			w.mu.Lock()
-			s := &listener{0, make(chan string, 64)}
-			w.notice[s] = true
-			first := w.news()
+			s := &subscriber{0, make(chan string, 64)}
+			w.noticeStreams[s] = true
+			first := w.stageEvent()
 			w.mu.Unlock()
 			stream(r.Context(), rw, s, "text/event-stream", first, ":\n", time.Second, func() bool { return false })
 			w.mu.Lock()
-			delete(w.notice, s)
+			delete(w.noticeStreams, s)
 			w.mu.Unlock()
 			return
 		}
@@ -274,9 +277,9 @@
 		stage, err2 := strconv.Atoi(r.FormValue("tranche"))
 		status, code := 400, "SYNTAX"
 		if err1 == nil && err2 == nil && r.FormValue("Action") == "CastVote" {
-			status, code = w.vote(build, stage, r.FormValue("ruling"))
+			status, code = w.handleVote(build, stage, r.FormValue("ruling"))
 		}
-		s := w.At()
+		s := w.CurrentStage()
 		text := fmt.Sprintf(`<?xml version="1.0"?><Response><groups><item><release>%d</release><tranche>%d</tranche>`+
 			`<mode>%s</mode><exposure>%g</exposure><old_ms>%d</old_ms></item></groups></Response>`, s.Release, s.Stage, s.Mode, s.Cap,
 			time.Since(s.At).Milliseconds())
--- a/internal/fake/postgres/postgres.go
+++ b/internal/fake/postgres/postgres.go
@@ -21,45 +21,45 @@
 // Server is one. Its mode is how it fails: "", stall (nothing is answered), refuse (no connection), cut (connections break
 // inside a transaction), lose (commits count and are not answered), or a SQLSTATE with which each commit ends.
 type Server struct {
-	mu      sync.Mutex
-	turn    sync.Cond
-	mode    string
-	file    *os.File
-	user    string
-	creds   scram.StoredCredentials
-	version int
-	incs    map[string]*inc
-	seen    map[string]bool
-	Entries []sqlstore.Row
-	Gaps    []sqlstore.GapRow
-	conns   map[net.Conn]bool
-	writing sync.Mutex // one transaction at a time
+	mu           sync.Mutex
+	changed      sync.Cond
+	mode         string
+	file         *os.File
+	user         string
+	credentials  scram.StoredCredentials
+	version      int
+	incarnations map[string]*incarnation
+	stored       map[string]bool
+	Entries      []sqlstore.Row
+	Gaps         []sqlstore.GapRow
+	connections  map[net.Conn]bool
+	writing      sync.Mutex // one transaction at a time
 }
 
-type inc struct {
+type incarnation struct {
 	Agent, Place string
 	Through      int64
 	Closed       int64
 }
 
-// change is what a transaction did: a line of the file.
-type change struct {
-	Version int               `json:",omitempty"`
-	Inc     map[string]inc    `json:",omitempty"`
-	Entries []sqlstore.Row    `json:",omitempty"`
-	Gaps    []sqlstore.GapRow `json:",omitempty"`
+// transaction is what a transaction did: a line of the file.
+type transaction struct {
+	Version int                    `json:",omitempty"`
+	Inc     map[string]incarnation `json:",omitempty"`
+	Entries []sqlstore.Row         `json:",omitempty"`
+	Gaps    []sqlstore.GapRow      `json:",omitempty"`
 }
 
 // New reads the file, or makes it; the password is asked for by SCRAM where it is not empty.
 func New(path, user, password string) (*Server, error) {
-	s := &Server{user: user, incs: map[string]*inc{}, seen: map[string]bool{}, conns: map[net.Conn]bool{}}
-	s.turn.L = &s.mu
+	s := &Server{user: user, incarnations: map[string]*incarnation{}, stored: map[string]bool{}, connections: map[net.Conn]bool{}}
+	s.changed.L = &s.mu
 	if password != "" {
 		c, err := scram.SHA256.NewClient(user, password, "")
 		if err != nil {
 			return nil, err
 		}
-		s.creds = c.GetStoredCredentials(scram.KeyFactors{Salt: "onyxgate-standin", Iters: 4096})
+		s.credentials = c.GetStoredCredentials(scram.KeyFactors{Salt: "onyxgate-standin", Iters: 4096})
 	}
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR|os.O_APPEND, 0o600)
 	if err != nil {
@@ -68,7 +68,7 @@
 	lines := bufio.NewScanner(f)
 	lines.Buffer(nil, 64<<20)
 	for lines.Scan() {
-		var c change
+		var c transaction
 		if json.Unmarshal(lines.Bytes(), &c) != nil {
 			break // the kill came within the write, so it was never confirmed
 		}
@@ -83,9 +83,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.mode = mode
-	s.turn.Broadcast()
+	s.changed.Broadcast()
 	if mode == "refuse" {
-		for c := range s.conns {
+		for c := range s.connections {
 			c.Close()
 		}
 	}
@@ -98,79 +98,79 @@
 		if err != nil {
 			return
 		}
-		go s.session(c)
+		go s.serveConn(c)
 	}
 }
 
-func (s *Server) apply(c change) {
+func (s *Server) apply(c transaction) {
 	s.version = max(s.version, c.Version)
 	for k, i := range c.Inc {
-		s.incs[k] = &i
+		s.incarnations[k] = &i
 	}
 	for _, e := range c.Entries {
-		s.seen[e.Incarnation+"/"+strconv.FormatUint(e.N, 10)] = true
+		s.stored[e.Incarnation+"/"+strconv.FormatUint(e.N, 10)] = true
 	}
 	s.Entries, s.Gaps = append(s.Entries, c.Entries...), append(s.Gaps, c.Gaps...)
 }
 
-// wait stands still while the server does, and tells how it fails now.
-func (s *Server) wait() string {
+// awaitMode stands still while the server does, and tells how it fails now.
+func (s *Server) awaitMode() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for s.mode == "stall" {
-		s.turn.Wait()
+		s.changed.Wait()
 	}
 	return s.mode
 }
 
 // session is one connection's life.
 type session struct {
-	s       *Server
-	b       *pgproto3.Backend
-	in      bool // a transaction
-	failed  bool
-	locked  bool
-	did     change
-	text    string
-	args    []string
-	columns []string
-	rows    [][]string
-	tag     string
+	server        *Server
+	backend       *pgproto3.Backend
+	inTransaction bool // a transaction
+	failed        bool
+	locked        bool
+	changes       transaction
+	text          string
+	args          []string
+	columns       []string
+	rows          [][]string
+	tag           string
 }
 
-func (s *Server) session(c net.Conn) {
+func (s *Server) serveConn(c net.Conn) {
 	defer c.Close()
-	if s.wait() == "refuse" {
+	if s.awaitMode() == "refuse" {
 		return
 	}
 	s.mu.Lock()
-	s.conns[c] = true
+	s.connections[c] = true
 	s.mu.Unlock()
-	x := &session{s: s, b: pgproto3.NewBackend(c, c)}
+	x := &session{server: s, backend: pgproto3.NewBackend(c, c)}
 	defer func() {
-		x.end()
+		x.endTransaction()
 		s.mu.Lock()
-		delete(s.conns, c)
+		delete(s.connections, c)
 		s.mu.Unlock()
 	}()
-	if !x.start(c) {
+	if !x.handshake(c) {
 		return
 	}
 	for {
-		m, err := x.b.Receive()
+		m, err := x.backend.Receive()
 		if err != nil {
 			return
 		}
-		s.wait()
-		if !x.take(m) || x.b.Flush() != nil {
+		s.awaitMode()
+		if !x.handle(m) || x.backend.Flush() != nil {
 			return
 		}
 	}
 }
 
-func (x *session) start(c net.Conn) bool {
+func (x *session) handshake(c net.Conn) bool {
 	for {
-		m, err := x.b.ReceiveStartupMessage()
+		m, err := x.backend.ReceiveStartupMessage()
 		if err != nil {
 			return false
 		}
@@ -178,17 +178,17 @@
 		case *pgproto3.SSLRequest, *pgproto3.GSSEncRequest:
 			c.Write([]byte("N"))
 		case *pgproto3.StartupMessage:
-			if x.s.creds.Iters > 0 && !x.authenticate(m.Parameters["user"]) {
-				x.b.Send(&pgproto3.ErrorResponse{Severity: "FATAL", Code: "28P01", Message: "password authentication failed"})
-				x.b.Flush()
+			if x.server.credentials.Iters > 0 && !x.authenticate(m.Parameters["user"]) {
+				x.backend.Send(&pgproto3.ErrorResponse{Severity: "FATAL", Code: "28P01", Message: "password authentication failed"})
+				x.backend.Flush()
 				return false
 			}
-			x.b.Send(&pgproto3.AuthenticationOk{})
-			x.b.Send(&pgproto3.ParameterStatus{Name: "client_encoding", Value: "UTF8"})
-			x.b.Send(&pgproto3.ParameterStatus{Name: "standard_conforming_strings", Value: "on"})
-			x.b.Send(&pgproto3.BackendKeyData{ProcessID: 1, SecretKey: []byte{0, 0, 0, 1}})
-			x.b.Send(&pgproto3.ReadyForQuery{TxStatus: 'I'})
-			return x.b.Flush() == nil
+			x.backend.Send(&pgproto3.AuthenticationOk{})
+			x.backend.Send(&pgproto3.ParameterStatus{Name: "client_encoding", Value: "UTF8"})
+			x.backend.Send(&pgproto3.ParameterStatus{Name: "standard_conforming_strings", Value: "on"})
+			x.backend.Send(&pgproto3.BackendKeyData{ProcessID: 1, SecretKey: []byte{0, 0, 0, 1}})
+			x.backend.Send(&pgproto3.ReadyForQuery{TxStatus: 'I'})
+			return x.backend.Flush() == nil
 		default:
 			return false
 		}
@@ -196,15 +196,15 @@
 }
 
 func (x *session) authenticate(user string) bool {
-	server, err := scram.SHA256.NewServer(func(string) (scram.StoredCredentials, error) { return x.s.creds, nil })
-	if err != nil || user != x.s.user {
+	server, err := scram.SHA256.NewServer(func(string) (scram.StoredCredentials, error) { return x.server.credentials, nil })
+	if err != nil || user != x.server.user {
 		return false
 	}
 	talk := server.NewConversation()
-	x.b.Send(&pgproto3.AuthenticationSASL{AuthMechanisms: []string{"SCRAM-SHA-256"}})
-	x.b.SetAuthType(pgproto3.AuthTypeSASL)
-	for x.b.Flush() == nil {
-		m, err := x.b.Receive()
+	x.backend.Send(&pgproto3.AuthenticationSASL{AuthMechanisms: []string{"SCRAM-SHA-256"}})
+	x.backend.SetAuthType(pgproto3.AuthTypeSASL)
+	for x.backend.Flush() == nil {
+		m, err := x.backend.Receive()
 		if err != nil {
 			return false
 		}
@@ -212,7 +212,7 @@
 		switch m := m.(type) {
 		case *pgproto3.SASLInitialResponse:
 			said = string(m.Data)
-			x.b.SetAuthType(pgproto3.AuthTypeSASLContinue)
+			x.backend.SetAuthType(pgproto3.AuthTypeSASLContinue)
 		case *pgproto3.SASLResponse:
 			said = string(m.Data)
 		}
@@ -221,10 +221,10 @@
 			return false
 		}
 		if talk.Done() {
-			x.b.Send(&pgproto3.AuthenticationSASLFinal{Data: []byte(answer)})
+			x.backend.Send(&pgproto3.AuthenticationSASLFinal{Data: []byte(answer)})
 			return talk.Valid()
 		}
-		x.b.Send(&pgproto3.AuthenticationSASLContinue{Data: []byte(answer)})
+		x.backend.Send(&pgproto3.AuthenticationSASLContinue{Data: []byte(answer)})
 	}
 	return false
 }
@@ -233,53 +233,53 @@
 	switch {
 	case x.failed:
 		return 'E'
-	case x.in:
+	case x.inTransaction:
 		return 'T'
 	}
 	return 'I'
 }
 
-// take answers one message; false ends the connection.
-func (x *session) take(m pgproto3.FrontendMessage) bool {
+// handle answers one message; false ends the connection.
+func (x *session) handle(m pgproto3.FrontendMessage) bool {
 	switch m := m.(type) {
 	case *pgproto3.Query:
 		x.text, x.args = m.String, nil
 		if !x.execute() {
 			return false
 		}
-		x.describe()
-		x.send()
-		x.b.Send(&pgproto3.ReadyForQuery{TxStatus: x.status()})
+		x.describeRows()
+		x.sendRows()
+		x.backend.Send(&pgproto3.ReadyForQuery{TxStatus: x.status()})
 	case *pgproto3.Parse:
 		x.text = m.Query
-		x.b.Send(&pgproto3.ParseComplete{})
+		x.backend.Send(&pgproto3.ParseComplete{})
 	case *pgproto3.Bind:
 		x.args = nil
 		for _, p := range m.Parameters {
 			x.args = append(x.args, string(p))
 		}
-		x.b.Send(&pgproto3.BindComplete{})
+		x.backend.Send(&pgproto3.BindComplete{})
 	case *pgproto3.Describe:
 		if !x.execute() {
 			return false
 		}
-		x.describe()
+		x.describeRows()
 	case *pgproto3.Execute:
-		x.send()
+		x.sendRows()
 	case *pgproto3.Sync:
-		x.b.Send(&pgproto3.ReadyForQuery{TxStatus: x.status()})
+		x.backend.Send(&pgproto3.ReadyForQuery{TxStatus: x.status()})
 	case *pgproto3.Terminate:
 		return false
 	}
 	return true
 }
 
-func (x *session) describe() {
+func (x *session) describeRows() {
 	if x.tag == "" {
 		return
 	}
 	if len(x.columns) == 0 {
-		x.b.Send(&pgproto3.NoData{})
+		x.backend.Send(&pgproto3.NoData{})
 		return
 	}
 	var fields []pgproto3.FieldDescription
@@ -292,13 +292,15 @@
 		case "real":
 			oid, size = 701, 8
 		}
-		fields = append(fields, pgproto3.FieldDescription{Name: []byte(name), DataTypeOID: oid, DataTypeSize: size,
-			TypeModifier: -1})
+		fields = append(fields, pgproto3.FieldDescription{
+			Name: []byte(name), DataTypeOID: oid, DataTypeSize: size,
+			TypeModifier: -1,
+		})
 	}
-	x.b.Send(&pgproto3.RowDescription{Fields: fields})
+	x.backend.Send(&pgproto3.RowDescription{Fields: fields})
 }
 
-func (x *session) send() {
+func (x *session) sendRows() {
 	if x.tag == "" {
 		return
 	}
@@ -307,53 +309,53 @@
 		for _, v := range r {
 			values = append(values, []byte(v))
 		}
-		x.b.Send(&pgproto3.DataRow{Values: values})
+		x.backend.Send(&pgproto3.DataRow{Values: values})
 	}
-	x.b.Send(&pgproto3.CommandComplete{CommandTag: []byte(x.tag)})
+	x.backend.Send(&pgproto3.CommandComplete{CommandTag: []byte(x.tag)})
 	x.tag = ""
 }
 
-func (x *session) fault(code, message string) {
-	x.failed = x.in
+func (x *session) sendError(code, message string) {
+	x.failed = x.inTransaction
 	x.tag = ""
-	x.b.Send(&pgproto3.ErrorResponse{Severity: "ERROR", Code: code, Message: message})
+	x.backend.Send(&pgproto3.ErrorResponse{Severity: "ERROR", Code: code, Message: message})
 }
 
-func (x *session) end() {
-	x.in, x.failed, x.did = false, false, change{}
+func (x *session) endTransaction() {
+	x.inTransaction, x.failed, x.changes = false, false, transaction{}
 	if x.locked {
 		x.locked = false
-		x.s.writing.Unlock()
+		x.server.writing.Unlock()
 	}
 }
 
 // commit makes the transaction lasting; false: the connection ends without a word.
 func (x *session) commit() bool {
-	s := x.s
-	defer x.end()
-	mode := s.wait()
+	s := x.server
+	defer x.endTransaction()
+	mode := s.awaitMode()
 	switch {
 	case mode == "cut":
 		return false
 	case len(mode) == 5: // a SQLSTATE
-		x.in = false
-		x.fault(mode, "told to fail")
+		x.inTransaction = false
+		x.sendError(mode, "told to fail")
 		return true
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	line, _ := json.Marshal(x.did)
+	line, _ := json.Marshal(x.changes)
 	if _, err := s.file.Write(append(line, '\n')); err != nil || s.file.Sync() != nil {
 		return false
 	}
-	s.apply(x.did)
+	s.apply(x.changes)
 	return mode != "lose"
 }
 
 // execute plays a statement; false ends the connection.
 func (x *session) execute() bool {
 	x.columns, x.rows, x.tag = nil, nil, "OK"
-	s, text := x.s, x.text
+	s, text := x.server, x.text
 	name := ""
 	if i := strings.Index(text, "*/ "); i > 0 {
 		name, text = text[:i+3], text[i+3:]
@@ -361,14 +363,14 @@
 	text = strings.TrimSpace(strings.TrimSuffix(text, ";"))
 	switch {
 	case strings.HasPrefix(text, "begin"):
-		x.in, x.tag = true, "BEGIN"
+		x.inTransaction, x.tag = true, "BEGIN"
 		return true
 	case text == "rollback":
-		x.end()
+		x.endTransaction()
 		x.tag = "ROLLBACK"
 		return true
 	case text == "commit" && x.failed:
-		x.end()
+		x.endTransaction()
 		x.tag = "ROLLBACK"
 		return true
 	case text == "commit":
@@ -377,7 +379,7 @@
 	case text == "" || strings.HasPrefix(text, "--"): // a ping
 		return true
 	}
-	if x.in && !x.locked && name != sqlstore.NameSelect {
+	if x.inTransaction && !x.locked && name != sqlstore.NameSelect {
 		s.writing.Lock()
 		x.locked = true
 	}
@@ -386,23 +388,23 @@
 	switch name {
 	case sqlstore.NameMigrate:
 		if strings.HasPrefix(text, "insert") {
-			x.did.Version, _ = strconv.Atoi(x.args[0])
+			x.changes.Version, _ = strconv.Atoi(x.args[0])
 		}
 	case sqlstore.NameVersion:
-		x.columns, x.rows = []string{"max big"}, [][]string{{strconv.Itoa(max(s.version, x.did.Version))}}
+		x.columns, x.rows = []string{"max big"}, [][]string{{strconv.Itoa(max(s.version, x.changes.Version))}}
 	case sqlstore.NameClaim:
-		if x.inc(x.args[0]) == nil {
-			x.put(x.args[0], inc{Agent: x.args[1], Place: x.args[2]})
+		if x.incarnation(x.args[0]) == nil {
+			x.setIncarnation(x.args[0], incarnation{Agent: x.args[1], Place: x.args[2]})
 		}
 	case sqlstore.NameThrough:
-		if i := x.inc(x.args[4]); i != nil {
+		if i := x.incarnation(x.args[4]); i != nil {
 			through, _ := strconv.ParseInt(x.args[0], 10, 64)
 			closed, _ := strconv.ParseInt(x.args[2], 10, 64)
 			i.Through, i.Closed = max(i.Through, through), max(i.Closed, closed)
-			x.put(x.args[4], *i)
+			x.setIncarnation(x.args[4], *i)
 		}
 	case sqlstore.NameOwner:
-		i := x.inc(x.args[0])
+		i := x.incarnation(x.args[0])
 		if strings.Contains(text, "through") {
 			x.columns = []string{"through big", "closed big"}
 			if i != nil {
@@ -414,18 +416,18 @@
 	case sqlstore.NamePut:
 		var rows []sqlstore.Row
 		if err := json.Unmarshal([]byte(x.args[0]), &rows); err != nil {
-			x.fault("22P02", err.Error())
+			x.sendError("22P02", err.Error())
 			return true
 		}
 		for _, r := range rows {
-			if !strings.Contains(text, "on conflict do nothing") || !s.seen[r.Incarnation+"/"+strconv.FormatUint(r.N, 10)] {
-				x.did.Entries = append(x.did.Entries, r)
+			if !strings.Contains(text, "on conflict do nothing") || !s.stored[r.Incarnation+"/"+strconv.FormatUint(r.N, 10)] {
+				x.changes.Entries = append(x.changes.Entries, r)
 			}
 		}
 	case sqlstore.NameGaps:
 		var rows []sqlstore.GapRow
 		if err := json.Unmarshal([]byte(x.args[0]), &rows); err != nil {
-			x.fault("22P02", err.Error())
+			x.sendError("22P02", err.Error())
 			return true
 		}
 		for _, r := range rows {
@@ -434,23 +436,31 @@
 				again = again || g.Incarnation == r.Incarnation && g.N == r.N
 			}
 			if !again {
-				x.did.Gaps = append(x.did.Gaps, r)
+				x.changes.Gaps = append(x.changes.Gaps, r)
 			}
 		}
 	case sqlstore.NameSelect:
-		x.columns = []string{"agent", "incarnation", "n big", "state", "txn", "product", "outcome", "reason", "build big",
-			"appliance", "submissions big", "taken_ms real", "answered_ms real", "body", "mark"}
+		x.columns = []string{
+			"agent", "incarnation", "n big", "state", "txn", "product", "outcome", "reason", "build big",
+			"appliance", "submissions big", "taken_ms real", "answered_ms real", "body", "mark",
+		}
 		for _, r := range s.Entries {
-			x.rows = append(x.rows, []string{r.Agent, r.Incarnation, fmt.Sprint(r.N), r.State, r.RequestID, r.Class, r.Outcome,
+			x.rows = append(x.rows, []string{
+				r.Agent, r.Incarnation, fmt.Sprint(r.N), r.State, r.RequestID, r.Class, r.Outcome,
 				r.Reason, fmt.Sprint(r.Release), r.Backend, fmt.Sprint(r.Attempts), fmt.Sprint(r.ArrivedAt), fmt.Sprint(r.AnsweredAt),
-				r.BodyDigest, r.KeyDigest})
+				r.BodyDigest, r.KeyDigest,
+			})
 		}
 	case sqlstore.NameMissed:
-		x.columns = []string{"agent", "incarnation", "n big", "settled big", "declined big", "voided big", "unknown big",
-			"from_ms real", "to_ms real", "cause"}
+		x.columns = []string{
+			"agent", "incarnation", "n big", "settled big", "declined big", "voided big", "unknown big",
+			"from_ms real", "to_ms real", "cause",
+		}
 		for _, g := range s.Gaps {
-			x.rows = append(x.rows, []string{g.Agent, g.Incarnation, fmt.Sprint(g.N), fmt.Sprint(g.Served),
-				fmt.Sprint(g.Rejected), fmt.Sprint(g.Failed), fmt.Sprint(g.Unknown), fmt.Sprint(g.From), fmt.Sprint(g.To), g.Cause})
+			x.rows = append(x.rows, []string{
+				g.Agent, g.Incarnation, fmt.Sprint(g.N), fmt.Sprint(g.Served),
+				fmt.Sprint(g.Rejected), fmt.Sprint(g.Failed), fmt.Sprint(g.Unknown), fmt.Sprint(g.From), fmt.Sprint(g.To), g.Cause,
+			})
 		}
 	case sqlstore.NameCount:
 		if strings.Contains(text, "having") {
@@ -462,7 +472,7 @@
 			x.rows = append(x.rows, []string{r.Agent, r.Class, r.Outcome, r.State, "1"})
 		}
 	default:
-		x.fault("42601", "not played here: "+x.text)
+		x.sendError("42601", "not played here: "+x.text)
 	}
 	return true
 }
@@ -478,20 +488,20 @@
 	return n
 }
 
-func (x *session) inc(name string) *inc {
-	if i, ok := x.did.Inc[name]; ok {
+func (x *session) incarnation(name string) *incarnation {
+	if i, ok := x.changes.Inc[name]; ok {
 		return &i
 	}
-	if i := x.s.incs[name]; i != nil {
+	if i := x.server.incarnations[name]; i != nil {
 		c := *i
 		return &c
 	}
 	return nil
 }
 
-func (x *session) put(name string, i inc) {
-	if x.did.Inc == nil {
-		x.did.Inc = map[string]inc{}
+func (x *session) setIncarnation(name string, i incarnation) {
+	if x.changes.Inc == nil {
+		x.changes.Inc = map[string]incarnation{}
 	}
-	x.did.Inc[name] = i
+	x.changes.Inc[name] = i
 }
