--- a/internal/fake/dnsserver/dnsserver.go
+++ b/internal/fake/dnsserver/dnsserver.go
@@ -1,4 +1,5 @@
-// Package dnsserver stands in for a name server on loopback, UDP and TCP, for one service, and fails as it is told.
+// Package dnsserver fakes a name server on loopback, by UDP and TCP, which serves the SRV records of one service and fails as
+// it is told.
 package dnsserver
 
 import (
@@ -8,98 +9,137 @@
 	"sync/atomic"
 
 	"github.com/miekg/dns"
+
+	"onyxgate/internal/fake/loopback"
 )
 
 // Service is the name that is served.
 const Service = "_render._tcp.fleet.example.org."
 
+const (
+	domain           = ".fleet.example.org."
+	ttlSeconds       = 2
+	maxUDPSize       = dns.MinMsgSize * 2
+	garbage          = "this is no answer to anything"
+	failSilent       = "silent"
+	failServfail     = "servfail"
+	failNXDomain     = "nxdomain"
+	failEmpty        = "empty"
+	failTruncated    = "truncated"
+	failHalf         = "half"
+	failGarbage      = "garbage"
+	failWrongID      = "wrong id"
+	failZeroLifetime = "lifetime 0"
+)
+
 // Modes are the ways to fail; the first is none.
-var Modes = []string{"", "silent", "servfail", "nxdomain", "empty", "truncated", "half", "garbage", "wrong id", "lifetime 0"}
+var Modes = []string{
+	"", failSilent, failServfail, failNXDomain, failEmpty, failTruncated, failHalf, failGarbage, failWrongID, failZeroLifetime,
+}
 
-// Server is one.
+// Server is a name server. Its methods may be called at any time and by anyone.
 type Server struct {
-	Address   string
-	mode      atomic.Value
+	Address string       // of both UDP and TCP
+	Queries atomic.Int64 // received so far
+
+	mode      atomic.Value // a string, one of Modes
 	addresses func() []string
-	Queries   atomic.Int64
 	udp, tcp  *dns.Server
 }
 
-// New starts a server that names these addresses, anew at each question.
+// New starts a server that names the backends at these addresses, which it asks for at each query.
 func New(addresses func() []string) (*Server, error) {
 	s := &Server{addresses: addresses}
 	s.mode.Store("")
-	c, err := net.ListenPacket("udp", "127.0.0.1:0")
+	packets, err := loopback.ListenPacket()
 	if err != nil {
 		return nil, err
 	}
-	s.Address = c.LocalAddr().String()
-	l, err := net.Listen("tcp", s.Address)
+	s.Address = packets.LocalAddr().String()
+	listener, err := loopback.ListenOn(s.Address)
 	if err != nil {
 		return nil, err
 	}
-	s.udp, s.tcp = &dns.Server{PacketConn: c, Handler: s}, &dns.Server{Listener: l, Handler: s}
-	go s.udp.ActivateAndServe()
-	go s.tcp.ActivateAndServe()
+	s.udp, s.tcp = &dns.Server{PacketConn: packets, Handler: s}, &dns.Server{Listener: listener, Handler: s}
+	go func() { _ = s.udp.ActivateAndServe() }() // both end by Close
+	go func() { _ = s.tcp.ActivateAndServe() }()
 	return s, nil
 }
 
-// Fail sets the mode.
+// Fail sets how the server fails from the next query on, by one of Modes.
 func (s *Server) Fail(mode string) { s.mode.Store(mode) }
 
-// Close ends it.
+// Close ends the server.
 func (s *Server) Close() {
-	s.udp.Shutdown()
-	s.tcp.Shutdown()
+	// They fail only where serving hasn't begun or has ended, and there is nothing left to close then.
+	_ = s.udp.Shutdown()
+	_ = s.tcp.Shutdown()
 }
 
-// ServeDNS answers a question.
-func (s *Server) ServeDNS(w dns.ResponseWriter, q *dns.Msg) {
+// ServeDNS answers a query as the mode in force says.
+func (s *Server) ServeDNS(w dns.ResponseWriter, query *dns.Msg) {
 	s.Queries.Add(1)
-	mode, udp := s.mode.Load().(string), w.LocalAddr().Network() == "udp"
-	m := new(dns.Msg)
-	m.SetReply(q)
-	ttl := uint32(2)
-	all := s.addresses()
+	mode := s.mode.Load().(string)
 	switch mode {
-	case "silent":
+	case failSilent:
 		return
-	case "servfail":
-		m.SetRcode(q, dns.RcodeServerFailure)
-		all = nil
-	case "nxdomain":
-		m.SetRcode(q, dns.RcodeNameError)
-		all = nil
-	case "empty":
-		all = nil
-	case "half":
-		all = all[:len(all)/2]
-	case "garbage":
-		w.Write([]byte("this is no answer to anything"))
+	case failGarbage:
+		_, _ = w.Write([]byte(garbage)) // a client that is gone needs none
 		return
-	case "wrong id":
-		m.Id++
-	case "lifetime 0":
+	}
+	message := s.answer(query, mode)
+	overUDP := w.LocalAddr().Network() == "udp"
+	if mode == failTruncated || overUDP && message.Len() > maxUDPSize {
+		message.Answer, message.Extra, message.Truncated = nil, nil, true
+	}
+	_ = w.WriteMsg(message) // a client that is gone asks again
+}
+
+func (s *Server) answer(query *dns.Msg, mode string) *dns.Msg {
+	message := new(dns.Msg)
+	message.SetReply(query)
+	ttl := uint32(ttlSeconds)
+	addresses := s.addresses()
+	switch mode {
+	case failServfail:
+		message.SetRcode(query, dns.RcodeServerFailure)
+		addresses = nil
+	case failNXDomain:
+		message.SetRcode(query, dns.RcodeNameError)
+		addresses = nil
+	case failEmpty:
+		addresses = nil
+	case failHalf:
+		addresses = addresses[:len(addresses)/2]
+	case failWrongID:
+		message.Id++
+	case failZeroLifetime:
 		ttl = 0
 	}
-	for i, a := range all {
-		host, port, _ := net.SplitHostPort(a)
-		n, _ := strconv.Atoi(port)
-		target := "h" + strconv.Itoa(i) + ".fleet.example.org."
-		m.Answer = append(m.Answer, &dns.SRV{Hdr: dns.RR_Header{
-			Name: q.Question[0].Name, Rrtype: dns.TypeSRV,
-			Class: dns.ClassINET, Ttl: ttl,
-		}, Priority: 1, Weight: 1, Port: uint16(n), Target: target})
-		m.Extra = append(m.Extra, &dns.A{
-			Hdr: dns.RR_Header{Name: target, Rrtype: dns.TypeA, Class: dns.ClassINET, Ttl: ttl},
-			A:   net.ParseIP(host),
-		})
+	name := query.Question[0].Name
+	if !strings.EqualFold(name, Service) {
+		return message
 	}
-	if !strings.EqualFold(q.Question[0].Name, Service) {
-		m.Answer, m.Extra = nil, nil
+	for i, address := range addresses {
+		service, host := records(name, i, address, ttl)
+		message.Answer, message.Extra = append(message.Answer, service), append(message.Extra, host)
+	}
+	return message
+}
+
+// records are the SRV record of the i-th backend and the address record of its target.
+func records(name string, i int, address string, ttl uint32) (service *dns.SRV, host *dns.A) {
+	// The addresses are those of listeners of ours, so they have an IP address and a port.
+	ip, portText, _ := net.SplitHostPort(address)
+	port, _ := strconv.Atoi(portText)
+	target := "h" + strconv.Itoa(i) + domain
+	service = &dns.SRV{
+		Hdr:      dns.RR_Header{Name: name, Rrtype: dns.TypeSRV, Class: dns.ClassINET, Ttl: ttl},
+		Priority: 1, Weight: 1, Port: uint16(port), Target: target,
 	}
-	if mode == "truncated" || udp && m.Len() > dns.MinMsgSize*2 {
-		m.Answer, m.Extra, m.Truncated = nil, nil, true
+	host = &dns.A{
+		Hdr: dns.RR_Header{Name: target, Rrtype: dns.TypeA, Class: dns.ClassINET, Ttl: ttl},
+		A:   net.ParseIP(ip),
 	}
-	w.WriteMsg(m)
+	return service, host
 }
--- /dev/null
+++ b/internal/fake/loopback/loopback.go
@@ -0,0 +1,45 @@
+// Package loopback opens the sockets of the fakes and of the end-to-end tests. They listen on 127.0.0.1 only, on ports that
+// the kernel chooses.
+package loopback
+
+import (
+	"context"
+	"net"
+	"time"
+)
+
+const anyPort = "127.0.0.1:0"
+
+// Listen opens a TCP listener on a free port.
+func Listen() (net.Listener, error) { return ListenOn(anyPort) }
+
+// ListenOn opens a TCP listener on an address that the caller knows.
+func ListenOn(address string) (net.Listener, error) {
+	var config net.ListenConfig
+	// Binding to loopback neither resolves a name nor waits, so there is nothing to cancel.
+	return config.Listen(context.Background(), "tcp", address)
+}
+
+// ListenPacket opens a UDP socket on a free port.
+func ListenPacket() (net.PacketConn, error) {
+	var config net.ListenConfig
+	return config.ListenPacket(context.Background(), "udp", anyPort)
+}
+
+// FreeAddress returns an address on which nobody listens at the moment of the call. Another process may take the port before
+// the caller's does; the run then ends with an error, which is no verdict on the program.
+func FreeAddress() (string, error) {
+	listener, err := Listen()
+	if err != nil {
+		return "", err
+	}
+	address := listener.Addr().String()
+	return address, listener.Close()
+}
+
+// Dial connects to an address within a timeout. It can't be canceled: a client that has begun a request sees it to its end
+// also after the run's context is done.
+func Dial(address string, timeout time.Duration) (net.Conn, error) {
+	dialer := net.Dialer{Timeout: timeout}
+	return dialer.DialContext(context.Background(), "tcp", address)
+}
--- /dev/null
+++ b/internal/fake/postgres/statements.go
@@ -0,0 +1,238 @@
+package postgres
+
+// This file owns the statements, as far as they are played: transactions, and each of sqlstore's by the name in its comment.
+
+import (
+	"encoding/json"
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+
+	"onyxgate/internal/record/sqlstore"
+)
+
+// SQLSTATEs of statements that can't be played.
+const (
+	sqlstateInvalidText = "22P02"
+	sqlstateSyntax      = "42601"
+)
+
+// endTransaction drops what the transaction changed and lets the next one write.
+func (s *session) endTransaction() {
+	s.inTransaction, s.failed, s.changes = false, false, transaction{}
+	if s.locked {
+		s.locked = false
+		s.server.writing.Unlock()
+	}
+}
+
+// commit makes the transaction last; false ends the connection without an answer.
+func (s *session) commit() bool {
+	server := s.server
+	defer s.endTransaction()
+	mode := server.awaitMode()
+	switch {
+	case mode == modeCut:
+		return false
+	case len(mode) == sqlstateLength:
+		s.inTransaction = false
+		s.sendError(mode, "told to fail")
+		return true
+	}
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	line, err := json.Marshal(s.changes)
+	if err != nil {
+		return false
+	}
+	if _, err := server.file.Write(append(line, '\n')); err != nil || server.file.Sync() != nil {
+		return false
+	}
+	server.apply(s.changes)
+	return mode != modeLose
+}
+
+// execute plays the statement that was parsed last; false ends the connection.
+func (s *session) execute() bool {
+	s.columns, s.rows, s.tag = nil, nil, "OK"
+	name, text := splitName(s.text)
+	switch {
+	case strings.HasPrefix(text, "begin"):
+		s.inTransaction, s.tag = true, "BEGIN"
+		return true
+	case text == "rollback", text == "commit" && s.failed:
+		s.endTransaction()
+		s.tag = "ROLLBACK"
+		return true
+	case text == "commit":
+		s.tag = "COMMIT"
+		return s.commit()
+	case text == "" || strings.HasPrefix(text, "--"): // a ping
+		return true
+	}
+	if s.inTransaction && !s.locked && name != sqlstore.NameSelect {
+		s.server.writing.Lock()
+		s.locked = true
+	}
+	s.server.mu.Lock()
+	defer s.server.mu.Unlock()
+	if play, ok := statements[name]; ok {
+		play(s, text)
+	} else {
+		s.sendError(sqlstateSyntax, "not played here: "+s.text)
+	}
+	return true
+}
+
+// splitName splits a statement into the comment that names it and its text.
+func splitName(statement string) (name, text string) {
+	text = statement
+	if i := strings.Index(text, "*/ "); i > 0 {
+		name, text = text[:i+3], text[i+3:]
+	}
+	return name, strings.TrimSpace(strings.TrimSuffix(text, ";"))
+}
+
+// statements play sqlstore's statements, under the server's lock.
+var statements = map[string]func(s *session, text string){
+	sqlstore.NameMigrate: (*session).migrate,
+	sqlstore.NameVersion: (*session).selectVersion,
+	sqlstore.NameClaim:   (*session).claim,
+	sqlstore.NameThrough: (*session).advance,
+	sqlstore.NameOwner:   (*session).selectOwner,
+	sqlstore.NamePut:     (*session).insertEntries,
+	sqlstore.NameGaps:    (*session).insertGaps,
+	sqlstore.NameSelect:  (*session).selectEntries,
+	sqlstore.NameMissed:  (*session).selectGaps,
+	sqlstore.NameCount:   (*session).count,
+}
+
+func (s *session) migrate(text string) {
+	if strings.HasPrefix(text, "insert") {
+		s.changes.Version, _ = strconv.Atoi(s.args[0]) // sqlstore's own number
+	}
+}
+
+func (s *session) selectVersion(string) {
+	s.columns = columnsOf("max big")
+	s.rows = [][]string{{strconv.Itoa(max(s.server.version, s.changes.Version))}}
+}
+
+// claim inserts an incarnation unless it is there.
+func (s *session) claim(string) {
+	name, agent, place := s.args[0], s.args[1], s.args[2]
+	if _, exists := s.incarnation(name); !exists {
+		s.setIncarnation(name, incarnation{Agent: agent, Place: place})
+	}
+}
+
+// advance raises the numbers up to which an incarnation's entries are stored and closed.
+func (s *session) advance(string) {
+	name := s.args[4]
+	row, exists := s.incarnation(name)
+	if !exists {
+		return
+	}
+	through, _ := strconv.ParseInt(s.args[0], 10, 64) // both are sqlstore's own numbers
+	closed, _ := strconv.ParseInt(s.args[2], 10, 64)
+	row.Through, row.Closed = max(row.Through, through), max(row.Closed, closed)
+	s.setIncarnation(name, row)
+}
+
+func (s *session) selectOwner(text string) {
+	row, exists := s.incarnation(s.args[0])
+	asksForNumbers := strings.Contains(text, "through")
+	if asksForNumbers {
+		s.columns = columnsOf("through big", "closed big")
+	} else {
+		s.columns = columnsOf("place text")
+	}
+	switch {
+	case !exists:
+	case asksForNumbers:
+		s.rows = [][]string{{strconv.FormatInt(row.Through, 10), strconv.FormatInt(row.Closed, 10)}}
+	default:
+		s.rows = [][]string{{row.Place}}
+	}
+}
+
+func (s *session) insertEntries(text string) {
+	var rows []sqlstore.Row
+	if err := json.Unmarshal([]byte(s.args[0]), &rows); err != nil {
+		s.sendError(sqlstateInvalidText, err.Error())
+		return
+	}
+	skipStored := strings.Contains(text, "on conflict do nothing")
+	for _, row := range rows {
+		if !skipStored || !s.server.stored[entryKey(row)] {
+			s.changes.Entries = append(s.changes.Entries, row)
+		}
+	}
+}
+
+func (s *session) insertGaps(string) {
+	var rows []sqlstore.GapRow
+	if err := json.Unmarshal([]byte(s.args[0]), &rows); err != nil {
+		s.sendError(sqlstateInvalidText, err.Error())
+		return
+	}
+	for _, row := range rows {
+		stored := slices.ContainsFunc(s.server.Gaps, func(gap sqlstore.GapRow) bool {
+			return gap.Incarnation == row.Incarnation && gap.N == row.N
+		})
+		if !stored {
+			s.changes.Gaps = append(s.changes.Gaps, row)
+		}
+	}
+}
+
+func (s *session) selectEntries(string) {
+	s.columns = columnsOf("agent", "incarnation", "n big", "state", "txn", "product", "outcome", "reason", "build big",
+		"appliance", "submissions big", "taken_ms real", "answered_ms real", "body", "mark")
+	for _, entry := range s.server.Entries {
+		s.rows = append(s.rows, []string{
+			entry.Agent, entry.Incarnation, fmt.Sprint(entry.N), entry.State, entry.RequestID, entry.Class, entry.Outcome,
+			entry.Reason, fmt.Sprint(entry.Release), entry.Backend, fmt.Sprint(entry.Attempts), fmt.Sprint(entry.ArrivedAt),
+			fmt.Sprint(entry.AnsweredAt), entry.BodyDigest, entry.KeyDigest,
+		})
+	}
+}
+
+func (s *session) selectGaps(string) {
+	s.columns = columnsOf("agent", "incarnation", "n big", "settled big", "declined big", "voided big", "unknown big",
+		"from_ms real", "to_ms real", "cause")
+	for _, gap := range s.server.Gaps {
+		s.rows = append(s.rows, []string{
+			gap.Agent, gap.Incarnation, fmt.Sprint(gap.N), fmt.Sprint(gap.Served), fmt.Sprint(gap.Rejected),
+			fmt.Sprint(gap.Failed), fmt.Sprint(gap.Unknown), fmt.Sprint(gap.From), fmt.Sprint(gap.To), gap.Cause,
+		})
+	}
+}
+
+// count answers with the number of repeated keys, or with a row of count 1 for each entry, which the reader adds up.
+func (s *session) count(text string) {
+	if strings.Contains(text, "having") {
+		s.columns, s.rows = columnsOf("count big"), [][]string{{strconv.Itoa(s.server.countRepeated())}}
+		return
+	}
+	s.columns = columnsOf("agent", "product", "outcome", "state", "n big")
+	for _, entry := range s.server.Entries {
+		s.rows = append(s.rows, []string{entry.Agent, entry.Class, entry.Outcome, entry.State, "1"})
+	}
+}
+
+// incarnation reads a row as the transaction sees it.
+func (s *session) incarnation(name string) (row incarnation, exists bool) {
+	if row, exists = s.changes.Inc[name]; !exists {
+		row, exists = s.server.incarnations[name]
+	}
+	return row, exists
+}
+
+func (s *session) setIncarnation(name string, row incarnation) {
+	if s.changes.Inc == nil {
+		s.changes.Inc = map[string]incarnation{}
+	}
+	s.changes.Inc[name] = row
+}
