--- a/cmd/e2e/exposure_test.go
+++ b/cmd/e2e/exposure_test.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"context"
 	"fmt"
 	"strings"
 	"testing"
@@ -11,57 +10,47 @@
 	"onyxgate/internal/fake/fleet"
 )
 
-// trial is one agent, as a real process, among backends and a platform whose words a proxy can hold back.
+// seedOfTrials draws the traffic of the trials.
+const seedOfTrials = 27
+
+// trial is one instance, as a real process, among backends and a platform whose messages a proxy can hold back.
 type trial struct {
-	t       *testing.T
-	fleet   *fleet.Fleet
-	proxy   *faultproxy.Proxy
-	cluster *cluster
-	clients *fleet.Clients
-	stop    func()
+	*testbed
+	t     *testing.T
+	proxy *faultproxy.Proxy
+	stop  func() // ends the load and the instance, which must leave well
 }
 
-// newTrial starts an agent on six backends of release 1, under traffic.
+// newTrial starts an instance on six backends of release 1, under traffic.
 func newTrial(t *testing.T) *trial {
 	t.Helper()
-	dir := t.TempDir()
-	program, err := buildProgram(dir, "")
+	bed, err := newTestbed(testbedOptions{fleet: fleet.Options{Instances: 1, Backends: 6, Cores: 4}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := &trial{t: t}
-	if x.fleet, err = fleet.New(1, 6, 4, 27); err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(x.fleet.Close)
+	t.Cleanup(bed.close)
+	x := &trial{testbed: bed, t: t}
 	x.fleet.KeyAffinity = true
-	x.fleet.Linger = time.Minute // what is gone still stands: only the agent's own word keeps work from it
+	x.fleet.Linger = time.Minute // who is gone still answers: only the instance keeps requests from it
 	x.fleet.Manual()
 	if x.proxy, err = faultproxy.New(x.fleet.PlatformAddress()); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(x.proxy.Close)
 	x.fleet.PlatformOverride[0] = x.proxy.Address()
-	if x.cluster, err = newCluster(x.fleet, program, dir); err != nil {
-		t.Fatal(err)
-	}
-	if _, err := x.cluster.start(0, 27, ""); err != nil {
+	if err := x.cluster.start(startOptions{instance: 0, seed: seedOfTrials}); err != nil {
 		t.Fatal(err)
 	}
-	x.clients = fleet.NewClients(x.fleet, x.cluster.addresses, 27)
-	x.clients.Keys = 2000 // few are asked for so often that they are kept out of a trial
-	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan struct{})
-	go func() {
-		x.clients.Run(ctx, func() float64 { return 300 }, 27)
-		close(ended)
-	}()
+	x.startLoad(fleet.ClientOptions{
+		Rate: func() float64 { return 300 },
+		Seed: seedOfTrials,
+		Keys: 2000, // few are asked for so often that they are kept out of a trial
+	})
 	x.stop = func() {
-		cancel()
-		<-ended
-		x.clients.Close()
-		for _, line := range x.cluster.stop() {
-			t.Error(line)
+		t.Helper()
+		x.endLoad()
+		for _, violation := range x.cluster.stop() {
+			t.Error(violation)
 		}
 	}
 	return x
@@ -77,11 +66,11 @@
 	}
 }
 
-// requests waits until clients have had so many more answers.
+// requests waits until clients have had so many more responses.
 func (x *trial) requests(n int) {
 	x.t.Helper()
 	from := len(x.clients.Log())
-	x.until(fmt.Sprint(n, " more answers"), func() bool { return len(x.clients.Log()) >= from+n })
+	x.until(fmt.Sprint(n, " more responses"), func() bool { return len(x.clients.Log()) >= from+n })
 }
 
 // attempts waits until so many more attempts have reached a release.
@@ -92,10 +81,10 @@
 }
 
 func onTrial(release int) fleet.Stage {
-	return fleet.Stage{Release: release, Mode: "canary", Cap: 0.25}
+	return fleet.Stage{Release: release, Mode: fleet.ModeCanary, Cap: 0.25}
 }
 
-// withdraw tries a release on one backend and takes it off again.
+// withdraw tries a release on one backend and rolls it back again.
 func (x *trial) withdraw(release int) {
 	x.t.Helper()
 	x.fleet.Announce(onTrial(release))
@@ -103,8 +92,8 @@
 		x.t.Fatal(err)
 	}
 	x.attempts(release, 20)
-	x.fleet.Announce(fleet.Stage{Release: release, Mode: "reverting"})
-	x.fleet.Announce(fleet.Stage{Release: release, Mode: "reverted"})
+	x.fleet.Announce(fleet.Stage{Release: release, Mode: fleet.ModeRollingBack})
+	x.fleet.Announce(fleet.Stage{Release: release, Mode: fleet.ModeRolledBack})
 	x.fleet.DrainBackends(release, 1)
 	x.requests(200)
 }
@@ -113,8 +102,8 @@
 
 func votes(firstLine string) bool { return strings.HasPrefix(firstLine, "POST ") }
 
-// Incident 27: a release's backend is listed seconds before its news, and the release before it was withdrawn. Its keys are
-// its keys from the first answer on: before the news, as it comes, and after it.
+// Incident 27: a release's backend is listed seconds before its release update, and the release before it was withdrawn. Its
+// keys are its keys from the first answer on: before the update, as it comes, and after it.
 func TestListedBeforeReleaseUpdate(t *testing.T) {
 	x := newTrial(t)
 	x.withdraw(2)
@@ -133,7 +122,7 @@
 		t.Errorf("not put to the test: keys of a later release were asked for %d times", seen.Asked)
 	}
 	if n := len(seen.Violations); n > 0 {
-		t.Errorf("%d of %d attempts with a key that release 3 had answered reached release 1, %d of them before the news:\n%s",
+		t.Errorf("%d of %d attempts with a key that release 3 had answered reached release 1, %d of them before the release update:\n%s",
 			n, seen.Asked, early, strings.Join(seen.Violations[:min(n, 5)], "\n"))
 	}
 }
@@ -146,8 +135,8 @@
 		t.Fatal(err)
 	}
 	x.attempts(2, 20)
-	x.fleet.Announce(fleet.Stage{Release: 2, Mode: "reverting"})
-	x.fleet.Announce(fleet.Stage{Release: 2, Mode: "reverted"})
+	x.fleet.Announce(fleet.Stage{Release: 2, Mode: fleet.ModeRollingBack})
+	x.fleet.Announce(fleet.Stage{Release: 2, Mode: fleet.ModeRolledBack})
 	x.requests(100) // its backend stays listed as ready: the list lags
 	time.Sleep(fleet.Grace)
 	closed := x.fleet.Attempts(2)
@@ -159,7 +148,7 @@
 	}
 }
 
-// A vote's answer that was on its way while the release was taken off tells what was, and opens nothing.
+// A vote's response that was on its way while the release was withdrawn tells what was, and opens nothing.
 func TestLateVoteAnswer(t *testing.T) {
 	x := newTrial(t)
 	x.fleet.Announce(onTrial(2))
@@ -168,9 +157,9 @@
 	}
 	x.attempts(2, 20)
 	x.proxy.Hold(votes)
-	x.until("a vote's answer is held", func() bool { return x.proxy.Holding() > 0 })
-	x.fleet.Announce(fleet.Stage{Release: 2, Mode: "reverting"})
-	x.requests(20) // the word is there
+	x.until("a vote's response is held", func() bool { return x.proxy.Holding() > 0 })
+	x.fleet.Announce(fleet.Stage{Release: 2, Mode: fleet.ModeRollingBack})
+	x.requests(20) // the update is there
 	x.proxy.Release()
 	x.requests(100)
 	time.Sleep(fleet.Grace)
@@ -178,6 +167,6 @@
 	x.requests(400)
 	x.stop()
 	if n := x.fleet.Attempts(2) - closed; n > 0 {
-		t.Errorf("%d attempts reached release 2, which goes back, after a vote's answer from before that", n)
+		t.Errorf("%d attempts reached release 2, which is rolled back, after a vote's response from before that", n)
 	}
 }
--- /dev/null
+++ b/cmd/e2e/record_figures.go
@@ -0,0 +1,168 @@
+package main
+
+// This file owns the oracle of the record: what the clients got says what the exported record must hold.
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/hex"
+	"encoding/json"
+	"fmt"
+	"os"
+	"slices"
+	"time"
+
+	"onyxgate/internal/fake/fleet"
+	"onyxgate/internal/record/sqlstore"
+)
+
+const (
+	// States of an entry as the export writes them.
+	stateAnswered    = "given"
+	stateUndelivered = "unheard"
+	stateInDoubt     = "in doubt"
+
+	maxExportLine = 1 << 20
+	maxExamples   = 5 // of missing or invented entries that are printed
+
+	// seenLate is how much later than it happened a death, or a response, may be seen here.
+	seenLate = 5 * time.Millisecond
+)
+
+// recordFigures are the figures of a run. The JSON keys are read by scripts.
+type recordFigures struct {
+	Seed           uint64           `json:"seed"`
+	Store          string           `json:"store"`
+	Defect         string           `json:"defect,omitempty"`
+	Responses      int              `json:"answers"`
+	Recorded       int              `json:"recorded"`
+	Missing        int              `json:"missing"`
+	Duplicates     int              `json:"duplicates"`
+	Invented       int              `json:"invented"`
+	InDoubt        int              `json:"in_doubt"`
+	OpenAtKills    int              `json:"open_at_kills"`
+	InstanceKills  int              `json:"kills_agent"`
+	KillsAt        map[string]int   `json:"kills_at"` // by kill point
+	StoreKills     int              `json:"kills_store"`
+	Stalls         int              `json:"stalls"`
+	StoreFaults    map[string]int   `json:"store_faults"`
+	ServedCalm     float64          `json:"settled_share_calm"`
+	ServedStall    float64          `json:"settled_share_stalled"`
+	P99Calm        float64          `json:"p99_ms_calm"`
+	P99Stall       float64          `json:"p99_ms_stalled"`
+	StallResponses int              `json:"answers_stalled"`
+	Violations     fleet.Violations `json:"rules_broken"`
+	Took           float64          `json:"took_s"`
+}
+
+// entries are an exported record, by request id.
+type entries map[string][]sqlstore.Row
+
+// readExport reads a record as `onyxgate record export` prints it, and counts it. An entry that stands there again is counted
+// as a duplicate and left out.
+func (f *recordFigures) readExport(text []byte) (entries, error) {
+	exported := entries{}
+	lines := bufio.NewScanner(bytes.NewReader(text))
+	lines.Buffer(nil, maxExportLine)
+	seen := map[string]bool{}
+	for lines.Scan() {
+		var entry sqlstore.Row
+		if err := json.Unmarshal(lines.Bytes(), &entry); err != nil {
+			return nil, fmt.Errorf("export: %w", err)
+		}
+		key := fmt.Sprintf("%s/%d", entry.Incarnation, entry.N)
+		if seen[key] {
+			f.Duplicates++
+			continue
+		}
+		seen[key] = true
+		f.Recorded++
+		if entry.State == stateInDoubt {
+			f.InDoubt++
+		}
+		exported[entry.RequestID] = append(exported[entry.RequestID], entry)
+	}
+	return exported, nil
+}
+
+// compare holds the record against what the clients got.
+func (f *recordFigures) compare(log []fleet.Response, exported entries) {
+	whole := map[string]fleet.Response{} // responses by request id
+	for _, response := range log {
+		if isWhole(response) {
+			whole[response.ID] = response
+			f.compareResponse(response, exported[response.ID])
+		}
+	}
+	for id, rows := range exported {
+		for _, entry := range rows {
+			response, got := whole[id]
+			f.compareEntry(entry, response, got)
+		}
+	}
+}
+
+// isWhole tells that a response reached the client whole.
+func isWhole(response fleet.Response) bool {
+	switch response.Outcome {
+	case fleet.OutcomeServed, fleet.OutcomeRejected, fleet.OutcomeFailed:
+		return true
+	}
+	return false
+}
+
+// compareResponse looks for a whole response in the record.
+func (f *recordFigures) compareResponse(response fleet.Response, rows []sqlstore.Row) {
+	f.Responses++
+	found := slices.ContainsFunc(rows, func(entry sqlstore.Row) bool {
+		return entry.State != stateUndelivered && sameResponse(response, entry)
+	})
+	if !found {
+		if f.Missing++; f.Missing <= maxExamples {
+			fmt.Fprintf(os.Stderr, "missing: %+v, record: %+v\n", response, rows)
+		}
+	}
+	if len(rows) > 1 {
+		f.Duplicates++
+	}
+}
+
+// compareEntry looks for an answered entry among the responses that clients got.
+func (f *recordFigures) compareEntry(entry sqlstore.Row, response fleet.Response, got bool) {
+	if entry.State != stateAnswered || got && sameResponse(response, entry) {
+		return
+	}
+	if f.Invented++; f.Invented <= maxExamples {
+		fmt.Fprintf(os.Stderr, "invented: %+v, client: %+v\n", entry, response)
+	}
+}
+
+// sameResponse tells that an entry says of a response what the client saw.
+func sameResponse(response fleet.Response, entry sqlstore.Row) bool {
+	body := ""
+	if response.Outcome == fleet.OutcomeServed {
+		body = hex.EncodeToString(response.Body[:])
+	}
+	return response.Outcome == entry.Outcome && response.Class == entry.Class && body == entry.BodyDigest &&
+		instanceName(response.Instance) == entry.Agent
+}
+
+// death is when an instance died, as seen from outside.
+type death struct {
+	instance int
+	at       time.Time
+}
+
+// countOpenAt counts the requests that were under way at an instance's death, as their clients saw it.
+func countOpenAt(deaths []death, log []fleet.Response) (n int) {
+	for _, d := range deaths {
+		for _, response := range log {
+			reached := response.Instance == d.instance && response.Outcome != fleet.OutcomeUnreachable
+			underWay := response.Sent.Before(d.at) && response.Done.After(d.at.Add(-seenLate))
+			if reached && underWay {
+				n++
+			}
+		}
+	}
+	return n
+}
--- /dev/null
+++ b/cmd/e2e/record_figures_test.go
@@ -0,0 +1,104 @@
+package main
+
+import (
+	"encoding/hex"
+	"encoding/json"
+	"testing"
+	"time"
+
+	"onyxgate/internal/fake/fleet"
+	"onyxgate/internal/record"
+	"onyxgate/internal/record/sqlstore"
+)
+
+// The oracle of the record sees each kind of fault, and nothing where there is none.
+func TestRecordOracle(t *testing.T) {
+	body := record.DigestOf([]byte("body"))
+	response := fleet.Response{ID: "r1", Class: "order", Instance: 1, Outcome: fleet.OutcomeServed, Body: body}
+	entry := sqlstore.Row{
+		Agent: "n1", Incarnation: "i", N: 7, State: stateAnswered, RequestID: "r1", Class: "order",
+		Outcome: fleet.OutcomeServed, BodyDigest: hex.EncodeToString(body[:]),
+	}
+	with := func(change func(*sqlstore.Row)) sqlstore.Row {
+		changed := entry
+		change(&changed)
+		return changed
+	}
+	second := with(func(e *sqlstore.Row) { e.N = 8 })
+	otherBody := with(func(e *sqlstore.Row) { e.BodyDigest = "00" })
+	otherInstance := with(func(e *sqlstore.Row) { e.Agent = "n2" })
+	undelivered := with(func(e *sqlstore.Row) { e.State = stateUndelivered })
+	inDoubt := with(func(e *sqlstore.Row) { e.State = stateInDoubt })
+	broken := fleet.Response{ID: "r1", Class: "order", Instance: 1, Outcome: fleet.OutcomeBroken}
+
+	for _, c := range []struct {
+		name     string
+		response fleet.Response
+		entries  []sqlstore.Row
+		want     recordFigures
+	}{
+		{"recorded", response, []sqlstore.Row{entry}, recordFigures{Responses: 1, Recorded: 1}},
+		{"not recorded", response, nil, recordFigures{Responses: 1, Missing: 1}},
+		{"with another body", response, []sqlstore.Row{otherBody}, recordFigures{Responses: 1, Recorded: 1, Missing: 1, Invented: 1}},
+		{"by another instance", response, []sqlstore.Row{otherInstance}, recordFigures{Responses: 1, Recorded: 1, Missing: 1, Invented: 1}},
+		{"as undelivered", response, []sqlstore.Row{undelivered}, recordFigures{Responses: 1, Recorded: 1, Missing: 1}},
+		{"in doubt", response, []sqlstore.Row{inDoubt}, recordFigures{Responses: 1, Recorded: 1, InDoubt: 1}},
+		{"the entry twice", response, []sqlstore.Row{entry, entry}, recordFigures{Responses: 1, Recorded: 1, Duplicates: 1}},
+		{"two entries", response, []sqlstore.Row{entry, second}, recordFigures{Responses: 1, Recorded: 2, Duplicates: 1}},
+		{"the client got nothing whole", broken, []sqlstore.Row{entry}, recordFigures{Recorded: 1, Invented: 1}},
+		{"undelivered to a client that got nothing", broken, []sqlstore.Row{undelivered}, recordFigures{Recorded: 1}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			var export []byte
+			for _, e := range c.entries {
+				line, err := json.Marshal(e)
+				if err != nil {
+					t.Fatal(err)
+				}
+				export = append(append(export, line...), '\n')
+			}
+			var got recordFigures
+			exported, err := got.readExport(export)
+			if err != nil {
+				t.Fatal(err)
+			}
+			got.compare([]fleet.Response{c.response}, exported)
+			if figuresText(t, got) != figuresText(t, c.want) {
+				t.Errorf("figures %s, want %s", figuresText(t, got), figuresText(t, c.want))
+			}
+		})
+	}
+}
+
+func figuresText(t *testing.T, f recordFigures) string {
+	t.Helper()
+	text, err := json.Marshal(f)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(text)
+}
+
+// A request is open at a death where it reached the instance before and had no response by then.
+func TestCountOpenAt(t *testing.T) {
+	died := time.Now()
+	at := func(ms int) time.Time { return died.Add(time.Duration(ms) * time.Millisecond) }
+	for _, c := range []struct {
+		name     string
+		response fleet.Response
+		want     int
+	}{
+		{"under way", fleet.Response{Instance: 1, Sent: at(-10), Done: at(10), Outcome: fleet.OutcomeBroken}, 1},
+		{"answered before", fleet.Response{Instance: 1, Sent: at(-30), Done: at(-20), Outcome: fleet.OutcomeServed}, 0},
+		{"seen a moment before", fleet.Response{Instance: 1, Sent: at(-30), Done: at(-1), Outcome: fleet.OutcomeServed}, 1},
+		{"sent after", fleet.Response{Instance: 1, Sent: at(1), Done: at(9), Outcome: fleet.OutcomeServed}, 0},
+		{"of another instance", fleet.Response{Instance: 2, Sent: at(-10), Done: at(10), Outcome: fleet.OutcomeBroken}, 0},
+		{"unreachable", fleet.Response{Instance: 1, Sent: at(-10), Done: at(10), Outcome: fleet.OutcomeUnreachable}, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if got := countOpenAt([]death{{1, died}}, []fleet.Response{c.response}); got != c.want {
+				t.Errorf("%d open, want %d", got, c.want)
+			}
+		})
+	}
+}
--- a/cmd/e2e/srv.go
+++ b/cmd/e2e/srv.go
@@ -1,218 +1,191 @@
 package main
 
-// This file owns the rehearsal of the sources: discovery and a name server that disagree through a roll-out, a restart and
-// outages, and what the appliances saw of it.
+// This file owns the scenario of the sources: discovery and a name server that disagree through a rollout, a restart and
+// outages, and what the backends saw of it.
 
 import (
-	"context"
 	"fmt"
 	"math/rand/v2"
 	"os"
 	"path/filepath"
+	"sync/atomic"
 	"time"
 
 	"onyxgate/internal/fake/dnsserver"
 	"onyxgate/internal/fake/fleet"
 )
 
-type srv struct {
+type srvCommand struct {
 	Seed   uint64  `default:"1" help:"Draws traffic and faults."`
-	Rate   float64 `default:"180" help:"Txns a second, over three agents."`
+	Rate   float64 `default:"180" help:"Requests a second, over three instances."`
 	Defect string  `enum:",undrain,forget-drains" default:"" help:"A protection to switch off: the run must then fail."`
 	Short  bool    `help:"Half as long, and only what must hold on any machine."`
 	JSON   bool    `help:"Accepted for symmetry: the figures are always JSON."`
 }
 
-type srvFigures struct {
-	Seed          uint64         `json:"seed"`
-	Defect        string         `json:"defect,omitempty"`
-	Drains        int            `json:"drains"`
-	LateMax       float64        `json:"late_after_drain_ms_max"`
-	FleetMin      int            `json:"fleet_min"`
-	FleetTrueMin  int            `json:"fleet_true_min"`
-	SettledDead   float64        `json:"settled_share"` // with the resolver dead throughout
-	SettledAlone  float64        `json:"settled_share_discovery_only"`
-	SettledFaults float64        `json:"settled_share_resolver_faults"`
-	SettledCalm   float64        `json:"settled_share_calm"`
-	SettledDNS    float64        `json:"settled_share_dns_only"`
-	SettledNone   float64        `json:"settled_share_both_dead"`
-	Met           int            `json:"met_by_srv_alone"` // appliances of which only SRV told, reached by work
-	Lost          int            `json:"lost"`
-	Exposure      int            `json:"exposure_breaks"`
-	Cold          int            `json:"cold_breaks"`
-	Twice         int            `json:"twice"`
-	Queries       int64          `json:"dns_queries"`
-	Faults        map[string]int `json:"dns_faults"`
-	Outage        float64        `json:"outage_ms"`
-	Took          float64        `json:"took_s"`
+// The instances, by their sources.
+const (
+	discoveryOnly = 0
+	deadResolver  = 1 // its resolver is silent throughout
+	faultyDNS     = 2 // its resolver fails in drawn ways, and discovery falls silent for it
+)
+
+// Run carries out the scenario.
+func (s srvCommand) Run() error {
+	scenario := &srvScenario{
+		srvCommand: s,
+		random:     rand.New(rand.NewPCG(s.Seed, 4)),
+		part:       time.Second,
+		figures:    srvFigures{Seed: s.Seed, Defect: s.Defect, Faults: map[string]int{}},
+	}
+	if s.Short {
+		scenario.part /= 2
+	}
+	return run(scenario)
 }
 
-// The agents: discovery alone; a resolver that is dead throughout; a resolver with faults.
-const alone, dead, faulty = 0, 1, 2
+// srvScenario is the run as a scenario.
+type srvScenario struct {
+	srvCommand
+	random   *rand.Rand    // draws the faults of the resolver
+	part     time.Duration // the unit of the phases
+	servers  map[int]*dnsserver.Server
+	settings [3]string // paths, by instance
+	env      []string
+	stale    atomic.Bool // the name servers name whoever ever ran
+	phases   srvPhases
+	replaced []string // ids of the backends that came while discovery was silent
+	figures  srvFigures
+}
 
-func (s srv) Run() error {
-	dir, err := os.MkdirTemp("", "e2e")
-	if err != nil {
-		return err
+// srvPhases are the times at which the phases began.
+type srvPhases struct {
+	wave      time.Time // the rollout: drains at every stage, while the resolver fails and names who drained
+	killed    time.Time // an instance dies in the wave, and starts with what it wrote down
+	waveEnded time.Time // the resolver is well again
+	calm      time.Time
+	muted     time.Time // discovery is silent and backends change; SRV alone tells the truth
+	none      time.Time // both sources are silent
+	end       time.Time
+}
+
+func (s *srvScenario) options() testbedOptions {
+	return testbedOptions{fleet: fleet.Options{Instances: 3, Backends: 8, Cores: 3}, tags: "defect"}
+}
+
+func (s *srvScenario) setUp(bed *testbed) (instances []startOptions, err error) {
+	bed.fleet.Linger = time.Minute // who is listed as gone still answers: only the instances keep requests from it
+	s.stale.Store(true)
+	s.servers = map[int]*dnsserver.Server{}
+	for _, instance := range []int{deadResolver, faultyDNS} {
+		if err := s.startResolver(bed, instance); err != nil {
+			return nil, err
+		}
 	}
-	defer os.RemoveAll(dir)
-	program, err := buildProgram(dir, "defect")
-	if err != nil {
-		return err
+	s.servers[deadResolver].Fail("silent")
+	s.env = []string{defectEnv + s.Defect}
+	for i := range bed.fleet.Instances {
+		instances = append(instances, s.startOptions(i, s.Seed+uint64(i)))
 	}
-	began, chance := time.Now(), rand.New(rand.NewPCG(s.Seed, 4))
-	w, err := fleet.New(3, 8, 3, s.Seed)
+	return instances, nil
+}
+
+// startResolver starts an instance's name server and writes the settings that name it.
+func (s *srvScenario) startResolver(bed *testbed, instance int) error {
+	server, err := dnsserver.New(func() []string { return bed.fleet.Addresses(instance, s.stale.Load()) })
 	if err != nil {
 		return err
 	}
-	defer w.Close()
-	w.Linger = time.Minute // what is listed as gone still stands: only the agents' own word keeps work from it
-	c, err := newCluster(w, program, dir)
-	if err != nil {
+	bed.cleanup(server.Close)
+	s.servers[instance] = server
+	const text = `[sources]
+state = %q
+[sources.dns]
+name = %q
+servers = [%q]
+wait = "200ms"
+lookups_a_second = 5.0
+`
+	state := filepath.Join(bed.dir, fmt.Sprintf("state%d", instance))
+	s.settings[instance] = filepath.Join(bed.dir, fmt.Sprintf("sources%d.toml", instance))
+	return os.WriteFile(s.settings[instance], fmt.Appendf(nil, text, state, dnsserver.Service, server.Address), 0o600)
+}
+
+func (s *srvScenario) startOptions(instance int, seed uint64) startOptions {
+	return startOptions{instance: instance, seed: seed, settings: s.settings[instance], env: s.env}
+}
+
+func (s *srvScenario) load() fleet.ClientOptions {
+	return fleet.ClientOptions{Rate: func() float64 { return s.Rate }, Seed: s.Seed}
+}
+
+func (s *srvScenario) inject(bed *testbed) error {
+	s.figures.FleetTrueMin = len(bed.fleet.Addresses(discoveryOnly, false))
+	time.Sleep(s.part)
+	if err := s.rollOut(bed); err != nil {
 		return err
 	}
-	stale := true // the name server names whoever ever ran
-	var servers []*dnsserver.Server
-	settings := []string{""}
-	for _, agent := range []int{dead, faulty} {
-		n, err := dnsserver.New(func() []string { return w.Addresses(agent, stale) })
-		if err != nil {
-			return err
-		}
-		defer n.Close()
-		servers = append(servers, n)
-		path := filepath.Join(dir, fmt.Sprintf("sources%d.toml", agent))
-		text := fmt.Sprintf("[sources]\nstate = %q\n[sources.dns]\nname = %q\nservers = [%q]\nwait = \"200ms\"\nlookups_a_second = 5.0\n",
-			filepath.Join(dir, fmt.Sprintf("state%d", agent)), dnsserver.Service, n.Address)
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			return err
-		}
-		settings = append(settings, path)
-	}
-	servers[0].Fail("silent")
-	env := []string{"ONYXGATE_DEFECT=" + s.Defect}
-	for i := range w.Instances {
-		if _, err := c.start(i, s.Seed+uint64(i), settings[i], env...); err != nil {
-			return err
-		}
-	}
-	defer c.stop()
-	clients := fleet.NewClients(w, c.addresses, s.Seed)
-	defer clients.Close()
-	ctx, stop := context.WithCancel(context.Background())
-	defer stop()
-	sent := make(chan bool)
-	go func() {
-		clients.Run(ctx, func() float64 { return s.Rate }, s.Seed)
-		close(sent)
-	}()
-	f := srvFigures{Seed: s.Seed, Defect: s.Defect, Faults: map[string]int{}, FleetTrueMin: 1 << 20}
-	look := func() { f.FleetTrueMin = min(f.FleetTrueMin, len(w.Addresses(0, false))) }
-	faults := func(length time.Duration) {
-		for until := time.Now().Add(length); time.Now().Before(until); look() {
-			mode := dnsserver.Modes[chance.IntN(len(dnsserver.Modes))]
-			servers[1].Fail(mode)
-			f.Faults[mode]++
-			time.Sleep(time.Duration(300+chance.IntN(600)) * time.Millisecond)
-		}
-		servers[1].Fail("")
-	}
-	part := time.Second
-	if s.Short {
-		part = time.Second / 2
-	}
-	time.Sleep(part)
-	from := time.Now()
-	w.StartRollout(2, 0) // a wave: drains at every stage, while the resolver fails and names who drained
-	faults(9 * part)
-	// The agent is killed in the wave and starts with what it wrote down.
-	p := c.processes[faulty]
-	p.cmd.Process.Kill()
-	<-p.done
-	killedAt := time.Now()
-	if _, err := c.start(faulty, s.Seed+9, settings[faulty], env...); err != nil {
+	s.phases.waveEnded = time.Now()
+	time.Sleep(2 * s.part) // names come back
+	s.phases.calm = time.Now()
+	time.Sleep(4 * s.part)
+	if err := s.muteDiscovery(bed); err != nil {
 		return err
 	}
-	faults(7 * part)
-	waveEnd := time.Now()
-	time.Sleep(2 * part) // names come back
-	calmFrom := time.Now()
-	time.Sleep(4 * part)
-	// Discovery falls silent for one agent while machines change, and SRV tells the truth.
-	stale = false
-	w.MuteDiscovery(faulty, true)
-	mutedAt := time.Now()
-	fresh, err := w.ReplaceBackends(2)
-	if err != nil {
+	time.Sleep(6 * s.part)
+	s.phases.none = time.Now()
+	s.servers[faultyDNS].Fail("silent")
+	time.Sleep(4 * s.part)
+	s.phases.end = time.Now()
+	return nil
+}
+
+// rollOut rolls a release out while the resolver fails; an instance is killed in the middle and started again.
+func (s *srvScenario) rollOut(bed *testbed) error {
+	s.phases.wave = time.Now()
+	bed.fleet.StartRollout(newRelease, 0)
+	s.failResolver(bed, 9*s.part)
+	bed.cluster.process(faultyDNS).kill()
+	s.phases.killed = time.Now()
+	if err := bed.cluster.start(s.startOptions(faultyDNS, s.Seed+9)); err != nil {
 		return err
 	}
-	look()
-	time.Sleep(6 * part)
-	noneFrom := time.Now()
-	servers[1].Fail("silent")
-	time.Sleep(4 * part)
-	end := time.Now()
-	stop()
-	<-sent
-	broken := c.stop()
-	c.processes = make([]*process, w.Instances)
-
-	log := clients.Log()
-	of := func(agent int, from, to time.Time) float64 {
-		var own []fleet.Response
-		for _, g := range log {
-			if g.Instance == agent && g.Outcome != "nobody" {
-				own = append(own, g)
-			}
-		}
-		settled, _, _ := share(own, from, to)
-		return settled
-	}
-	f.SettledAlone, f.SettledDead, f.SettledFaults = of(alone, from, end), of(dead, from, end), of(faulty, from, killedAt)
-	f.SettledCalm, f.SettledDNS, f.SettledNone = of(faulty, calmFrom, mutedAt), of(faulty, mutedAt, noneFrom), of(faulty, noneFrom, end)
-	f.Met = w.CountReached(faulty, fresh, mutedAt, end)
-	f.FleetMin = w.MinReached(faulty, from, killedAt)
-	for _, span := range [][2]time.Time{{killedAt.Add(time.Second), waveEnd}, {waveEnd, end}} {
-		f.FleetMin = min(f.FleetMin, w.MinReached(faulty, span[0], span[1]))
-	}
-	f.FleetMin = min(f.FleetMin, w.MinReached(dead, from, end))
-	last := map[int]time.Time{}
-	for _, g := range log {
-		if g.Outcome == "broken" && (g.Instance != faulty || g.Sent.After(killedAt) || g.Done.Before(killedAt.Add(-time.Second))) || g.Outcome == "silent" {
-			f.Lost++
-		}
-		if g.Outcome == "settled" {
-			if at, ok := last[g.Instance]; ok && g.Done.After(at) {
-				f.Outage = max(f.Outage, g.Done.Sub(at).Seconds()*1000)
-			}
-			if g.Done.After(last[g.Instance]) {
-				last[g.Instance] = g.Done
-			}
-		}
-	}
-	rules := w.Audit()
-	f.Drains, f.LateMax, f.Exposure, f.Cold, f.Twice = w.DrainsNotified, w.LatestAfterDrain.Seconds()*1000, rules.Exposure, rules.Fallen, rules.Twice
-	f.Queries = servers[0].Queries.Load() + servers[1].Queries.Load()
-	f.Took = time.Since(began).Seconds()
-	claim := func(ok bool, format string, args ...any) {
-		if !ok {
-			broken = append(broken, fmt.Sprintf(format, args...))
-		}
-	}
-	claim(f.Drains >= 8 && f.Queries > 10 && len(f.Faults) > 3, "not put to the test: %d drains, %d queries, faults %v", f.Drains,
-		f.Queries, f.Faults)
-	claim(f.LateMax <= 2000, "work reached a draining appliance %.0f ms after its agent was told", f.LateMax)
-	claim(f.Lost == 0, "lost: %d", f.Lost)
-	claim(f.Twice == 0, "effects twice: %d", f.Twice)
-	if !s.Short {
-		claim(f.Met > 0, "not put to the test: no work reached an appliance of which only SRV told")
-		claim(f.FleetMin > 0, "for a second no appliance was reached, with %d running", f.FleetTrueMin)
-		claim(f.SettledDead >= f.SettledAlone-0.01, "settled with the resolver dead %.4f, with discovery alone %.4f", f.SettledDead,
-			f.SettledAlone)
-		claim(f.SettledDNS >= 0.95*f.SettledCalm, "settled with SRV alone %.4f, calm %.4f", f.SettledDNS, f.SettledCalm)
-		claim(f.Exposure == 0, "windows with too much exposure: %d", f.Exposure)
-		claim(f.Cold == 0, "cold appliances pushed over: %d", f.Cold)
-		claim(f.Took <= 50, "took %.0f s", f.Took)
+	s.failResolver(bed, 7*s.part)
+	return nil
+}
+
+// failResolver has the resolver fail in drawn ways for a time.
+func (s *srvScenario) failResolver(bed *testbed, length time.Duration) {
+	server := s.servers[faultyDNS]
+	for until := time.Now().Add(length); time.Now().Before(until); s.observeFleet(bed) {
+		mode := dnsserver.Modes[s.random.IntN(len(dnsserver.Modes))]
+		server.Fail(mode)
+		s.figures.Faults[mode]++
+		time.Sleep(time.Duration(300+s.random.IntN(600)) * time.Millisecond)
 	}
-	return report(f, broken)
+	server.Fail("")
 }
+
+// muteDiscovery silences discovery for an instance and replaces backends, of which only SRV tells it.
+func (s *srvScenario) muteDiscovery(bed *testbed) (err error) {
+	s.stale.Store(false)
+	bed.fleet.MuteDiscovery(faultyDNS, true)
+	s.phases.muted = time.Now()
+	s.replaced, err = bed.fleet.ReplaceBackends(2)
+	s.observeFleet(bed)
+	return err
+}
+
+// observeFleet notes how many backends run.
+func (s *srvScenario) observeFleet(bed *testbed) {
+	running := len(bed.fleet.Addresses(discoveryOnly, false))
+	s.figures.FleetTrueMin = min(s.figures.FleetTrueMin, running)
+}
+
+func (s *srvScenario) check(bed *testbed, found *claims) error {
+	s.count(bed)
+	s.judge(found)
+	return nil
+}
+
+func (s *srvScenario) report(found *claims) error { return found.print(s.figures) }
--- /dev/null
+++ b/cmd/e2e/store_postgres.go
@@ -0,0 +1,112 @@
+package main
+
+// This file owns the PostgreSQL store of the record's scenario: a fake server as a process that can be killed.
+
+import (
+	"bufio"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"time"
+
+	"onyxgate/internal/fake/loopback"
+	"onyxgate/internal/fake/postgres"
+)
+
+const (
+	postgresUser     = "accounts"
+	postgresPassword = "not a secret: a stand-in's"
+	postgresHealthy  = "" // the mode in which the server does not fail
+)
+
+// postgresFaults are the kinds of faults in their order: a kill, or a mode of the fake server.
+var postgresFaults = []string{storeKilled, storeStalled, "cut", "lose", "refuse", "40001", "53300", "57P01"}
+
+// postgresStore is a fake PostgreSQL server as a process of its own.
+type postgresStore struct {
+	address      string
+	file         string // in which the server keeps what was committed
+	passwordFile string
+	server       *child
+}
+
+func newPostgresStore(dir string) (*postgresStore, error) {
+	address, err := loopback.FreeAddress()
+	if err != nil {
+		return nil, err
+	}
+	s := &postgresStore{
+		address: address, file: filepath.Join(dir, "pg.ndjson"), passwordFile: filepath.Join(dir, "password"),
+	}
+	if err := os.WriteFile(s.passwordFile, []byte(postgresPassword+"\n"), 0o600); err != nil {
+		return nil, err
+	}
+	return s, s.start()
+}
+
+func (s *postgresStore) start() error {
+	server, err := startChild("pgwire", "--listen", s.address, "--file", s.file)
+	if err == nil {
+		s.server = server
+	}
+	return err
+}
+
+func (s *postgresStore) settings() string {
+	return fmt.Sprintf("kind = \"postgres\"\naddress = %q\ndatabase = \"accounts\"\nuser = %q\npassword_file = %q\n"+
+		"tls = \"disable\"\n", s.address, postgresUser, s.passwordFile)
+}
+
+func (s *postgresStore) stall(on bool) error {
+	if on {
+		return s.server.order(storeStalled)
+	}
+	return s.recover()
+}
+
+func (s *postgresStore) fault(n int, random *rand.Rand) (kind string, err error) {
+	kind = postgresFaults[n%len(postgresFaults)]
+	if kind == storeKilled {
+		s.server.kill()
+		time.Sleep(time.Duration(100+random.IntN(300)) * time.Millisecond)
+		return kind, s.start()
+	}
+	if err := s.server.order(kind); err != nil {
+		return kind, err
+	}
+	time.Sleep(time.Duration(200+random.IntN(500)) * time.Millisecond)
+	return kind, s.recover()
+}
+
+func (s *postgresStore) recover() error { return s.server.order(postgresHealthy) }
+
+func (s *postgresStore) close() {
+	s.server.input.Close()
+	s.server.kill()
+}
+
+// postgresServerCommand is the process of the server.
+type postgresServerCommand struct {
+	Listen string `required:""`
+	File   string `required:""`
+}
+
+// Run serves until standard input ends; each line of it is a mode in which the server fails from then on.
+func (c postgresServerCommand) Run() error {
+	server, err := postgres.New(c.File, postgresUser, postgresPassword)
+	if err != nil {
+		return err
+	}
+	listener, err := loopback.ListenOn(c.Listen)
+	if err != nil {
+		return err
+	}
+	go server.Serve(listener)
+	fmt.Println("ready")
+	modes := bufio.NewScanner(os.Stdin)
+	for modes.Scan() {
+		server.Fail(modes.Text())
+	}
+	return modes.Err()
+}
--- /dev/null
+++ b/cmd/e2e/store_sqlite.go
@@ -0,0 +1,84 @@
+package main
+
+// This file owns the SQLite store of the record's scenario: who holds the file's write lock stalls it.
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"time"
+
+	"onyxgate/internal/record/sqlite"
+)
+
+// busyTimeout is how long the holder of the lock waits for it.
+const busyTimeout = 10 * time.Second
+
+// sqliteStore is a SQLite file.
+type sqliteStore struct {
+	path   string
+	holder *child // of the write lock; nil: it was never held
+}
+
+func newSQLiteStore(dir string) *sqliteStore {
+	return &sqliteStore{path: filepath.Join(dir, "record.db")}
+}
+
+func (s *sqliteStore) settings() string { return fmt.Sprintf("kind = \"sqlite\"\npath = %q\n", s.path) }
+
+func (s *sqliteStore) stall(on bool) error {
+	if !on {
+		return s.holder.end()
+	}
+	holder, err := startChild("holdlite", s.path)
+	if err == nil {
+		s.holder = holder
+	}
+	return err
+}
+
+// fault holds the lock, and has its holder be killed within its transaction every other time.
+func (s *sqliteStore) fault(n int, random *rand.Rand) (kind string, err error) {
+	if err := s.stall(true); err != nil {
+		return "", err
+	}
+	time.Sleep(time.Duration(100+random.IntN(600)) * time.Millisecond)
+	if n%2 == 0 {
+		s.holder.kill()
+		return storeKilled, nil
+	}
+	return storeStalled, s.stall(false)
+}
+
+// recover has nothing to do: each fault ends by itself.
+func (s *sqliteStore) recover() error { return nil }
+
+func (s *sqliteStore) close() {
+	if s.holder != nil {
+		s.holder.input.Close()
+	}
+}
+
+// sqliteLockCommand is the process that holds the lock.
+type sqliteLockCommand struct {
+	Path string `arg:""`
+}
+
+// Run holds the write lock until standard input ends.
+func (c sqliteLockCommand) Run() error {
+	ctx := context.Background()
+	store, err := sqlite.Open(c.Path, busyTimeout)
+	if err != nil {
+		return err
+	}
+	if err := store.Migrate(ctx); err != nil {
+		return err
+	}
+	return store.Hold(ctx, func() {
+		fmt.Println("locked")
+		_, _ = io.Copy(io.Discard, os.Stdin) // its end is what is waited for, by error or not
+	})
+}
--- /dev/null
+++ b/internal/fake/fleet/client_conn.go
@@ -0,0 +1,136 @@
+package fleet
+
+// This file owns the clients' side of the wire: connections that are kept, requests as they are written and responses as they
+// are read.
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"time"
+
+	"onyxgate/internal/fake/loopback"
+	"onyxgate/internal/record"
+)
+
+const (
+	connectTimeout = time.Second
+	idleCheck      = 50 * time.Microsecond // for which an idle connection is read, to see whether it was closed
+	responseSlack  = 2 * time.Second       // after the deadline, until a client gives up
+	silentAfter    = time.Second           // after the deadline, from where on no response counts as silence
+)
+
+// attempt makes one try and sets its outcome.
+func (c *Clients) attempt(r request, response *Response) {
+	conn := c.connect(response.Instance)
+	if conn == nil {
+		response.Outcome = OutcomeUnreachable
+		return
+	}
+	if exchange(conn, r, response) {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		c.idle[response.Instance] = append(c.idle[response.Instance], conn)
+		return
+	}
+	conn.Close()
+	switch {
+	case response.Outcome != "": // whole, on a connection that the instance closes
+	case time.Since(response.Sent) > r.class.Timeout+silentAfter:
+		response.Outcome = OutcomeSilent
+	default:
+		response.Outcome = OutcomeBroken
+	}
+}
+
+// exchange writes a request and reads its response. It sets the outcome of a whole response, and tells whether the connection
+// can be used again.
+func exchange(conn net.Conn, r request, response *Response) (reusable bool) {
+	if conn.SetDeadline(time.Now().Add(r.class.Timeout+responseSlack)) != nil {
+		return false
+	}
+	if _, err := io.WriteString(conn, requestText(r, response)); err != nil {
+		return false
+	}
+	reply, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	if err != nil {
+		return false
+	}
+	defer reply.Body.Close()
+	body, err := io.ReadAll(reply.Body)
+	if err != nil {
+		return false
+	}
+	if response.Outcome = outcomeOf(reply.StatusCode); response.Outcome == OutcomeServed {
+		response.Body = record.DigestOf(body)
+	}
+	return !reply.Close
+}
+
+func outcomeOf(status int) string {
+	switch {
+	case status == http.StatusOK:
+		return OutcomeServed
+	case status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests:
+		return OutcomeRejected
+	case status >= http.StatusInternalServerError:
+		return OutcomeFailed
+	}
+	return OutcomeBadRequest
+}
+
+// requestText is a request as it goes over the wire.
+func requestText(r request, response *Response) string {
+	path := fmt.Sprintf("/%s/%d", r.class.Name, r.key)
+	headers := fmt.Sprintf("Host: api\r\nReq-Id: %s\r\nReq-Deadline: %dm\r\n", response.ID, r.class.Timeout.Milliseconds())
+	if response.Retry > 0 {
+		headers += "Req-Retry: 1\r\n"
+	}
+	if r.class.Semantics == SemanticsSafe {
+		return "GET " + path + " HTTP/1.1\r\n" + headers + "\r\n"
+	}
+	if r.class.Semantics == SemanticsIdempotent {
+		headers += "Idempotency-Key: " + r.idempotencyKey + "\r\n"
+	}
+	return "POST " + path + " HTTP/1.1\r\n" + headers + "Content-Length: 5\r\n\r\nscore"
+}
+
+// connect takes an idle connection that the instance has not closed, or opens one; nil where the instance can't be reached.
+func (c *Clients) connect(instance int) net.Conn {
+	for conn := c.takeIdle(instance); conn != nil; conn = c.takeIdle(instance) {
+		if stillOpen(conn) {
+			return conn
+		}
+		conn.Close()
+	}
+	conn, err := loopback.Dial(c.options.Addresses[instance], connectTimeout)
+	if err != nil {
+		return nil
+	}
+	return conn
+}
+
+func (c *Clients) takeIdle(instance int) net.Conn {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	connections := c.idle[instance]
+	if len(connections) == 0 {
+		return nil
+	}
+	last := len(connections) - 1
+	c.idle[instance] = connections[:last]
+	return connections[last]
+}
+
+// stillOpen tells whether nothing came on an idle connection, neither its end nor bytes that nobody asked for.
+func stillOpen(conn net.Conn) bool {
+	if conn.SetReadDeadline(time.Now().Add(idleCheck)) != nil {
+		return false
+	}
+	_, err := conn.Read(make([]byte, 1))
+	var timeout net.Error
+	return errors.As(err, &timeout) && timeout.Timeout()
+}
--- a/internal/fake/fleet/clients.go
+++ b/internal/fake/fleet/clients.go
@@ -1,51 +1,78 @@
 package fleet
 
-// This file owns the clients: they keep connections, state deadlines, retry, and log what they got, which is the only
-// oracle that a rehearsal has.
+// This file owns the clients: they send requests at a rate, state deadlines, retry, and log what they got, which is the only
+// oracle that an end-to-end test has.
 
 import (
-	"bufio"
 	"context"
 	"fmt"
-	"io"
 	"math/rand/v2"
 	"net"
-	"net/http"
 	"sync"
 	"time"
 
 	"onyxgate/internal/record"
 )
 
+// Outcomes of a client's request. The first three are a response of the instance; their text is the record's, and a key in the
+// figures that scripts read.
+const (
+	OutcomeServed      = "settled"
+	OutcomeRejected    = "declined"
+	OutcomeFailed      = "voided"
+	OutcomeBadRequest  = "refused" // the instance took it for no valid request
+	OutcomeBroken      = "broken"  // the connection broke before the response was whole
+	OutcomeSilent      = "silent"  // nothing came until long after the deadline
+	OutcomeUnreachable = "nobody"  // no connection to the instance
+)
+
+const (
+	defaultKeys     = 1000
+	maxTries        = 3
+	retryDelay      = 50 * time.Millisecond  // grows by itself with each retry
+	unreachableTime = 300 * time.Millisecond // for which clients pass over an instance that refused a connection
+)
+
 // Response is what one try of a client came to.
 type Response struct {
 	ID, Class  string
 	Instance   int
 	Sent, Done time.Time
-	Outcome    string // settled, declined, voided, refused (the agent took it for no txn), broken, silent, nobody
-	Body       record.Digest
-	Retry      int
+	Outcome    string        // one of the Outcome constants
+	Body       record.Digest // of a served request
+	Retry      int           // 0 for the first try
 }
 
-// Clients send txns to agents at a rate.
+// ClientOptions say what clients send, and where.
+type ClientOptions struct {
+	Addresses []string       // of the instances
+	Rate      func() float64 // requests a second, asked before each
+	Seed      uint64
+	Keys      int // distinct keys of requests; 0: 1000
+}
+
+// Clients send requests to instances and log the responses.
 type Clients struct {
-	fleet         *Fleet
-	addresses     []string
+	fleet   *Fleet
+	options ClientOptions
+	prefix  string // of request ids
+
 	mu            sync.Mutex
 	log           []Response
-	idle          [][]net.Conn
-	inFlight      []int // txns under way, by agent
-	unreachableAt []time.Time
+	idle          [][]net.Conn // by instance
+	unreachableAt []time.Time  // by instance
 	lastID        uint64
-	prefix        string
-	Keys          int // distinct keys of requests
 }
 
-// NewClients makes clients of agents at these addresses.
-func NewClients(w *Fleet, address []string, seed uint64) *Clients {
+// NewClients makes clients, which send nothing until Run.
+func NewClients(f *Fleet, options ClientOptions) *Clients {
+	if options.Keys == 0 {
+		options.Keys = defaultKeys
+	}
+	n := len(options.Addresses)
 	return &Clients{
-		fleet: w, addresses: address, idle: make([][]net.Conn, len(address)), inFlight: make([]int, len(address)),
-		unreachableAt: make([]time.Time, len(address)), prefix: fmt.Sprintf("%04x", seed&0xffff), Keys: 1000,
+		fleet: f, options: options, prefix: fmt.Sprintf("%04x", options.Seed&0xffff),
+		idle: make([][]net.Conn, n), unreachableAt: make([]time.Time, n),
 	}
 }
 
@@ -56,157 +83,96 @@
 	return append([]Response(nil), c.log...)
 }
 
-// InFlight is how many txns an agent has under way.
-func (c *Clients) InFlight(agent int) int {
+// Close closes the idle connections.
+func (c *Clients) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.inFlight[agent]
+	for _, connections := range c.idle {
+		for _, conn := range connections {
+			conn.Close()
+		}
+	}
 }
 
-// Run sends `rate` txns a second until ctx ends, and waits for what is under way.
-func (c *Clients) Run(ctx context.Context, rate func() float64, seed uint64) {
-	chance := rand.New(rand.NewPCG(seed, 2))
-	var all sync.WaitGroup
+// Run sends requests until ctx ends, and returns when the last one under way has its response.
+func (c *Clients) Run(ctx context.Context) {
+	random := rand.New(rand.NewPCG(c.options.Seed, 2))
+	var requests sync.WaitGroup
 	for ctx.Err() == nil {
-		time.Sleep(time.Duration(chance.ExpFloat64() / rate() * 1e9))
-		share, p := chance.Float64(), Classes[0]
-		for _, q := range Classes {
-			if p = q; share < q.Share {
-				break
-			}
-			share -= q.Share
+		time.Sleep(time.Duration(random.ExpFloat64() / c.options.Rate() * float64(time.Second)))
+		next := request{
+			class:          drawClass(random.Float64()),
+			instance:       random.IntN(len(c.options.Addresses)),
+			key:            random.IntN(c.options.Keys),
+			idempotencyKey: fmt.Sprintf("%016x", random.Uint64()),
 		}
-		agent, key, mark := chance.IntN(len(c.addresses)), chance.IntN(c.Keys), fmt.Sprintf("%016x", chance.Uint64())
-		all.Go(func() { c.send(p, agent, key, mark) })
+		requests.Go(func() { c.send(next) })
 	}
-	all.Wait()
+	requests.Wait()
 }
 
-// send tries up to three times: what was declined or never reached anybody may be sent again, and what may have run where
-// the product allows it.
-func (c *Clients) send(p Class, agent, key int, mark string) {
-	for retry := range 3 {
-		c.mu.Lock()
-		for range c.addresses { // the front hands new connections to agents that stand
-			if time.Since(c.unreachableAt[agent]) > 300*time.Millisecond {
-				break
-			}
-			agent = (agent + 1) % len(c.addresses)
+// drawClass returns the class at a point between 0 and 1 of the classes' shares.
+func drawClass(point float64) Class {
+	for _, class := range Classes {
+		if point < class.Share {
+			return class
 		}
-		c.lastID++
-		g := Response{ID: fmt.Sprintf("%s%08x", c.prefix, c.lastID), Class: p.Name, Instance: agent, Sent: time.Now(), Retry: retry}
-		c.inFlight[agent]++
-		c.mu.Unlock()
-		c.fleet.RequestSent(agent)
-		c.attempt(p, &g, key, mark)
-		g.Done = time.Now()
-		c.mu.Lock()
-		c.inFlight[agent]--
-		c.log = append(c.log, g)
-		if g.Outcome == "nobody" {
-			c.unreachableAt[agent] = time.Now()
-		}
-		c.mu.Unlock()
-		safe := g.Outcome == "declined" || g.Outcome == "nobody" || p.Semantics != "once"
-		if g.Outcome == "settled" || !safe {
-			return
-		}
-		time.Sleep(time.Duration(50*(retry+1)) * time.Millisecond)
+		point -= class.Share
 	}
+	return Classes[len(Classes)-1]
 }
 
-func (c *Clients) attempt(p Class, g *Response, key int, mark string) {
-	conn := c.connect(g.Instance)
-	if conn == nil {
-		g.Outcome = "nobody"
-		return
-	}
-	text := fmt.Sprintf("Host: api\r\nReq-Id: %s\r\nReq-Deadline: %dm\r\n", g.ID, p.Timeout.Milliseconds())
-	if g.Retry > 0 {
-		text += "Req-Retry: 1\r\n"
-	}
-	path := fmt.Sprintf("/%s/%d", p.Name, key)
-	if p.Semantics == "repeatable" {
-		text = "GET " + path + " HTTP/1.1\r\n" + text + "\r\n"
-	} else {
-		if p.Semantics == "by_key" {
-			text += "Idempotency-Key: " + mark + "\r\n"
-		}
-		text = "POST " + path + " HTTP/1.1\r\n" + text + "Content-Length: 5\r\n\r\nscore"
-	}
-	conn.SetDeadline(time.Now().Add(p.Timeout + 2*time.Second))
-	whole := func() bool {
-		if _, err := io.WriteString(conn, text); err != nil {
-			return false
-		}
-		r, err := http.ReadResponse(bufio.NewReader(conn), nil)
-		if err != nil {
-			return false
-		}
-		body, err := io.ReadAll(r.Body)
-		if err != nil {
-			return false
-		}
-		switch {
-		case r.StatusCode == http.StatusOK:
-			g.Outcome, g.Body = "settled", record.DigestOf(body)
-		case r.StatusCode == http.StatusServiceUnavailable || r.StatusCode == http.StatusTooManyRequests:
-			g.Outcome = "declined"
-		case r.StatusCode >= 500:
-			g.Outcome = "voided"
-		default:
-			g.Outcome = "refused"
+// request is what a client wants; its tries share it.
+type request struct {
+	class          Class
+	instance       int // at which it is tried first
+	key            int
+	idempotencyKey string
+}
+
+// send tries a request up to three times: a rejected one or one that reached nobody may be sent again, and one that may have run
+// where its class allows it.
+func (c *Clients) send(r request) {
+	instance := r.instance
+	for retry := range maxTries {
+		var response Response
+		response, instance = c.begin(r, instance, retry)
+		c.fleet.RequestSent(instance)
+		c.attempt(r, &response)
+		response.Done = time.Now()
+		c.end(response)
+		neverRan := response.Outcome == OutcomeRejected || response.Outcome == OutcomeUnreachable
+		mayRetry := neverRan || r.class.Semantics != SemanticsNonIdempotent
+		if response.Outcome == OutcomeServed || !mayRetry {
+			return
 		}
-		return !r.Close
-	}()
-	switch {
-	case whole:
-		c.mu.Lock()
-		c.idle[g.Instance] = append(c.idle[g.Instance], conn)
-		c.mu.Unlock()
-		return
-	case g.Outcome == "" && time.Since(g.Sent) > p.Timeout+time.Second:
-		g.Outcome = "silent"
-	case g.Outcome == "":
-		g.Outcome = "broken"
+		time.Sleep(retryDelay * time.Duration(retry+1))
 	}
-	conn.Close()
 }
 
-// connect takes an idle connection that the agent has not closed, or opens one.
-func (c *Clients) connect(agent int) net.Conn {
-	for {
-		c.mu.Lock()
-		list := c.idle[agent]
-		if len(list) == 0 {
-			c.mu.Unlock()
+// begin names a try and chooses its instance: as a load balancer before the instances, it passes over those that refused a
+// connection a moment ago.
+func (c *Clients) begin(r request, instance, retry int) (Response, int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for range c.options.Addresses {
+		if time.Since(c.unreachableAt[instance]) > unreachableTime {
 			break
 		}
-		conn := list[len(list)-1]
-		c.idle[agent] = list[:len(list)-1]
-		c.mu.Unlock()
-		conn.SetReadDeadline(time.Now().Add(50 * time.Microsecond))
-		if _, err := conn.Read(make([]byte, 1)); err != nil {
-			if e, ok := err.(net.Error); ok && e.Timeout() {
-				return conn
-			}
-		}
-		conn.Close()
+		instance = (instance + 1) % len(c.options.Addresses)
 	}
-	conn, err := net.DialTimeout("tcp", c.addresses[agent], time.Second)
-	if err != nil {
-		return nil
-	}
-	return conn
+	c.lastID++
+	return Response{
+		ID: fmt.Sprintf("%s%08x", c.prefix, c.lastID), Class: r.class.Name, Instance: instance, Sent: time.Now(), Retry: retry,
+	}, instance
 }
 
-// Close ends their connections.
-func (c *Clients) Close() {
+// end logs a try.
+func (c *Clients) end(response Response) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, list := range c.idle {
-		for _, conn := range list {
-			conn.Close()
-		}
+	c.log = append(c.log, response)
+	if response.Outcome == OutcomeUnreachable {
+		c.unreachableAt[response.Instance] = time.Now()
 	}
 }
--- /dev/null
+++ b/internal/fake/fleet/configuration.go
@@ -0,0 +1,79 @@
+package fleet
+
+// This file owns the configuration that an instance starts with, in the users' JSON.
+
+import (
+	"cmp"
+	"encoding/json"
+	"fmt"
+	"time"
+)
+
+type object = map[string]any
+
+// InstanceOptions say what an instance is told of itself.
+type InstanceOptions struct {
+	Index  int
+	Name   string
+	Listen string // the address for clients
+	Seed   uint64
+}
+
+// Configuration is the JSON file that an instance starts with.
+func (f *Fleet) Configuration(options InstanceOptions) ([]byte, error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return json.Marshal(object{
+		"name":      options.Name,
+		"listen":    options.Listen,
+		"discovery": f.discoveryListeners[options.Index].Addr().String(),
+		"seed":      fmt.Sprintf("%x", options.Seed),
+		"limits":    object{"cores": 1, "memory_mb": 128, "sockets": 1024},
+		"pipeline": object{
+			"address": cmp.Or(f.PlatformOverride[options.Index], f.PlatformAddress()),
+			"news":    f.stageObject(),
+		},
+		"known": f.endpointList(options.Index, true),
+		"settings": object{
+			"me":        options.Index,
+			"balancers": f.Instances,
+			"grades":    classObjects(),
+			"dcs":       []string{"z"},
+			"skus":      []string{"m"},
+			"discovery": "push",
+			"report":    object{"source": "answers"},
+			"limits": object{
+				"max-attempts": 4, "parallel-tries": true, "cancel": true, "probes": false,
+				"connect-timeout-us": 250_000, "idle-close-us": 30_000_000,
+			},
+			"contract": object{
+				"drain-grace-us": Grace.Microseconds(), "cold-from": ColdFrom, "warm-up-us": WarmUp.Microseconds(),
+				"overload-factor": Overload, "fall-us": FallTime.Microseconds(),
+			},
+			"family-info": object{
+				"spare-tries": FreeAttempts, "most-shares": stageCaps, "rings": stageShares, "keys-stay": f.KeyAffinity,
+				"counted-over-us": Window.Microseconds(), "decided-by": "single", "back-votes": 1,
+				"ballot-ttl-us": 4_000_000, "call-timeout-us": 800_000,
+			},
+		},
+	})
+}
+
+// stageObject is the stage in force. Under the lock.
+func (f *Fleet) stageObject() object {
+	return object{
+		"release": f.stage.Release, "tranche": f.stage.Stage, "mode": f.stage.Mode, "exposure": f.stage.Cap,
+		"old_ms": time.Since(f.stage.At).Milliseconds(),
+	}
+}
+
+func classObjects() (classes []object) {
+	for _, class := range Classes {
+		classes = append(classes, object{
+			"name": class.Name, "aim-us": class.LatencyObjective.Microseconds(), "deadline-us": class.Timeout.Microseconds(),
+			"worth": 1, "late-value": 0.1, "effect": class.Semantics, "key-scope": "all",
+			"key-ttl-us": class.DedupWindow.Microseconds(),
+		})
+	}
+	return classes
+}
--- a/internal/fake/fleet/control.go
+++ b/internal/fake/fleet/control.go
@@ -1,62 +1,68 @@
 package fleet
 
-// This file owns what a test does to the world by hand: which backends of which release are listed, and what the platform says
-// of the newest release. Without it votes move the roll-out.
+// This file owns what a test does to the fleet by hand: which backends of which release are listed, what the platform says of
+// the newest release, and which instance hears nothing.
 
 import "time"
 
-// Manual leaves the roll-out to the caller: votes are answered with the state as it is and move nothing.
-func (w *Fleet) Manual() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.manual = true
+// Manual leaves the rollout to the caller: votes are answered with the stage in force and move nothing.
+func (f *Fleet) Manual() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.manual = true
 }
 
-// StartBackends lists n more backends of a release, warm ones: none of them is limited by its start.
-func (w *Fleet) StartBackends(release, n, cores int) error {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// StartBackends lists n more backends of a release, warm ones: no instance limits them for their start.
+func (f *Fleet) StartBackends(release, n, cores int) error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	for range n {
-		if err := w.startBackend(release, cores, time.Time{}); err != nil {
+		if err := f.startBackend(backendOptions{release: release, cores: cores}); err != nil {
 			return err
 		}
 	}
-	w.publishEndpoints()
+	f.publishEndpoints()
 	return nil
 }
 
-// DrainBackends lists n backends of a release as draining.
-func (w *Fleet) DrainBackends(release, n int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, a := range w.backends {
-		if a.Release == release && a.state == "Ready" && n > 0 {
+// DrainBackends lists up to n ready backends of a release as draining.
+func (f *Fleet) DrainBackends(release, n int) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, backend := range f.backends {
+		if backend.Release == release && backend.state == stateReady && n > 0 {
 			n--
-			w.drain(a)
+			f.drain(backend)
 		}
 	}
-	w.publishEndpoints()
+	f.publishEndpoints()
 }
 
-// Announce makes a state the newest release's, and tells it on every stream of notices.
-func (w *Fleet) Announce(s Stage) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	s.At = time.Now()
-	w.stage, w.stageBegan = s, s.At
-	w.Stages = append(w.Stages, s)
-	if s.Mode == "reverting" || s.Mode == "reverted" {
-		w.affinity.rolledBackRelease(s.Release)
+// Announce puts a stage in force from now on and notifies of it on every stream of notices.
+func (f *Fleet) Announce(stage Stage) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	stage.At = time.Now()
+	if stage.Mode == ModeRollingBack || stage.Mode == ModeRolledBack {
+		f.affinity.rollBack(stage.Release)
 	}
-	w.broadcastStage()
+	f.setStage(stage)
+}
+
+// MuteDiscovery silences an instance's discovery, or lets it speak again.
+func (f *Fleet) MuteDiscovery(instance int, muted bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.muted[instance] = muted
+	f.publishEndpoints()
 }
 
 // ReadyBackends is how many backends of a release are listed as ready.
-func (w *Fleet) ReadyBackends(release int) (n int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, a := range w.backends {
-		if a.Release == release && a.state == "Ready" {
+func (f *Fleet) ReadyBackends(release int) (n int) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, backend := range f.backends {
+		if backend.Release == release && backend.state == stateReady {
 			n++
 		}
 	}
@@ -64,15 +70,22 @@
 }
 
 // Attempts is how many attempts have reached backends of a release.
-func (w *Fleet) Attempts(release int) int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.attempts[release]
+func (f *Fleet) Attempts(release int) int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.attempts[release]
 }
 
 // Affinity is what was seen of the rule on keys so far.
-func (w *Fleet) Affinity() Affinity {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.affinity.seen
+func (f *Fleet) Affinity() Affinity {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.affinity.seen
+}
+
+// ClosedReleases is what was seen of closed releases so far.
+func (f *Fleet) ClosedReleases() Closed {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.closedSeen
 }
--- /dev/null
+++ b/internal/fake/fleet/platform.go
@@ -0,0 +1,78 @@
+package fleet
+
+// This file owns the platform's API: the stream of notices and the votes.
+
+import (
+	"fmt"
+	"net"
+	"net/http"
+	"strconv"
+	"time"
+)
+
+const (
+	noticeKeepAlive = time.Second
+	codeSyntax      = "SYNTAX"
+)
+
+// servePlatform serves all instances until the listener closes.
+func (f *Fleet) servePlatform(listener net.Listener) {
+	serve(listener, func(w http.ResponseWriter, r *http.Request) {
+		if r.URL.Path == "/notices" {
+			f.serveNotices(w, r)
+		} else {
+			f.serveVote(w, r)
+		}
+	})
+}
+
+func (f *Fleet) serveNotices(w http.ResponseWriter, r *http.Request) {
+	f.mu.Lock()
+	stream := newSubscriber(0)
+	f.noticeStreams[stream] = true
+	first := f.stageEvent()
+	f.mu.Unlock()
+	stream.stream(r.Context(), w, streamOptions{
+		contentType: "text/event-stream", first: first, keepAlive: ":\n", keepAliveTime: noticeKeepAlive,
+		muted: func() bool { return false },
+	})
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	delete(f.noticeStreams, stream)
+}
+
+func (f *Fleet) serveVote(w http.ResponseWriter, r *http.Request) {
+	release, errRelease := strconv.Atoi(r.FormValue("release"))
+	stage, errStage := strconv.Atoi(r.FormValue("tranche"))
+	status, code := http.StatusBadRequest, codeSyntax
+	if errRelease == nil && errStage == nil && r.FormValue("Action") == "CastVote" {
+		status, code = f.handleVote(release, stage, r.FormValue("ruling"))
+	}
+	text := voteResponse(f.CurrentStage())
+	if status != http.StatusOK {
+		text = "<Error><Code>" + code + "</Code></Error>"
+	}
+	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
+	w.WriteHeader(status)
+	write(w, text)
+}
+
+// voteResponse tells a voter the stage in force after its vote.
+func voteResponse(stage Stage) string {
+	return fmt.Sprintf(`<?xml version="1.0"?><Response><groups><item><release>%d</release><tranche>%d</tranche>`+
+		`<mode>%s</mode><exposure>%g</exposure><old_ms>%d</old_ms></item></groups></Response>`,
+		stage.Release, stage.Stage, stage.Mode, stage.Cap, time.Since(stage.At).Milliseconds())
+}
+
+// broadcastStage notifies of the stage in force on every stream of notices. Under the lock.
+func (f *Fleet) broadcastStage() {
+	for stream := range f.noticeStreams {
+		stream.send(f.stageEvent())
+	}
+}
+
+// stageEvent is the stage in force as an event of the stream. Under the lock.
+func (f *Fleet) stageEvent() string {
+	return fmt.Sprintf("event: stage\ndata: release=%d&tranche=%d&mode=%s&exposure=%g&old_ms=%d\n\n",
+		f.stage.Release, f.stage.Stage, f.stage.Mode, f.stage.Cap, time.Since(f.stage.At).Milliseconds())
+}
--- /dev/null
+++ b/internal/fake/fleet/rollout.go
@@ -0,0 +1,131 @@
+package fleet
+
+// This file owns the rollout: the stages of the newest release, and the votes that move them.
+
+import (
+	"net/http"
+	"time"
+)
+
+// minStage is the time before which a vote to promote a stage moves nothing.
+const minStage = time.Second
+
+// Verdicts of a vote that move the rollout, and the error code of one that comes too late, as the platform's API writes them.
+const (
+	voteForPromotion = "promote"
+	voteForRollback  = "abort"
+	codeStale        = "STALE"
+)
+
+// StartRollout begins the rollout of a release that fails a share of its requests.
+func (f *Fleet) StartRollout(release int, failureShare float64) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.enterStage(canary(release, 0), failureShare)
+}
+
+// CurrentStage is the stage in force.
+func (f *Fleet) CurrentStage() Stage {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.stage
+}
+
+// enterStage notifies of a stage, starts its backends and drains those they replace. Under the lock.
+func (f *Fleet) enterStage(stage Stage, failureShare float64) {
+	f.setStage(stage)
+	if stage.Mode == ModeRollingBack {
+		f.rollBackBackends(stage.Release)
+	} else {
+		f.rollOutBackends(stage, failureShare)
+	}
+	f.publishEndpoints()
+}
+
+// setStage puts a stage in force and notifies of it. Under the lock.
+func (f *Fleet) setStage(stage Stage) {
+	f.stage, f.stageBegan = stage, stage.At
+	f.Stages = append(f.Stages, stage)
+	f.broadcastStage()
+}
+
+// rollBackBackends replaces the ready backends of a release by cold ones of the release before it. Under the lock.
+func (f *Fleet) rollBackBackends(release int) {
+	for _, backend := range f.backends {
+		if backend.state != stateReady || backend.Release != release {
+			continue
+		}
+		// Where a backend can't start, the fleet goes on with one less; the run's figures show it.
+		_ = f.startBackend(backendOptions{release: release - 1, cores: backend.cores, startedAt: time.Now()})
+		f.drain(backend)
+	}
+}
+
+// rollOutBackends replaces ready backends of earlier releases by cold ones of the stage's release, until the release has its
+// share of the fleet. Under the lock.
+func (f *Fleet) rollOutBackends(stage Stage, failureShare float64) {
+	share := 1.0
+	if stage.Mode == ModeCanary {
+		share = stageShares[stage.Stage]
+	}
+	var earlier []*Backend
+	updated := 0
+	for _, backend := range f.backends {
+		switch {
+		case backend.state != stateReady:
+		case backend.Release == stage.Release:
+			updated++
+		default:
+			earlier = append(earlier, backend)
+		}
+	}
+	target := int(share*float64(len(earlier)+updated) + 0.5)
+	for _, backend := range earlier {
+		successor := backendOptions{
+			release: stage.Release, cores: backend.cores, startedAt: time.Now(), failureShare: failureShare,
+		}
+		if updated >= target || f.startBackend(successor) != nil {
+			return
+		}
+		f.drain(backend)
+		updated++
+	}
+}
+
+// handleVote takes a vote and returns the status and error code of its response.
+func (f *Fleet) handleVote(release, stage int, verdict string) (status int, code string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	current := f.stage
+	onCurrentStage := release == current.Release && stage == current.Stage
+	mayMove := current.Mode == ModeCanary || verdict == voteForRollback
+	switch {
+	case f.manual && release == current.Release:
+	case !onCurrentStage || !mayMove:
+		return http.StatusBadRequest, codeStale
+	case verdict == voteForPromotion && time.Since(f.stageBegan) > minStage:
+		f.promote()
+	case verdict == voteForRollback:
+		f.enterStage(Stage{At: time.Now(), Release: current.Release, Stage: current.Stage, Mode: ModeRollingBack}, 0)
+	}
+	return http.StatusOK, ""
+}
+
+// promote enters the next stage, or makes the release the stable one after the last. Under the lock.
+func (f *Fleet) promote() {
+	next := Stage{At: time.Now(), Release: f.stage.Release, Stage: f.stage.Stage, Mode: ModeStable, Cap: 1}
+	if f.stage.Stage+1 < len(stageShares) {
+		next = canary(f.stage.Release, f.stage.Stage+1)
+	}
+	f.enterStage(next, f.failureShare(f.stage.Release))
+}
+
+// failureShare is the share of requests that backends of a release fail. Under the lock.
+func (f *Fleet) failureShare(release int) float64 {
+	for _, backend := range f.backends {
+		if backend.Release == release {
+			return backend.failureShare
+		}
+	}
+	return 0
+}
