--- a/internal/failpoint/defect.go
+++ b/internal/failpoint/defect.go
@@ -10,24 +10,37 @@
 	"syscall"
 )
 
-// ONYXGATE_KILL_AT=NAME:N kills the process at the Nth passing of NAME; ONYXGATE_DEFECT names what is switched off.
+const (
+	killAtVariable = "ONYXGATE_KILL_AT"
+	defectVariable = "ONYXGATE_DEFECT"
+)
+
 var (
-	name, nth = func() (string, int64) {
-		name, count, _ := strings.Cut(os.Getenv("ONYXGATE_KILL_AT"), ":")
-		n, _ := strconv.ParseInt(count, 10, 64)
-		return name, n
-	}()
-	passed atomic.Int64
-	defect = os.Getenv("ONYXGATE_DEFECT")
+	killAt, killAtPassing = parseKillAt(os.Getenv(killAtVariable))
+	defect                = os.Getenv(defectVariable)
+	passings              atomic.Int64 // of killAt
 )
 
-// At is passed at each named moment.
-func At(at string) {
-	if name != "" && at == name && passed.Add(1) == nth {
-		syscall.Kill(os.Getpid(), syscall.SIGKILL)
-		select {} // the signal is on its way: nothing more may happen
+// parseKillAt reads NAME:N. Without a number no passing kills.
+func parseKillAt(text string) (name string, passing int64) {
+	name, count, _ := strings.Cut(text, ":")
+	passing, err := strconv.ParseInt(count, 10, 64)
+	if err != nil {
+		return name, 0
+	}
+	return name, passing
+}
+
+// At marks a failpoint. It does not return where this passing of it was told to kill the process. It may be called by anyone
+// at any time.
+func At(name string) {
+	if killAt == "" || name != killAt || passings.Add(1) != killAtPassing {
+		return
 	}
+	// A process may always signal itself; were it refused, waiting here would show as an instance that hangs.
+	_ = syscall.Kill(os.Getpid(), syscall.SIGKILL)
+	select {} // the signal is on its way: nothing more may happen
 }
 
-// Defect tells that a protection is switched off.
-func Defect(what string) bool { return defect == what }
+// Defect tells whether a protection is switched off.
+func Defect(name string) bool { return defect == name }
--- a/internal/failpoint/release.go
+++ b/internal/failpoint/release.go
@@ -1,11 +1,9 @@
 //go:build !defect
 
-// Package failpoint names the moments at which a rehearsal may kill an agent, and the protections that it may switch off
-// to see itself fail. A release build holds none of it.
 package failpoint
 
-// At is passed at each named moment.
+// At marks a failpoint. In a release build it does nothing.
 func At(string) {}
 
-// Defect tells that a protection is switched off.
+// Defect tells whether a protection is switched off. In a release build none ever is.
 func Defect(string) bool { return false }
