--- a/internal/ci/clock_test.go
+++ b/internal/ci/clock_test.go
@@ -32,26 +32,11 @@
 	for _, root := range []string{"policy", "internal", "cmd/onyxgate"} {
 		err := filepath.WalkDir(filepath.Join("../..", root), func(path string, entry fs.DirEntry, err error) error {
 			name, _ := filepath.Rel("../..", path)
-			if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") ||
-				strings.HasPrefix(name, "internal/fake/") {
+			if err != nil || entry.IsDir() || !isProgramCode(name) {
 				return err
 			}
 			text, err := os.ReadFile(path)
-			for n, line := range strings.Split(string(text), "\n") {
-				if !wallClock.MatchString(line) {
-					continue
-				}
-				allowed := false
-				for use := range wallClockUses {
-					file, part, _ := strings.Cut(use, ": ")
-					if file == name && strings.Contains(line, part) {
-						allowed, used[use] = true, true
-					}
-				}
-				if !allowed {
-					t.Errorf("%s:%d reads the wall clock: %s", name, n+1, strings.TrimSpace(line))
-				}
-			}
+			checkWallClock(t, name, string(text), used)
 			return err
 		})
 		if err != nil {
@@ -64,3 +49,28 @@
 		}
 	}
 }
+
+// isProgramCode tells that a file is Go code of the program, and neither a test nor a fake.
+func isProgramCode(name string) bool {
+	return strings.HasSuffix(name, ".go") && !strings.HasSuffix(name, "_test.go") && !strings.HasPrefix(name, "internal/fake/")
+}
+
+// checkWallClock reports lines of a file that read the wall clock and may not, and notes the uses that it finds.
+func checkWallClock(t *testing.T, name, text string, used map[string]bool) {
+	t.Helper()
+	for n, line := range strings.Split(text, "\n") {
+		if !wallClock.MatchString(line) {
+			continue
+		}
+		allowed := false
+		for use := range wallClockUses {
+			file, part, _ := strings.Cut(use, ": ")
+			if file == name && strings.Contains(line, part) {
+				allowed, used[use] = true, true
+			}
+		}
+		if !allowed {
+			t.Errorf("%s:%d reads the wall clock: %s", name, n+1, strings.TrimSpace(line))
+		}
+	}
+}
--- a/internal/ci/tests_test.go
+++ b/internal/ci/tests_test.go
@@ -1,4 +1,4 @@
-// Package ci holds the test of what CI does with the tests that are known to fail.
+// Package ci holds tests of the rules that CI keeps: which tests may fail, and what the source may not do.
 package ci
 
 import (
@@ -58,7 +58,7 @@
 					t.Fatal(err)
 				}
 			}
-			run := exec.Command("bash", script)
+			run := exec.CommandContext(t.Context(), "bash", script)
 			run.Dir = dir
 			out, err := run.CombinedOutput()
 			if (err == nil) != c.passes || !strings.Contains(string(out), c.says) {
