--- a/cmd/e2e/day.go
+++ b/cmd/e2e/day.go
@@ -20,7 +20,7 @@
 	Bad      float64       `default:"0" help:"Share of requests that the new release fails."`
 	Program  string        `type:"path" help:"A program that is built already, as an earlier version to compare with."`
 	Settings string        `type:"path" help:"Our settings for the instances."`
-	Short    bool          `help:"8 s, and only what must hold on any machine."`
+	Short    bool          `help:"8 s, and only what must hold on any host."`
 	JSON     bool          `help:"Figures as JSON in place of the table."`
 }
 
@@ -115,7 +115,7 @@
 	for _, claim := range []struct {
 		what       string
 		violations int
-		timed      bool // judged by this machine's clock, which a slow one can't be held to
+		timed      bool // judged by this host's clock; a slow host is not judged by it
 	}{
 		{"requests lost", d.figures.Lost, false},
 		{"effects twice", d.figures.Violations.DuplicateEffects, false},
--- a/cmd/e2e/record.go
+++ b/cmd/e2e/record.go
@@ -20,7 +20,7 @@
 	Store  string  `enum:"sqlite,postgres" default:"sqlite" help:"sqlite or postgres."`
 	Rate   float64 `default:"300" help:"Requests a second."`
 	Defect string  `enum:",answer-before-sync,no-dedupe" default:"" help:"A protection to switch off: the run must then fail."`
-	Short  bool    `help:"Fewer kills, and only what must hold on any machine."`
+	Short  bool    `help:"Fewer kills, and only what must hold on any host."`
 	JSON   bool    `help:"Accepted for symmetry: the figures are always JSON."`
 	Keep   bool    `help:"Leave the directory with logs, spools and store."`
 }
@@ -195,7 +195,8 @@
 	return nil
 }
 
-// judge holds the figures against the claims. A slow machine is judged by those alone that know no time.
+// judge holds the figures against the claims. A short run is judged by those alone that no slow host can
+// violate.
 func (r *recordScenario) judge(found *claims) {
 	f := r.figures
 	found.require(f.Missing == 0, "missing: %d", f.Missing)
--- a/cmd/e2e/srv.go
+++ b/cmd/e2e/srv.go
@@ -19,7 +19,7 @@
 	Seed   uint64  `default:"1" help:"Draws traffic and faults."`
 	Rate   float64 `default:"180" help:"Requests a second, over three instances."`
 	Defect string  `enum:",undrain,forget-drains" default:"" help:"A protection to switch off: the run must then fail."`
-	Short  bool    `help:"Half as long, and only what must hold on any machine."`
+	Short  bool    `help:"Half as long, and only what must hold on any host."`
 	JSON   bool    `help:"Accepted for symmetry: the figures are always JSON."`
 }
 
--- a/cmd/e2e/srv_figures.go
+++ b/cmd/e2e/srv_figures.go
@@ -122,7 +122,8 @@
 	return outage
 }
 
-// judge holds the figures against the claims. A slow machine is judged by those alone that know no time but the product's own.
+// judge holds the figures against the claims. A short run is judged by those alone that no slow host can
+// violate.
 func (s *srvScenario) judge(found *claims) {
 	f := s.figures
 	tested := f.Drains >= minDrains && f.Queries > minQueries && len(f.Faults) > minFaultKinds
--- a/internal/fake/postgres/postgres.go
+++ b/internal/fake/postgres/postgres.go
@@ -55,9 +55,9 @@
 
 // incarnation is one life of an instance, by the row that holds it.
 type incarnation struct {
-	Agent, Place string
-	Through      int64
-	Closed       int64
+	Instance, Place string
+	Through         int64
+	Closed          int64
 }
 
 // transaction is what a transaction changed, and a line of the file.
--- a/internal/fake/postgres/statements.go
+++ b/internal/fake/postgres/statements.go
@@ -121,9 +121,9 @@
 
 // claim inserts an incarnation unless it is there.
 func (s *session) claim(string) {
-	name, agent, place := s.args[0], s.args[1], s.args[2]
+	name, instance, place := s.args[0], s.args[1], s.args[2]
 	if _, exists := s.incarnation(name); !exists {
-		s.setIncarnation(name, incarnation{Agent: agent, Place: place})
+		s.setIncarnation(name, incarnation{Instance: instance, Place: place})
 	}
 }
 
