--- a/internal/httpwire/lists_test.go
+++ b/internal/httpwire/lists_test.go
@@ -180,13 +180,21 @@
 		lists []one
 		held  int64
 	}{
-		{"the old one goes on until the new one tells", []one{{0, 6, false, "u", true, false}, {1, 7, false, "v", true, false},
-			{0, 8, false, "w", false, false}}, 7},
+		{"the old one goes on until the new one tells", []one{
+			{0, 6, false, "u", true, false},
+			{1, 7, false, "v", true, false},
+			{0, 8, false, "w", false, false},
+		}, 7},
 		{"a whole list of the old one after the new one", []one{{1, 7, false, "v", true, false}, {0, 9, true, "w", false, false}}, 7},
-		{"the new one starts lower, whole", []one{{1, 2, true, "v", true, false}, {1, 3, false, "w", true, false},
-			{0, 9, false, "x", false, false}}, 3},
-		{"the new one starts lower with a change: all is asked for", []one{{1, 2, false, "v", true, true},
-			{1, 3, true, "w", true, false}}, 3},
+		{"the new one starts lower, whole", []one{
+			{1, 2, true, "v", true, false},
+			{1, 3, false, "w", true, false},
+			{0, 9, false, "x", false, false},
+		}, 3},
+		{"the new one starts lower with a change: all is asked for", []one{
+			{1, 2, false, "v", true, true},
+			{1, 3, true, "w", true, false},
+		}, 3},
 		{"twice moved", []one{{2, 3, true, "v", true, false}, {1, 9, true, "w", false, false}}, 3},
 		{"no move, an older change", []one{{0, 3, false, "v", false, false}}, 5},
 	} {
--- a/internal/httpwire/trace_test.go
+++ b/internal/httpwire/trace_test.go
@@ -17,10 +17,14 @@
 		peer  string // the backend's answer
 		want  []string
 	}{
-		{"served", logrus.DebugLevel, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
-			[]string{"msg=request class=look key=7", "msg=attempt attempt=0 backend=s level=debug release=1 request=r1 result=served", "msg=answer answer=served level=debug reason=answered request=r1"}},
-		{"rejected", logrus.DebugLevel, "HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n",
-			[]string{"result=rejected", "answer=rejected level=debug reason=rejected"}},
+		{
+			"served", logrus.DebugLevel, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
+			[]string{"msg=request class=look key=7", "msg=attempt attempt=0 backend=s level=debug release=1 request=r1 result=served", "msg=answer answer=served level=debug reason=answered request=r1"},
+		},
+		{
+			"rejected", logrus.DebugLevel, "HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n",
+			[]string{"result=rejected", "answer=rejected level=debug reason=rejected"},
+		},
 		{"level info", logrus.InfoLevel, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -34,8 +38,10 @@
 			var log bytes.Buffer
 			logrus.SetOutput(&log)
 			logrus.SetLevel(c.level)
-			logrus.SetFormatter(&logrus.TextFormatter{DisableColors: true, DisableTimestamp: true,
-				SortingFunc: messageFirst})
+			logrus.SetFormatter(&logrus.TextFormatter{
+				DisableColors: true, DisableTimestamp: true,
+				SortingFunc: messageFirst,
+			})
 			synctest.Test(t, func(t *testing.T) {
 				a := newAgent(network{"app:1": once(c.peer)}, NewSockets(0))
 				a.ask(t, "GET /look/7 HTTP/1.1\r\nHost: a\r\nReq-Id: r1\r\nReq-Deadline: 900m\r\n\r\n")
