--- a/internal/httpwire/discovery_test.go
+++ b/internal/httpwire/discovery_test.go
@@ -16,32 +16,32 @@
 		where      string // of s and u
 		forgotten  string
 	}{
-		{"another", told(2, false, u), false, "app:1 b:1", "[]"},
-		{"a whole list", told(2, true, u), false, " b:1", "[app:1]"},
-		{"gone", told(2, false, `{"id":"s","addr":"app:1","state":"Gone"}`), false, " ", "[app:1]"},
-		{"draining", told(2, false, `{"id":"s","addr":"app:1","state":"Terminating","version_no":1}`), false, "app:1 ", "[]"},
-		{"moved", told(2, false, `{"id":"s","addr":"c:1","state":"Ready","version_no":1}`), false, "c:1 ", "[app:1]"},
-		{"started anew", told(2, false, `{"id":"s","addr":"app:1","state":"Ready","started_ms":5,"version_no":2}`), false, "app:1 ", "[app:1]"},
-		{"change older than what is held", told(0, false, u), false, "app:1 ", "[]"},
-		{"a discovery that counts anew", told(0, true, u), false, " b:1", "[app:1]"},
-		{"the same again", told(1, true, s), false, "app:1 ", "[]"},
-		{"no id", told(2, false, u+`,{"addr":"b:1","state":"Ready","version_no":2}`), true, "app:1 ", "[]"},
-		{"not an entry", told(2, false, u+`,7`), true, "app:1 ", "[]"},
-		{"unknown state", told(2, true, strings.Replace(u, "Ready", "Rexdy", 1)), true, "app:1 ", "[]"},
-		{"no address", told(2, false, strings.Replace(u, "b:1", "b", 1)), true, "app:1 ", "[]"},
-		{"no build", told(2, false, strings.Replace(u, "2}", "null}", 1)), true, "app:1 ", "[]"},
-		{"odd bytes", told(2, false, strings.Replace(u, `"u"`, "\"\xff\"", 1)), true, "app:1 ", "[]"},
-		{"no kind of list", strings.Replace(told(2, true, u), `"full":true`, `"full":1`, 1), true, "app:1 ", "[]"},
+		{"another", listJSON(2, false, u), false, "app:1 b:1", "[]"},
+		{"a whole list", listJSON(2, true, u), false, " b:1", "[app:1]"},
+		{"gone", listJSON(2, false, `{"id":"s","addr":"app:1","state":"Gone"}`), false, " ", "[app:1]"},
+		{"draining", listJSON(2, false, `{"id":"s","addr":"app:1","state":"Terminating","version_no":1}`), false, "app:1 ", "[]"},
+		{"moved", listJSON(2, false, `{"id":"s","addr":"c:1","state":"Ready","version_no":1}`), false, "c:1 ", "[app:1]"},
+		{"started anew", listJSON(2, false, `{"id":"s","addr":"app:1","state":"Ready","started_ms":5,"version_no":2}`), false, "app:1 ", "[app:1]"},
+		{"change older than what is held", listJSON(0, false, u), false, "app:1 ", "[]"},
+		{"a discovery that counts anew", listJSON(0, true, u), false, " b:1", "[app:1]"},
+		{"the same again", listJSON(1, true, s), false, "app:1 ", "[]"},
+		{"no id", listJSON(2, false, u+`,{"addr":"b:1","state":"Ready","version_no":2}`), true, "app:1 ", "[]"},
+		{"not an entry", listJSON(2, false, u+`,7`), true, "app:1 ", "[]"},
+		{"unknown state", listJSON(2, true, strings.Replace(u, "Ready", "Rexdy", 1)), true, "app:1 ", "[]"},
+		{"no address", listJSON(2, false, strings.Replace(u, "b:1", "b", 1)), true, "app:1 ", "[]"},
+		{"no build", listJSON(2, false, strings.Replace(u, "2}", "null}", 1)), true, "app:1 ", "[]"},
+		{"odd bytes", listJSON(2, false, strings.Replace(u, `"u"`, "\"\xff\"", 1)), true, "app:1 ", "[]"},
+		{"no kind of list", strings.Replace(listJSON(2, true, u), `"full":true`, `"full":1`, 1), true, "app:1 ", "[]"},
 		{"cut off", `{"version":2,"full":tr`, true, "app:1 ", "[]"},
 		{"no entries", `{"version":2}`, true, "app:1 ", "[]"},
 		{"not a list", `[]`, true, "app:1 ", "[]"},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			a := newAgent(network{}, NewSockets(0))
+			a := newTestInstance(network{}, NewSockets(0))
 			forgotten := []string{}
-			a.disc.OnRemove(func(address string) { forgotten = append(forgotten, address) })
-			err := a.disc.Apply([]byte(c.text), FromWatch, func() {})
-			where := a.disc.Address("s") + " " + a.disc.Address("u")
+			a.discovery.OnRemove(func(address string) { forgotten = append(forgotten, address) })
+			err := a.discovery.Apply([]byte(c.text), FromWatch, func() {})
+			where := a.discovery.Address("s") + " " + a.discovery.Address("u")
 			if (err != nil) != c.bad || where != c.where || fmt.Sprint(forgotten) != c.forgotten {
 				t.Errorf("%s: %v, at %q, forgotten %v", c.name, err, where, forgotten)
 			}
--- a/internal/httpwire/front_test.go
+++ b/internal/httpwire/front_test.go
@@ -59,9 +59,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				a := newAgent(network{"app:1": once("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")}, NewSockets(0))
+				a := newTestInstance(network{"app:1": answerOnce("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")}, NewSockets(0))
 				from := time.Now()
-				resp, _ := a.ask(t, c.text)
+				resp, _ := a.roundTrip(t, c.text)
 				if n := a.core.Counts(); resp.StatusCode != c.status || n.Accepted != c.taken || n.OpenRequests != 0 {
 					t.Errorf("got %d, %+v", resp.StatusCode, n)
 				}
@@ -77,9 +77,9 @@
 // A handler that fails still answers, and its attempt ends.
 func TestHandlerFails(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a := newAgent(network{}, NewSockets(0))
-		a.up.address = func(string) string { panic("lost its map") }
-		resp, _ := a.ask(t, good)
+		a := newTestInstance(network{}, NewSockets(0))
+		a.upstream.address = func(string) string { panic("lost its map") }
+		resp, _ := a.roundTrip(t, validRequest)
 		if n := a.core.Counts(); resp.StatusCode != http.StatusBadGateway || n.OpenRequests != 0 || n.OpenAttempts != 0 {
 			t.Errorf("%d, %+v", resp.StatusCode, n)
 		}
@@ -90,8 +90,8 @@
 // A slow client's request is waited for, on a new connection and a kept one, which does not go for want of sockets meanwhile.
 func TestSlowClient(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a := newAgent(network{"app:1": once("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")}, NewSockets(reserve+8))
-		in, server := make(pipes, 1), a.front.Server()
+		a := newTestInstance(network{"app:1": answerOnce("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")}, NewSockets(reserve+8))
+		in, server := make(pipeListener, 1), a.front.Server()
 		go server.Serve(Listener{in, a.front.sockets})
 		here, there := net.Pipe()
 		in <- there
@@ -132,18 +132,18 @@
 // The client's time runs from when it sent: what a head or body in pieces took of it is told to no appliance.
 func TestPiecesTime(t *testing.T) {
 	for _, c := range []struct{ first, rest string }{
-		{good[:20], good[20:]},
+		{validRequest[:20], validRequest[20:]},
 		{"POST /pay/k HTTP/1.1\r\nHost: h\r\nReq-Id: r1\r\nReq-Deadline: 2000m\r\nContent-Length: 4\r\n\r\n", "body"},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			told := make(chan string, 1)
-			a := newAgent(network{"app:1": func(c net.Conn) {
-				p := &peer{c, bufio.NewReader(c)}
-				_, deadline, _ := p.call()
+			a := newTestInstance(network{"app:1": func(c net.Conn) {
+				p := &peerConn{c, bufio.NewReader(c)}
+				_, deadline, _ := p.readRequest()
 				told <- deadline
-				p.say("x")
+				p.respond("x")
 			}}, NewSockets(0))
-			in := make(pipes, 1)
+			in := make(pipeListener, 1)
 			server := a.front.Server()
 			served := make(chan bool)
 			go func() { server.Serve(Listener{in, a.front.sockets}); close(served) }()
@@ -170,24 +170,24 @@
 func TestSlowHead(t *testing.T) {
 	for _, served := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			a := newAgent(network{"app:1": func(c net.Conn) {
-				p := &peer{c, bufio.NewReader(c)}
-				for _, _, err := p.call(); err == nil; _, _, err = p.call() {
-					p.say("body")
+			a := newTestInstance(network{"app:1": func(c net.Conn) {
+				p := &peerConn{c, bufio.NewReader(c)}
+				for _, _, err := p.readRequest(); err == nil; _, _, err = p.readRequest() {
+					p.respond("body")
 				}
 			}}, NewSockets(0))
-			in := make(pipes, 1)
+			in := make(pipeListener, 1)
 			server := a.front.Server()
 			done := make(chan bool)
 			go func() { server.Serve(Listener{in, a.front.sockets}); close(done) }()
 			here, there := net.Pipe()
 			in <- there
-			client := &peer{here, bufio.NewReader(here)}
+			client := &peerConn{here, bufio.NewReader(here)}
 			if served {
-				io.WriteString(here, good)
-				client.answer(t)
+				io.WriteString(here, validRequest)
+				client.readResponse(t)
 			}
-			text := strings.Replace(get("r2"), "2000m", "5000m", 1)
+			text := strings.Replace(requestWithID("r2"), "2000m", "5000m", 1)
 			io.WriteString(here, text[:30])
 			from := time.Now()
 			go func() {
--- a/internal/httpwire/helpers_test.go
+++ b/internal/httpwire/helpers_test.go
@@ -15,15 +15,15 @@
 	"onyxgate/policy"
 )
 
-// nothing is what the module calls beside its requests, not carried out.
-type nothing struct{}
+// nopTransport drops every action of the decisions that belongs to no request.
+type nopTransport struct{}
 
-func (nothing) SendVote(policy.ReleaseID, policy.Verdict, int) {}
-func (nothing) SendProbe(string)                               {}
-func (nothing) WatchEndpoints()                                {}
-func (nothing) FetchEndpoints()                                {}
+func (nopTransport) SendVote(policy.ReleaseID, policy.Verdict, int) {}
+func (nopTransport) SendProbe(string)                               {}
+func (nopTransport) WatchEndpoints()                                {}
+func (nopTransport) FetchEndpoints()                                {}
 
-// network is a loopback of pipes: who answers is named by address.
+// network dials in-memory pipes: the peer's side of a connection is served by the function at its address.
 type network map[string]func(net.Conn)
 
 func (n network) dial(ctx context.Context, address string) (net.Conn, error) {
@@ -39,17 +39,17 @@
 	return here, nil
 }
 
-// agent is a whole agent on a network: products look (inquiry-like), save (referenced) and pay (once-only) and one
-// appliance s at address app.
-type agent struct {
-	core  *core.Core
-	up    *Upstream
-	front *Front
-	disc  *Discovery
+// testInstance is a whole instance on a network: the classes look (safe), save (idempotent) and pay (non-idempotent), and one
+// backend s at the address app:1.
+type testInstance struct {
+	core      *core.Core
+	upstream  *Upstream
+	front     *Front
+	discovery *Discovery
 }
 
-func newAgent(n network, sockets *Sockets) *agent {
-	a := &agent{core: core.New(nothing{})}
+func newTestInstance(n network, sockets *Sockets) *testInstance {
+	a := &testInstance{core: core.New(nopTransport{})}
 	products := []policy.RequestClass{{Semantics: policy.Safe}, {Semantics: policy.Idempotent}, {Semantics: policy.NonIdempotent}}
 	for k := range products {
 		products[k].LatencyObjective, products[k].Timeout, products[k].Value, products[k].DedupWindow = 1000, 4000, 1, 9000
@@ -60,28 +60,29 @@
 			Exposure: policy.ExposureConfig{FreeAttempts: 2, Caps: []float64{1}},
 		})
 	})
-	a.disc = NewDiscovery(a.core, n.dial, "list", []string{"z"}, []string{"k"}, false, 1)
-	a.up = NewUpstream(a.core, n.dial, a.disc.Address, sockets, 250, 30000, true, true)
-	a.disc.OnRemove(a.up.CloseAddress)
-	a.front = NewFront(a.core, a.up, sockets, []string{"look", "save", "pay"}, products, true, 0, 1<<20)
-	a.disc.Apply([]byte(told(1, true, `{"id":"s","addr":"app:1","state":"Ready","weight":1,"version_no":1}`)), FromConfiguration, func() {})
+	a.discovery = NewDiscovery(a.core, n.dial, "list", []string{"z"}, []string{"k"}, false, 1)
+	a.upstream = NewUpstream(a.core, n.dial, a.discovery.Address, sockets, 250, 30000, true, true)
+	a.discovery.OnRemove(a.upstream.CloseAddress)
+	a.front = NewFront(a.core, a.upstream, sockets, []string{"look", "save", "pay"}, products, true, 0, 1<<20)
+	a.discovery.Apply([]byte(listJSON(1, true, `{"id":"s","addr":"app:1","state":"Ready","weight":1,"version_no":1}`)), FromConfiguration, func() {})
 	return a
 }
 
-func told(version int, full bool, entries string) string {
+// listJSON is an endpoint list as discovery sends it.
+func listJSON(version int, full bool, entries string) string {
 	return fmt.Sprintf(`{"version":%d,"full":%v,"servers":[%s]}`, version, full, entries)
 }
 
-// close ends what an agent keeps, so that a bubble ends only if nothing else was left.
-func (a *agent) close() {
+// close ends what an instance keeps, so that a synctest bubble ends only if no other goroutine was left.
+func (a *testInstance) close() {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	a.up.Sweep(ctx)
-	time.Sleep(time.Minute) // the module's last alarms
+	a.upstream.Sweep(ctx)
+	time.Sleep(time.Minute) // the last timers of the decisions
 }
 
-// once reads one call whole and writes what is given.
-func once(answer string) func(net.Conn) {
+// answerOnce serves one connection: it reads one request whole, writes the given answer and closes.
+func answerOnce(answer string) func(net.Conn) {
 	return func(c net.Conn) {
 		r, err := http.ReadRequest(bufio.NewReader(c))
 		if err != nil {
@@ -92,30 +93,30 @@
 	}
 }
 
-// stays writes what is given and leaves the connection open.
-func stays(answer string) func(net.Conn) {
+// answerAndHold does the same and leaves the connection open until the client closes it.
+func answerAndHold(answer string) func(net.Conn) {
 	return func(c net.Conn) {
-		once(answer)(c)
+		answerOnce(answer)(c)
 		io.Copy(io.Discard, c)
 	}
 }
 
-// pipes is a listener whose connections are handed in.
-type pipes chan net.Conn
+// pipeListener is a listener that accepts the connections sent on the channel.
+type pipeListener chan net.Conn
 
-func (p pipes) Accept() (net.Conn, error) {
+func (p pipeListener) Accept() (net.Conn, error) {
 	c, ok := <-p
 	if !ok {
 		return nil, net.ErrClosed
 	}
 	return c, nil
 }
-func (p pipes) Close() error   { close(p); return nil }
-func (p pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (p pipeListener) Close() error   { close(p); return nil }
+func (p pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// ask sends text on a new connection to the front and returns the answer, its body, and what is told by done.
-func (a *agent) ask(t *testing.T, text string) (*http.Response, string) {
-	in := make(pipes, 1)
+// roundTrip sends text to the front on a new connection and returns the answer and its body.
+func (a *testInstance) roundTrip(t *testing.T, text string) (*http.Response, string) {
+	in := make(pipeListener, 1)
 	server := a.front.Server()
 	served := make(chan bool)
 	go func() { server.Serve(Listener{in, a.front.sockets}); close(served) }()
@@ -135,4 +136,5 @@
 	return resp, string(body)
 }
 
-const good = "GET /look/k1?q=1 HTTP/1.1\r\nHost: h\r\nReq-Id: r1\r\nReq-Deadline: 2000m\r\nX-Other: o\r\n\r\n"
+// validRequest is a request of class look with nothing wrong in it.
+const validRequest = "GET /look/k1?q=1 HTTP/1.1\r\nHost: h\r\nReq-Id: r1\r\nReq-Deadline: 2000m\r\nX-Other: o\r\n\r\n"
--- a/internal/httpwire/lists_test.go
+++ b/internal/httpwire/lists_test.go
@@ -62,20 +62,20 @@
 	list := "{\n \"version\": 9,\n \"full\": true,\n \"servers\": [\n  {\"id\": \"u\", \"addr\": \"u:1\", \"state\": \"Ready\",\n" +
 		"   \"version_no\": 1}\n ]\n}\n"
 	for _, whole := range []bool{false, true} {
-		d := newAppliance(t)
-		a := newAgent(network{}, NewSockets(0))
-		a.disc.dial, a.disc.address = tcp, d.at()
+		d := newFakeBackend(t)
+		a := newTestInstance(network{}, NewSockets(0))
+		a.discovery.dial, a.discovery.address = dialTCP, d.address()
 		ctx, cancel := context.WithCancel(context.Background())
 		if whole {
-			go a.disc.fetch(ctx)
+			go a.discovery.fetch(ctx)
 		} else {
-			go a.disc.Run(ctx)
+			go a.discovery.Run(ctx)
 		}
 		p := <-d.conns
-		p.call()
+		p.readRequest()
 		fmt.Fprintf(p, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(list), list)
-		<-a.disc.FirstUpdate()
-		if a.disc.Address("u") != "u:1" {
+		<-a.discovery.FirstUpdate()
+		if a.discovery.Address("u") != "u:1" {
 			t.Error("not taken")
 		}
 		cancel()
@@ -86,7 +86,7 @@
 // What a silent watch misses counts as told 6 s after the silence began. It is made up before that, also where the first
 // reopening fails, or where it comes up and is as silent.
 func TestSilence(t *testing.T) {
-	change := told(6, false, `{"id":"u","addr":"u:1","state":"Ready","version_no":1}`) + "\n"
+	change := listJSON(6, false, `{"id":"u","addr":"u:1","state":"Ready","version_no":1}`) + "\n"
 	head := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	chunk := func(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 	for _, c := range []struct {
@@ -96,9 +96,9 @@
 		{"stands at once", nil},
 		{"refused", func(c net.Conn) {}},
 		{"takes the call and says nothing", func(c net.Conn) { io.Copy(io.Discard, c) }},
-		{"a head and nothing more", func(c net.Conn) { stays(head)(c) }},
-		{"half a list", func(c net.Conn) { stays(head + chunk(change[:30]))(c) }},
-		{"a part of a head", func(c net.Conn) { stays(head[:9])(c) }},
+		{"a head and nothing more", func(c net.Conn) { answerAndHold(head)(c) }},
+		{"half a list", func(c net.Conn) { answerAndHold(head + chunk(change[:30]))(c) }},
+		{"a part of a head", func(c net.Conn) { answerAndHold(head[:9])(c) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -107,17 +107,17 @@
 					opened++
 					switch {
 					case opened == 1:
-						stays(head + chunk("\n"))(p)
+						answerAndHold(head + chunk("\n"))(p)
 					case opened == 2 && c.second != nil:
 						c.second(p)
 					default:
-						stays(head + chunk(change))(p)
+						answerAndHold(head + chunk(change))(p)
 					}
 				}}
-				a := newAgent(n, NewSockets(0))
+				a := newTestInstance(n, NewSockets(0))
 				ctx, cancel := context.WithCancel(context.Background())
-				go a.disc.Run(ctx)
-				<-a.disc.FirstUpdate()
+				go a.discovery.Run(ctx)
+				<-a.discovery.FirstUpdate()
 				if late := time.Since(silentAt); late >= 5800*time.Millisecond {
 					t.Errorf("made up after %v", late)
 				}
@@ -131,10 +131,10 @@
 // Lists reach the module in the order in which they were taken, whoever took them.
 func TestListOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a := newAgent(network{}, NewSockets(0))
+		a := newTestInstance(network{}, NewSockets(0))
 		var got []int
 		inside, on := make(chan bool, 1), make(chan bool)
-		a.disc.OnUpdate(func(update policy.EndpointUpdate, _ []string) {
+		a.discovery.OnUpdate(func(update policy.EndpointUpdate, _ []string) {
 			entries := update.Endpoints
 			if entries[0].Release == 2 {
 				inside <- true
@@ -146,7 +146,7 @@
 		done := make(chan bool, 2)
 		for version := 2; version <= 3; version++ {
 			go func() {
-				a.disc.Apply([]byte(told(version, false, fmt.Sprintf(entry, version))), FromWatch, func() {})
+				a.discovery.Apply([]byte(listJSON(version, false, fmt.Sprintf(entry, version))), FromWatch, func() {})
 				done <- true
 			}()
 			synctest.Wait() // the first is on its way to the module, and the second has come as far as it can
@@ -199,18 +199,18 @@
 		{"no move, an older change", []one{{0, 3, false, "v", false, false}}, 5},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			a := newAgent(network{}, NewSockets(0))
-			a.disc.Apply([]byte(told(5, true, entry("s"))), FromWatch, func() {})
+			a := newTestInstance(network{}, NewSockets(0))
+			a.discovery.Apply([]byte(listJSON(5, true, entry("s"))), FromWatch, func() {})
 			for _, l := range c.lists {
-				err := a.disc.take([]byte(told(l.version, l.whole, entry(l.id))), FromWatch, l.moves, func() {})
-				if taken := a.disc.Address(l.id) != ""; taken != l.taken || (err != nil) != l.failed {
+				err := a.discovery.take([]byte(listJSON(l.version, l.whole, entry(l.id))), FromWatch, l.moves, func() {})
+				if taken := a.discovery.Address(l.id) != ""; taken != l.taken || (err != nil) != l.failed {
 					t.Errorf("%s: version %d of move %d taken %v, %v", c.name, l.version, l.moves, taken, err)
 				}
-				if _, _, version := a.disc.at(); l.failed && version != 0 {
+				if _, _, version := a.discovery.at(); l.failed && version != 0 {
 					t.Errorf("%s: the next watch asks from %d on", c.name, version)
 				}
 			}
-			if version, _ := a.disc.Version(); version != c.held {
+			if version, _ := a.discovery.Version(); version != c.held {
 				t.Errorf("%s: version %d held", c.name, version)
 			}
 			a.close()
--- a/internal/httpwire/loopback_test.go
+++ b/internal/httpwire/loopback_test.go
@@ -13,23 +13,24 @@
 	"time"
 )
 
-// appliance is a peer on loopback: every connection that comes up, and what is read on it, is handed to the test.
-type appliance struct {
+// fakeBackend listens on loopback and hands each accepted connection to the test.
+type fakeBackend struct {
 	net.Listener
-	conns chan *peer
+	conns chan *peerConn
 }
 
-type peer struct {
+// peerConn is one connection with its buffered reader, as a backend or as a client.
+type peerConn struct {
 	net.Conn
 	in *bufio.Reader
 }
 
-func newAppliance(t *testing.T) *appliance {
+func newFakeBackend(t *testing.T) *fakeBackend {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := &appliance{l, make(chan *peer, 16)}
+	a := &fakeBackend{l, make(chan *peerConn, 16)}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -37,17 +38,17 @@
 				close(a.conns)
 				return
 			}
-			a.conns <- &peer{c, bufio.NewReader(c)}
+			a.conns <- &peerConn{c, bufio.NewReader(c)}
 		}
 	}()
 	t.Cleanup(func() { l.Close() })
 	return a
 }
 
-func (a *appliance) at() string { return a.Addr().String() }
+func (a *fakeBackend) address() string { return a.Addr().String() }
 
-// call reads one call and returns its id and what it says of its time, or the error that came instead.
-func (p *peer) call() (id, deadline string, err error) {
+// readRequest reads one request and returns its id and its deadline header, or the error that came instead.
+func (p *peerConn) readRequest() (id, deadline string, err error) {
 	r, err := http.ReadRequest(p.in)
 	if err != nil {
 		return "", "", err
@@ -56,26 +57,27 @@
 	return r.Header.Get("Req-Id"), r.Header.Get("Req-Deadline"), nil
 }
 
-func (p *peer) say(body string) {
+// respond writes one answer 200 with the body.
+func (p *peerConn) respond(body string) {
 	fmt.Fprintf(p, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// loop is an agent on loopback with the appliance s at an address, and a client's connection to it.
-type loop struct {
-	*agent
-	t      *testing.T
-	front_ net.Listener
+// loopback is an instance on loopback sockets with the backend s at an address.
+type loopback struct {
+	*testInstance
+	t        *testing.T
+	listener net.Listener
 }
 
-func tcp(ctx context.Context, address string) (net.Conn, error) {
+func dialTCP(ctx context.Context, address string) (net.Conn, error) {
 	return new(net.Dialer).DialContext(ctx, "tcp", address)
 }
 
-func newLoop(t *testing.T, address string, dial Dial, revokes bool) *loop {
-	a := newAgent(network{}, NewSockets(0))
-	a.up.dial, a.up.up = dial, time.Minute
+func newLoopback(t *testing.T, address string, dial Dial, revokes bool) *loopback {
+	a := newTestInstance(network{}, NewSockets(0))
+	a.upstream.dial, a.upstream.up = dial, time.Minute
 	a.front.revokes = revokes
-	a.lists(t, 2, `{"id":"s","addr":"`+address+`","state":"Ready","weight":1,"version_no":1}`)
+	a.applyChange(t, 2, `{"id":"s","addr":"`+address+`","state":"Ready","weight":1,"version_no":1}`)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -86,29 +88,33 @@
 		server.Close()
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		a.up.Sweep(ctx)
+		a.upstream.Sweep(ctx)
 	})
-	return &loop{a, t, l}
+	return &loopback{a, t, l}
 }
 
-func (a *agent) lists(t *testing.T, version int, entry string) {
-	if err := a.disc.Apply([]byte(told(version, false, entry)), FromWatch, func() {}); err != nil {
+// applyChange hands one changed entry to discovery, as its stream would.
+func (a *testInstance) applyChange(t *testing.T, version int, entry string) {
+	if err := a.discovery.Apply([]byte(listJSON(version, false, entry)), FromWatch, func() {}); err != nil {
 		t.Error(err)
 	}
 }
 
-func (l *loop) client() *peer {
-	c, err := net.Dial("tcp", l.front_.Addr().String())
+// dialFront opens a client connection to the front; it is closed with the test.
+func (l *loopback) dialFront() *peerConn {
+	c, err := net.Dial("tcp", l.listener.Addr().String())
 	if err != nil {
 		l.t.Fatal(err)
 	}
 	l.t.Cleanup(func() { c.Close() })
-	return &peer{c, bufio.NewReader(c)}
+	return &peerConn{c, bufio.NewReader(c)}
 }
 
-func get(id string) string { return strings.Replace(good, "r1", id, 1) }
+// requestWithID is validRequest with another id.
+func requestWithID(id string) string { return strings.Replace(validRequest, "r1", id, 1) }
 
-func (p *peer) answer(t *testing.T) (int, string) {
+// readResponse reads one answer and returns its status and body.
+func (p *peerConn) readResponse(t *testing.T) (int, string) {
 	r, err := http.ReadResponse(p.in, nil)
 	if err != nil {
 		t.Error(err)
@@ -121,8 +127,8 @@
 	return r.StatusCode, string(b)
 }
 
-// until waits for what another goroutine is about to bring about.
-func until(holds func() bool) {
+// waitUntil yields until another goroutine has made the condition true.
+func waitUntil(holds func() bool) {
 	for !holds() {
 		runtime.Gosched()
 	}
--- a/internal/httpwire/platform_test.go
+++ b/internal/httpwire/platform_test.go
@@ -29,17 +29,17 @@
 		reply policy.VoteResponse
 		state string
 	}{
-		{"counted", once(xml("200", state)), policy.VoteCounted, "42 1 canary 0.28 310"},
-		{"full", once(xml("400", "<Error><Code>BUSY</Code></Error>")), policy.VoteRefused, ""},
-		{"moot", once(xml("400", "<Error><Code>STALE</Code></Error>")), policy.VoteOutdated, ""},
-		{"error", once(xml("500", "<Error><Code>FAILED</Code></Error>")), policy.VoteRefused, ""},
-		{"wrong field", once(xml("400", "<Error><Code>SYNTAX</Code></Error>")), policy.VoteRefused, ""},
-		{"unknown code", once(xml("400", "<Error><Code>ODD</Code></Error>")), policy.VoteUnanswered, ""},
-		{"not XML", once(xml("200", "<Response")), policy.VoteUnanswered, ""},
-		{"a word that is not on the page", once(xml("200", strings.Replace(state, "canary", "cxnary", 1))), policy.VoteUnanswered, ""},
-		{"a code with another status", once(xml("200", "<Error><Code>BUSY</Code></Error>")), policy.VoteUnanswered, ""},
-		{"says nothing", once(xml("200", "")), policy.VoteUnanswered, ""},
-		{"cut off", once("HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n<Resp"), policy.VoteUnanswered, ""},
+		{"counted", answerOnce(xml("200", state)), policy.VoteCounted, "42 1 canary 0.28 310"},
+		{"full", answerOnce(xml("400", "<Error><Code>BUSY</Code></Error>")), policy.VoteRefused, ""},
+		{"moot", answerOnce(xml("400", "<Error><Code>STALE</Code></Error>")), policy.VoteOutdated, ""},
+		{"error", answerOnce(xml("500", "<Error><Code>FAILED</Code></Error>")), policy.VoteRefused, ""},
+		{"wrong field", answerOnce(xml("400", "<Error><Code>SYNTAX</Code></Error>")), policy.VoteRefused, ""},
+		{"unknown code", answerOnce(xml("400", "<Error><Code>ODD</Code></Error>")), policy.VoteUnanswered, ""},
+		{"not XML", answerOnce(xml("200", "<Response")), policy.VoteUnanswered, ""},
+		{"a word that is not on the page", answerOnce(xml("200", strings.Replace(state, "canary", "cxnary", 1))), policy.VoteUnanswered, ""},
+		{"a code with another status", answerOnce(xml("200", "<Error><Code>BUSY</Code></Error>")), policy.VoteUnanswered, ""},
+		{"says nothing", answerOnce(xml("200", "")), policy.VoteUnanswered, ""},
+		{"cut off", answerOnce("HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n<Resp"), policy.VoteUnanswered, ""},
 		{"silent", func(c net.Conn) { io.Copy(io.Discard, c) }, policy.VoteUnanswered, ""},
 		{"breaks before the last byte", func(c net.Conn) { c.Read(make([]byte, 5)) }, policy.VoteRefused, ""},
 		{"refused", nil, policy.VoteRefused, ""},
@@ -62,7 +62,7 @@
 						_, form, _ = strings.Cut(seen.String(), "\r\n\r\n")
 					}
 				}
-				a := newAgent(network{}, NewSockets(0))
+				a := newTestInstance(network{}, NewSockets(0))
 				p := NewPlatform(a.core, n.dial, "control", 800, 1)
 				from := time.Now()
 				reply, field, _ := p.cast(context.Background(), vote{42, policy.Promote, 1})
@@ -113,7 +113,7 @@
 				io.WriteString(c, reply(k))
 			}
 		}}
-		a := newAgent(n, NewSockets(0))
+		a := newTestInstance(n, NewSockets(0))
 		p := NewPlatform(a.core, n.dial, "control", 800, 1)
 		for want := 1; want <= 2; want++ {
 			got, leaf, err := p.cast(context.Background(), vote{policy.ReleaseID(want), policy.Promote, 0})
--- a/internal/httpwire/shutdown_test.go
+++ b/internal/httpwire/shutdown_test.go
@@ -16,14 +16,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
 		answer := "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
-		a := newAgent(network{"app:1": func(c net.Conn) {
+		a := newTestInstance(network{"app:1": func(c net.Conn) {
 			mu.Lock()
-			peer := stays(answer)
+			peer := answerAndHold(answer)
 			mu.Unlock()
 			peer(c)
 		}}, NewSockets(0))
 		a.front.Ready()
-		if resp, _ := a.ask(t, "GET /up HTTP/1.1\r\nHost: h\r\n\r\n"); resp.StatusCode != 200 {
+		if resp, _ := a.roundTrip(t, "GET /up HTTP/1.1\r\nHost: h\r\n\r\n"); resp.StatusCode != 200 {
 			t.Errorf("/up %d", resp.StatusCode)
 		}
 		here, there := net.Pipe()
@@ -31,7 +31,7 @@
 		a.front.sockets.Idle(kept, false)
 		from, left := time.Now(), make(chan time.Duration, 1)
 		go func() {
-			a.front.Shutdown(context.Background(), make(pipes))
+			a.front.Shutdown(context.Background(), make(pipeListener))
 			left <- time.Since(from)
 		}()
 		for _, c := range []struct {
@@ -39,10 +39,10 @@
 			close_ bool
 		}{{300 * time.Millisecond, false}, {1500 * time.Millisecond, false}, {2300 * time.Millisecond, true}} {
 			time.Sleep(c.at - time.Since(from))
-			if resp, _ := a.ask(t, "GET /up HTTP/1.1\r\nHost: h\r\n\r\n"); resp.StatusCode != 503 {
+			if resp, _ := a.roundTrip(t, "GET /up HTTP/1.1\r\nHost: h\r\n\r\n"); resp.StatusCode != 503 {
 				t.Errorf("/up %d while leaving", resp.StatusCode)
 			}
-			if resp, _ := a.ask(t, strings.Replace(good, "r1", c.at.String(), 1)); resp.StatusCode != 200 || resp.Close != c.close_ {
+			if resp, _ := a.roundTrip(t, strings.Replace(validRequest, "r1", c.at.String(), 1)); resp.StatusCode != 200 || resp.Close != c.close_ {
 				t.Errorf("at %v: %d, close %v", c.at, resp.StatusCode, resp.Close)
 			}
 		}
@@ -52,7 +52,7 @@
 		mu.Lock()
 		answer = ""
 		mu.Unlock()
-		resp, _ := a.ask(t, strings.Replace(good, "2000m", "9000m", 1))
+		resp, _ := a.roundTrip(t, strings.Replace(validRequest, "2000m", "9000m", 1))
 		if took := time.Since(from); resp.StatusCode != 503 || took > 3400*time.Millisecond {
 			t.Errorf("a request that finds no answer got %d after %v", resp.StatusCode, took)
 		}
@@ -61,9 +61,9 @@
 		}
 		there.Close()
 		a.close()
-		b := newAgent(network{}, NewSockets(0))
+		b := newTestInstance(network{}, NewSockets(0))
 		from = time.Now()
-		b.front.Shutdown(context.Background(), make(pipes))
+		b.front.Shutdown(context.Background(), make(pipeListener))
 		if took := time.Since(from); took > leaveOpen+50*time.Millisecond {
 			t.Errorf("left after %v though nobody was connected", took)
 		}
--- a/internal/httpwire/sockets_test.go
+++ b/internal/httpwire/sockets_test.go
@@ -65,9 +65,9 @@
 		if s.room(true); gone(4) || used() != 7 {
 			t.Error("one in use went")
 		}
-		a := newAgent(network{"app:1": once("")}, NewSockets(reserve+4))
+		a := newTestInstance(network{"app:1": answerOnce("")}, NewSockets(reserve+4))
 		a.front.sockets.used = 3 // the client's is the last
-		a.ask(t, good)
+		a.roundTrip(t, validRequest)
 		if n := a.core.Counts(); n.AttemptsByStatus[policy.StatusNotSent] != 1 {
 			t.Errorf("%+v", n)
 		}
@@ -81,36 +81,36 @@
 	})
 }
 
-// slow is a client's socket whose reader has its bytes and is stopped before it can say so.
-type slow struct {
+// stoppedReader is a client's socket whose reader has its bytes and is stopped before it can say so.
+type stoppedReader struct {
 	net.Conn
-	has, on chan bool
+	taken, resume chan bool
 }
 
-func (s slow) Read(b []byte) (int, error) {
+func (s stoppedReader) Read(b []byte) (int, error) {
 	n, err := s.Conn.Read(b)
 	if n > 0 {
-		s.has <- true
-		<-s.on
+		s.taken <- true
+		<-s.resume
 	}
 	return n, err
 }
 
-func (s slow) SyscallConn() (syscall.RawConn, error) {
+func (s stoppedReader) SyscallConn() (syscall.RawConn, error) {
 	raw, err := s.Conn.(syscall.Conn).SyscallConn()
-	return slowRaw{raw, s}, err
+	return stoppedRawConn{raw, s}, err
 }
 
-type slowRaw struct {
+type stoppedRawConn struct {
 	syscall.RawConn
-	of slow
+	conn stoppedReader
 }
 
-func (r slowRaw) Read(f func(uintptr) bool) error {
+func (r stoppedRawConn) Read(f func(uintptr) bool) error {
 	err := r.RawConn.Read(f)
 	if err == nil {
-		r.of.has <- true
-		<-r.of.on
+		r.conn.taken <- true
+		<-r.conn.resume
 	}
 	return err
 }
@@ -133,7 +133,7 @@
 		t.Fatal(err)
 	}
 	s := NewSockets(0)
-	raw := slow{there, make(chan bool), make(chan bool)}
+	raw := stoppedReader{there, make(chan bool), make(chan bool)}
 	c := s.hold(raw, true).(*counted)
 	defer c.Close()
 	s.Idle(c, false)
@@ -144,12 +144,12 @@
 		n, _ := c.Read(make([]byte, 9))
 		read <- n
 	}()
-	<-raw.has
+	<-raw.taken
 	s.CloseIdle()
 	if c.closed {
 		t.Error("closed, though a byte of the next request had been taken")
 	}
-	raw.on <- true
+	raw.resume <- true
 	if n := <-read; n != 1 {
 		t.Errorf("%d bytes", n)
 	}
--- a/internal/httpwire/streams_test.go
+++ b/internal/httpwire/streams_test.go
@@ -31,7 +31,7 @@
 		n := network{"list": func(c net.Conn) {
 			switch len(asked) {
 			case 0: // tells, then is silent
-				stream(c, told(5, false, `{"id":"u","addr":"b:1","state":"Ready","version_no":1}`)+"\n")
+				stream(c, listJSON(5, false, `{"id":"u","addr":"b:1","state":"Ready","version_no":1}`)+"\n")
 				io.Copy(io.Discard, c)
 			case 1: // lives on by empty lines, then breaks
 				stream(c, "\n")
@@ -43,14 +43,14 @@
 				stream(c, "no list\n")
 			}
 		}}
-		a := newAgent(n, NewSockets(0))
+		a := newTestInstance(n, NewSockets(0))
 		ctx, cancel := context.WithCancel(context.Background())
 		from := time.Now()
-		go a.disc.Run(ctx)
+		go a.discovery.Run(ctx)
 		time.Sleep(17 * time.Second)
 		cancel()
 		if len(asked) < 3 || asked[0] != "/discovery/hosts?watch=1&after=1" || asked[1] != "/discovery/hosts?watch=1&after=5" ||
-			a.disc.Address("u") != "b:1" {
+			a.discovery.Address("u") != "b:1" {
 			t.Fatalf("asked %q", asked)
 		}
 		if silent := at[1].Sub(from); silent < watchSilent || silent > watchSilent+time.Second {
@@ -90,7 +90,7 @@
 				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(text), text)
 				io.Copy(io.Discard, c)
 			}}
-			a := newAgent(network{}, NewSockets(0))
+			a := newTestInstance(network{}, NewSockets(0))
 			p := NewPlatform(a.core, n.dial, "control", 800, 1)
 			ctx, cancel := context.WithCancel(context.Background())
 			go p.Listen(ctx)
@@ -134,10 +134,10 @@
 				io.Copy(io.Discard, c)
 			}
 		}
-		a := newAgent(n, NewSockets(0))
+		a := newTestInstance(n, NewSockets(0))
 		p := NewPlatform(a.core, n.dial, "control", 800, 1)
 		ctx, cancel := context.WithCancel(context.Background())
-		go a.disc.Run(ctx)
+		go a.discovery.Run(ctx)
 		go p.Listen(ctx)
 		for _, c := range []struct {
 			address string
@@ -153,7 +153,7 @@
 			if c.address == "e" {
 				p.SetAddress(c.address)
 			} else if c.address != "" {
-				a.disc.SetAddress(c.address)
+				a.discovery.SetAddress(c.address)
 			}
 			time.Sleep(c.after)
 			got := map[string]int{"list": 0, "b": 0, "c": 0, "control": 0, "e": 0}
--- a/internal/httpwire/trace_test.go
+++ b/internal/httpwire/trace_test.go
@@ -43,8 +43,8 @@
 				SortingFunc: messageFirst,
 			})
 			synctest.Test(t, func(t *testing.T) {
-				a := newAgent(network{"app:1": once(c.peer)}, NewSockets(0))
-				a.ask(t, "GET /look/7 HTTP/1.1\r\nHost: a\r\nReq-Id: r1\r\nReq-Deadline: 900m\r\n\r\n")
+				a := newTestInstance(network{"app:1": answerOnce(c.peer)}, NewSockets(0))
+				a.roundTrip(t, "GET /look/7 HTTP/1.1\r\nHost: a\r\nReq-Id: r1\r\nReq-Deadline: 900m\r\n\r\n")
 				a.close()
 			})
 			rest := log.String()
--- a/internal/httpwire/upstream_crossings_test.go
+++ b/internal/httpwire/upstream_crossings_test.go
@@ -17,56 +17,56 @@
 // A second copy of an answer that comes late must not be the next request's, whether that came on the connection of a
 // request or of a probe.
 func TestSecondAnswerLate(t *testing.T) {
-	s := newAppliance(t)
-	l := newLoop(t, s.at(), tcp, true)
-	l.up.settle = time.Hour // however slow the machine
-	c := l.client()
-	io.WriteString(c, get("r1"))
+	s := newFakeBackend(t)
+	l := newLoopback(t, s.address(), dialTCP, true)
+	l.upstream.settle = time.Hour // however slow the machine
+	c := l.dialFront()
+	io.WriteString(c, requestWithID("r1"))
 	first := <-s.conns
-	first.call()
-	first.say("one")
-	if _, body := c.answer(t); body != "one" {
+	first.readRequest()
+	first.respond("one")
+	if _, body := c.readResponse(t); body != "one" {
 		t.Fatalf("answered %q", body)
 	}
-	io.WriteString(c, get("r2"))
-	next := make(chan *peer, 1)
+	io.WriteString(c, requestWithID("r2"))
+	next := make(chan *peerConn, 1)
 	go func() { // r2 comes on the first connection, or on one of its own
-		if id, _, _ := first.call(); id != "" {
+		if id, _, _ := first.readRequest(); id != "" {
 			next <- first
 		}
 	}()
-	var second *peer
+	var second *peerConn
 	select {
 	case second = <-next:
 	case second = <-s.conns:
-		second.call()
+		second.readRequest()
 	}
-	first.say("one") // its second copy, just now
+	first.respond("one") // its second copy, just now
 	if second != first {
-		second.say("two")
+		second.respond("two")
 	}
-	if status, body := c.answer(t); status != 200 || body != "two" {
+	if status, body := c.readResponse(t); status != 200 || body != "two" {
 		t.Errorf("r2 answered %d %q", status, body)
 	}
 
 	// A probe's copy: the request goes out on the probe's connection at once, and the copy comes ahead of its answer.
-	p := newAppliance(t)
-	l.lists(t, 3, `{"id":"s","addr":"`+p.at()+`","state":"Ready","weight":1,"version_no":1}`)
-	go l.up.Probe("s")
+	p := newFakeBackend(t)
+	l.applyChange(t, 3, `{"id":"s","addr":"`+p.address()+`","state":"Ready","weight":1,"version_no":1}`)
+	go l.upstream.Probe("s")
 	probed := <-p.conns
-	probed.call()
-	probed.say("queue=1,util=0.5")
-	until(func() bool { // the probe's connection has been put back
-		_, idle, _ := l.up.Connections()
+	probed.readRequest()
+	probed.respond("queue=1,util=0.5")
+	waitUntil(func() bool { // the probe's connection has been put back
+		_, idle, _ := l.upstream.Connections()
 		return idle > 0
 	})
-	io.WriteString(c, get("r3"))
-	if id, _, err := probed.call(); id != "r3" {
+	io.WriteString(c, requestWithID("r3"))
+	if id, _, err := probed.readRequest(); id != "r3" {
 		t.Fatalf("the probe's connection carries %q (%v)", id, err)
 	}
-	probed.say("queue=1,util=0.5")
-	probed.say("three")
-	if status, body := c.answer(t); status != 200 || body != "three" {
+	probed.respond("queue=1,util=0.5")
+	probed.respond("three")
+	if status, body := c.readResponse(t); status != 200 || body != "three" {
 		t.Errorf("r3 answered %d %q", status, body)
 	}
 }
@@ -79,20 +79,20 @@
 		`{"id":"s","addr":"ADDR","state":"Ready","weight":1,"version_no":2,"started_ms":5}`, // restarted
 		left + "," + took, took + "," + left, // its address is another's
 	} {
-		s, other := newAppliance(t), newAppliance(t)
-		l := newLoop(t, s.at(), tcp, true)
-		l.up.settle = 0
-		c := l.client()
-		io.WriteString(c, get("r1"))
+		s, other := newFakeBackend(t), newFakeBackend(t)
+		l := newLoopback(t, s.address(), dialTCP, true)
+		l.upstream.settle = 0
+		c := l.dialFront()
+		io.WriteString(c, requestWithID("r1"))
 		first := <-s.conns
-		first.call()
-		l.lists(t, 3, strings.NewReplacer("ADDR", s.at(), "OTHER", other.at()).Replace(entry))
-		first.say("one")
-		c.answer(t)
-		if id, _, err := first.call(); err == nil {
+		first.readRequest()
+		l.applyChange(t, 3, strings.NewReplacer("ADDR", s.address(), "OTHER", other.address()).Replace(entry))
+		first.respond("one")
+		c.readResponse(t)
+		if id, _, err := first.readRequest(); err == nil {
 			t.Errorf("the connection is used again, for %q", id)
 		}
-		if _, idle, _ := l.up.Connections(); idle != 0 {
+		if _, idle, _ := l.upstream.Connections(); idle != 0 {
 			t.Errorf("%d kept", idle)
 		}
 	}
@@ -122,34 +122,34 @@
 		{"its release goes back", true, false, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s, asked, up := newAppliance(t), make(chan bool), make(chan bool)
-			l := newLoop(t, s.at(), barred(asked, up), c.revokes)
+			s, asked, up := newFakeBackend(t), make(chan bool), make(chan bool)
+			l := newLoopback(t, s.address(), barred(asked, up), c.revokes)
 			l.core.UpdateRelease(policy.ReleaseUpdate{Release: 1, Phase: policy.RollingOut, Cap: 1, Known: true})
-			client := l.client()
-			io.WriteString(client, get("r1"))
+			client := l.dialFront()
+			io.WriteString(client, requestWithID("r1"))
 			<-asked
 			if c.back {
 				l.core.UpdateRelease(policy.ReleaseUpdate{Release: 1, Phase: policy.RollingBack, Cap: 0, Known: true})
 			} else if c.leaves {
 				client.Close()
-				until(func() bool { return l.core.Counts().ClientGone == 1 })
+				waitUntil(func() bool { return l.core.Counts().ClientGone == 1 })
 			} else {
-				l.lists(t, 3, `{"id":"s","addr":"127.0.0.1:1","state":"Terminating","weight":1,"version_no":1}`)
+				l.applyChange(t, 3, `{"id":"s","addr":"127.0.0.1:1","state":"Terminating","weight":1,"version_no":1}`)
 			}
 			up <- true
 			end := make(chan bool)
 			go func() { // what is kept of it is closed, so that the appliance sees an end
 				defer close(end)
-				until(func() bool { return l.core.Counts().OpenAttempts == 0 })
-				l.up.CloseAddress(s.at())
+				waitUntil(func() bool { return l.core.Counts().OpenAttempts == 0 })
+				l.upstream.CloseAddress(s.address())
 			}()
 			p := <-s.conns
 			<-end
-			if id, _, err := p.call(); err == nil {
+			if id, _, err := p.readRequest(); err == nil {
 				t.Errorf("%q was sent", id)
 			}
 			if !c.leaves {
-				if status, _ := client.answer(t); status != 503 {
+				if status, _ := client.readResponse(t); status != 503 {
 					t.Errorf("answered %d", status)
 				}
 			}
--- a/internal/httpwire/upstream_test.go
+++ b/internal/httpwire/upstream_test.go
@@ -23,52 +23,52 @@
 		result policy.AttemptStatus
 		status int
 	}{
-		{"settled", once(ok), policy.StatusServed, 200},
-		{"after an interim answer", once("HTTP/1.1 100 Continue\r\n\r\n" + ok), policy.StatusServed, 200},
-		{"chunked", once("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nbod\r\n1\r\ny\r\n0\r\n\r\n"), policy.StatusServed, 200},
-		{"error", once("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"), policy.StatusErrored, 503},
-		{"503 unmarked", once("HTTP/1.1 503 E\r\nContent-Length: 0\r\n\r\n"), policy.StatusErrored, 503},
-		{"turned away", once("HTTP/1.1 503 E\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"), policy.StatusRejected, 503},
-		{"over already", once("HTTP/1.1 504 E\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"), policy.StatusRejected, 503},
-		{"another answer marked", once("HTTP/1.1 429 E\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"), policy.StatusErrored, 503},
-		{"cut off", once("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nbody"), policy.StatusReset, 503},
-		{"cut off in a chunk", once("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nbody"), policy.StatusReset, 503},
-		{"no answer", once(""), policy.StatusReset, 503},
-		{"not HTTP", once("hello\r\n\r\n"), policy.StatusReset, 503},
-		{"two lengths", once("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\nbody"), policy.StatusReset, 503},
-		{"until its end", once("HTTP/1.1 200 OK\r\n\r\nbody"), policy.StatusReset, 503},
-		{"the same length twice", once("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 4\r\n\r\nbody"), policy.StatusReset, 503},
-		{"a length and a coding", once("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n"), policy.StatusReset, 503},
-		{"a length with a sign", once("HTTP/1.1 200 OK\r\nContent-Length: +4\r\n\r\nbody"), policy.StatusReset, 503},
-		{"no length", once("HTTP/1.1 200 OK\r\nContent-Length: \r\n\r\nbody"), policy.StatusReset, 503},
-		{"bare line feeds", once("HTTP/1.1 200 OK\nContent-Length: 4\n\nbody"), policy.StatusReset, 503},
-		{"a name that is none", once("HTTP/1.1 200 OK\r\nContent Length: 4\r\n\r\nbody"), policy.StatusReset, 503},
-		{"a value that is none", once("HTTP/1.1 200 OK\r\nA: \x01\r\nContent-Length: 4\r\n\r\nbody"), policy.StatusReset, 503},
-		{"another version", once("HTTP/1.0 200 OK\r\nContent-Length: 4\r\n\r\nbody"), policy.StatusReset, 503},
-		{"a status that is none", once("HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\nbody"), policy.StatusReset, 503},
-		{"other protocols", once("HTTP/1.1 101 S\r\nContent-Length: 4\r\n\r\nbody"), policy.StatusReset, 503},
-		{"trailers", once("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\nA: b\r\n\r\n"), policy.StatusReset, 503},
-		{"chunks without end", once("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("4000\r\n"+
+		{"settled", answerOnce(ok), policy.StatusServed, 200},
+		{"after an interim answer", answerOnce("HTTP/1.1 100 Continue\r\n\r\n" + ok), policy.StatusServed, 200},
+		{"chunked", answerOnce("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nbod\r\n1\r\ny\r\n0\r\n\r\n"), policy.StatusServed, 200},
+		{"error", answerOnce("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"), policy.StatusErrored, 503},
+		{"503 unmarked", answerOnce("HTTP/1.1 503 E\r\nContent-Length: 0\r\n\r\n"), policy.StatusErrored, 503},
+		{"turned away", answerOnce("HTTP/1.1 503 E\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"), policy.StatusRejected, 503},
+		{"over already", answerOnce("HTTP/1.1 504 E\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"), policy.StatusRejected, 503},
+		{"another answer marked", answerOnce("HTTP/1.1 429 E\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"), policy.StatusErrored, 503},
+		{"cut off", answerOnce("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nbody"), policy.StatusReset, 503},
+		{"cut off in a chunk", answerOnce("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nbody"), policy.StatusReset, 503},
+		{"no answer", answerOnce(""), policy.StatusReset, 503},
+		{"not HTTP", answerOnce("hello\r\n\r\n"), policy.StatusReset, 503},
+		{"two lengths", answerOnce("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\nbody"), policy.StatusReset, 503},
+		{"until its end", answerOnce("HTTP/1.1 200 OK\r\n\r\nbody"), policy.StatusReset, 503},
+		{"the same length twice", answerOnce("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 4\r\n\r\nbody"), policy.StatusReset, 503},
+		{"a length and a coding", answerOnce("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n"), policy.StatusReset, 503},
+		{"a length with a sign", answerOnce("HTTP/1.1 200 OK\r\nContent-Length: +4\r\n\r\nbody"), policy.StatusReset, 503},
+		{"no length", answerOnce("HTTP/1.1 200 OK\r\nContent-Length: \r\n\r\nbody"), policy.StatusReset, 503},
+		{"bare line feeds", answerOnce("HTTP/1.1 200 OK\nContent-Length: 4\n\nbody"), policy.StatusReset, 503},
+		{"a name that is none", answerOnce("HTTP/1.1 200 OK\r\nContent Length: 4\r\n\r\nbody"), policy.StatusReset, 503},
+		{"a value that is none", answerOnce("HTTP/1.1 200 OK\r\nA: \x01\r\nContent-Length: 4\r\n\r\nbody"), policy.StatusReset, 503},
+		{"another version", answerOnce("HTTP/1.0 200 OK\r\nContent-Length: 4\r\n\r\nbody"), policy.StatusReset, 503},
+		{"a status that is none", answerOnce("HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\nbody"), policy.StatusReset, 503},
+		{"other protocols", answerOnce("HTTP/1.1 101 S\r\nContent-Length: 4\r\n\r\nbody"), policy.StatusReset, 503},
+		{"trailers", answerOnce("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\nA: b\r\n\r\n"), policy.StatusReset, 503},
+		{"chunks without end", answerOnce("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("4000\r\n"+
 			strings.Repeat("a", 0x4000)+"\r\n", 9)), policy.StatusReset, 503},
-		{"interim answers without end", once(strings.Repeat("HTTP/1.1 100 C\r\n\r\n", 99)), policy.StatusReset, 503},
-		{"part of a head, then silence", stays("HTTP/1.1 200 OK\r\nConte"), policy.StatusReset, 503},
-		{"part of a body, then silence", stays("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nbody"), policy.StatusReset, 503},
-		{"noise, then silence", stays("\x00\x01\x02 and so on"), policy.StatusReset, 503},
-		{"a few bytes, then silence", stays("HT"), policy.StatusReset, 503},
-		{"an interim answer and part of the next", stays("HTTP/1.1 100 C\r\n\r\nHTTP/1.1 2"), policy.StatusReset, 503},
-		{"3 GB", stays("HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nbody"), policy.StatusReset, 503},
-		{"too long", once("HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n"), policy.StatusReset, 503},
-		{"no end of lines", once("HTTP/1.1 200 OK\r\nA: " + strings.Repeat("a", 9000)), policy.StatusReset, 503},
-		{"too many lines", once("HTTP/1.1 200 OK\r\n" + strings.Repeat("A: b\r\n", 99) + "\r\n"), policy.StatusReset, 503},
+		{"interim answers without end", answerOnce(strings.Repeat("HTTP/1.1 100 C\r\n\r\n", 99)), policy.StatusReset, 503},
+		{"part of a head, then silence", answerAndHold("HTTP/1.1 200 OK\r\nConte"), policy.StatusReset, 503},
+		{"part of a body, then silence", answerAndHold("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nbody"), policy.StatusReset, 503},
+		{"noise, then silence", answerAndHold("\x00\x01\x02 and so on"), policy.StatusReset, 503},
+		{"a few bytes, then silence", answerAndHold("HT"), policy.StatusReset, 503},
+		{"an interim answer and part of the next", answerAndHold("HTTP/1.1 100 C\r\n\r\nHTTP/1.1 2"), policy.StatusReset, 503},
+		{"3 GB", answerAndHold("HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nbody"), policy.StatusReset, 503},
+		{"too long", answerOnce("HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n"), policy.StatusReset, 503},
+		{"no end of lines", answerOnce("HTTP/1.1 200 OK\r\nA: " + strings.Repeat("a", 9000)), policy.StatusReset, 503},
+		{"too many lines", answerOnce("HTTP/1.1 200 OK\r\n" + strings.Repeat("A: b\r\n", 99) + "\r\n"), policy.StatusReset, 503},
 		{"breaks before the last byte", func(c net.Conn) { c.Read(make([]byte, 9)) }, policy.StatusConnectFailed, 503},
 		{"silent", func(c net.Conn) { io.Copy(io.Discard, c) }, policy.StatusCanceled, 503},
 		{"refused", nil, policy.StatusConnectFailed, 503},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				a := newAgent(network{"app:1": c.peer}, NewSockets(0))
+				a := newTestInstance(network{"app:1": c.peer}, NewSockets(0))
 				from := time.Now()
-				resp, body := a.ask(t, good)
+				resp, body := a.roundTrip(t, validRequest)
 				if resp.StatusCode != c.status || c.status == 200 && body != "body" {
 					t.Errorf("the client got %d %q", resp.StatusCode, body)
 				}
@@ -88,14 +88,14 @@
 func TestUnchanged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var got bytes.Buffer
-		a := newAgent(network{"app:1": func(c net.Conn) {
+		a := newTestInstance(network{"app:1": func(c net.Conn) {
 			r, err := http.ReadRequest(bufio.NewReader(io.TeeReader(c, &got)))
 			if err == nil {
 				io.Copy(io.Discard, r.Body)
 				io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Type: a/b\r\nContent-Length: 2\r\n\r\nhi")
 			}
 		}}, NewSockets(0))
-		resp, body := a.ask(t, "POST /save/a%2Fb?x=%31&y HTTP/1.1\r\nHost: h\r\nReq-Id: Q1\r\nReq-Deadline: 480m\r\n"+
+		resp, body := a.roundTrip(t, "POST /save/a%2Fb?x=%31&y HTTP/1.1\r\nHost: h\r\nReq-Id: Q1\r\nReq-Deadline: 480m\r\n"+
 			"Idempotency-Key: MiXed\r\nKeep-Alive: 1\r\nContent-Length: 5\r\n\r\nab\x00cd")
 		text := got.String()
 		for _, want := range []string{
@@ -130,7 +130,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				a := newAgent(network{"app:1": func(c2 net.Conn) {
+				a := newTestInstance(network{"app:1": func(c2 net.Conn) {
 					in := bufio.NewReader(c2)
 					for {
 						if _, err := http.ReadRequest(in); err != nil {
@@ -141,10 +141,10 @@
 						}
 					}
 				}}, NewSockets(0))
-				a.ask(t, good)
+				a.roundTrip(t, validRequest)
 				time.Sleep(c.rest)
-				a.ask(t, strings.Replace(good, "r1", "r2", 1))
-				dialled, idle, _ := a.up.Connections()
+				a.roundTrip(t, strings.Replace(validRequest, "r1", "r2", 1))
+				dialled, idle, _ := a.upstream.Connections()
 				if dialled != c.dialled || idle != c.idle {
 					t.Errorf("%d dialled, %d idle", dialled, idle)
 				}
