--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -274,7 +274,7 @@
 	case <-wait.C:
 		logrus.Warn("discovery has told nothing yet: ready with the list of the configuration")
 	}
-	a.front.Ready()
+	a.front.SetReady()
 	logrus.Info("ready")
 }
 
--- a/internal/httpwire/front_test.go
+++ b/internal/httpwire/front_test.go
@@ -65,7 +65,7 @@
 				if n := a.core.Counts(); resp.StatusCode != c.status || n.Accepted != c.taken || n.OpenRequests != 0 {
 					t.Errorf("got %d, %+v", resp.StatusCode, n)
 				}
-				if c.status != 200 && (!resp.Close && c.status != 503 || time.Since(from) > newWait) {
+				if c.status != 200 && (!resp.Close && c.status != 503 || time.Since(from) > newConnRequestTimeout) {
 					t.Errorf("close %v after %v", resp.Close, time.Since(from))
 				}
 				a.close()
@@ -90,7 +90,7 @@
 // A slow client's request is waited for, on a new connection and a kept one, which does not go for want of sockets meanwhile.
 func TestSlowClient(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a := newTestInstance(network{"app:1": answerOnce("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")}, NewSockets(reserve+8))
+		a := newTestInstance(network{"app:1": answerOnce("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")}, NewSockets(reservedSockets+8))
 		in, server := make(pipeListener, 1), a.front.Server()
 		go server.Serve(Listener{in, a.front.sockets})
 		here, there := net.Pipe()
@@ -113,7 +113,7 @@
 			a.front.sockets.mu.Lock()
 			a.front.sockets.clients += 4 * k // others have come; a new connection would have a second only
 			a.front.sockets.mu.Unlock()
-			a.front.sockets.room(true)
+			a.front.sockets.makeRoom(true)
 			resp, err := http.ReadResponse(answers, nil)
 			if err != nil || resp.StatusCode != 200 {
 				t.Fatalf("request %d: %v, %v", k, resp, err)
@@ -199,7 +199,7 @@
 			if served && (err != nil || r.StatusCode != 200) {
 				t.Errorf("served before: %v after %v", err, took)
 			}
-			if !served && (took > headWait || err == nil && r.StatusCode < 400) {
+			if !served && (took > newConnHeadTimeout || err == nil && r.StatusCode < 400) {
 				t.Errorf("new: %v, %v after %v", r, err, took)
 			}
 			here.Close()
--- a/internal/httpwire/parts_test.go
+++ b/internal/httpwire/parts_test.go
@@ -126,7 +126,7 @@
 		f.calls = nil
 		here, there = net.Pipe()
 		in <- there
-		a.front.room = -1 // no room
+		a.front.maxBodyBytes = -1 // no room
 		go io.WriteString(here, validRequest)
 		r, err = http.ReadResponse(bufio.NewReader(here), nil)
 		if err != nil || r.StatusCode != 503 {
--- a/internal/httpwire/platform.go
+++ b/internal/httpwire/platform.go
@@ -214,7 +214,7 @@
 	address := p.at()
 	// An answer's second copy may still be on its way, and would pass for this vote's.
 	if c := p.conn; c != nil && (time.Since(c.since) > votesIdle || time.Since(c.since) < settleWait || p.connAt != address ||
-		!quiet(c.Conn)) {
+		!nothingUnread(c.Conn)) {
 		c.Close()
 		p.conn = nil
 	}
--- a/internal/httpwire/shutdown_test.go
+++ b/internal/httpwire/shutdown_test.go
@@ -22,13 +22,13 @@
 			mu.Unlock()
 			peer(c)
 		}}, NewSockets(0))
-		a.front.Ready()
+		a.front.SetReady()
 		if resp, _ := a.roundTrip(t, "GET /up HTTP/1.1\r\nHost: h\r\n\r\n"); resp.StatusCode != 200 {
 			t.Errorf("/up %d", resp.StatusCode)
 		}
 		here, there := net.Pipe()
-		kept := a.front.sockets.hold(here, true)
-		a.front.sockets.Idle(kept, false)
+		kept := a.front.sockets.track(here, true)
+		a.front.sockets.ConnIdle(kept, false)
 		from, left := time.Now(), make(chan time.Duration, 1)
 		go func() {
 			a.front.Shutdown(context.Background(), make(pipeListener))
@@ -46,7 +46,7 @@
 				t.Errorf("at %v: %d, close %v", c.at, resp.StatusCode, resp.Close)
 			}
 		}
-		if !kept.(*counted).closed {
+		if !kept.(*trackedConn).closed {
 			t.Error("an idle connection stands although the kill is near")
 		}
 		mu.Lock()
@@ -64,7 +64,7 @@
 		b := newTestInstance(network{}, NewSockets(0))
 		from = time.Now()
 		b.front.Shutdown(context.Background(), make(pipeListener))
-		if took := time.Since(from); took > leaveOpen+50*time.Millisecond {
+		if took := time.Since(from); took > acceptWindow+50*time.Millisecond {
 			t.Errorf("left after %v though nobody was connected", took)
 		}
 		b.close()
--- a/internal/httpwire/sockets.go
+++ b/internal/httpwire/sockets.go
@@ -18,34 +18,34 @@
 	"onyxgate/internal/invariant"
 )
 
-// reserve is held back for what is no client or appliance: standard streams, the runtime's poller, the listener,
+// reservedSockets is held back for what is no client or appliance: standard streams, the runtime's poller, the listener,
 // discovery, the platform.
-const reserve = 16
+const reservedSockets = 16
 
 // Sockets counts connections against the budget. From clientPart on, clients' connections that carry nothing make room
 // for new ones; clientMost are the most, for without appliances' part no request that is held would get on.
 type Sockets struct {
-	mu      sync.Mutex
-	limit   int
-	used    int
-	clients int
-	silent  *list.List  // clients' connections on which no request has ever come, the longest so first
-	idle    *list.List  // those between requests
-	shed    func() bool // closes one idle connection to an appliance
-	shortAt time.Time
+	mu               sync.Mutex
+	limit            int
+	used             int
+	clients          int
+	newConns         *list.List  // clients' connections on which no request has ever come, the longest so first
+	idleConns        *list.List  // those between requests
+	closeIdleBackend func() bool // closes one idle connection to an appliance
+	shortageLoggedAt time.Time
 }
 
 const (
 	// Clients hold a third for their requests and no more: those that asked once and stay would fill it, and no other would get
 	// a connection. So the longest idle make room before.
-	clientPart = 0.25
-	clientMost = 0.8
+	clientShare    = 0.25
+	maxClientShare = 0.8
 	// A connection used less than this ago may be about to be used again. No longer: clients use theirs in turn, and
 	// with hundreds idle none of them would ever be old.
-	restMost = 20 * time.Millisecond
+	idleGrace = 20 * time.Millisecond
 	// A slow client's head takes its time, and its request is lost to it where the connection is closed: less than this says
 	// nothing of a client. Beyond it a silent one may be one of hundreds that never speak.
-	silentMost = time.Second
+	newConnGrace = time.Second
 )
 
 // NewSockets makes a budget; 0 means no limit.
@@ -53,19 +53,21 @@
 	if limit <= 0 {
 		limit = 1 << 20
 	}
-	return &Sockets{limit: max(limit-reserve, 4), silent: list.New(), idle: list.New(),
-		shed: func() bool { return false }}
+	return &Sockets{
+		limit: max(limit-reservedSockets, 4), newConns: list.New(), idleConns: list.New(),
+		closeIdleBackend: func() bool { return false },
+	}
 }
 
 // Used counts what is open, clients' part of it, and those of them that carry no request.
 func (s *Sockets) Used() (all, clients, idle int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.used, s.clients, s.idle.Len() + s.silent.Len()
+	return s.used, s.clients, s.idleConns.Len() + s.newConns.Len()
 }
 
 // ClientLimit is how many of them there can be.
-func (s *Sockets) ClientLimit() int { return int(clientMost * float64(s.limit)) }
+func (s *Sockets) ClientLimit() int { return int(maxClientShare * float64(s.limit)) }
 
 // Full tells that nothing is left, so that a client's connection had better end with its request.
 func (s *Sockets) Full() bool {
@@ -74,16 +76,16 @@
 	return s.used >= s.limit
 }
 
-// room makes room for one more and tells whether there is: what has said nothing for long goes first, then what is idle,
+// makeRoom makes room for one more and tells whether there is: what has said nothing for long goes first, then what is idle,
 // first on the side that has more than its part, and last what came a moment ago and may be about to say something.
-func (s *Sockets) room(client bool) bool {
+func (s *Sockets) makeRoom(client bool) bool {
 	for tries := 0; ; tries++ {
 		s.mu.Lock()
-		crowded, full := float64(s.clients) >= clientPart*float64(s.limit), s.used >= s.limit
+		crowded, full := float64(s.clients) >= clientShare*float64(s.limit), s.used >= s.limit
 		none := full || client && s.clients >= s.ClientLimit()
-		warn := full && tries > 0 && time.Since(s.shortAt) > 5*time.Second
+		warn := full && tries > 0 && time.Since(s.shortageLoggedAt) > 5*time.Second
 		if warn {
-			s.shortAt = time.Now()
+			s.shortageLoggedAt = time.Now()
 			logrus.WithFields(logrus.Fields{"open": s.used, "clients": s.clients, "limit": s.limit}).
 				Warn("sockets run short, and none is idle")
 		}
@@ -91,15 +93,15 @@
 		if !none && !(client && crowded) || tries > 0 {
 			return !none
 		}
-		if s.shedClient(s.silent, silentMost) || crowded && s.shedClient(s.idle, restMost) || !none {
+		if s.closeIdleClient(s.newConns, newConnGrace) || crowded && s.closeIdleClient(s.idleConns, idleGrace) || !none {
 			continue
 		}
-		_ = full && s.shed() || s.shedClient(s.idle, restMost) || s.shedClient(s.silent, restMost)
+		_ = full && s.closeIdleBackend() || s.closeIdleClient(s.idleConns, idleGrace) || s.closeIdleClient(s.newConns, idleGrace)
 	}
 }
 
-// shedClient closes the connection longest in a list, for so long at the least, unless something has come on it unread.
-func (s *Sockets) shedClient(from *list.List, least time.Duration) bool {
+// closeIdleClient closes the connection longest in a list, for so long at the least, unless something has come on it unread.
+func (s *Sockets) closeIdleClient(from *list.List, least time.Duration) bool {
 	for range 8 {
 		s.mu.Lock()
 		first := from.Front()
@@ -107,15 +109,15 @@
 			s.mu.Unlock()
 			return false
 		}
-		c := first.Value.(*counted)
-		if time.Since(c.since) < least {
+		c := first.Value.(*trackedConn)
+		if time.Since(c.listedAt) < least {
 			s.mu.Unlock()
 			return false
 		}
-		s.busy(c)
-		c.shed = quiet(c) // under the lock: nothing is read of it from here on
+		s.unlist(c)
+		c.closedIdle = nothingUnread(c) // under the lock: nothing is read of it from here on
 		s.mu.Unlock()
-		if c.shed {
+		if c.closedIdle {
 			c.Close()
 			return true
 		}
@@ -123,102 +125,102 @@
 	return false
 }
 
-// Idle and Busy follow a client connection between requests; silent: none has come on it yet.
-func (s *Sockets) Idle(conn net.Conn, silent bool) {
-	if c, ok := conn.(*counted); ok {
+// ConnIdle and Busy follow a client connection between requests; silent: none has come on it yet.
+func (s *Sockets) ConnIdle(conn net.Conn, silent bool) {
+	if c, ok := conn.(*trackedConn); ok {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		c.served = !silent
+		c.servedBefore = !silent
 		// A server that looks whether its client has gone may have read on already: then it rests no more.
-		if c.fresh && c.place == nil && !c.closed {
-			if c.among = s.idle; silent {
-				c.among = s.silent
+		if c.betweenRequests && c.element == nil && !c.closed {
+			if c.list = s.idleConns; silent {
+				c.list = s.newConns
 			}
-			c.place, c.since = c.among.PushBack(c), time.Now()
+			c.element, c.listedAt = c.list.PushBack(c), time.Now()
 		}
 	}
 }
 
-// Whole tells that a request has been read to its end: what comes from here on belongs to the next one.
-func (s *Sockets) Whole(conn net.Conn) {
-	if c, ok := conn.(*counted); ok {
+// RequestRead tells that a request has been read to its end: what comes from here on belongs to the next one.
+func (s *Sockets) RequestRead(conn net.Conn) {
+	if c, ok := conn.(*trackedConn); ok {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		c.fresh, c.began = true, time.Time{}
+		c.betweenRequests, c.requestStart = true, time.Time{}
 	}
 }
 
-func (s *Sockets) Busy(conn net.Conn) {
-	if c, ok := conn.(*counted); ok {
+func (s *Sockets) ConnActive(conn net.Conn) {
+	if c, ok := conn.(*trackedConn); ok {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.busy(c)
+		s.unlist(c)
 	}
 }
 
-func (s *Sockets) busy(c *counted) {
-	if c.place != nil {
-		c.among.Remove(c.place)
-		c.place = nil
+func (s *Sockets) unlist(c *trackedConn) {
+	if c.element != nil {
+		c.list.Remove(c.element)
+		c.element = nil
 	}
 }
 
-// CloseIdle closes clients' connections that carry nothing.
-func (s *Sockets) CloseIdle() {
-	for s.shedClient(s.idle, restMost) || s.shedClient(s.silent, restMost) {
+// CloseIdleClients closes clients' connections that carry nothing.
+func (s *Sockets) CloseIdleClients() {
+	for s.closeIdleClient(s.idleConns, idleGrace) || s.closeIdleClient(s.newConns, idleGrace) {
 	}
 }
 
-// hold counts a connection until it is closed.
-func (s *Sockets) hold(conn net.Conn, client bool) net.Conn {
+// track counts a connection until it is closed.
+func (s *Sockets) track(conn net.Conn, client bool) net.Conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.used++
 	if client {
 		s.clients++
 	}
-	c := &counted{Conn: conn, sockets: s, client: client, fresh: true, born: time.Now()}
+	c := &trackedConn{Conn: conn, sockets: s, isClient: client, betweenRequests: true, openedAt: time.Now()}
 	if socket, ok := conn.(syscall.Conn); ok && client {
-		c.raw, _ = socket.SyscallConn()
+		c.rawConn, _ = socket.SyscallConn()
 	}
 	return c
 }
 
-type counted struct {
+type trackedConn struct {
 	net.Conn
-	sockets *Sockets
-	raw     syscall.RawConn // of a client's socket
-	client  bool
-	closed  bool
-	shed    bool      // nothing had come of the next request, and nothing is read any more
-	fresh   bool      // nothing has come of the next request
-	began   time.Time // when it began to come; zero: unseen
-	served  bool      // a request has come on it before
-	headed  bool      // the first one's head has come
-	born    time.Time
-	among   *list.List // silent or idle
-	place   *list.Element
-	since   time.Time
+	sockets         *Sockets
+	rawConn         syscall.RawConn // of a client's socket
+	isClient        bool
+	closed          bool
+	closedIdle      bool      // nothing had come of the next request, and nothing is read any more
+	betweenRequests bool      // nothing has come of the next request
+	requestStart    time.Time // when it began to come; zero: unseen
+	servedBefore    bool      // a request has come on it before
+	firstHeadRead   bool      // the first one's head has come
+	openedAt        time.Time
+	list            *list.List // silent or idle
+	element         *list.Element
+	listedAt        time.Time
 }
 
 // Read ends a rest: what has begun to come may be whole by the time that a close arrives, and a request lost. Bytes leave
 // a client's socket under the lock under which it is seen to be quiet and given up: one of the two comes first.
-func (c *counted) Read(b []byte) (n int, err error) {
-	if !c.client {
+func (c *trackedConn) Read(b []byte) (n int, err error) {
+	if !c.isClient {
 		return c.Conn.Read(b)
 	}
 	s := c.sockets
-	if c.raw == nil {
+	if c.rawConn == nil {
 		n, err = c.Conn.Read(b)
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.began(c, n)
+		s.bytesRead(c, n)
 		return n, err
 	}
-	failed := c.raw.Read(func(fd uintptr) bool {
+	failed := c.rawConn.Read(func(fd uintptr) bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if c.shed {
+		if c.closedIdle {
 			n, err = 0, net.ErrClosed
 			return true
 		}
@@ -227,7 +229,7 @@
 				break
 			}
 		}
-		s.began(c, n)
+		s.bytesRead(c, n)
 		return err != syscall.EAGAIN
 	})
 	switch {
@@ -241,43 +243,43 @@
 	return n, nil
 }
 
-// began notes that n bytes have come; under the lock.
-func (s *Sockets) began(c *counted, n int) {
+// bytesRead notes that n bytes have come; under the lock.
+func (s *Sockets) bytesRead(c *trackedConn, n int) {
 	if n <= 0 {
 		return
 	}
-	if c.fresh {
-		c.fresh, c.began = false, time.Now()
+	if c.betweenRequests {
+		c.betweenRequests, c.requestStart = false, time.Now()
 	}
-	if c.among == s.idle {
-		s.busy(c)
+	if c.list == s.idleConns {
+		s.unlist(c)
 	}
 }
 
-// Coming is how long the request that is being read has been coming, as far as it was seen.
-func (s *Sockets) Coming(conn net.Conn) time.Duration {
-	c, ok := conn.(*counted)
+// RequestAge is how long the request that is being read has been coming, as far as it was seen.
+func (s *Sockets) RequestAge(conn net.Conn) time.Duration {
+	c, ok := conn.(*trackedConn)
 	if !ok {
 		return 0
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if c.began.IsZero() {
+	if c.requestStart.IsZero() {
 		return 0
 	}
-	return time.Since(c.began)
+	return time.Since(c.requestStart)
 }
 
 // SetReadDeadline gives the head of a connection's first request less time than the server allows any other: a bad client is
 // owed a close soon, and one that has been served is none.
-func (c *counted) SetReadDeadline(t time.Time) error {
-	if most := c.born.Add(headWait); c.client && !c.served && !c.headed && t.After(most) {
+func (c *trackedConn) SetReadDeadline(t time.Time) error {
+	if most := c.openedAt.Add(newConnHeadTimeout); c.isClient && !c.servedBefore && !c.firstHeadRead && t.After(most) {
 		t = most
 	}
 	return c.Conn.SetReadDeadline(t)
 }
 
-func (c *counted) Close() error {
+func (c *trackedConn) Close() error {
 	err := c.Conn.Close()
 	s := c.sockets
 	s.mu.Lock()
@@ -285,18 +287,18 @@
 	if !c.closed {
 		c.closed = true
 		s.used--
-		if c.client {
+		if c.isClient {
 			s.clients--
-			s.busy(c)
+			s.unlist(c)
 		}
 		invariant.Check(s.used >= 0 && s.clients >= 0, "a connection is closed once", s.used)
 	}
 	return err
 }
 
-// quiet tells that nothing has come on a connection, its end included.
-func quiet(c net.Conn) bool {
-	if k, ok := c.(*counted); ok {
+// nothingUnread tells that nothing has come on a connection, its end included.
+func nothingUnread(c net.Conn) bool {
+	if k, ok := c.(*trackedConn); ok {
 		c = k.Conn
 	}
 	raw, ok := c.(syscall.Conn)
@@ -326,12 +328,12 @@
 
 func (l Listener) Accept() (net.Conn, error) {
 	for ; ; time.Sleep(time.Millisecond) {
-		if !l.Sockets.room(true) {
+		if !l.Sockets.makeRoom(true) {
 			continue
 		}
 		c, err := l.Listener.Accept()
 		if err == nil {
-			return l.Sockets.hold(c, true), nil
+			return l.Sockets.track(c, true), nil
 		}
 		// With no descriptor left the connection waits in the backlog until one is.
 		if !errors.Is(err, syscall.EMFILE) && !errors.Is(err, syscall.ENFILE) {
--- a/internal/httpwire/sockets_test.go
+++ b/internal/httpwire/sockets_test.go
@@ -14,58 +14,58 @@
 // Want of sockets: what has been idle longest goes, nothing new or in use does, and an appliance is not blamed.
 func TestSockets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := NewSockets(reserve + 10) // eight for clients, from five on idle ones go
+		s := NewSockets(reservedSockets + 10) // eight for clients, from five on idle ones go
 		var clients []net.Conn
 		hold := func() net.Conn {
 			here, there := net.Pipe()
 			t.Cleanup(func() { there.Close() })
-			s.room(true)
-			clients = append(clients, s.hold(here, true))
+			s.makeRoom(true)
+			clients = append(clients, s.track(here, true))
 			return clients[len(clients)-1]
 		}
 		used := func() int { _, n, _ := s.Used(); return n }
-		gone := func(k int) bool { return clients[k].(*counted).closed }
+		gone := func(k int) bool { return clients[k].(*trackedConn).closed }
 		for range 8 {
 			hold()
 		}
-		if s.room(true) || used() != 8 || !s.room(false) {
+		if s.makeRoom(true) || used() != 8 || !s.makeRoom(false) {
 			t.Error("a client's connection in use went, or appliances' part with it")
 		}
-		s.Idle(clients[1], false)
-		if s.room(true) {
+		s.ConnIdle(clients[1], false)
+		if s.makeRoom(true) {
 			t.Error("one went that was used a moment ago")
 		}
-		time.Sleep(restMost)
-		s.Idle(clients[2], false)
-		s.Idle(clients[3], true)
-		if !s.room(true) || used() != 7 || !gone(1) {
+		time.Sleep(idleGrace)
+		s.ConnIdle(clients[2], false)
+		s.ConnIdle(clients[3], true)
+		if !s.makeRoom(true) || used() != 7 || !gone(1) {
 			t.Error("the one idle longest should have gone")
 		}
-		time.Sleep(restMost)
-		if !s.room(true) || used() != 6 || !gone(2) {
+		time.Sleep(idleGrace)
+		if !s.makeRoom(true) || used() != 6 || !gone(2) {
 			t.Error("the next idle one should have gone, not one that may be about to say something")
 		}
-		s.Idle(clients[4], false)
-		time.Sleep(silentMost)
-		if !s.room(true) || used() != 5 || !gone(3) {
+		s.ConnIdle(clients[4], false)
+		time.Sleep(newConnGrace)
+		if !s.makeRoom(true) || used() != 5 || !gone(3) {
 			t.Error("the one that has said nothing for long should have gone first")
 		}
-		s.Idle(clients[5], true)
-		s.Busy(clients[4])
+		s.ConnIdle(clients[5], true)
+		s.ConnActive(clients[4])
 		for used() < 8 {
 			hold()
 		}
-		if s.room(true) {
+		if s.makeRoom(true) {
 			t.Error("one went that came a moment ago")
 		}
-		time.Sleep(restMost)
-		if !s.room(true) || used() != 7 || !gone(5) {
+		time.Sleep(idleGrace)
+		if !s.makeRoom(true) || used() != 7 || !gone(5) {
 			t.Error("where none else can go, one that came a moment ago should have")
 		}
-		if s.room(true); gone(4) || used() != 7 {
+		if s.makeRoom(true); gone(4) || used() != 7 {
 			t.Error("one in use went")
 		}
-		a := newTestInstance(network{"app:1": answerOnce("")}, NewSockets(reserve+4))
+		a := newTestInstance(network{"app:1": answerOnce("")}, NewSockets(reservedSockets+4))
 		a.front.sockets.used = 3 // the client's is the last
 		a.roundTrip(t, validRequest)
 		if n := a.core.Counts(); n.AttemptsByStatus[policy.StatusNotSent] != 1 {
@@ -134,10 +134,10 @@
 	}
 	s := NewSockets(0)
 	raw := stoppedReader{there, make(chan bool), make(chan bool)}
-	c := s.hold(raw, true).(*counted)
+	c := s.track(raw, true).(*trackedConn)
 	defer c.Close()
-	s.Idle(c, false)
-	c.since = time.Time{} // for long
+	s.ConnIdle(c, false)
+	c.listedAt = time.Time{} // for long
 	io.WriteString(client, "G")
 	read := make(chan int)
 	go func() {
@@ -145,7 +145,7 @@
 		read <- n
 	}()
 	<-raw.taken
-	s.CloseIdle()
+	s.CloseIdleClients()
 	if c.closed {
 		t.Error("closed, though a byte of the next request had been taken")
 	}
@@ -155,10 +155,10 @@
 	}
 
 	// The other way round: given up first, nothing is taken any more.
-	s.Whole(c)
-	s.Idle(c, false)
-	c.since = time.Time{}
-	s.CloseIdle()
+	s.RequestRead(c)
+	s.ConnIdle(c, false)
+	c.listedAt = time.Time{}
+	s.CloseIdleClients()
 	if n, err := c.Read(make([]byte, 9)); !c.closed || n != 0 || err == nil {
 		t.Errorf("read %d bytes (%v) of a connection given up", n, err)
 	}
@@ -169,21 +169,21 @@
 func TestByteAhead(t *testing.T) {
 	s := NewSockets(0)
 	here, there := net.Pipe()
-	c := s.hold(there, true).(*counted)
+	c := s.track(there, true).(*trackedConn)
 	defer c.Close()
-	s.Idle(c, true)
+	s.ConnIdle(c, true)
 	go io.WriteString(here, "r1G")
 	c.Read(make([]byte, 2))
-	s.Busy(c)
-	s.Whole(c) // r1 has been read
+	s.ConnActive(c)
+	s.RequestRead(c) // r1 has been read
 	c.Read(make([]byte, 1))
-	s.Idle(c, false)
-	if _, _, idle := s.Used(); idle != 0 || s.Coming(c) == 0 {
-		t.Errorf("%d rest, the next request comes since %v", idle, s.Coming(c))
+	s.ConnIdle(c, false)
+	if _, _, idle := s.Used(); idle != 0 || s.RequestAge(c) == 0 {
+		t.Errorf("%d rest, the next request comes since %v", idle, s.RequestAge(c))
 	}
-	s.Whole(c)
-	s.Idle(c, false)
-	if _, _, idle := s.Used(); idle != 1 || s.Coming(c) != 0 {
-		t.Errorf("%d rest, the next request comes since %v", idle, s.Coming(c))
+	s.RequestRead(c)
+	s.ConnIdle(c, false)
+	if _, _, idle := s.Used(); idle != 1 || s.RequestAge(c) != 0 {
+		t.Errorf("%d rest, the next request comes since %v", idle, s.RequestAge(c))
 	}
 }
--- a/internal/httpwire/trace.go
+++ b/internal/httpwire/trace.go
@@ -11,19 +11,23 @@
 )
 
 // resultNames are the words by which attempts' results appear in the log.
-var resultNames = [...]string{policy.StatusServed: "served", policy.StatusErrored: "error", policy.StatusRejected: "rejected",
+var resultNames = [...]string{
+	policy.StatusServed: "served", policy.StatusErrored: "error", policy.StatusRejected: "rejected",
 	policy.StatusTimedOut: "timeout", policy.StatusConnectFailed: "unconnected", policy.StatusReset: "reset", policy.StatusCanceled: "canceled",
-	policy.StatusNotSent: "unsent"}
+	policy.StatusNotSent: "unsent",
+}
 
 // answerNames are the words by which a request's end appears in the log.
-var answerNames = [...]string{core.ActionSendAttempt: "attempt", core.ActionServe: "served", core.ActionReject: "rejected", core.ActionFail: "failed",
-	core.ActionAbandon: "client left"}
+var answerNames = [...]string{
+	core.ActionSendAttempt: "attempt", core.ActionServe: "served", core.ActionReject: "rejected", core.ActionFail: "failed",
+	core.ActionAbandon: "client left",
+}
 
-func tracing() bool { return logrus.IsLevelEnabled(logrus.DebugLevel) }
+func traceEnabled() bool { return logrus.IsLevelEnabled(logrus.DebugLevel) }
 
-// traceTaken logs that a request was handed to the decisions.
-func traceTaken(t *core.Request, class, key string, retry bool, left float64) {
-	if tracing() {
+// traceAccepted logs that a request was handed to the decisions.
+func traceAccepted(t *core.Request, class, key string, retry bool, left float64) {
+	if traceEnabled() {
 		logrus.WithFields(logrus.Fields{"request": t.ID, "class": class, "key": key, "retry": retry, "left_ms": int(left)}).
 			Debug("request")
 	}
@@ -31,11 +35,13 @@
 
 // traceAttempt logs how an attempt ended, and at which release's backend.
 func traceAttempt(s *core.Attempt, result policy.AttemptStatus, err error) {
-	if !tracing() {
+	if !traceEnabled() {
 		return
 	}
-	entry := logrus.WithFields(logrus.Fields{"request": s.RequestID(), "attempt": s.Number(), "backend": s.Backend,
-		"release": s.Release, "result": resultNames[result], "took_ms": int(s.Elapsed())})
+	entry := logrus.WithFields(logrus.Fields{
+		"request": s.RequestID(), "attempt": s.Number(), "backend": s.Backend,
+		"release": s.Release, "result": resultNames[result], "took_ms": int(s.Elapsed()),
+	})
 	if err != nil {
 		entry = entry.WithError(err)
 	}
@@ -44,8 +50,10 @@
 
 // traceAnswer logs a request's one final answer and the reason for it.
 func traceAnswer(t *core.Request, a core.Action) {
-	if tracing() {
-		logrus.WithFields(logrus.Fields{"request": t.ID, "answer": answerNames[a.Kind], "reason": a.Reason,
-			"took_ms": int(t.Age())}).Debug("answer")
+	if traceEnabled() {
+		logrus.WithFields(logrus.Fields{
+			"request": t.ID, "answer": answerNames[a.Kind], "reason": a.Reason,
+			"took_ms": int(t.Age()),
+		}).Debug("answer")
 	}
 }
--- a/internal/httpwire/upstream.go
+++ b/internal/httpwire/upstream.go
@@ -66,7 +66,7 @@
 	onAnswers, onProbes bool) *Upstream {
 	u := &Upstream{core: c, dial: dial, address: address, sockets: sockets, onAnswers: onAnswers, onProbes: onProbes,
 		up: time.Duration(up * 1e6), idle: time.Duration(idle * 1e6 / 2), settle: settleWait, places: map[string]*place{}}
-	sockets.shed = u.shed
+	sockets.closeIdleBackend = u.shed
 	return u
 }
 
@@ -135,7 +135,7 @@
 		}
 		p.idle = slices.Delete(p.idle, k, k+1)
 		// Whatever has come meanwhile, the end included, belongs to no call of ours.
-		if rested < u.idle && quiet(c.Conn) {
+		if rested < u.idle && nothingUnread(c.Conn) {
 			u.mu.Unlock()
 			return c, nil
 		}
@@ -154,7 +154,7 @@
 }
 
 func (u *Upstream) open(s *core.Attempt, address string) (*conn, error) {
-	if !u.sockets.room(false) {
+	if !u.sockets.makeRoom(false) {
 		u.mu.Lock()
 		u.Unsent++
 		u.mu.Unlock()
@@ -177,7 +177,7 @@
 	u.mu.Lock()
 	u.dialled++
 	u.mu.Unlock()
-	return newConn(u.sockets.hold(c, false)), nil
+	return newConn(u.sockets.track(c, false)), nil
 }
 
 // leave ends one use of a place; under the lock.
