--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -133,7 +133,10 @@
 	if memoryMB > 0 {
 		room = int64(memoryMB) << 20 / 4
 	}
-	a.front = httpwire.NewFront(a.core, a.upstream, a.budget, names, products, siteconfig.CancelAllowed(s), siteconfig.MaxOpenRequests(s), room)
+	a.front = httpwire.NewFront(httpwire.FrontConfig{
+		Core: a.core, Upstream: a.upstream, Sockets: a.budget, ClassNames: names, Classes: products,
+		CancelAllowed: siteconfig.CancelAllowed(s), MaxOpenRequests: siteconfig.MaxOpenRequests(s), MaxBodyBytes: room,
+	})
 
 	logrus.WithFields(logrus.Fields{"version": o.Version, "name": a.told(o.Name, "name"),
 		"listen": a.listener.Addr().String(), "cpus": runtime.NumCPU(), "cores": runtime.GOMAXPROCS(0), "sockets": sockets,
@@ -336,7 +339,7 @@
 	syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	cpu := usage.Utime.Nano()/1e6 + usage.Stime.Nano()/1e6
 	logrus.WithFields(logrus.Fields{"cpu_ms": cpu, "taken": n.Accepted, "settled": n.Served, "declined": n.Rejected,
-		"voided": n.Failed, "gone": n.ClientGone, "bad_input": a.front.Refused.Load(), "open": n.OpenRequests, "out": n.OpenAttempts,
+		"voided": n.Failed, "gone": n.ClientGone, "bad_input": a.front.InvalidRequests(), "open": n.OpenRequests, "out": n.OpenAttempts,
 		"ends":    fmt.Sprint(n.AttemptsByStatus[policy.StatusServed:]),
 		"sockets": all, "clients": clients, "clients_idle": resting, "opened": opened, "idle": idle, "unsent": unsent,
 		"list": version, "listed": listed, "timers": n.Timers, "broken": invariant.Violations(), "withdrawn": n.AttemptsWithheld}).Info("counts")
--- a/internal/assembly/crossings_test.go
+++ b/internal/assembly/crossings_test.go
@@ -207,7 +207,7 @@
 			a := &Instance{core: core.New(nil)}
 			a.core.Start(func(p policy.Port) *policy.Instance { return policy.New(p, policy.Config{Seed: 7, Instances: 1}) })
 			a.discovery = httpwire.NewDiscovery(a.core, nil, "d:1", nil, nil, false, 1)
-			a.front = httpwire.NewFront(a.core, nil, httpwire.NewSockets(0), nil, nil, false, 0, 0)
+			a.front = httpwire.NewFront(httpwire.FrontConfig{Core: a.core, Sockets: httpwire.NewSockets(0)})
 			hurry, ready, from := make(chan bool), make(chan bool), time.Now()
 			go func() { a.ready(hurry); close(ready) }()
 			a.discovery.Apply([]byte(`{"version":1,"full":true,"servers":[]}`), httpwire.FromConfiguration, func() {})
@@ -332,8 +332,8 @@
 				return r
 			}
 			check := func(r *running, taken int) {
-				if n := r.core.Counts(); n.Accepted != taken || n.Served != taken || r.front.Refused.Load() != int64(taken) {
-					t.Errorf("%d taken, %d settled, %d refused; %d wanted of each", n.Accepted, n.Served, r.front.Refused.Load(), taken)
+				if n := r.core.Counts(); n.Accepted != taken || n.Served != taken || r.front.InvalidRequests() != int64(taken) {
+					t.Errorf("%d taken, %d settled, %d refused; %d wanted of each", n.Accepted, n.Served, r.front.InvalidRequests(), taken)
 				}
 				if _, listed := r.discovery.Version(); listed != 1 {
 					t.Errorf("%d appliances listed", listed)
--- a/internal/ci/clock_test.go
+++ b/internal/ci/clock_test.go
@@ -16,7 +16,7 @@
 var wallClockUses = map[string]string{
 	"internal/core/clock.go: return time.Now().UnixNano()":         "the epoch of Core.Now, and steps against the monotonic clock",
 	"internal/httpwire/upstream.go: SetDeadline(time.Unix(1, 0))":  "a deadline long past, by any clock",
-	"internal/httpwire/front.go: SetReadDeadline(time.Unix(1, 0))": "the same",
+	"internal/httpwire/writer.go: SetReadDeadline(time.Unix(1, 0))": "the same",
 	"internal/httpwire/discovery.go: SetDeadline(time.Unix(1, 0))": "the same",
 	"internal/sources/dns/dns.go: SetDeadline(time.Unix(1, 0))":    "the same",
 	"internal/record/sqlstore/sqlstore.go: time.Now().UnixMilli()": "a time that is stored for people",
--- /dev/null
+++ b/internal/httpwire/handler.go
@@ -0,0 +1,132 @@
+package httpwire
+
+import (
+	"context"
+	"net/http"
+
+	"github.com/sirupsen/logrus"
+
+	"onyxgate/internal/core"
+	"onyxgate/policy"
+)
+
+// rejectNoRoom is the reason of a request rejected because the front holds as much as it may.
+const rejectNoRoom = "room"
+
+// serveRequest is the life of one request, whose first byte came at arrivedAt (ms of the core's clock), up to its one answer.
+func (f *Front) serveRequest(w http.ResponseWriter, r *http.Request, path string, arrivedAt float64) {
+	defer f.beginRequest()()
+	parsed, err := f.parseRequest(r, path)
+	if err != nil {
+		f.writeBadInput(w, err)
+		return
+	}
+	body, err := f.readBody(w, r, parsed.bodyBytes, arrivedAt+parsed.timeLeft)
+	if err != nil {
+		f.writeBadInput(w, err)
+		return
+	}
+	openBodyBytes := f.bodyBytes.Add(int64(len(body)))
+	defer f.bodyBytes.Add(-int64(len(body)))
+
+	head := head(r, len(body))
+	send := func(attempt *core.Attempt) { f.upstream.SendAttempt(attempt, head, body) }
+	request := f.core.Accept(core.Arrival{
+		ID: parsed.id, Key: parsed.key, IdempotencyKey: parsed.idempotencyKey, Class: parsed.class.index, Retry: parsed.retry,
+		ArrivedAt: arrivedAt, TimeLeft: parsed.timeLeft,
+		RejectReason: f.rejectReason(parsed.id, openBodyBytes), StartAttempt: send,
+	})
+	if request == nil {
+		f.writeBadInput(w, errDuplicateID)
+		return
+	}
+	traceAccepted(request, parsed)
+	h := &requestHandler{
+		request: request, response: responseWriter{writer: w, request: request}, send: send, cancelAllowed: f.cancelAllowed,
+	}
+	h.run(r.Context())
+}
+
+// rejectReason tells why there is no room for a request whose body is held already; empty: there is.
+func (f *Front) rejectReason(id string, openBodyBytes int64) string {
+	openRequests := f.openRequests.Load()
+	tooManyRequests := f.maxOpenRequests > 0 && openRequests > int64(f.maxOpenRequests)
+	if openBodyBytes <= f.maxBodyBytes && !tooManyRequests {
+		return ""
+	}
+	logrus.WithFields(logrus.Fields{"request": id, "open_requests": openRequests, "body_bytes": openBodyBytes}).
+		Warn("no room for a request")
+	return rejectNoRoom
+}
+
+// requestHandler carries out the actions of one request that the core has accepted. It lives in the goroutine of the server's
+// connection.
+type requestHandler struct {
+	request       *core.Request
+	response      responseWriter
+	send          func(*core.Attempt)
+	cancelAllowed bool
+	current       *core.Attempt // which this goroutine carries out
+	answered      bool          // writing of the answer has begun
+}
+
+// run takes the request's actions until one ends it.
+func (h *requestHandler) run(ctx context.Context) {
+	defer h.close()
+	stopWatching := context.AfterFunc(ctx, h.request.ClientGone)
+	defer stopWatching()
+	for h.perform(h.request.NextAction()) {
+	}
+}
+
+// perform carries out one action and tells whether others follow.
+func (h *requestHandler) perform(action core.Action) (more bool) {
+	if action.Kind == core.ActionSendAttempt {
+		h.sendAttempt(action.Attempt)
+		return true
+	}
+	traceAnswer(h.request, action)
+	switch action.Kind {
+	case core.ActionServe:
+		h.answered = true
+		h.request.ResponseWritten(h.response.writeServed(action.Answer.(answer)))
+	case core.ActionReject:
+		h.answered = true
+		h.request.ResponseWritten(h.response.writeRejected(action.RetryAfter))
+	case core.ActionFail:
+		h.answered = true
+		h.request.ResponseWritten(h.response.writeFailed())
+	case core.ActionAbandon: // nobody waits for an answer
+	default:
+		return true
+	}
+	return false
+}
+
+// sendAttempt carries out an attempt in this goroutine where the core can interrupt it for what it wants next, else in one of
+// its own, which ends with the attempt.
+func (h *requestHandler) sendAttempt(attempt *core.Attempt) {
+	if !h.cancelAllowed {
+		go h.send(attempt)
+		return
+	}
+	h.current = attempt
+	h.send(attempt)
+	h.current = nil
+}
+
+// close ends the request, whatever has failed: after a panic the attempt under way gets its result and the client an answer, if
+// none was begun.
+func (h *requestHandler) close() {
+	if failure := recover(); failure != nil {
+		logrus.WithFields(logrus.Fields{"request": h.request.ID, "panic": failure}).Error("request handler panicked")
+		if h.current != nil {
+			h.current.Finish(policy.StatusReset, nil, policy.LoadReport{})
+		}
+		if !h.answered {
+			h.request.Fail()
+			h.request.ResponseWritten(h.response.writeFailed())
+		}
+	}
+	h.request.Close()
+}
--- a/internal/httpwire/helpers_test.go
+++ b/internal/httpwire/helpers_test.go
@@ -63,7 +63,10 @@
 	a.discovery = NewDiscovery(a.core, n.dial, "list", []string{"z"}, []string{"k"}, false, 1)
 	a.upstream = NewUpstream(a.core, n.dial, a.discovery.Address, sockets, 250, 30000, true, true)
 	a.discovery.OnRemove(a.upstream.CloseAddress)
-	a.front = NewFront(a.core, a.upstream, sockets, []string{"look", "save", "pay"}, products, true, 0, 1<<20)
+	a.front = NewFront(FrontConfig{
+		Core: a.core, Upstream: a.upstream, Sockets: sockets, ClassNames: []string{"look", "save", "pay"}, Classes: products,
+		CancelAllowed: true, MaxBodyBytes: 1 << 20,
+	})
 	a.discovery.Apply([]byte(listJSON(1, true, `{"id":"s","addr":"app:1","state":"Ready","weight":1,"version_no":1}`)), FromConfiguration, func() {})
 	return a
 }
--- a/internal/httpwire/sockets.go
+++ b/internal/httpwire/sockets.go
@@ -142,12 +142,13 @@
 }
 
 // RequestRead tells that a request has been read to its end: what comes from here on belongs to the next one.
-func (s *Sockets) RequestRead(conn net.Conn) {
-	if c, ok := conn.(*trackedConn); ok {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		c.betweenRequests, c.requestStart = true, time.Time{}
+func (s *Sockets) RequestRead(c *trackedConn) {
+	if c == nil {
+		return
 	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	c.betweenRequests, c.requestStart = true, time.Time{}
 }
 
 func (s *Sockets) ConnActive(conn net.Conn) {
@@ -257,9 +258,8 @@
 }
 
 // RequestAge is how long the request that is being read has been coming, as far as it was seen.
-func (s *Sockets) RequestAge(conn net.Conn) time.Duration {
-	c, ok := conn.(*trackedConn)
-	if !ok {
+func (s *Sockets) RequestAge(c *trackedConn) time.Duration {
+	if c == nil {
 		return 0
 	}
 	s.mu.Lock()
--- a/internal/httpwire/trace.go
+++ b/internal/httpwire/trace.go
@@ -26,11 +26,14 @@
 func traceEnabled() bool { return logrus.IsLevelEnabled(logrus.DebugLevel) }
 
 // traceAccepted logs that a request was handed to the decisions.
-func traceAccepted(t *core.Request, class, key string, retry bool, left float64) {
-	if traceEnabled() {
-		logrus.WithFields(logrus.Fields{"request": t.ID, "class": class, "key": key, "retry": retry, "left_ms": int(left)}).
-			Debug("request")
+func traceAccepted(request *core.Request, parsed parsedRequest) {
+	if !traceEnabled() {
+		return
 	}
+	logrus.WithFields(logrus.Fields{
+		"request": request.ID, "class": parsed.className, "key": parsed.key, "retry": parsed.retry,
+		"left_ms": int(parsed.timeLeft),
+	}).Debug("request")
 }
 
 // traceAttempt logs how an attempt ended, and at which release's backend.
