--- a/internal/httpwire/discovery.go
+++ b/internal/httpwire/discovery.go
@@ -28,37 +28,37 @@
 
 const (
 	// For a connection to discovery or the platform to come up, and again for an answer's head: both answer at once.
-	controlUp = 500 * time.Millisecond
+	controlConnectTimeout = 500 * time.Millisecond
 	// An empty line comes every 2 s, and what a silent watch misses counts as told 6 s after it fell silent: the silence is
 	// noticed, and a second watch that stays as silent as the first, and the third stands before that.
-	watchSilent = 2500 * time.Millisecond
-	fetchWait   = 2 * time.Second // for a whole list
-	againFirst  = 100.0           // ms; the pause before a broken stream is opened again, doubled each time
-	againMost   = 1000.0          // what discovery has to tell counts as told after 4 to 6 s
-	listMost    = 8 << 20         // bytes of one list
+	watchSilence      = 2500 * time.Millisecond
+	fetchTimeout      = 2 * time.Second // for a whole list
+	reconnectPauseMin = 100.0           // ms; the pause before a broken stream is opened again, doubled each time
+	reconnectPauseMax = 1000.0          // what discovery has to tell counts as told after 4 to 6 s
+	maxListBytes      = 8 << 20         // bytes of one list
 )
 
 // Discovery follows the list.
 type Discovery struct {
-	core         *core.Core
-	dial         Dial
-	address      string
-	zones, kinds []string
-	asked        bool
-	forget       func(address string)
-	tell         func(update policy.EndpointUpdate, addresses []string)
-	lost         func()
-	chance       *rand.Rand
-	asks         chan bool // true: whole list, false: the watch
-	moved        chan bool
-	first        chan struct{} // closed once discovery has told a list
-	order        chan bool     // a lock, held until the module has a list: it gets them in the order in which they were taken
-	mu           sync.RWMutex
-	moves        int // of the address
-	base         int // the move after which the list came that holds; versions compare only within one
-	version      int64
-	where        map[string]string // by id
-	who          map[string]holder // by address
+	core                   *core.Core
+	dial                   Dial
+	address                string
+	zones, hardwareClasses []string
+	onDemand               bool
+	onRemove               func(address string)
+	onUpdate               func(update policy.EndpointUpdate, addresses []string)
+	onDisconnect           func()
+	rng                    *rand.Rand
+	refreshes              chan bool // true: whole list, false: the watch
+	moved                  chan bool
+	firstUpdate            chan struct{} // closed once discovery has told a list
+	applyOrder             chan bool     // a lock, held until the module has a list: it gets them in the order in which they were taken
+	mu                     sync.RWMutex
+	addressGeneration      int // of the address
+	listGeneration         int // the move after which the list came that holds; versions compare only within one
+	version                int64
+	where                  map[string]string // by id
+	who                    map[string]holder // by address
 }
 
 // holder is who runs at an address, and since when.
@@ -69,18 +69,20 @@
 
 // NewDiscovery makes one; where the list is only told to those who ask, the module opens the watch.
 func NewDiscovery(c *core.Core, dial Dial, address string, zones, kinds []string, asked bool, seed uint64) *Discovery {
-	return &Discovery{core: c, dial: dial, address: address, zones: zones, kinds: kinds, asked: asked,
-		forget: func(string) {}, lost: func() {}, tell: func(update policy.EndpointUpdate, _ []string) { c.UpdateEndpoints(update) }, chance: policy.NewRand(seed), asks: make(chan bool, 16), moved: make(chan bool, 1), first: make(chan struct{}), order: make(chan bool, 1),
-		where: map[string]string{}, who: map[string]holder{}}
+	return &Discovery{
+		core: c, dial: dial, address: address, zones: zones, hardwareClasses: kinds, onDemand: asked,
+		onRemove: func(string) {}, onDisconnect: func() {}, onUpdate: func(update policy.EndpointUpdate, _ []string) { c.UpdateEndpoints(update) }, rng: policy.NewRand(seed), refreshes: make(chan bool, 16), moved: make(chan bool, 1), firstUpdate: make(chan struct{}), applyOrder: make(chan bool, 1),
+		where: map[string]string{}, who: map[string]holder{},
+	}
 }
 
 // OnRemove names what is called for an address that an appliance has left.
-func (d *Discovery) OnRemove(forget func(address string)) { d.forget = forget }
+func (d *Discovery) OnRemove(forget func(address string)) { d.onRemove = forget }
 
 // OnUpdate names who is told of lists and changes in place of the core: a merge with other sources.
 // lost is called whenever the watch breaks or falls silent.
 func (d *Discovery) OnUpdate(tell func(update policy.EndpointUpdate, addresses []string), lost func()) {
-	d.tell, d.lost = tell, lost
+	d.onUpdate, d.onDisconnect = tell, lost
 }
 
 // Address is where an appliance listens; empty: it is not listed.
@@ -100,19 +102,19 @@
 // Refresh passes on the module's own calls; it never waits.
 func (d *Discovery) Refresh(whole bool) {
 	select {
-	case d.asks <- whole:
+	case d.refreshes <- whole:
 	default:
 	}
 }
 
 // FirstUpdate is closed once discovery has told a list: until then the agent has only what it was started with.
-func (d *Discovery) FirstUpdate() <-chan struct{} { return d.first }
+func (d *Discovery) FirstUpdate() <-chan struct{} { return d.firstUpdate }
 
 // SetAddress names another address; the watch there is opened at once.
 func (d *Discovery) SetAddress(address string) {
 	d.mu.Lock()
 	d.address = address
-	d.moves++
+	d.addressGeneration++
 	d.mu.Unlock()
 	select {
 	case d.moved <- true:
@@ -120,11 +122,11 @@
 	}
 }
 
-// at is where to ask, after which move, and what version is held.
-func (d *Discovery) at() (address string, moves int, version int64) {
+// position is where to ask, after which move, and what version is held.
+func (d *Discovery) position() (address string, moves int, version int64) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	return d.address, d.moves, d.version
+	return d.address, d.addressGeneration, d.version
 }
 
 // Run follows discovery until ctx ends.
@@ -132,14 +134,14 @@
 	ended := make(chan bool, 1)
 	start := func() {
 		go func() {
-			stream(ctx, d.chance, d.moved, "watch", !d.asked, func(ctx context.Context, told func()) error {
-				defer d.lost()
+			stream(ctx, d.rng, d.moved, "watch", !d.onDemand, func(ctx context.Context, told func()) error {
+				defer d.onDisconnect()
 				return d.watch(ctx, told)
 			})
 			ended <- true
 		}()
 	}
-	open := !d.asked
+	open := !d.onDemand
 	if open {
 		start()
 	}
@@ -147,9 +149,9 @@
 		select {
 		case <-ctx.Done():
 			return
-		case whole := <-d.asks:
+		case whole := <-d.refreshes:
 			if whole {
-				go d.fetch(ctx)
+				go d.fetchSnapshot(ctx)
 			} else if !open {
 				open = true
 				start()
@@ -167,7 +169,8 @@
 // told nothing; where it is not to be, follow ends. After a move a new one is opened beside the old, which is left as
 // soon as the new one tells something: until then it may be the only one that does.
 func stream(ctx context.Context, chance *rand.Rand, moved <-chan bool, name string, again bool,
-	stream func(ctx context.Context, told func()) error) {
+	stream func(ctx context.Context, told func()) error,
+) {
 	type end struct {
 		n   int
 		err error
@@ -175,7 +178,7 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	ends, tells := make(chan end), make(chan int)
-	n, stands, pause := 0, false, againFirst
+	n, stands, pause := 0, false, reconnectPauseMin
 	old, last := func() {}, func() {}
 	var wait <-chan time.Time
 	start := func() {
@@ -212,12 +215,12 @@
 				last()
 			}
 			logrus.Info(name + " moves")
-			pause = againFirst
+			pause = reconnectPauseMin
 			start()
 		case k := <-tells:
 			if k == n {
 				old()
-				stands, pause = true, againFirst
+				stands, pause = true, reconnectPauseMin
 			}
 		case e := <-ends:
 			if e.n != n || ctx.Err() != nil {
@@ -228,7 +231,7 @@
 				return
 			}
 			wait = time.After(time.Duration(pause * (0.5 + chance.Float64()) * 1e6))
-			pause = min(2*pause, againMost)
+			pause = min(2*pause, reconnectPauseMax)
 		case <-wait:
 			start()
 		}
@@ -237,20 +240,20 @@
 
 // watch reads one watch until it breaks, falls silent or tells what can't be read.
 func (d *Discovery) watch(ctx context.Context, told func()) error {
-	address, moves, version := d.at()
+	address, moves, version := d.position()
 	path := fmt.Sprintf("/discovery/hosts?watch=1&after=%d", version)
-	c, resp, err := open(ctx, d.dial, address, path, watchSilent)
+	c, resp, err := openControl(ctx, d.dial, address, path, watchSilence)
 	if err != nil {
 		return err
 	}
 	defer c.Close()
 	defer context.AfterFunc(ctx, func() { c.Close() })()
 	logrus.WithField("after", version).Info("watch stands")
-	lists := framed(resp.Body)
+	lists := newListScanner(resp.Body)
 	for lists.Scan() {
-		c.SetReadDeadline(time.Now().Add(watchSilent)) // not for a part of a list: half of one is silence
+		c.SetReadDeadline(time.Now().Add(watchSilence)) // not for a part of a list: half of one is silence
 		if len(lists.Bytes()) > 0 {
-			if err := d.take(lists.Bytes(), FromWatch, moves, told); err != nil {
+			if err := d.apply(lists.Bytes(), FromWatch, moves, told); err != nil {
 				return err
 			}
 		}
@@ -259,23 +262,23 @@
 	return cmp.Or(lists.Err(), errors.New("it ended"))
 }
 
-// framed cuts a stream into lists, in one line or indented; an empty line between them comes as an empty token.
-func framed(from io.Reader) *bufio.Scanner {
+// newListScanner cuts a stream into lists, in one line or indented; an empty line between them comes as an empty token.
+func newListScanner(from io.Reader) *bufio.Scanner {
 	lists := bufio.NewScanner(from)
-	lists.Buffer(nil, listMost)
-	lists.Split(new(frame).split)
+	lists.Buffer(nil, maxListBytes)
+	lists.Split(new(listFramer).split)
 	return lists
 }
 
-// frame is how far the list that is coming has been looked at.
-type frame struct {
+// listFramer is how far the list that is coming has been looked at.
+type listFramer struct {
 	at, depth       int
 	quoted, escaped bool
 }
 
-var errNoList = errors.New("something other than a list")
+var errNotAList = errors.New("something other than a list")
 
-func (f *frame) split(data []byte, end bool) (int, []byte, error) {
+func (f *listFramer) split(data []byte, end bool) (int, []byte, error) {
 	if f.depth == 0 {
 		for k, c := range data {
 			switch c {
@@ -288,7 +291,7 @@
 				}
 				return f.list(data, end)
 			default:
-				return 0, nil, fmt.Errorf("%w: %.99q", errNoList, data[k:])
+				return 0, nil, fmt.Errorf("%w: %.99q", errNotAList, data[k:])
 			}
 		}
 		return len(data), nil, nil
@@ -296,7 +299,7 @@
 	return f.list(data, end)
 }
 
-func (f *frame) list(data []byte, end bool) (int, []byte, error) {
+func (f *listFramer) list(data []byte, end bool) (int, []byte, error) {
 	for ; f.at < len(data); f.at++ {
 		switch c := data[f.at]; {
 		case f.escaped:
@@ -311,7 +314,7 @@
 		case c == '}' || c == ']':
 			if f.depth--; f.depth == 0 {
 				n := f.at + 1
-				*f = frame{}
+				*f = listFramer{}
 				return n, data[:n], nil
 			}
 		}
@@ -322,16 +325,16 @@
 	return 0, nil, nil
 }
 
-// open connects, asks and reads the answer's head; the body is read from the answer, which silence ends.
-func open(ctx context.Context, dial Dial, address, path string, silent time.Duration) (net.Conn, *http.Response, error) {
-	up, cancel := context.WithTimeout(ctx, controlUp)
+// openControl connects, asks and reads the answer's head; the body is read from the answer, which silence ends.
+func openControl(ctx context.Context, dial Dial, address, path string, silent time.Duration) (net.Conn, *http.Response, error) {
+	up, cancel := context.WithTimeout(ctx, controlConnectTimeout)
 	defer cancel()
 	c, err := dial(up, address)
 	if err != nil {
 		return nil, nil, err
 	}
 	defer context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })()
-	c.SetDeadline(time.Now().Add(controlUp)) // a part of a head may be all that ever comes
+	c.SetDeadline(time.Now().Add(controlConnectTimeout)) // a part of a head may be all that ever comes
 	_, err = c.Write([]byte("GET " + path + " HTTP/1.1\r\nHost: " + address + "\r\n\r\n"))
 	var resp *http.Response
 	if err == nil {
@@ -348,19 +351,19 @@
 	return c, resp, nil
 }
 
-// fetch asks for the whole list once.
-func (d *Discovery) fetch(ctx context.Context) {
-	address, moves, _ := d.at()
-	c, resp, err := open(ctx, d.dial, address, "/discovery/hosts", fetchWait)
+// fetchSnapshot asks for the whole list once.
+func (d *Discovery) fetchSnapshot(ctx context.Context) {
+	address, moves, _ := d.position()
+	c, resp, err := openControl(ctx, d.dial, address, "/discovery/hosts", fetchTimeout)
 	if err == nil {
 		defer c.Close()
-		lists := framed(resp.Body)
+		lists := newListScanner(resp.Body)
 		more := lists.Scan()
 		for more && len(lists.Bytes()) == 0 {
 			more = lists.Scan()
 		}
 		if more {
-			err = d.take(lists.Bytes(), FromFetch, moves, func() {})
+			err = d.apply(lists.Bytes(), FromFetch, moves, func() {})
 		} else {
 			err = cmp.Or(lists.Err(), errors.New("an empty answer"))
 		}
@@ -382,14 +385,14 @@
 
 // Apply hands one list or change to the module, whole or not at all; told is called once it is seen to be readable.
 func (d *Discovery) Apply(text []byte, from Source, told func()) error {
-	_, moves, _ := d.at()
-	return d.take(text, from, moves, told)
+	_, moves, _ := d.position()
+	return d.apply(text, from, moves, told)
 }
 
-var errCounts = errors.New("it counts otherwise than the one before")
+var errVersionRestarted = errors.New("it counts otherwise than the one before")
 
-// take is Take for a list from the address that held after so many moves.
-func (d *Discovery) take(text []byte, from Source, moves int, told func()) error {
+// apply is Take for a list from the address that held after so many moves.
+func (d *Discovery) apply(text []byte, from Source, moves int, told func()) error {
 	if !gjson.ValidBytes(text) || !utf8.Valid(text) {
 		return errors.New("a list that can't be read")
 	}
@@ -407,21 +410,21 @@
 		}
 		entries, addresses = append(entries, entry), append(addresses, address)
 	}
-	d.order <- true
-	defer func() { <-d.order }()
+	d.applyOrder <- true
+	defer func() { <-d.applyOrder }()
 	told()
 	d.mu.Lock()
 	// A watch tells in order, and a whole list on it starts anew: a discovery that lost its count begins with one. What
 	// comes from an address that was left is over once the one that follows has told something.
 	older := version.Int() < d.version
-	if moves < d.base || moves == d.base && older && from != FromConfiguration && !(whole && from == FromWatch) {
+	if moves < d.listGeneration || moves == d.listGeneration && older && from != FromConfiguration && !(whole && from == FromWatch) {
 		held := d.version
 		d.mu.Unlock()
 		logrus.WithFields(logrus.Fields{"version": version.Int(), "held": held, "whole": whole}).Info("list passed over")
 		return nil
 	}
-	counts := moves > d.base && older && !whole // what it left out between its count and ours can't be known
-	d.base, d.version = moves, version.Int()
+	counts := moves > d.listGeneration && older && !whole // what it left out between its count and ours can't be known
+	d.listGeneration, d.version = moves, version.Int()
 	if counts {
 		d.version = 0
 	}
@@ -451,29 +454,29 @@
 	d.mu.Unlock()
 	for address, gone := range left {
 		if gone {
-			d.forget(address)
+			d.onRemove(address)
 		}
 	}
-	d.tell(policy.EndpointUpdate{Endpoints: entries, Snapshot: whole, Cached: from == FromConfiguration}, addresses)
+	d.onUpdate(policy.EndpointUpdate{Endpoints: entries, Snapshot: whole, Cached: from == FromConfiguration}, addresses)
 	if from != FromConfiguration {
 		select {
-		case <-d.first:
+		case <-d.firstUpdate:
 		default:
-			close(d.first)
+			close(d.firstUpdate)
 		}
 	}
 	if counts { // taken, for it is the newest word; the next watch asks for all
-		return errCounts
+		return errVersionRestarted
 	}
 	return nil
 }
 
-var states = map[string]policy.EndpointState{"Ready": policy.EndpointRunning, "Terminating": policy.EndpointDraining, "Gone": policy.EndpointRemoved}
+var endpointStates = map[string]policy.EndpointState{"Ready": policy.EndpointRunning, "Terminating": policy.EndpointDraining, "Gone": policy.EndpointRemoved}
 
 // entry reads one entry. A word that is not on the page is noise, and the list with it.
 func (d *Discovery) entry(e gjson.Result) (policy.Endpoint, string, error) {
 	id, address, build, weight, start := e.Get("id"), e.Get("addr").Str, e.Get("version_no"), 1.0, e.Get("started_ms")
-	state, known := states[e.Get("state").Str]
+	state, known := endpointStates[e.Get("state").Str]
 	_, _, err := net.SplitHostPort(address)
 	number := func(v gjson.Result) bool { return v.Type == gjson.Number && v.Num >= 0 && v.Num < 1e15 }
 	switch {
@@ -485,7 +488,9 @@
 	if w := e.Get("weight"); w.Type == gjson.Number {
 		weight = w.Num
 	}
-	return policy.Endpoint{ID: id.Str, Release: policy.ReleaseID(build.Int()), State: state, Weight: weight, StartedAt: start.Num,
-		Zone: max(slices.Index(d.zones, e.Get("zone").Str), 0), HardwareClass: max(slices.Index(d.kinds, e.Get("kind").Str), 0),
-		Cell: int(e.Get("cell").Int())}, address, nil
+	return policy.Endpoint{
+		ID: id.Str, Release: policy.ReleaseID(build.Int()), State: state, Weight: weight, StartedAt: start.Num,
+		Zone: max(slices.Index(d.zones, e.Get("zone").Str), 0), HardwareClass: max(slices.Index(d.hardwareClasses, e.Get("kind").Str), 0),
+		Cell: int(e.Get("cell").Int()),
+	}, address, nil
 }
--- a/internal/httpwire/handler.go
+++ b/internal/httpwire/handler.go
@@ -29,7 +29,7 @@
 	openBodyBytes := f.bodyBytes.Add(int64(len(body)))
 	defer f.bodyBytes.Add(-int64(len(body)))
 
-	head := head(r, len(body))
+	head := requestHead(r, len(body))
 	send := func(attempt *core.Attempt) { f.upstream.SendAttempt(attempt, head, body) }
 	request := f.core.Accept(core.Arrival{
 		ID: parsed.id, Key: parsed.key, IdempotencyKey: parsed.idempotencyKey, Class: parsed.class.index, Retry: parsed.retry,
--- a/internal/httpwire/lists_test.go
+++ b/internal/httpwire/lists_test.go
@@ -29,7 +29,7 @@
 		{"\n" + line[:len(line)-1], "|unexpected EOF"},
 	} {
 		for _, step := range []int{1, 3, 1000} {
-			lists, got := framed(&chopped{c.text, step}), ""
+			lists, got := newListScanner(&chopped{c.text, step}), ""
 			for lists.Scan() {
 				got += lists.Text() + "|"
 			}
@@ -67,7 +67,7 @@
 		a.discovery.dial, a.discovery.address = dialTCP, d.address()
 		ctx, cancel := context.WithCancel(context.Background())
 		if whole {
-			go a.discovery.fetch(ctx)
+			go a.discovery.fetchSnapshot(ctx)
 		} else {
 			go a.discovery.Run(ctx)
 		}
@@ -202,11 +202,11 @@
 			a := newTestInstance(network{}, NewSockets(0))
 			a.discovery.Apply([]byte(listJSON(5, true, entry("s"))), FromWatch, func() {})
 			for _, l := range c.lists {
-				err := a.discovery.take([]byte(listJSON(l.version, l.whole, entry(l.id))), FromWatch, l.moves, func() {})
+				err := a.discovery.apply([]byte(listJSON(l.version, l.whole, entry(l.id))), FromWatch, l.moves, func() {})
 				if taken := a.discovery.Address(l.id) != ""; taken != l.taken || (err != nil) != l.failed {
 					t.Errorf("%s: version %d of move %d taken %v, %v", c.name, l.version, l.moves, taken, err)
 				}
-				if _, _, version := a.discovery.at(); l.failed && version != 0 {
+				if _, _, version := a.discovery.position(); l.failed && version != 0 {
 					t.Errorf("%s: the next watch asks from %d on", c.name, version)
 				}
 			}
--- a/internal/httpwire/loopback_test.go
+++ b/internal/httpwire/loopback_test.go
@@ -75,7 +75,7 @@
 
 func newLoopback(t *testing.T, address string, dial Dial, revokes bool) *loopback {
 	a := newTestInstance(network{}, NewSockets(0))
-	a.upstream.dial, a.upstream.up = dial, time.Minute
+	a.upstream.dial, a.upstream.connectTimeout = dial, time.Minute
 	a.front.cancelAllowed = revokes
 	a.applyChange(t, 2, `{"id":"s","addr":"`+address+`","state":"Ready","weight":1,"version_no":1}`)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/httpwire/platform.go
+++ b/internal/httpwire/platform.go
@@ -28,67 +28,73 @@
 )
 
 const (
-	noticesSilent = 3500 * time.Millisecond // a sign of life comes every second
-	votesIdle     = 4 * time.Second         // the platform closes an idle connection after up to 10 s
-	noticeMost    = 64 << 10
+	noticeSilence  = 3500 * time.Millisecond // a sign of life comes every second
+	voteConnIdle   = 4 * time.Second         // the platform closes an idle connection after up to 10 s
+	maxNoticeBytes = 64 << 10
 )
 
 var (
-	phases = map[string]policy.Phase{"canary": policy.RollingOut, "reverting": policy.RollingBack,
-		"stable": policy.Released, "reverted": policy.Withdrawn}
-	rulings = map[policy.Verdict]string{policy.NoVerdict: "abstain", policy.Promote: "promote", policy.Hold: "pause",
-		policy.Rollback: "abort"}
+	phases = map[string]policy.Phase{
+		"canary": policy.RollingOut, "reverting": policy.RollingBack,
+		"stable": policy.Released, "reverted": policy.Withdrawn,
+	}
+	verdictWords = map[policy.Verdict]string{
+		policy.NoVerdict: "abstain", policy.Promote: "promote", policy.Hold: "pause",
+		policy.Rollback: "abort",
+	}
 )
 
 // Platform tells the news and takes the votes.
 type Platform struct {
-	core    *core.Core
-	dial    Dial
-	mu      sync.Mutex
-	address string
-	moved   chan bool
-	wait    time.Duration
-	chance  *rand.Rand
-	votes   chan vote
-	conn    *conn  // for votes
-	connAt  string // its address
+	core            *core.Core
+	dial            Dial
+	mu              sync.Mutex
+	address         string
+	moved           chan bool
+	voteTimeout     time.Duration
+	rng             *rand.Rand
+	votes           chan vote
+	voteConn        *conn  // for votes
+	voteConnAddress string // its address
 }
 
 type vote struct {
-	build   policy.ReleaseID
+	release policy.ReleaseID
 	verdict policy.Verdict
 	stage   int
 }
 
 // NewPlatform makes one; a vote is waited for so long (ms).
 func NewPlatform(c *core.Core, dial Dial, address string, wait float64, seed uint64) *Platform {
-	return &Platform{core: c, dial: dial, address: address, wait: time.Duration(wait * 1e6),
-		chance: policy.NewRand(seed), votes: make(chan vote, 64), moved: make(chan bool, 1)}
+	return &Platform{
+		core: c, dial: dial, address: address, voteTimeout: time.Duration(wait * 1e6),
+		rng: policy.NewRand(seed), votes: make(chan vote, 64), moved: make(chan bool, 1),
+	}
 }
 
-// stand is where the newest build stands, as a notice, a vote's answer or the configuration says it.
-type stand struct {
-	build      policy.ReleaseID
-	stage      int
-	limit, age float64
-	phase      policy.Phase
+// releaseState is where the newest build stands, as a notice, a vote's answer or the configuration says it.
+type releaseState struct {
+	release  policy.ReleaseID
+	stage    int
+	cap, age float64
+	phase    policy.Phase
 }
 
-// news reads a stand, whole or not at all.
-func news(field func(string) string) (s stand, err error) {
+// parseReleaseState reads a stand, whole or not at all.
+func parseReleaseState(field func(string) string) (s releaseState, err error) {
 	var errs [4]error
 	known := false
 	var build int
 	build, errs[0] = strconv.Atoi(field("release"))
-	s.build = policy.ReleaseID(build)
+	s.release = policy.ReleaseID(build)
 	s.stage, errs[1] = strconv.Atoi(field("tranche"))
-	s.limit, errs[2] = strconv.ParseFloat(field("exposure"), 64)
+	s.cap, errs[2] = strconv.ParseFloat(field("exposure"), 64)
 	s.age, errs[3] = strconv.ParseFloat(field("old_ms"), 64)
 	s.phase, known = phases[field("mode")]
 	if err := cmp.Or(errs[:]...); err != nil {
 		return s, err
 	}
-	if !known || s.build < 0 || s.stage < 0 || !(s.limit >= 0 && s.limit <= 1) || !(s.age >= 0 && s.age < 1e12) {
+	if !known || s.release < 0 || s.stage < 0 || !(s.cap >= 0 && s.cap <= 1) || !(s.age >= 0 && s.age < 1e12) {
 		return s, errors.New("news out of range")
 	}
 	return s, nil
@@ -96,13 +102,15 @@
 
 // Apply hands a state of the newest build to the module, and says whether it could be read.
 func (p *Platform) Apply(field func(string) string, reply policy.VoteResponse) error {
-	s, err := news(field)
+	s, err := parseReleaseState(field)
 	if err != nil {
 		return err
 	}
-	p.core.UpdateRelease(policy.ReleaseUpdate{Release: s.build, Stage: s.stage, Phase: s.phase, Response: reply, Cap: s.limit, Age: s.age, Known: true})
-	logrus.WithFields(logrus.Fields{"build": s.build, "stage": s.stage, "phase": field("mode"), "cap": s.limit,
-		"age_ms": s.age, "vote": reply != policy.NotAVote}).Info("news")
+	p.core.UpdateRelease(policy.ReleaseUpdate{Release: s.release, Stage: s.stage, Phase: s.phase, Response: reply, Cap: s.cap, Age: s.age, Known: true})
+	logrus.WithFields(logrus.Fields{
+		"build": s.release, "stage": s.stage, "phase": field("mode"), "cap": s.cap,
+		"age_ms": s.age, "vote": reply != policy.NotAVote,
+	}).Info("news")
 	return nil
 }
 
@@ -117,7 +125,7 @@
 	}
 }
 
-func (p *Platform) at() string {
+func (p *Platform) currentAddress() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.address
@@ -125,11 +133,11 @@
 
 // Listen follows the notices until ctx ends.
 func (p *Platform) Listen(ctx context.Context) {
-	stream(ctx, p.chance, p.moved, "notices", true, p.notices)
+	stream(ctx, p.rng, p.moved, "notices", true, p.readNotices)
 }
 
-func (p *Platform) notices(ctx context.Context, told func()) error {
-	c, resp, err := open(ctx, p.dial, p.at(), "/notices", noticesSilent)
+func (p *Platform) readNotices(ctx context.Context, told func()) error {
+	c, resp, err := openControl(ctx, p.dial, p.currentAddress(), "/notices", noticeSilence)
 	if err != nil {
 		return err
 	}
@@ -138,9 +146,9 @@
 	logrus.Info("notices stand")
 	event, data := "", ""
 	lines := bufio.NewScanner(resp.Body)
-	lines.Buffer(nil, noticeMost)
+	lines.Buffer(nil, maxNoticeBytes)
 	for lines.Scan() {
-		c.SetReadDeadline(time.Now().Add(noticesSilent))
+		c.SetReadDeadline(time.Now().Add(noticeSilence))
 		name, value, colon := strings.Cut(lines.Text(), ":")
 		value = strings.TrimPrefix(value, " ")
 		switch {
@@ -174,19 +182,19 @@
 	select {
 	case p.votes <- vote{release, verdict, stage}:
 	default:
-		go p.reply(policy.VoteRefused)
+		go p.reportResponse(policy.VoteRefused)
 	}
 }
 
-func (p *Platform) reply(r policy.VoteResponse) {
+func (p *Platform) reportResponse(r policy.VoteResponse) {
 	p.core.UpdateRelease(policy.ReleaseUpdate{Response: r})
 }
 
 // SendVotes sends the votes in turn until ctx ends.
 func (p *Platform) SendVotes(ctx context.Context) {
 	defer func() {
-		if p.conn != nil {
-			p.conn.Close()
+		if p.voteConn != nil {
+			p.voteConn.Close()
 		}
 	}()
 	for {
@@ -194,12 +202,12 @@
 		case <-ctx.Done():
 			return
 		case b := <-p.votes:
-			entry := logrus.WithFields(logrus.Fields{"build": b.build, "stage": b.stage, "ruling": rulings[b.verdict]})
-			reply, field, err := p.cast(ctx, b)
+			entry := logrus.WithFields(logrus.Fields{"build": b.release, "stage": b.stage, "ruling": verdictWords[b.verdict]})
+			reply, field, err := p.castVote(ctx, b)
 			if reply == policy.VoteCounted {
 				p.Apply(field, reply)
 			} else {
-				p.reply(reply)
+				p.reportResponse(reply)
 				entry = entry.WithError(err)
 			}
 			entry.WithField("reply", [...]string{"", "counted", "refused", "silent", "idle"}[reply]).Info("vote")
@@ -207,55 +215,55 @@
 	}
 }
 
-// cast sends one vote and reads its answer by the protocol's table.
-func (p *Platform) cast(ctx context.Context, b vote) (policy.VoteResponse, func(string) string, error) {
-	ctx, cancel := context.WithTimeout(ctx, p.wait)
+// castVote sends one vote and reads its answer by the protocol's table.
+func (p *Platform) castVote(ctx context.Context, b vote) (policy.VoteResponse, func(string) string, error) {
+	ctx, cancel := context.WithTimeout(ctx, p.voteTimeout)
 	defer cancel()
-	address := p.at()
+	address := p.currentAddress()
 	// An answer's second copy may still be on its way, and would pass for this vote's.
-	if c := p.conn; c != nil && (time.Since(c.since) > votesIdle || time.Since(c.since) < settleWait || p.connAt != address ||
+	if c := p.voteConn; c != nil && (time.Since(c.idleSince) > voteConnIdle || time.Since(c.idleSince) < minReuseDelay || p.voteConnAddress != address ||
 		!nothingUnread(c.Conn)) {
 		c.Close()
-		p.conn = nil
+		p.voteConn = nil
 	}
-	if p.conn == nil {
+	if p.voteConn == nil {
 		c, err := p.dial(ctx, address)
 		if err != nil {
 			return policy.VoteRefused, nil, err
 		}
-		p.conn, p.connAt = newConn(c), address
+		p.voteConn, p.voteConnAddress = newConn(c), address
 	}
-	c := p.conn
-	form := fmt.Sprintf("Action=CastVote&release=%d&tranche=%d&ruling=%s", b.build, b.stage, rulings[b.verdict])
+	c := p.voteConn
+	form := fmt.Sprintf("Action=CastVote&release=%d&tranche=%d&ruling=%s", b.release, b.stage, verdictWords[b.verdict])
 	stop := context.AfterFunc(ctx, c.Cancel)
-	answer, err := c.exchange([]byte("POST / HTTP/1.1\r\nHost: " + address +
+	answer, err := c.roundTrip([]byte("POST / HTTP/1.1\r\nHost: " + address +
 		"\r\nContent-Type: application/x-www-form-urlencoded\r\nContent-Length: " + strconv.Itoa(len(form)) +
 		"\r\n\r\n" + form))
-	reply, leaf, why := p.meaning(answer, err)
+	reply, leaf, why := p.voteOutcome(answer, err)
 	// A late answer must not pass for the next vote's, and after one that can't be read nothing can be told from noise.
 	if !stop() || reply == policy.VoteUnanswered || answer.closes || c.in.Buffered() > 0 {
 		c.Close()
-		p.conn = nil
+		p.voteConn = nil
 	} else {
-		c.since = time.Now()
+		c.idleSince = time.Now()
 	}
 	return reply, leaf, why
 }
 
-// meaning reads an answer by the protocol's table.
-func (p *Platform) meaning(answer reply, err error) (policy.VoteResponse, func(string) string, error) {
-	if errors.Is(err, errUnsent) {
+// voteOutcome reads an answer by the protocol's table.
+func (p *Platform) voteOutcome(answer response, err error) (policy.VoteResponse, func(string) string, error) {
+	if errors.Is(err, errNotWritten) {
 		return policy.VoteRefused, nil, err
 	}
 	if err != nil {
 		return policy.VoteUnanswered, nil, err
 	}
-	leaf, err := leaves(answer.body)
+	leaf, err := xmlLeaves(answer.body)
 	switch {
 	case err != nil:
 		return policy.VoteUnanswered, nil, err
 	case answer.status == http.StatusOK:
-		if _, err := news(leaf); err != nil { // what can't be read may have been carried out
+		if _, err := parseReleaseState(leaf); err != nil { // what can't be read may have been carried out
 			return policy.VoteUnanswered, nil, err
 		}
 		return policy.VoteCounted, leaf, nil
@@ -268,8 +276,8 @@
 	return policy.VoteUnanswered, nil, fmt.Errorf("status %d, code %q", answer.status, leaf("Code"))
 }
 
-// leaves reads the texts of a document by the name of their element.
-func leaves(doc []byte) (func(string) string, error) {
+// xmlLeaves reads the texts of a document by the name of their element.
+func xmlLeaves(doc []byte) (func(string) string, error) {
 	texts := map[string]string{}
 	in, name := xml.NewDecoder(bytes.NewReader(doc)), ""
 	for {
--- a/internal/httpwire/platform_test.go
+++ b/internal/httpwire/platform_test.go
@@ -65,7 +65,7 @@
 				a := newTestInstance(network{}, NewSockets(0))
 				p := NewPlatform(a.core, n.dial, "control", 800, 1)
 				from := time.Now()
-				reply, field, _ := p.cast(context.Background(), vote{42, policy.Promote, 1})
+				reply, field, _ := p.castVote(context.Background(), vote{42, policy.Promote, 1})
 				if took := time.Since(from); reply != c.reply || took > 800*time.Millisecond {
 					t.Errorf("reply %d after %v", reply, took)
 				}
@@ -75,8 +75,8 @@
 						t.Errorf("state %q", got)
 					}
 				}
-				if p.conn != nil {
-					p.conn.Close()
+				if p.voteConn != nil {
+					p.voteConn.Close()
 				}
 				synctest.Wait()
 				if c.peer != nil && !cut &&
@@ -116,7 +116,7 @@
 		a := newTestInstance(n, NewSockets(0))
 		p := NewPlatform(a.core, n.dial, "control", 800, 1)
 		for want := 1; want <= 2; want++ {
-			got, leaf, err := p.cast(context.Background(), vote{policy.ReleaseID(want), policy.Promote, 0})
+			got, leaf, err := p.castVote(context.Background(), vote{policy.ReleaseID(want), policy.Promote, 0})
 			if err != nil || got != policy.VoteCounted || leaf("release") != fmt.Sprint(want) {
 				t.Errorf("vote %d: reply %v, build %s, %v", want, got, leaf("release"), err)
 			}
@@ -124,7 +124,7 @@
 		if conns != 2 {
 			t.Errorf("%d connections", conns)
 		}
-		p.conn.Close()
+		p.voteConn.Close()
 		a.close()
 	})
 }
--- a/internal/httpwire/streams_test.go
+++ b/internal/httpwire/streams_test.go
@@ -53,7 +53,7 @@
 			a.discovery.Address("u") != "b:1" {
 			t.Fatalf("asked %q", asked)
 		}
-		if silent := at[1].Sub(from); silent < watchSilent || silent > watchSilent+time.Second {
+		if silent := at[1].Sub(from); silent < watchSilence || silent > watchSilence+time.Second {
 			t.Errorf("opened again after %v", silent)
 		}
 		if lived := at[2].Sub(at[1]); lived < 10*time.Second || lived > 11*time.Second {
@@ -71,7 +71,7 @@
 		go p.Listen(ctx)
 		time.Sleep(6 * time.Second)
 		cancel()
-		if len(asked) != 2 || asked[0] != "/notices" || at[1].Sub(at[0]) < noticesSilent {
+		if len(asked) != 2 || asked[0] != "/notices" || at[1].Sub(at[0]) < noticeSilence {
 			t.Errorf("asked %q at %v", asked, at)
 		}
 		a.close()
@@ -144,11 +144,11 @@
 			after   time.Duration
 			want    string
 		}{
-			{"", controlUp / 2, "map[b:0 c:0 control:1 e:0 list:1]"},
-			{"b", controlUp / 2, "map[b:1 c:0 control:1 e:0 list:1]"}, // accepts and tells nothing
-			{"nowhere", controlUp / 2, "map[b:0 c:0 control:1 e:0 list:1]"},
-			{"c", controlUp / 2, "map[b:0 c:1 control:1 e:0 list:0]"},
-			{"e", controlUp / 2, "map[b:0 c:1 control:0 e:1 list:0]"},
+			{"", controlConnectTimeout / 2, "map[b:0 c:0 control:1 e:0 list:1]"},
+			{"b", controlConnectTimeout / 2, "map[b:1 c:0 control:1 e:0 list:1]"}, // accepts and tells nothing
+			{"nowhere", controlConnectTimeout / 2, "map[b:0 c:0 control:1 e:0 list:1]"},
+			{"c", controlConnectTimeout / 2, "map[b:0 c:1 control:1 e:0 list:0]"},
+			{"e", controlConnectTimeout / 2, "map[b:0 c:1 control:0 e:1 list:0]"},
 		} {
 			if c.address == "e" {
 				p.SetAddress(c.address)
--- a/internal/httpwire/upstream.go
+++ b/internal/httpwire/upstream.go
@@ -27,18 +27,18 @@
 )
 
 const (
-	bodyMost  = 64 << 10
-	headLines = 64 // in an answer's head, none longer than the reader's buffer
-	interims  = 8  // answers ahead of the real one
+	maxBodyBytes        = 64 << 10
+	maxHeaderLines      = 64 // in an answer's head, none longer than the reader's buffer
+	maxInterimResponses = 8  // answers ahead of the real one
 	// An appliance writes its answer in one go, 64 KiB at most. What has begun and does not end is spoilt, on a connection
 	// that stays open for good: waiting on is waiting for nothing.
-	restWait = 200 * time.Millisecond
+	responseReadTimeout = 200 * time.Millisecond
 	// A second copy of an answer may come some milliseconds behind it. On a connection that has been used again by then it
 	// would pass for the next call's answer, so none is before this; what has come meanwhile ends it. Only a probe's
 	// connection is used at once, for a copy of its load report can be told from a request's answer.
-	settleWait = 50 * time.Millisecond
-	probeWait  = 500 * time.Millisecond
-	loadMost   = 1e6 // a figure in a load report beyond this is noise
+	minReuseDelay = 50 * time.Millisecond
+	probeTimeout  = 500 * time.Millisecond
+	maxLoadFigure = 1e6 // a figure in a load report beyond this is noise
 )
 
 // Dial opens one connection.
@@ -46,47 +46,50 @@
 
 // Upstream calls appliances.
 type Upstream struct {
-	core      *core.Core
-	dial      Dial
-	address   func(appliance string) string
-	sockets   *Sockets
-	up, idle  time.Duration
-	settle    time.Duration
-	onAnswers bool // load reports come with answers
-	onProbes  bool
-	mu        sync.Mutex
-	places    map[string]*place // by address
-	dialled   int
-	Unsent    int // attempts for which no socket was left
+	core                        *core.Core
+	dial                        Dial
+	address                     func(appliance string) string
+	sockets                     *Sockets
+	connectTimeout, idleTimeout time.Duration
+	reuseDelay                  time.Duration
+	loadOnResponses             bool // load reports come with answers
+	loadOnProbes                bool
+	mu                          sync.Mutex
+	pools                       map[string]*pool // by address
+	opened                      int
+	noSocket                    int // attempts for which no socket was left
 }
 
 // NewUpstream makes one; connections may take up (ms) to come up, and are idle half of what the appliances allow:
 // one closed at the very moment of its use would look like the appliance's failure.
 func NewUpstream(c *core.Core, dial Dial, address func(string) string, sockets *Sockets, up, idle float64,
-	onAnswers, onProbes bool) *Upstream {
-	u := &Upstream{core: c, dial: dial, address: address, sockets: sockets, onAnswers: onAnswers, onProbes: onProbes,
-		up: time.Duration(up * 1e6), idle: time.Duration(idle * 1e6 / 2), settle: settleWait, places: map[string]*place{}}
-	sockets.closeIdleBackend = u.shed
+	onAnswers, onProbes bool,
+) *Upstream {
+	u := &Upstream{
+		core: c, dial: dial, address: address, sockets: sockets, loadOnResponses: onAnswers, loadOnProbes: onProbes,
+		connectTimeout: time.Duration(up * 1e6), idleTimeout: time.Duration(idle * 1e6 / 2), reuseDelay: minReuseDelay, pools: map[string]*pool{},
+	}
+	sockets.closeIdleBackend = u.closeIdlest
 	return u
 }
 
-// place is what runs at an address, from one list's word on it to the next: what was connected or dialled before is of
+// pool is what runs at an address, from one list's word on it to the next: what was connected or dialled before is of
 // no use after. It lasts while a connection to it is idle, in use or coming up.
-type place struct {
+type pool struct {
 	address string
 	idle    []*conn // the last used at the end
-	out     int     // in use or coming up
+	inUse   int     // in use or coming up
 }
 
 // conn is one connection to an appliance or the platform.
 type conn struct {
 	net.Conn
-	in     *bufio.Reader
-	at     *place // of an appliance
-	report []byte // a probe's answer, where that was the last call
-	since  time.Time
-	mu     sync.Mutex
-	halted bool
+	in        *bufio.Reader
+	pool      *pool  // of an appliance
+	probeBody []byte // a probe's answer, where that was the last call
+	idleSince time.Time
+	mu        sync.Mutex
+	canceled  bool
 }
 
 func newConn(c net.Conn) *conn { return &conn{Conn: c, in: bufio.NewReader(c)} }
@@ -95,15 +98,15 @@
 func (c *conn) Cancel() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.halted = true
+	c.canceled = true
 	c.SetDeadline(time.Unix(1, 0))
 }
 
-// allow gives reading so long, 0: any time; no later than Halt.
-func (c *conn) allow(rest time.Duration) {
+// setReadTimeout gives reading so long, 0: any time; no later than Halt.
+func (c *conn) setReadTimeout(rest time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.halted {
+	if c.canceled {
 		return
 	}
 	if rest > 0 {
@@ -113,29 +116,29 @@
 	}
 }
 
-// dialling is a connection that is not up yet.
-type dialling context.CancelFunc
+// dialing is a connection that is not up yet.
+type dialing context.CancelFunc
 
-func (d dialling) Cancel() { d() }
+func (d dialing) Cancel() { d() }
 
 // get takes an idle connection that has settled and still stands, the last used first, or opens one.
 func (u *Upstream) get(s *core.Attempt, address string) (*conn, error) {
 	u.mu.Lock()
-	p := u.places[address]
+	p := u.pools[address]
 	if p == nil {
-		p = &place{address: address}
-		u.places[address] = p
+		p = &pool{address: address}
+		u.pools[address] = p
 	}
-	p.out++
+	p.inUse++
 	for k := len(p.idle) - 1; k >= 0; k-- {
 		c := p.idle[k]
-		rested := time.Since(c.since)
-		if rested < u.settle && len(c.report) == 0 {
+		rested := time.Since(c.idleSince)
+		if rested < u.reuseDelay && len(c.probeBody) == 0 {
 			continue
 		}
 		p.idle = slices.Delete(p.idle, k, k+1)
 		// Whatever has come meanwhile, the end included, belongs to no call of ours.
-		if rested < u.idle && nothingUnread(c.Conn) {
+		if rested < u.idleTimeout && nothingUnread(c.Conn) {
 			u.mu.Unlock()
 			return c, nil
 		}
@@ -145,25 +148,25 @@
 	c, err := u.open(s, address)
 	if err != nil {
 		u.mu.Lock()
-		u.leave(p)
+		u.release(p)
 		u.mu.Unlock()
 		return nil, err
 	}
-	c.at = p
+	c.pool = p
 	return c, nil
 }
 
 func (u *Upstream) open(s *core.Attempt, address string) (*conn, error) {
 	if !u.sockets.makeRoom(false) {
 		u.mu.Lock()
-		u.Unsent++
+		u.noSocket++
 		u.mu.Unlock()
 		return nil, errNoSocket
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), u.up)
+	ctx, cancel := context.WithTimeout(context.Background(), u.connectTimeout)
 	defer cancel()
 	if s != nil {
-		if called, late := s.SetCanceler(dialling(cancel)); called || late {
+		if called, late := s.SetCanceler(dialing(cancel)); called || late {
 			return nil, context.Canceled
 		}
 	}
@@ -175,54 +178,54 @@
 		return nil, err
 	}
 	u.mu.Lock()
-	u.dialled++
+	u.opened++
 	u.mu.Unlock()
 	return newConn(u.sockets.track(c, false)), nil
 }
 
-// leave ends one use of a place; under the lock.
-func (u *Upstream) leave(p *place) {
-	if p.out--; p.out == 0 && len(p.idle) == 0 && u.places[p.address] == p {
-		delete(u.places, p.address)
+// release ends one use of a place; under the lock.
+func (u *Upstream) release(p *pool) {
+	if p.inUse--; p.inUse == 0 && len(p.idle) == 0 && u.pools[p.address] == p {
+		delete(u.pools, p.address)
 	}
 }
 
-// stands tells that the list has said nothing new of where a connection leads.
-func (u *Upstream) stands(c *conn) bool {
+// alive tells that the list has said nothing new of where a connection leads.
+func (u *Upstream) alive(c *conn) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.places[c.at.address] == c.at
+	return u.pools[c.pool.address] == c.pool
 }
 
 // put keeps a connection for the next call, unless something else runs there now.
 func (u *Upstream) put(c *conn) {
-	c.since = time.Now()
+	c.idleSince = time.Now()
 	u.mu.Lock()
-	stands := u.places[c.at.address] == c.at
+	stands := u.pools[c.pool.address] == c.pool
 	if stands {
-		c.at.idle = append(c.at.idle, c)
+		c.pool.idle = append(c.pool.idle, c)
 	}
-	u.leave(c.at)
+	u.release(c.pool)
 	u.mu.Unlock()
 	if !stands {
 		c.Close()
 	}
 }
 
-// end closes a connection that is of no further use.
-func (u *Upstream) end(c *conn) {
+// discard closes a connection that is of no further use.
+func (u *Upstream) discard(c *conn) {
 	c.Close()
 	u.mu.Lock()
-	u.leave(c.at)
+	u.release(c.pool)
 	u.mu.Unlock()
 }
 
-// shed closes the connection that has been idle longest.
-func (u *Upstream) shed() bool {
+// closeIdlest closes the connection that has been idle longest.
+func (u *Upstream) closeIdlest() bool {
 	u.mu.Lock()
-	var oldest *place
-	for _, p := range u.places {
-		if len(p.idle) > 0 && (oldest == nil || p.idle[0].since.Before(oldest.idle[0].since)) {
+	var oldest *pool
+	for _, p := range u.pools {
+		if len(p.idle) > 0 && (oldest == nil || p.idle[0].idleSince.Before(oldest.idle[0].idleSince)) {
 			oldest = p
 		}
 	}
@@ -232,8 +235,8 @@
 	}
 	c := oldest.idle[0]
 	oldest.idle = oldest.idle[1:]
-	oldest.out++
-	u.leave(oldest)
+	oldest.inUse++
+	u.release(oldest)
 	u.mu.Unlock()
 	c.Close()
 	return true
@@ -243,8 +246,8 @@
 // or coming up with their call.
 func (u *Upstream) CloseAddress(address string) {
 	u.mu.Lock()
-	p := u.places[address]
-	delete(u.places, address)
+	p := u.pools[address]
+	delete(u.pools, address)
 	u.mu.Unlock()
 	if p == nil {
 		return
@@ -266,15 +269,15 @@
 		}
 		u.mu.Lock()
 		var old []*conn
-		for _, p := range u.places {
+		for _, p := range u.pools {
 			n := 0
-			for n < len(p.idle) && (last || time.Since(p.idle[n].since) >= u.idle) {
+			for n < len(p.idle) && (last || time.Since(p.idle[n].idleSince) >= u.idleTimeout) {
 				n++
 			}
 			old = append(old, p.idle[:n]...)
 			p.idle = p.idle[n:]
-			p.out++
-			u.leave(p)
+			p.inUse++
+			u.release(p)
 		}
 		u.mu.Unlock()
 		for _, c := range old {
@@ -287,102 +290,102 @@
 func (u *Upstream) Connections() (opened, idle, unsent int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for _, p := range u.places {
+	for _, p := range u.pools {
 		idle += len(p.idle)
 	}
-	return u.dialled, idle, u.Unsent
+	return u.opened, idle, u.noSocket
 }
 
 var errNoSocket = errors.New("no socket left")
 
-var errUnsent = errors.New("its last byte was never written")
+var errNotWritten = errors.New("its last byte was never written")
 
-// reply is what an answer's head says that matters here, and its body.
-type reply struct {
-	status   int
-	load     string
-	declined bool
-	kind     string
-	body     []byte
-	closes   bool
+// response is what an answer's head says that matters here, and its body.
+type response struct {
+	status      int
+	loadReport  string
+	declined    bool
+	contentType string
+	body        []byte
+	closes      bool
 }
 
-// exchange writes one call and reads its answer whole. An error that is errUnsent proves that the call never ran.
-func (c *conn) exchange(call []byte) (reply, error) {
+// roundTrip writes one call and reads its answer whole. An error that is errUnsent proves that the call never ran.
+func (c *conn) roundTrip(call []byte) (response, error) {
 	if n, err := c.Write(call); n < len(call) {
-		return reply{}, fmt.Errorf("%w: %w", errUnsent, err)
+		return response{}, fmt.Errorf("%w: %w", errNotWritten, err)
 	}
-	for range interims {
-		c.allow(0)
+	for range maxInterimResponses {
+		c.setReadTimeout(0)
 		if _, err := c.in.Peek(1); err != nil {
-			return reply{}, err
+			return response{}, err
 		}
-		c.allow(restWait)
+		c.setReadTimeout(responseReadTimeout)
 		// What begins otherwise never ends as an answer.
-		if start, err := c.in.Peek(len(startOf)); err != nil || string(start) != startOf {
-			return reply{}, cmp.Or(err, errMalformed)
+		if start, err := c.in.Peek(len(httpVersion)); err != nil || string(start) != httpVersion {
+			return response{}, cmp.Or(err, errMalformedResponse)
 		}
-		r, err := c.read()
-		if err == nil && (r.status < 200 || len(c.report) > 0 && r.status == http.StatusOK && bytes.Equal(r.body, c.report)) {
+		r, err := c.readResponse()
+		if err == nil && (r.status < 200 || len(c.probeBody) > 0 && r.status == http.StatusOK && bytes.Equal(r.body, c.probeBody)) {
 			continue // an interim answer, or the probe's once more; the real one follows
 		}
-		c.report = nil
+		c.probeBody = nil
 		return r, err
 	}
-	return reply{}, errMalformed
+	return response{}, errMalformedResponse
 }
 
-const startOf = "HTTP/1.1 "
+const httpVersion = "HTTP/1.1 "
 
-var errMalformed = errors.New("an answer that can't be read")
+var errMalformedResponse = errors.New("an answer that can't be read")
 
-// read takes an answer apart by hand: the library's reader, with its table of headers, took a tenth of a request's cost. It
+// readResponse takes an answer apart by hand: the library's reader, with its table of headers, took a tenth of a request's cost. It
 // takes what the page says good answers are and nothing else: a spoilt one must never pass.
-func (c *conn) read() (r reply, err error) {
-	line, err := c.line()
+func (c *conn) readResponse() (r response, err error) {
+	line, err := c.readLine()
 	if err != nil {
 		return r, err
 	}
-	if len(line) < 12 || string(line[:9]) != startOf || len(line) > 12 && line[12] != ' ' || !text(line) {
-		return r, errMalformed
+	if len(line) < 12 || string(line[:9]) != httpVersion || len(line) > 12 && line[12] != ' ' || !isText(line) {
+		return r, errMalformedResponse
 	}
-	status, ok := digits(line[9:12])
+	status, ok := parseDigits(line[9:12])
 	if r.status = int(status); !ok || status < 100 || status > 599 || status == http.StatusSwitchingProtocols {
-		return r, errMalformed
+		return r, errMalformedResponse
 	}
 	length, chunked, loads := int64(-1), false, 0
 	for n := 0; ; n++ {
-		if line, err = c.line(); err != nil {
+		if line, err = c.readLine(); err != nil {
 			return r, err
 		}
 		if len(line) == 0 {
 			break
 		}
 		name, value, ok := bytes.Cut(line, []byte{':'})
-		if !ok || n >= headLines || !token(name) || !text(value) {
-			return r, errMalformed
+		if !ok || n >= maxHeaderLines || !isHeaderName(name) || !isText(value) {
+			return r, errMalformedResponse
 		}
 		value = bytes.Trim(value, " \t")
 		switch {
 		case bytes.EqualFold(name, []byte("Content-Length")):
-			l, ok := digits(value)
+			l, ok := parseDigits(value)
 			if !ok || length >= 0 {
-				return r, errMalformed
+				return r, errMalformedResponse
 			}
 			length = l
 		case bytes.EqualFold(name, []byte("Transfer-Encoding")):
 			if chunked || !bytes.EqualFold(value, []byte("chunked")) {
-				return r, errMalformed
+				return r, errMalformedResponse
 			}
 			chunked = true
 		case bytes.EqualFold(name, []byte("Connection")):
 			r.closes = r.closes || bytes.EqualFold(value, []byte("close"))
 		case bytes.EqualFold(name, []byte("Content-Type")):
-			r.kind = string(value)
+			r.contentType = string(value)
 		case bytes.EqualFold(name, []byte("Srv-Load")):
-			r.load = string(value)
+			r.loadReport = string(value)
 			if loads++; loads > 1 { // which of them is true?
-				r.load = ""
+				r.loadReport = ""
 			}
 		case bytes.EqualFold(name, []byte("Srv-Declined")):
 			r.declined = string(value) == "1"
@@ -391,31 +394,31 @@
 	switch {
 	case r.status < 200 || r.status == http.StatusNoContent || r.status == http.StatusNotModified:
 		if length > 0 || chunked {
-			return r, errMalformed
+			return r, errMalformedResponse
 		}
 	case chunked == (length >= 0): // both, or neither: where it ends can't be told
-		return r, errMalformed
+		return r, errMalformedResponse
 	case chunked:
-		r.body, err = io.ReadAll(io.LimitReader(httputil.NewChunkedReader(c.in), bodyMost+1))
-		if err == nil && len(r.body) <= bodyMost {
-			if line, err = c.line(); err == nil && len(line) > 0 { // trailers, of which there are none
-				err = errMalformed
+		r.body, err = io.ReadAll(io.LimitReader(httputil.NewChunkedReader(c.in), maxBodyBytes+1))
+		if err == nil && len(r.body) <= maxBodyBytes {
+			if line, err = c.readLine(); err == nil && len(line) > 0 { // trailers, of which there are none
+				err = errMalformedResponse
 			}
 		}
-	case length > bodyMost:
-		return r, errTooLong
+	case length > maxBodyBytes:
+		return r, errResponseTooLong
 	default:
 		r.body = make([]byte, length)
 		_, err = io.ReadFull(c.in, r.body)
 	}
-	if err == nil && len(r.body) > bodyMost {
-		err = errTooLong
+	if err == nil && len(r.body) > maxBodyBytes {
+		err = errResponseTooLong
 	}
 	return r, err
 }
 
-// digits reads a plain number, short enough not to overflow.
-func digits(b []byte) (n int64, ok bool) {
+// parseDigits reads a plain number, short enough not to overflow.
+func parseDigits(b []byte) (n int64, ok bool) {
 	for _, d := range b {
 		if d < '0' || d > '9' {
 			return 0, false
@@ -425,8 +428,8 @@
 	return n, len(b) > 0 && len(b) <= 18
 }
 
-// token tells that a name is one by HTTP's grammar.
-func token(b []byte) bool {
+// isHeaderName tells that a name is one by HTTP's grammar.
+func isHeaderName(b []byte) bool {
 	for _, c := range b {
 		letter := c|0x20 >= 'a' && c|0x20 <= 'z'
 		if !letter && (c < '0' || c > '9') && strings.IndexByte("!#$%&'*+-.^_`|~", c) < 0 {
@@ -436,8 +439,8 @@
 	return len(b) > 0
 }
 
-// text tells that nothing but printable characters and tabs stands in a line.
-func text(b []byte) bool {
+// isText tells that nothing but printable characters and tabs stands in a line.
+func isText(b []byte) bool {
 	for _, c := range b {
 		if c < ' ' && c != '\t' || c >= 0x7f {
 			return false
@@ -446,23 +449,23 @@
 	return true
 }
 
-var errTooLong = errors.New("an answer too long")
+var errResponseTooLong = errors.New("an answer too long")
 
-func (c *conn) line() ([]byte, error) {
+func (c *conn) readLine() ([]byte, error) {
 	line, err := c.in.ReadSlice('\n')
 	if err != nil {
 		return nil, err
 	}
 	if len(line) < 2 || line[len(line)-2] != '\r' {
-		return nil, errMalformed
+		return nil, errMalformedResponse
 	}
 	return line[:len(line)-2], nil
 }
 
 // answer is what goes back to the client.
 type answer struct {
-	kind string
-	body []byte
+	contentType string
+	body        []byte
 }
 
 // Bytes is what the client gets of it.
@@ -470,62 +473,62 @@
 
 // SendAttempt carries out one attempt of a request and tells its end.
 func (u *Upstream) SendAttempt(s *core.Attempt, head, body []byte) {
-	result, r, err := u.submit(s, head, body)
+	result, r, err := u.send(s, head, body)
 	traceAttempt(s, result, err)
 	var report policy.LoadReport
-	if u.onAnswers && r.load != "" {
-		report = load(r.load)
+	if u.loadOnResponses && r.loadReport != "" {
+		report = parseLoadReport(r.loadReport)
 	}
-	s.Finish(result, answer{r.kind, r.body}, report)
+	s.Finish(result, answer{r.contentType, r.body}, report)
 }
 
 var (
-	errNoAddress = errors.New("its backend is not listed")
-	errMoved     = errors.New("its backend left while the connection came up")
-	errCalledOff = errors.New("called off before it was sent")
+	errNoAddress          = errors.New("its backend is not listed")
+	errBackendMoved       = errors.New("its backend left while the connection came up")
+	errCanceledBeforeSent = errors.New("called off before it was sent")
 )
 
-// submit follows the protocol's table of outcomes.
-func (u *Upstream) submit(s *core.Attempt, head, body []byte) (policy.AttemptStatus, reply, error) {
+// send follows the protocol's table of outcomes.
+func (u *Upstream) send(s *core.Attempt, head, body []byte) (policy.AttemptStatus, response, error) {
 	address := u.address(s.Backend)
 	if address == "" {
-		return policy.StatusConnectFailed, reply{}, errNoAddress
+		return policy.StatusConnectFailed, response{}, errNoAddress
 	}
 	c, err := u.get(s, address)
 	if err != nil {
 		called, _ := s.SetCanceler(nil)
 		if called || errors.Is(err, errNoSocket) { // the agent's own want must not pass for the appliance's
-			return policy.StatusNotSent, reply{}, err
+			return policy.StatusNotSent, response{}, err
 		}
-		return policy.StatusConnectFailed, reply{}, err
+		return policy.StatusConnectFailed, response{}, err
 	}
-	if !u.stands(c) { // what was to be called has left while this came up
-		u.end(c)
-		return policy.StatusNotSent, reply{}, errMoved
+	if !u.alive(c) { // what was to be called has left while this came up
+		u.discard(c)
+		return policy.StatusNotSent, response{}, errBackendMoved
 	}
 	if called, late := s.MarkSent(c); called || late { // it must not go out now
 		u.put(c)
 		if called {
-			return policy.StatusNotSent, reply{}, errCalledOff
+			return policy.StatusNotSent, response{}, errCanceledBeforeSent
 		}
-		return policy.StatusConnectFailed, reply{}, context.DeadlineExceeded
+		return policy.StatusConnectFailed, response{}, context.DeadlineExceeded
 	}
 	call := make([]byte, 0, len(head)+len(body)+40)
 	call = append(append(call, head...), "Req-Deadline: "...)
 	call = strconv.AppendInt(call, max(int64(s.Deadline-u.core.Now()), 1), 10)
-	r, err := c.exchange(append(append(call, "m\r\n\r\n"...), body...))
+	r, err := c.roundTrip(append(append(call, "m\r\n\r\n"...), body...))
 	called, late := s.SetCanceler(nil)
-	if c.allow(0); called || late || err != nil || r.closes || c.in.Buffered() > 0 {
-		u.end(c)
+	if c.setReadTimeout(0); called || late || err != nil || r.closes || c.in.Buffered() > 0 {
+		u.discard(c)
 	} else {
 		u.put(c)
 	}
 	switch {
-	case errors.Is(err, errUnsent) && called:
+	case errors.Is(err, errNotWritten) && called:
 		return policy.StatusNotSent, r, err
 	case err != nil && called:
 		return policy.StatusCanceled, r, err
-	case errors.Is(err, errUnsent):
+	case errors.Is(err, errNotWritten):
 		return policy.StatusConnectFailed, r, err
 	case err != nil && late:
 		return policy.StatusTimedOut, r, err
@@ -542,39 +545,39 @@
 // Probe asks an appliance how it is, on a connection like any other.
 func (u *Upstream) Probe(appliance string) {
 	from, path := u.core.Now(), "/alive"
-	if u.onProbes {
+	if u.loadOnProbes {
 		path = "/metrics/load"
 	}
 	address, ok := u.address(appliance), false
 	var report policy.LoadReport
 	if c, err := u.get(nil, address); err == nil {
-		c.report = nil // of two probes' answers either will do
-		wait := time.AfterFunc(probeWait, c.Cancel)
-		r, err := c.exchange([]byte("GET " + path + " HTTP/1.1\r\nHost: " + address + "\r\n\r\n"))
-		if c.allow(0); !wait.Stop() || err != nil || r.closes || c.in.Buffered() > 0 {
-			u.end(c)
+		c.probeBody = nil // of two probes' answers either will do
+		wait := time.AfterFunc(probeTimeout, c.Cancel)
+		r, err := c.roundTrip([]byte("GET " + path + " HTTP/1.1\r\nHost: " + address + "\r\n\r\n"))
+		if c.setReadTimeout(0); !wait.Stop() || err != nil || r.closes || c.in.Buffered() > 0 {
+			u.discard(c)
 		} else {
 			if r.status == http.StatusOK {
-				c.report = r.body
+				c.probeBody = r.body
 			}
 			u.put(c)
 		}
-		if ok = err == nil && r.status == http.StatusOK; ok && u.onProbes {
-			report = load(string(r.body))
+		if ok = err == nil && r.status == http.StatusOK; ok && u.loadOnProbes {
+			report = parseLoadReport(string(r.body))
 		}
 	}
 	u.core.ReportProbe(policy.ProbeResult{Backend: appliance, OK: ok, Took: u.core.Now() - from, Load: report})
 }
 
-// load reads what a load report may tell, whole or not at all. The settings name the fields by the simulator's words, the
+// parseLoadReport reads what a load report may tell, whole or not at all. The settings name the fields by the simulator's words, the
 // protocol's example by its own: both are read.
-func load(report string) policy.LoadReport {
+func parseLoadReport(report string) policy.LoadReport {
 	waiting, busy, inflight := -1.0, -1.0, -1.0 // -1: it is not there
 	for part := range strings.SplitSeq(report, ",") {
 		name, value, _ := strings.Cut(part, "=")
 		odd := strings.ContainsFunc(value, func(c rune) bool { return c != '.' && (c < '0' || c > '9') })
 		v, err := strconv.ParseFloat(value, 64)
-		if err != nil || odd || v > loadMost || !token([]byte(name)) {
+		if err != nil || odd || v > maxLoadFigure || !isHeaderName([]byte(name)) {
 			return policy.LoadReport{}
 		}
 		switch name {
@@ -592,8 +595,8 @@
 	return policy.LoadReport{Present: waiting >= 0 || busy >= 0, Waiting: max(waiting, 0), Busy: max(busy, 0)}
 }
 
-// head is a call's first part as it came, less what each attempt tells anew and what belongs to a connection.
-func head(r *http.Request, length int) []byte {
+// requestHead is a call's first part as it came, less what each attempt tells anew and what belongs to a connection.
+func requestHead(r *http.Request, length int) []byte {
 	b := make([]byte, 0, 512)
 	b = append(append(append(append(b, r.Method...), ' '), r.RequestURI...), " HTTP/1.1\r\nHost: "...)
 	b = append(append(b, r.Host...), "\r\n"...)
@@ -601,7 +604,7 @@
 		b = append(strconv.AppendInt(append(b, "Content-Length: "...), int64(length), 10), "\r\n"...)
 	}
 	for name, values := range r.Header {
-		if connectionOnly[name] {
+		if hopByHopHeaders[name] {
 			continue
 		}
 		for _, v := range values {
@@ -611,6 +614,8 @@
 	return b
 }
 
-var connectionOnly = map[string]bool{"Connection": true, "Content-Length": true, "Expect": true, "Keep-Alive": true,
+var hopByHopHeaders = map[string]bool{
+	"Connection": true, "Content-Length": true, "Expect": true, "Keep-Alive": true,
 	"Proxy-Authenticate": true, "Proxy-Authorization": true, "Proxy-Connection": true, "Req-Deadline": true, "Te": true,
-	"Trailer": true, "Transfer-Encoding": true, "Upgrade": true}
+	"Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
+}
--- a/internal/httpwire/upstream_test.go
+++ b/internal/httpwire/upstream_test.go
@@ -75,7 +75,7 @@
 				if n := a.core.Counts(); n.AttemptsByStatus[c.result] != 1 || n.OpenRequests != 0 || n.OpenAttempts != 0 {
 					t.Errorf("counts %+v", n)
 				}
-				if took := time.Since(from); took > 2*time.Second || c.result == policy.StatusReset && took > restWait {
+				if took := time.Since(from); took > 2*time.Second || c.result == policy.StatusReset && took > responseReadTimeout {
 					t.Errorf("after %v", took)
 				}
 				a.close()
@@ -181,7 +181,7 @@
 		{"queue=inf", -1, -1},
 	} {
 		want := policy.LoadReport{Present: c.waiting >= 0 || c.busy >= 0, Waiting: max(c.waiting, 0), Busy: max(c.busy, 0)}
-		if got := load(c.report); got != want {
+		if got := parseLoadReport(c.report); got != want {
 			t.Errorf("%q: %+v, want %+v", c.report, got, want)
 		}
 	}
@@ -198,8 +198,8 @@
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		c := &conn{in: bufio.NewReader(bytes.NewReader(text))}
-		r, err := c.read()
-		if err == nil && (r.status < 100 || r.status > 599 || len(r.body) > bodyMost || !bytes.HasPrefix(text, []byte(startOf))) {
+		r, err := c.readResponse()
+		if err == nil && (r.status < 100 || r.status > 599 || len(r.body) > maxBodyBytes || !bytes.HasPrefix(text, []byte(httpVersion))) {
 			t.Errorf("%+v", r)
 		}
 	})
--- a/internal/httpwire/validate.go
+++ b/internal/httpwire/validate.go
@@ -178,7 +178,7 @@
 }
 
 func (p *requestParser) readBodyBytes() error {
-	if p.request.ContentLength > bodyMost {
+	if p.request.ContentLength > maxBodyBytes {
 		return errRequestBodyTooLong
 	}
 	p.parsed.bodyBytes = p.request.ContentLength
--- a/internal/httpwire/writer.go
+++ b/internal/httpwire/writer.go
@@ -29,14 +29,14 @@
 
 // writeServed passes on a backend's answer.
 func (r responseWriter) writeServed(a answer) (written bool) {
-	if a.kind == "" {
-		a.kind = defaultContentType
+	if a.contentType == "" {
+		a.contentType = defaultContentType
 	}
 	if len(a.body) > socketBufferBytes {
 		// An error means that the connection is closed, and the write then finds the same.
 		_ = http.NewResponseController(r.writer).SetWriteDeadline(time.Now().Add(writeTimeout))
 	}
-	r.writer.Header().Set("Content-Type", a.kind)
+	r.writer.Header().Set("Content-Type", a.contentType)
 	r.writer.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
 	_, err := r.writer.Write(a.body)
 	return err == nil && r.flush()
