--- a/internal/httpwire/shutdown_test.go
+++ b/internal/httpwire/shutdown_test.go
@@ -46,7 +46,7 @@
 				t.Errorf("at %v: %d, close %v", c.at, resp.StatusCode, resp.Close)
 			}
 		}
-		if !kept.(*trackedConn).closed {
+		if !kept.closed {
 			t.Error("an idle connection stands although the kill is near")
 		}
 		mu.Lock()
--- a/internal/httpwire/sockets.go
+++ b/internal/httpwire/sockets.go
@@ -1,263 +1,251 @@
 package httpwire
 
-// This file owns the budget of sockets that clients and appliances share: who holds how many, and which idle
-// connections go first when it runs short. It must never close a connection that carries a request, nor let those that
-// say nothing keep others waiting: what waits in the backlog may already be a request taken.
-
 import (
 	"container/list"
-	"errors"
-	"io"
 	"net"
 	"sync"
 	"syscall"
 	"time"
 
 	"github.com/sirupsen/logrus"
-
-	"onyxgate/internal/invariant"
 )
 
-// reservedSockets is held back for what is no client or appliance: standard streams, the runtime's poller, the listener,
-// discovery, the platform.
-const reservedSockets = 16
-
-// Sockets counts connections against the budget. From clientPart on, clients' connections that carry nothing make room
-// for new ones; clientMost are the most, for without appliances' part no request that is held would get on.
-type Sockets struct {
-	mu               sync.Mutex
-	limit            int
-	used             int
-	clients          int
-	newConns         *list.List  // clients' connections on which no request has ever come, the longest so first
-	idleConns        *list.List  // those between requests
-	closeIdleBackend func() bool // closes one idle connection to an appliance
-	shortageLoggedAt time.Time
-}
-
 const (
-	// Clients hold a third for their requests and no more: those that asked once and stay would fill it, and no other would get
-	// a connection. So the longest idle make room before.
-	clientShare    = 0.25
+	// reservedSockets are held back for what is no client or backend: standard streams, the runtime's poller, the listener,
+	// discovery, the platform.
+	reservedSockets = 16
+	// minSockets is the least budget, however low the limit.
+	minSockets = 4
+	// unlimitedSockets stands for no limit.
+	unlimitedSockets = 1 << 20
+
+	// clientShare of the budget is what clients' connections may fill before idle ones make room for new ones. They need a third
+	// for their requests and no more: those that asked once and stay would fill it, and no other client would get a connection.
+	// So the longest idle ones make room before that.
+	clientShare = 0.25
+	// maxClientShare of the budget is the most for clients: without backends' part no open request would get on.
 	maxClientShare = 0.8
-	// A connection used less than this ago may be about to be used again. No longer: clients use theirs in turn, and
-	// with hundreds idle none of them would ever be old.
+
+	// idleGrace protects a connection from being closed that carried a request, or came up, less than this ago: it may be about
+	// to be used. It is no longer, for clients use theirs in turn, and with hundreds of them idle none would ever be old.
 	idleGrace = 20 * time.Millisecond
-	// A slow client's head takes its time, and its request is lost to it where the connection is closed: less than this says
-	// nothing of a client. Beyond it a silent one may be one of hundreds that never speak.
+	// newConnGrace protects a connection on which no request has come yet. A slow client's head takes its time, and its request
+	// is lost to it where the connection is closed: less than this says nothing of a client. Beyond it a silent one may be one of
+	// hundreds that never speak.
 	newConnGrace = time.Second
+
+	// shortageLogInterval is the least time between two warnings that the budget is exhausted.
+	shortageLogInterval = 5 * time.Second
 )
 
-// NewSockets makes a budget; 0 means no limit.
+// Sockets is the budget of open connections that clients and backends share: it counts them and, when it runs short, closes idle
+// ones. It never closes a connection that carries a request, and it doesn't let clients that say nothing keep others waiting: what
+// waits in the listener's backlog may already be a request sent.
+//
+// All methods may be called from any goroutine.
+type Sockets struct {
+	limit int // never changed
+	// closeIdleBackend closes one idle connection to a backend and tells whether there was one. NewUpstream sets it before any
+	// connection is made. It is called without mu held, for it closes a tracked connection.
+	closeIdleBackend func() bool
+
+	// mu guards what follows, and the fields of trackedConn that say so. Under it run the two looks at a client's socket: the read
+	// that takes a request's bytes and the check that nothing is unread. Neither blocks. No other callback runs under it.
+	mu               sync.Mutex
+	used             int        // open connections
+	clients          int        // of them clients'
+	newConns         *list.List // *trackedConn of clients on which no request has come yet, the longest so first
+	idleConns        *list.List // *trackedConn of clients between two requests, the longest so first
+	shortageLoggedAt time.Time
+}
+
+// NewSockets makes a budget for a process that may open limit descriptors; 0 means no limit.
 func NewSockets(limit int) *Sockets {
 	if limit <= 0 {
-		limit = 1 << 20
+		limit = unlimitedSockets
 	}
 	return &Sockets{
-		limit: max(limit-reservedSockets, 4), newConns: list.New(), idleConns: list.New(),
+		limit:            max(limit-reservedSockets, minSockets),
 		closeIdleBackend: func() bool { return false },
+		newConns:         list.New(),
+		idleConns:        list.New(),
 	}
 }
 
-// Used counts what is open, clients' part of it, and those of them that carry no request.
+// Used counts the open connections, those of clients among them, and those of clients that carry no request.
 func (s *Sockets) Used() (all, clients, idle int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.used, s.clients, s.idleConns.Len() + s.newConns.Len()
 }
 
-// ClientLimit is how many of them there can be.
+// ClientLimit is how many connections clients can have at most.
 func (s *Sockets) ClientLimit() int { return int(maxClientShare * float64(s.limit)) }
 
-// Full tells that nothing is left, so that a client's connection had better end with its request.
+// Full tells that the budget is used up, so that a client's connection had better end with its request.
 func (s *Sockets) Full() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.used >= s.limit
 }
 
-// makeRoom makes room for one more and tells whether there is: what has said nothing for long goes first, then what is idle,
-// first on the side that has more than its part, and last what came a moment ago and may be about to say something.
-func (s *Sockets) makeRoom(client bool) bool {
-	for tries := 0; ; tries++ {
-		s.mu.Lock()
-		crowded, full := float64(s.clients) >= clientShare*float64(s.limit), s.used >= s.limit
-		none := full || client && s.clients >= s.ClientLimit()
-		warn := full && tries > 0 && time.Since(s.shortageLoggedAt) > 5*time.Second
-		if warn {
-			s.shortageLoggedAt = time.Now()
-			logrus.WithFields(logrus.Fields{"open": s.used, "clients": s.clients, "limit": s.limit}).
-				Warn("sockets run short, and none is idle")
-		}
-		s.mu.Unlock()
-		if !none && !(client && crowded) || tries > 0 {
-			return !none
-		}
-		if s.closeIdleClient(s.newConns, newConnGrace) || crowded && s.closeIdleClient(s.idleConns, idleGrace) || !none {
-			continue
-		}
-		_ = full && s.closeIdleBackend() || s.closeIdleClient(s.idleConns, idleGrace) || s.closeIdleClient(s.newConns, idleGrace)
-	}
+// occupancy is how full the budget is for one more connection.
+type occupancy struct {
+	full           bool // nothing is left for anyone
+	clientsCrowded bool // clients have more than clientShare
+	hasRoom        bool // for the connection asked for
 }
 
-// closeIdleClient closes the connection longest in a list, for so long at the least, unless something has come on it unread.
-func (s *Sockets) closeIdleClient(from *list.List, least time.Duration) bool {
-	for range 8 {
-		s.mu.Lock()
-		first := from.Front()
-		if first == nil {
-			s.mu.Unlock()
-			return false
-		}
-		c := first.Value.(*trackedConn)
-		if time.Since(c.listedAt) < least {
-			s.mu.Unlock()
-			return false
-		}
-		s.unlist(c)
-		c.closedIdle = nothingUnread(c) // under the lock: nothing is read of it from here on
-		s.mu.Unlock()
-		if c.closedIdle {
-			c.Close()
-			return true
-		}
+func (s *Sockets) occupancy(isClient bool) occupancy {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	o := occupancy{
+		full:           s.used >= s.limit,
+		clientsCrowded: float64(s.clients) >= clientShare*float64(s.limit),
 	}
-	return false
+	clientsFull := isClient && s.clients >= s.ClientLimit()
+	o.hasRoom = !o.full && !clientsFull
+	return o
 }
 
-// ConnIdle and Busy follow a client connection between requests; silent: none has come on it yet.
-func (s *Sockets) ConnIdle(conn net.Conn, silent bool) {
-	if c, ok := conn.(*trackedConn); ok {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		c.servedBefore = !silent
-		// A server that looks whether its client has gone may have read on already: then it rests no more.
-		if c.betweenRequests && c.element == nil && !c.closed {
-			if c.list = s.idleConns; silent {
-				c.list = s.newConns
-			}
-			c.element, c.listedAt = c.list.PushBack(c), time.Now()
-		}
+// makeRoom closes at most one idle connection where room for one more, a client's or a backend's, is short, and tells whether there
+// is room now. It reserves nothing: track counts the connection once it is up.
+func (s *Sockets) makeRoom(isClient bool) bool {
+	before := s.occupancy(isClient)
+	shouldFree := !before.hasRoom || isClient && before.clientsCrowded
+	if !shouldFree {
+		return true
 	}
+	s.closeOneIdle(before)
+	after := s.occupancy(isClient)
+	if after.full {
+		s.logShortage()
+	}
+	return after.hasRoom
 }
 
-// RequestRead tells that a request has been read to its end: what comes from here on belongs to the next one.
-func (s *Sockets) RequestRead(c *trackedConn) {
-	if c == nil {
+// closeOneIdle closes the idle connection that is missed least: first one that has said nothing for long; then an idle one, of
+// the side that has more than its share first; and last one that came a moment ago and may be about to say something.
+func (s *Sockets) closeOneIdle(o occupancy) {
+	if s.closeIdleClient(s.newConns, newConnGrace) {
+		return
+	}
+	if o.clientsCrowded && s.closeIdleClient(s.idleConns, idleGrace) {
+		return
+	}
+	if o.hasRoom {
 		return
 	}
+	if o.full && s.closeIdleBackend() {
+		return
+	}
+	if s.closeIdleClient(s.idleConns, idleGrace) {
+		return
+	}
+	s.closeIdleClient(s.newConns, idleGrace)
+}
+
+// logShortage warns that the budget is used up by connections in use, at most every shortageLogInterval.
+func (s *Sockets) logShortage() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c.betweenRequests, c.requestStart = true, time.Time{}
+	if time.Since(s.shortageLoggedAt) <= shortageLogInterval {
+		return
+	}
+	s.shortageLoggedAt = time.Now()
+	logrus.WithFields(logrus.Fields{"open": s.used, "clients": s.clients, "limit": s.limit}).Warn("no socket left, and none is idle")
 }
 
-func (s *Sockets) ConnActive(conn net.Conn) {
-	if c, ok := conn.(*trackedConn); ok {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		s.unlist(c)
+// maxBusyPassed is how many connections closeIdleClient passes over that turn out not to be idle.
+const maxBusyPassed = 8
+
+// closeIdleClient closes the first connection of a list, the one that stands there longest, if it has stood there for grace at the
+// least, and tells whether it closed one. A connection with unread bytes is taken off the list instead and the next one tried: it
+// carries a request.
+func (s *Sockets) closeIdleClient(from *list.List, grace time.Duration) (closed bool) {
+	for range maxBusyPassed {
+		conn, isIdle := s.takeIdleClient(from, grace)
+		if conn == nil {
+			return false
+		}
+		if isIdle {
+			conn.Close()
+			return true
+		}
 	}
+	return false
 }
 
-func (s *Sockets) unlist(c *trackedConn) {
-	if c.element != nil {
-		c.list.Remove(c.element)
-		c.element = nil
+// takeIdleClient takes the first connection off a list, nil where there is none or it has not stood there for grace. Where
+// nothing is unread on it, it is marked so that no byte is read of it from here on: isIdle.
+func (s *Sockets) takeIdleClient(from *list.List, grace time.Duration) (conn *trackedConn, isIdle bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	first := from.Front()
+	if first == nil {
+		return nil, false
+	}
+	conn = first.Value.(*trackedConn)
+	if time.Since(conn.listedAt) < grace {
+		return nil, false
 	}
+	conn.unlist()
+	// The look and the mark are under the lock under which Read takes bytes: one of the two comes first.
+	conn.closedIdle = nothingUnread(conn.Conn)
+	return conn, conn.closedIdle
 }
 
-// CloseIdleClients closes clients' connections that carry nothing.
+// CloseIdleClients closes all connections of clients that carry no request, except those used less than idleGrace ago.
 func (s *Sockets) CloseIdleClients() {
 	for s.closeIdleClient(s.idleConns, idleGrace) || s.closeIdleClient(s.newConns, idleGrace) {
 	}
 }
 
-// track counts a connection until it is closed.
-func (s *Sockets) track(conn net.Conn, client bool) net.Conn {
+// ConnIdle tells that a client's connection carries no request: none has come on it yet (isNew), or its last one was answered. The
+// connection's serving goroutine calls it, or the one that accepted it, before that runs.
+func (s *Sockets) ConnIdle(conn net.Conn, isNew bool) {
+	c, ok := conn.(*trackedConn)
+	if !ok {
+		return
+	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.used++
-	if client {
-		s.clients++
+	c.servedBefore = !isNew
+	// A server that looks whether its client has gone may have read the next request's first byte already: then the connection
+	// is not idle.
+	canBeIdle := c.betweenRequests && c.element == nil && !c.closed
+	if !canBeIdle {
+		return
 	}
-	c := &trackedConn{Conn: conn, sockets: s, isClient: client, betweenRequests: true, openedAt: time.Now()}
-	if socket, ok := conn.(syscall.Conn); ok && client {
-		c.rawConn, _ = socket.SyscallConn()
+	if isNew {
+		c.addTo(s.newConns)
+	} else {
+		c.addTo(s.idleConns)
 	}
-	return c
-}
-
-type trackedConn struct {
-	net.Conn
-	sockets         *Sockets
-	rawConn         syscall.RawConn // of a client's socket
-	isClient        bool
-	closed          bool
-	closedIdle      bool      // nothing had come of the next request, and nothing is read any more
-	betweenRequests bool      // nothing has come of the next request
-	requestStart    time.Time // when it began to come; zero: unseen
-	servedBefore    bool      // a request has come on it before
-	firstHeadRead   bool      // the first one's head has come
-	openedAt        time.Time
-	list            *list.List // silent or idle
-	element         *list.Element
-	listedAt        time.Time
 }
 
-// Read ends a rest: what has begun to come may be whole by the time that a close arrives, and a request lost. Bytes leave
-// a client's socket under the lock under which it is seen to be quiet and given up: one of the two comes first.
-func (c *trackedConn) Read(b []byte) (n int, err error) {
-	if !c.isClient {
-		return c.Conn.Read(b)
-	}
-	s := c.sockets
-	if c.rawConn == nil {
-		n, err = c.Conn.Read(b)
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		s.bytesRead(c, n)
-		return n, err
-	}
-	failed := c.rawConn.Read(func(fd uintptr) bool {
+// ConnActive tells that a client's connection carries a request, or is closed.
+func (s *Sockets) ConnActive(conn net.Conn) {
+	if c, ok := conn.(*trackedConn); ok {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if c.closedIdle {
-			n, err = 0, net.ErrClosed
-			return true
-		}
-		for {
-			if n, err = syscall.Read(int(fd), b); err != syscall.EINTR {
-				break
-			}
-		}
-		s.bytesRead(c, n)
-		return err != syscall.EAGAIN
-	})
-	switch {
-	case failed != nil:
-		return 0, failed
-	case err != nil:
-		return 0, err
-	case n == 0 && len(b) > 0:
-		return 0, io.EOF
+		c.unlist()
 	}
-	return n, nil
 }
 
-// bytesRead notes that n bytes have come; under the lock.
-func (s *Sockets) bytesRead(c *trackedConn, n int) {
-	if n <= 0 {
+// RequestRead tells that a request has been read to its end: what comes from here on belongs to the next one. A nil connection
+// is no error.
+func (s *Sockets) RequestRead(c *trackedConn) {
+	if c == nil {
 		return
 	}
-	if c.betweenRequests {
-		c.betweenRequests, c.requestStart = false, time.Now()
-	}
-	if c.list == s.idleConns {
-		s.unlist(c)
-	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	c.betweenRequests, c.requestStart = true, time.Time{}
 }
 
-// RequestAge is how long the request that is being read has been coming, as far as it was seen.
+// RequestAge is how long ago the first byte of the request that is being read came; 0 where that was not seen or the connection
+// is nil.
 func (s *Sockets) RequestAge(c *trackedConn) time.Duration {
 	if c == nil {
 		return 0
@@ -270,74 +258,18 @@
 	return time.Since(c.requestStart)
 }
 
-// SetReadDeadline gives the head of a connection's first request less time than the server allows any other: a bad client is
-// owed a close soon, and one that has been served is none.
-func (c *trackedConn) SetReadDeadline(t time.Time) error {
-	if most := c.openedAt.Add(newConnHeadTimeout); c.isClient && !c.servedBefore && !c.firstHeadRead && t.After(most) {
-		t = most
+// track counts a connection until it is closed.
+func (s *Sockets) track(conn net.Conn, isClient bool) *trackedConn {
+	c := &trackedConn{Conn: conn, sockets: s, isClient: isClient, betweenRequests: true, openedAt: time.Now()}
+	if socket, ok := conn.(syscall.Conn); ok && isClient {
+		// Without a descriptor Read falls back to the connection's own.
+		c.rawConn, _ = socket.SyscallConn()
 	}
-	return c.Conn.SetReadDeadline(t)
-}
-
-func (c *trackedConn) Close() error {
-	err := c.Conn.Close()
-	s := c.sockets
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !c.closed {
-		c.closed = true
-		s.used--
-		if c.isClient {
-			s.clients--
-			s.unlist(c)
-		}
-		invariant.Check(s.used >= 0 && s.clients >= 0, "a connection is closed once", s.used)
-	}
-	return err
-}
-
-// nothingUnread tells that nothing has come on a connection, its end included.
-func nothingUnread(c net.Conn) bool {
-	if k, ok := c.(*trackedConn); ok {
-		c = k.Conn
-	}
-	raw, ok := c.(syscall.Conn)
-	if !ok {
-		return true
-	}
-	control, err := raw.SyscallConn()
-	if err != nil {
-		return false
-	}
-	still := false
-	// Control and not Read: a server's reader may be waiting on this connection, and Read would wait behind it.
-	err = control.Control(func(fd uintptr) {
-		var b [1]byte
-		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		still = errors.Is(err, syscall.EAGAIN)
-	})
-	return err == nil && still
-}
-
-// Listener accepts whatever comes as long as there is room; what waits in the backlog waits on others' silence for
-// restMost at the most.
-type Listener struct {
-	net.Listener
-	Sockets *Sockets
-}
-
-func (l Listener) Accept() (net.Conn, error) {
-	for ; ; time.Sleep(time.Millisecond) {
-		if !l.Sockets.makeRoom(true) {
-			continue
-		}
-		c, err := l.Listener.Accept()
-		if err == nil {
-			return l.Sockets.track(c, true), nil
-		}
-		// With no descriptor left the connection waits in the backlog until one is.
-		if !errors.Is(err, syscall.EMFILE) && !errors.Is(err, syscall.ENFILE) {
-			return nil, err
-		}
+	s.used++
+	if isClient {
+		s.clients++
 	}
+	return c
 }
--- a/internal/httpwire/sockets_test.go
+++ b/internal/httpwire/sockets_test.go
@@ -134,7 +134,7 @@
 	}
 	s := NewSockets(0)
 	raw := stoppedReader{there, make(chan bool), make(chan bool)}
-	c := s.track(raw, true).(*trackedConn)
+	c := s.track(raw, true)
 	defer c.Close()
 	s.ConnIdle(c, false)
 	c.listedAt = time.Time{} // for long
@@ -169,7 +169,7 @@
 func TestByteAhead(t *testing.T) {
 	s := NewSockets(0)
 	here, there := net.Pipe()
-	c := s.track(there, true).(*trackedConn)
+	c := s.track(there, true)
 	defer c.Close()
 	s.ConnIdle(c, true)
 	go io.WriteString(here, "r1G")
