--- a/internal/httpwire/trace.go
+++ b/internal/httpwire/trace.go
@@ -1,31 +1,49 @@
 package httpwire
 
-// This file owns the debug lines that follow one request: taken, each attempt, and its end, all by the request's id. It must
-// cost nothing but a comparison where the level is above debug.
-
 import (
+	"fmt"
+
 	"github.com/sirupsen/logrus"
 
 	"onyxgate/internal/core"
 	"onyxgate/policy"
 )
 
-// resultNames are the words by which attempts' results appear in the log.
-var resultNames = [...]string{
-	policy.StatusServed: "served", policy.StatusErrored: "error", policy.StatusRejected: "rejected",
-	policy.StatusTimedOut: "timeout", policy.StatusConnectFailed: "unconnected", policy.StatusReset: "reset", policy.StatusCanceled: "canceled",
-	policy.StatusNotSent: "unsent",
+// The debug lines of this file follow one request by its id: accepted, the result of each attempt, and its answer. Where the
+// level is above debug they cost a comparison.
+
+// attemptResultNames are the words by which the results of attempts appear in the log.
+var attemptResultNames = [...]string{
+	policy.StatusServed:        "served",
+	policy.StatusErrored:       "error",
+	policy.StatusRejected:      "rejected",
+	policy.StatusTimedOut:      "timeout",
+	policy.StatusConnectFailed: "unconnected",
+	policy.StatusReset:         "reset",
+	policy.StatusCanceled:      "canceled",
+	policy.StatusNotSent:       "unsent",
 }
 
 // answerNames are the words by which a request's end appears in the log.
 var answerNames = [...]string{
-	core.ActionSendAttempt: "attempt", core.ActionServe: "served", core.ActionReject: "rejected", core.ActionFail: "failed",
-	core.ActionAbandon: "client left",
+	core.ActionSendAttempt: "attempt",
+	core.ActionServe:       "served",
+	core.ActionReject:      "rejected",
+	core.ActionFail:        "failed",
+	core.ActionAbandon:     "client left",
+}
+
+// nameOf returns the word at an index of a table, or the number where the table has none: a log line must not fail a request.
+func nameOf[T ~uint8 | ~int](names []string, index T) string {
+	if i := int(index); i >= 0 && i < len(names) && names[i] != "" {
+		return names[i]
+	}
+	return fmt.Sprintf("unknown (%d)", index)
 }
 
 func traceEnabled() bool { return logrus.IsLevelEnabled(logrus.DebugLevel) }
 
-// traceAccepted logs that a request was handed to the decisions.
+// traceAccepted logs that a request was handed to the core.
 func traceAccepted(request *core.Request, parsed parsedRequest) {
 	if !traceEnabled() {
 		return
@@ -36,14 +54,14 @@
 	}).Debug("request")
 }
 
-// traceAttempt logs how an attempt ended, and at which release's backend.
-func traceAttempt(s *core.Attempt, result policy.AttemptStatus, err error) {
+// traceAttempt logs how an attempt ended, and at which release's backend. The error says why, nil where the backend answered.
+func traceAttempt(attempt *core.Attempt, result policy.AttemptStatus, err error) {
 	if !traceEnabled() {
 		return
 	}
 	entry := logrus.WithFields(logrus.Fields{
-		"request": s.RequestID(), "attempt": s.Number(), "backend": s.Backend,
-		"release": s.Release, "result": resultNames[result], "took_ms": int(s.Elapsed()),
+		"request": attempt.RequestID(), "attempt": attempt.Number(), "backend": attempt.Backend, "release": attempt.Release,
+		"result": nameOf(attemptResultNames[:], result), "took_ms": int(attempt.Elapsed()),
 	})
 	if err != nil {
 		entry = entry.WithError(err)
@@ -51,12 +69,13 @@
 	entry.Debug("attempt")
 }
 
-// traceAnswer logs a request's one final answer and the reason for it.
-func traceAnswer(t *core.Request, a core.Action) {
-	if traceEnabled() {
-		logrus.WithFields(logrus.Fields{
-			"request": t.ID, "answer": answerNames[a.Kind], "reason": a.Reason,
-			"took_ms": int(t.Age()),
-		}).Debug("answer")
+// traceAnswer logs a request's one answer and the reason for it.
+func traceAnswer(request *core.Request, action core.Action) {
+	if !traceEnabled() {
+		return
 	}
+	logrus.WithFields(logrus.Fields{
+		"request": request.ID, "answer": nameOf(answerNames[:], action.Kind), "reason": action.Reason,
+		"took_ms": int(request.Age()),
+	}).Debug("answer")
 }
--- a/internal/httpwire/trace_test.go
+++ b/internal/httpwire/trace_test.go
@@ -2,11 +2,14 @@
 
 import (
 	"bytes"
+	"fmt"
 	"strings"
 	"testing"
 	"testing/synctest"
 
 	"github.com/sirupsen/logrus"
+
+	"onyxgate/policy"
 )
 
 // A request's whole course can be followed by its id at level debug, and nothing of it is logged above.
@@ -28,20 +31,7 @@
 		{"level info", logrus.InfoLevel, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			logger := logrus.StandardLogger()
-			out, level, formatter := logger.Out, logger.Level, logger.Formatter
-			defer func() {
-				logrus.SetOutput(out)
-				logrus.SetLevel(level)
-				logrus.SetFormatter(formatter)
-			}()
-			var log bytes.Buffer
-			logrus.SetOutput(&log)
-			logrus.SetLevel(c.level)
-			logrus.SetFormatter(&logrus.TextFormatter{
-				DisableColors: true, DisableTimestamp: true,
-				SortingFunc: messageFirst,
-			})
+			log := captureLog(t, c.level)
 			synctest.Test(t, func(t *testing.T) {
 				a := newTestInstance(network{"app:1": answerOnce(c.peer)}, NewSockets(0))
 				a.roundTrip(t, "GET /look/7 HTTP/1.1\r\nHost: a\r\nReq-Id: r1\r\nReq-Deadline: 900m\r\n\r\n")
@@ -62,6 +52,42 @@
 	}
 }
 
+// A value that has no word yet is logged as a number.
+func TestTraceNames(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		result policy.AttemptStatus
+		want   string
+	}{
+		{"the first", policy.StatusServed, "served"},
+		{"the last", policy.StatusNotSent, "unsent"},
+		{"none", policy.StatusNotSent + 1, fmt.Sprintf("unknown (%d)", policy.StatusNotSent+1)},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if got := nameOf(attemptResultNames[:], c.result); got != c.want {
+				t.Errorf("%q, want %q", got, c.want)
+			}
+		})
+	}
+}
+
+// captureLog returns what is logged from here to the test's end, at this level.
+func captureLog(t *testing.T, level logrus.Level) *bytes.Buffer {
+	t.Helper()
+	logger := logrus.StandardLogger()
+	out, oldLevel, formatter := logger.Out, logger.Level, logger.Formatter
+	t.Cleanup(func() {
+		logrus.SetOutput(out)
+		logrus.SetLevel(oldLevel)
+		logrus.SetFormatter(formatter)
+	})
+	var log bytes.Buffer
+	logrus.SetOutput(&log)
+	logrus.SetLevel(level)
+	logrus.SetFormatter(&logrus.TextFormatter{DisableColors: true, DisableTimestamp: true, SortingFunc: messageFirst})
+	return &log
+}
+
 // messageFirst orders a line's fields: the message, then the others by name.
 func messageFirst(names []string) {
 	for i := range names {
