--- a/internal/httpwire/answers_test.go
+++ b/internal/httpwire/answers_test.go
@@ -5,6 +5,7 @@
 	"io"
 	"net"
 	"os"
+	"slices"
 	"strings"
 	"testing"
 	"testing/synctest"
@@ -54,32 +55,44 @@
 	intercepted bool
 }
 
+// requestText is a request's head: its first line less the version, then header lines.
+func requestText(line string, header ...string) string {
+	return line + " HTTP/1.1\r\nHost: h\r\n" + strings.Join(append(header, "\r\n"), "\r\n")
+}
+
 func answerCases() []answerCase {
-	head := func(line string, more ...string) string {
-		return line + " HTTP/1.1\r\nHost: h\r\n" + strings.Join(append(more, "\r\n"), "\r\n")
+	return slices.Concat(healthAnswers(), acceptedAnswers(), badInputAnswers(), interceptedAnswers())
+}
+
+func closeConns(a *testInstance) { a.front.closingConns.Store(true) }
+
+func healthAnswers() []answerCase {
+	ready := func(a *testInstance) { a.front.SetReady() }
+	return []answerCase{
+		{name: "ready", text: requestText("GET /up"), prepare: ready},
+		{name: "ready, HEAD", text: requestText("HEAD /up"), prepare: ready},
+		{name: "ready, connections end with their request", text: requestText("GET /up"), prepare: func(a *testInstance) {
+			ready(a)
+			closeConns(a)
+		}},
+		{name: "not ready", text: requestText("GET /up")},
+		{name: "health by another method", text: requestText("POST /up", "Content-Length: 0"), prepare: ready},
 	}
-	id, left, key := "Req-Id: r", "Req-Deadline: 500m", "Idempotency-Key: m"
+}
+
+// acceptedAnswers are of requests that have the form of one.
+func acceptedAnswers() []answerCase {
 	served := answerOnce("HTTP/1.1 200 OK\r\nContent-Type: a/b\r\nX-Own: 1\r\nContent-Length: 4\r\n\r\nbody")
 	untyped := answerOnce("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	big := answerOnce("HTTP/1.1 200 OK\r\nContent-Length: 4100\r\n\r\n" + strings.Repeat("x", 4100))
 	rejected := answerOnce("HTTP/1.1 503 E\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
 	panics := func(a *testInstance) { a.upstream.address = func(string) string { panic("lost its map") } }
 	noRoom := func(a *testInstance) { a.front.maxBodyBytes = -1 }
-	closing := func(a *testInstance) { a.front.closingConns.Store(true) }
-	ready := func(a *testInstance) { a.front.SetReady() }
-	cases := []answerCase{
-		{name: "ready", text: head("GET /up"), prepare: ready},
-		{name: "ready, HEAD", text: head("HEAD /up"), prepare: ready},
-		{name: "ready, connections end with their request", text: head("GET /up"), prepare: func(a *testInstance) {
-			ready(a)
-			closing(a)
-		}},
-		{name: "not ready", text: head("GET /up")},
-		{name: "health by another method", text: head("POST /up", "Content-Length: 0"), prepare: ready},
+	return []answerCase{
 		{name: "served", text: validRequest, backend: served},
 		{name: "served, without a type", text: validRequest, backend: untyped},
 		{name: "served, longer than the socket's buffer", text: validRequest, backend: big},
-		{name: "served, connections end with their request", text: validRequest, backend: served, prepare: closing},
+		{name: "served, connections end with their request", text: validRequest, backend: served, prepare: closeConns},
 		{name: "rejected by the backend", text: validRequest, backend: rejected},
 		{name: "nobody there", text: validRequest},
 		{name: "no room", text: validRequest, prepare: noRoom},
@@ -87,34 +100,42 @@
 		{name: "an id held already", text: validRequest, prepare: func(a *testInstance) {
 			a.core.Accept(core.Arrival{ID: "r1", ArrivedAt: a.core.Now(), TimeLeft: 9000})
 		}},
-		{name: "HTTP/1.0", text: strings.Replace(head("GET /look/x", id, left), "/1.1", "/1.0", 1)},
-		{name: "no id", text: head("GET /look/x", left)},
-		{name: "two ids", text: head("GET /look/x", id, "Req-Id: q", left)},
-		{name: "an id too long", text: head("GET /look/x", "Req-Id: "+strings.Repeat("i", 257), left)},
-		{name: "unknown class", text: head("GET /other/x", id, left)},
-		{name: "unknown class and nothing else right", text: head("PUT /other/x")},
-		{name: "wrong method", text: head("POST /look/x", id, left, "Content-Length: 0")},
-		{name: "wrong method and no id", text: head("GET /save/x", left)},
-		{name: "no deadline", text: head("GET /look/x", id)},
-		{name: "malformed deadline", text: head("GET /look/x", id, "Req-Deadline: 0x9m")},
-		{name: "deadline beyond a day", text: head("GET /look/x", id, "Req-Deadline: 86400001m")},
-		{name: "no idempotency key", text: head("POST /save/x", id, left, "Content-Length: 0")},
-		{name: "no idempotency key and no length", text: head("POST /save/x", id, left)},
-		{name: "a body where none belongs", text: head("GET /look/x", id, left, "Content-Length: 1") + "a"},
-		{name: "no length", text: head("POST /save/x", id, left, key)},
-		{name: "chunked", text: head("POST /save/x", id, left, key, "Transfer-Encoding: chunked") + "0\r\n\r\n"},
-		{name: "body too long", text: head("POST /save/x", id, left, key, "Content-Length: 65537")},
-		{name: "body that does not come", text: head("POST /save/x", id, left, key, "Content-Length: 9") + "ab"},
-		{name: "all of the server", text: head("OPTIONS *", id, left)},
+	}
+}
+
+func badInputAnswers() []answerCase {
+	id, left, key := "Req-Id: r", "Req-Deadline: 500m", "Idempotency-Key: m"
+	return []answerCase{
+		{name: "HTTP/1.0", text: strings.Replace(requestText("GET /look/x", id, left), "/1.1", "/1.0", 1)},
+		{name: "no id", text: requestText("GET /look/x", left)},
+		{name: "two ids", text: requestText("GET /look/x", id, "Req-Id: q", left)},
+		{name: "an id too long", text: requestText("GET /look/x", "Req-Id: "+strings.Repeat("i", 257), left)},
+		{name: "unknown class", text: requestText("GET /other/x", id, left)},
+		{name: "unknown class and nothing else right", text: requestText("PUT /other/x")},
+		{name: "wrong method", text: requestText("POST /look/x", id, left, "Content-Length: 0")},
+		{name: "wrong method and no id", text: requestText("GET /save/x", left)},
+		{name: "no deadline", text: requestText("GET /look/x", id)},
+		{name: "malformed deadline", text: requestText("GET /look/x", id, "Req-Deadline: 0x9m")},
+		{name: "deadline beyond a day", text: requestText("GET /look/x", id, "Req-Deadline: 86400001m")},
+		{name: "no idempotency key", text: requestText("POST /save/x", id, left, "Content-Length: 0")},
+		{name: "no idempotency key and no length", text: requestText("POST /save/x", id, left)},
+		{name: "a body where none belongs", text: requestText("GET /look/x", id, left, "Content-Length: 1") + "a"},
+		{name: "no length", text: requestText("POST /save/x", id, left, key)},
+		{name: "chunked", text: requestText("POST /save/x", id, left, key, "Transfer-Encoding: chunked") + "0\r\n\r\n"},
+		{name: "body too long", text: requestText("POST /save/x", id, left, key, "Content-Length: 65537")},
+		{name: "body that does not come", text: requestText("POST /save/x", id, left, key, "Content-Length: 9") + "ab"},
+		{name: "all of the server", text: requestText("OPTIONS *", id, left)},
 		{name: "noise", text: "\x00\x01 hello\r\n\r\n"},
 	}
-	for _, name := range []string{"served", "rejected by the backend", "no room", "the handler fails"} {
-		for _, c := range cases {
-			if c.name == name {
-				c.name, c.intercepted = name+", intercepted", true
-				cases = append(cases, c)
-				break
-			}
+}
+
+// interceptedAnswers are some of the accepted ones, which the front writes to their last byte for an interceptor.
+func interceptedAnswers() []answerCase {
+	var cases []answerCase
+	for _, c := range acceptedAnswers() {
+		if slices.Contains([]string{"served", "rejected by the backend", "no room", "the handler fails"}, c.name) {
+			c.name, c.intercepted = c.name+", intercepted", true
+			cases = append(cases, c)
 		}
 	}
 	return cases
@@ -130,26 +151,19 @@
 	if c.intercepted {
 		instance.core.AddInterceptor(&recordingInterceptor{core: instance.core})
 	}
-	listener := make(pipeListener, 1)
-	server, served := instance.front.Server(), make(chan bool)
-	go func() {
-		defer close(served)
-		_ = server.Serve(Listener{listener, instance.front.sockets}) // ends with the server's Close
-	}()
-	client, conn := net.Pipe()
-	listener <- conn
-	go func() { _, _ = io.WriteString(client, c.text) }() // the front may close before all of it is read
+	server := instance.serve()
+	client := server.dial()
+	go send(client, c.text) // ends with the connection
 	var answer bytes.Buffer
-	read := make(chan bool)
-	go func() {
+	read := make(chan struct{})
+	go func() { // ends with the connection
 		defer close(read)
 		_, _ = io.Copy(&answer, client) // until either side closes
 	}()
 	time.Sleep(2 * time.Second) // longer than any case takes, shorter than a kept connection stays idle
 	client.Close()
 	<-read
-	server.Close()
-	<-served
+	server.close()
 	instance.close()
 	return answer.String()
 }
--- a/internal/httpwire/helpers_test.go
+++ b/internal/httpwire/helpers_test.go
@@ -26,7 +26,7 @@
 // network dials in-memory pipes: the peer's side of a connection is served by the function at its address.
 type network map[string]func(net.Conn)
 
-func (n network) dial(ctx context.Context, address string) (net.Conn, error) {
+func (n network) dial(_ context.Context, address string) (net.Conn, error) {
 	peer := n[address]
 	if peer == nil {
 		return nil, errors.New("refused")
@@ -50,13 +50,13 @@
 
 func newTestInstance(n network, sockets *Sockets) *testInstance {
 	a := &testInstance{core: core.New(nopTransport{})}
-	products := []policy.RequestClass{{Semantics: policy.Safe}, {Semantics: policy.Idempotent}, {Semantics: policy.NonIdempotent}}
-	for k := range products {
-		products[k].LatencyObjective, products[k].Timeout, products[k].Value, products[k].DedupWindow = 1000, 4000, 1, 9000
+	classes := []policy.RequestClass{{Semantics: policy.Safe}, {Semantics: policy.Idempotent}, {Semantics: policy.NonIdempotent}}
+	for k := range classes {
+		classes[k].LatencyObjective, classes[k].Timeout, classes[k].Value, classes[k].DedupWindow = 1000, 4000, 1, 9000
 	}
 	a.core.Start(func(port policy.Port) *policy.Instance {
 		return policy.New(port, policy.Config{
-			Seed: 7, Instances: 1, Classes: products, MaxAttempts: 1, CancelAllowed: true,
+			Seed: 7, Instances: 1, Classes: classes, MaxAttempts: 1, CancelAllowed: true,
 			Exposure: policy.ExposureConfig{FreeAttempts: 2, Caps: []float64{1}},
 		})
 	})
@@ -64,10 +64,13 @@
 	a.upstream = NewUpstream(a.core, n.dial, a.discovery.Address, sockets, 250, 30000, true, true)
 	a.discovery.OnRemove(a.upstream.CloseAddress)
 	a.front = NewFront(FrontConfig{
-		Core: a.core, Upstream: a.upstream, Sockets: sockets, ClassNames: []string{"look", "save", "pay"}, Classes: products,
+		Core: a.core, Upstream: a.upstream, Sockets: sockets, ClassNames: []string{"look", "save", "pay"}, Classes: classes,
 		CancelAllowed: true, MaxBodyBytes: 1 << 20,
 	})
-	a.discovery.Apply([]byte(listJSON(1, true, `{"id":"s","addr":"app:1","state":"Ready","weight":1,"version_no":1}`)), FromConfiguration, func() {})
+	list := listJSON(1, true, `{"id":"s","addr":"app:1","state":"Ready","weight":1,"version_no":1}`)
+	if err := a.discovery.Apply([]byte(list), FromConfiguration, func() {}); err != nil {
+		panic(err) // the list above is wrong
+	}
 	return a
 }
 
@@ -86,57 +89,106 @@
 
 // answerOnce serves one connection: it reads one request whole, writes the given answer and closes.
 func answerOnce(answer string) func(net.Conn) {
-	return func(c net.Conn) {
-		r, err := http.ReadRequest(bufio.NewReader(c))
+	return func(conn net.Conn) {
+		request, err := http.ReadRequest(bufio.NewReader(conn))
 		if err != nil {
 			return
 		}
-		io.Copy(io.Discard, r.Body)
-		io.WriteString(c, answer)
+		drain(request.Body)
+		send(conn, answer)
 	}
 }
 
-// answerAndHold does the same and leaves the connection open until the client closes it.
+// answerAndHold does the same and leaves the connection open until the other side closes it.
 func answerAndHold(answer string) func(net.Conn) {
-	return func(c net.Conn) {
-		answerOnce(answer)(c)
-		io.Copy(io.Discard, c)
+	return func(conn net.Conn) {
+		answerOnce(answer)(conn)
+		drain(conn)
 	}
 }
 
+// holdSilent serves one connection: it reads whatever comes and says nothing.
+func holdSilent(conn net.Conn) { drain(conn) }
+
+// send writes text. Where the other side has closed first an error is expected, and what is read next shows it.
+func send(conn io.Writer, text string) { _, _ = io.WriteString(conn, text) }
+
+// drain reads to the end, whatever that is: end of file or a connection that breaks.
+func drain(from io.Reader) { _, _ = io.Copy(io.Discard, from) }
+
 // pipeListener is a listener that accepts the connections sent on the channel.
 type pipeListener chan net.Conn
 
 func (p pipeListener) Accept() (net.Conn, error) {
-	c, ok := <-p
+	conn, ok := <-p
 	if !ok {
 		return nil, net.ErrClosed
 	}
-	return c, nil
+	return conn, nil
 }
 func (p pipeListener) Close() error   { close(p); return nil }
 func (p pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// roundTrip sends text to the front on a new connection and returns the answer and its body.
-func (a *testInstance) roundTrip(t *testing.T, text string) (*http.Response, string) {
-	in := make(pipeListener, 1)
-	server := a.front.Server()
-	served := make(chan bool)
-	go func() { server.Serve(Listener{in, a.front.sockets}); close(served) }()
-	here, there := net.Pipe()
-	in <- there
-	defer func() { here.Close(); server.Close(); <-served }()
-	go io.WriteString(here, text)
-	resp, err := http.ReadResponse(bufio.NewReader(here), nil)
+// frontServer is an instance's front that serves in-memory connections.
+type frontServer struct {
+	listener pipeListener
+	server   *http.Server
+	ended    chan struct{} // closed once the server's goroutine has
+}
+
+// serve starts the front's server; its goroutine runs until close.
+func (a *testInstance) serve() *frontServer {
+	s := &frontServer{make(pipeListener, 1), a.front.Server(), make(chan struct{})}
+	go func() {
+		defer close(s.ended)
+		_ = s.server.Serve(Listener{s.listener, a.front.sockets}) // always fails, with ErrServerClosed
+	}()
+	return s
+}
+
+// dial opens a client connection to the front.
+func (s *frontServer) dial() *peerConn {
+	client, conn := net.Pipe()
+	s.listener <- conn
+	return &peerConn{client, bufio.NewReader(client)}
+}
+
+func (s *frontServer) close() {
+	s.server.Close()
+	<-s.ended
+}
+
+// clientAnswer is what a client gets from the front, less its body.
+type clientAnswer struct {
+	StatusCode int
+	Header     http.Header
+	Close      bool // the front ends the connection with it
+}
+
+// readAnswer reads one answer with its body.
+func readAnswer(from *bufio.Reader) (answer clientAnswer, body string, err error) {
+	response, err := http.ReadResponse(from, nil)
 	if err != nil {
-		t.Error(err)
-		return &http.Response{Header: http.Header{}}, ""
+		return clientAnswer{}, "", err
 	}
-	body, err := io.ReadAll(resp.Body)
+	defer response.Body.Close()
+	text, err := io.ReadAll(response.Body)
+	return clientAnswer{response.StatusCode, response.Header, response.Close}, string(text), err
+}
+
+// roundTrip sends text to the front on a new connection and returns the answer and its body.
+func (a *testInstance) roundTrip(t *testing.T, text string) (clientAnswer, string) {
+	t.Helper()
+	server := a.serve()
+	defer server.close()
+	client := server.dial()
+	defer client.Close()
+	go send(client, text) // ends with the connection
+	answer, body, err := readAnswer(client.in)
 	if err != nil {
 		t.Error(err)
 	}
-	return resp, string(body)
+	return answer, body
 }
 
 // validRequest is a request of class look with nothing wrong in it.
--- a/internal/httpwire/loopback_test.go
+++ b/internal/httpwire/loopback_test.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"context"
 	"fmt"
-	"io"
 	"net"
 	"net/http"
 	"runtime"
@@ -26,40 +25,37 @@
 }
 
 func newFakeBackend(t *testing.T) *fakeBackend {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	a := &fakeBackend{l, make(chan *peerConn, 16)}
-	go func() {
+	t.Helper()
+	listener := listenTCP(t)
+	backend := &fakeBackend{listener, make(chan *peerConn, 16)}
+	go func() { // ends with the listener
+		defer close(backend.conns)
 		for {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
-				close(a.conns)
 				return
 			}
-			a.conns <- &peerConn{c, bufio.NewReader(c)}
+			backend.conns <- &peerConn{conn, bufio.NewReader(conn)}
 		}
 	}()
-	t.Cleanup(func() { l.Close() })
-	return a
+	return backend
 }
 
-func (a *fakeBackend) address() string { return a.Addr().String() }
+func (b *fakeBackend) address() string { return b.Addr().String() }
 
 // readRequest reads one request and returns its id and its deadline header, or the error that came instead.
 func (p *peerConn) readRequest() (id, deadline string, err error) {
-	r, err := http.ReadRequest(p.in)
+	request, err := http.ReadRequest(p.in)
 	if err != nil {
 		return "", "", err
 	}
-	io.Copy(io.Discard, r.Body)
-	return r.Header.Get("Req-Id"), r.Header.Get("Req-Deadline"), nil
+	drain(request.Body)
+	return request.Header.Get("Req-Id"), request.Header.Get("Req-Deadline"), nil
 }
 
 // respond writes one answer 200 with the body.
 func (p *peerConn) respond(body string) {
-	fmt.Fprintf(p, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+	send(p, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
 }
 
 // loopback is an instance on loopback sockets with the backend s at an address.
@@ -69,32 +65,53 @@
 	listener net.Listener
 }
 
+// listenTCP listens on a loopback port of the kernel's choice until the test ends.
+func listenTCP(t *testing.T) net.Listener {
+	t.Helper()
+	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { listener.Close() })
+	return listener
+}
+
+// connectTCP opens a connection that is closed with the test.
+func connectTCP(t *testing.T, address string) net.Conn {
+	t.Helper()
+	conn, err := dialTCP(t.Context(), address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { conn.Close() })
+	return conn
+}
+
 func dialTCP(ctx context.Context, address string) (net.Conn, error) {
 	return new(net.Dialer).DialContext(ctx, "tcp", address)
 }
 
-func newLoopback(t *testing.T, address string, dial Dial, revokes bool) *loopback {
+func newLoopback(t *testing.T, address string, dial Dial, cancelAllowed bool) *loopback {
+	t.Helper()
 	a := newTestInstance(network{}, NewSockets(0))
 	a.upstream.dial, a.upstream.connectTimeout = dial, time.Minute
-	a.front.cancelAllowed = revokes
+	a.front.cancelAllowed = cancelAllowed
 	a.applyChange(t, 2, `{"id":"s","addr":"`+address+`","state":"Ready","weight":1,"version_no":1}`)
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
+	listener := listenTCP(t)
 	server := a.front.Server()
-	go server.Serve(Listener{l, a.front.sockets})
+	go func() { _ = server.Serve(Listener{listener, a.front.sockets}) }() // ends, always with ErrServerClosed, at Close
 	t.Cleanup(func() {
 		server.Close()
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
 		a.upstream.Sweep(ctx)
 	})
-	return &loopback{a, t, l}
+	return &loopback{a, t, listener}
 }
 
 // applyChange hands one changed entry to discovery, as its stream would.
 func (a *testInstance) applyChange(t *testing.T, version int, entry string) {
+	t.Helper()
 	if err := a.discovery.Apply([]byte(listJSON(version, false, entry)), FromWatch, func() {}); err != nil {
 		t.Error(err)
 	}
@@ -102,29 +119,22 @@
 
 // dialFront opens a client connection to the front; it is closed with the test.
 func (l *loopback) dialFront() *peerConn {
-	c, err := net.Dial("tcp", l.listener.Addr().String())
-	if err != nil {
-		l.t.Fatal(err)
-	}
-	l.t.Cleanup(func() { c.Close() })
-	return &peerConn{c, bufio.NewReader(c)}
+	l.t.Helper()
+	conn := connectTCP(l.t, l.listener.Addr().String())
+	return &peerConn{conn, bufio.NewReader(conn)}
 }
 
 // requestWithID is validRequest with another id.
 func requestWithID(id string) string { return strings.Replace(validRequest, "r1", id, 1) }
 
 // readResponse reads one answer and returns its status and body.
-func (p *peerConn) readResponse(t *testing.T) (int, string) {
-	r, err := http.ReadResponse(p.in, nil)
-	if err != nil {
-		t.Error(err)
-		return 0, ""
-	}
-	b, err := io.ReadAll(r.Body)
+func (p *peerConn) readResponse(t *testing.T) (status int, body string) {
+	t.Helper()
+	answer, body, err := readAnswer(p.in)
 	if err != nil {
 		t.Error(err)
 	}
-	return r.StatusCode, string(b)
+	return answer.StatusCode, body
 }
 
 // waitUntil yields until another goroutine has made the condition true.
--- a/internal/httpwire/shutdown_test.go
+++ b/internal/httpwire/shutdown_test.go
@@ -1,72 +1,84 @@
 package httpwire
 
 import (
-	"context"
 	"net"
 	"strings"
-	"sync"
+	"sync/atomic"
 	"testing"
 	"testing/synctest"
 	"time"
 )
 
-// Leaving: /up refuses at once, what comes is served on connections that stay until the kill is near, nothing is held
+const healthCheck = "GET /up HTTP/1.1\r\nHost: h\r\n\r\n"
+
+// Shutdown: /up refuses at once, what comes is served on connections that stay until the kill is near, nothing stays open
 // beyond that, and it ends once nothing has come for a while; at once where nobody is connected.
 func TestLeave(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		var mu sync.Mutex
-		answer := "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
-		a := newTestInstance(network{"app:1": func(c net.Conn) {
-			mu.Lock()
-			peer := answerAndHold(answer)
-			mu.Unlock()
-			peer(c)
-		}}, NewSockets(0))
-		a.front.SetReady()
-		if resp, _ := a.roundTrip(t, "GET /up HTTP/1.1\r\nHost: h\r\n\r\n"); resp.StatusCode != 200 {
-			t.Errorf("/up %d", resp.StatusCode)
-		}
-		here, there := net.Pipe()
-		kept := a.front.sockets.track(here, true)
-		a.front.sockets.ConnIdle(kept, false)
-		from, left := time.Now(), make(chan time.Duration, 1)
-		go func() {
-			a.front.Shutdown(context.Background(), make(pipeListener))
-			left <- time.Since(from)
-		}()
-		for _, c := range []struct {
-			at     time.Duration
-			close_ bool
-		}{{300 * time.Millisecond, false}, {1500 * time.Millisecond, false}, {2300 * time.Millisecond, true}} {
-			time.Sleep(c.at - time.Since(from))
-			if resp, _ := a.roundTrip(t, "GET /up HTTP/1.1\r\nHost: h\r\n\r\n"); resp.StatusCode != 503 {
-				t.Errorf("/up %d while leaving", resp.StatusCode)
-			}
-			if resp, _ := a.roundTrip(t, strings.Replace(validRequest, "r1", c.at.String(), 1)); resp.StatusCode != 200 || resp.Close != c.close_ {
-				t.Errorf("at %v: %d, close %v", c.at, resp.StatusCode, resp.Close)
+	t.Run("clients are connected", func(t *testing.T) { synctest.Test(t, testShutdownWithClients) })
+	t.Run("nobody is connected", func(t *testing.T) {
+		synctest.Test(t, func(t *testing.T) {
+			a := newTestInstance(network{}, NewSockets(0))
+			from := time.Now()
+			a.front.Shutdown(t.Context(), make(pipeListener))
+			if took := time.Since(from); took > acceptWindow+50*time.Millisecond {
+				t.Errorf("ended after %v", took)
 			}
+			a.close()
+		})
+	})
+}
+
+func testShutdownWithClients(t *testing.T) {
+	var silent atomic.Bool
+	a := newTestInstance(network{"app:1": func(conn net.Conn) {
+		answer := "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+		if silent.Load() {
+			answer = ""
 		}
-		if !kept.closed {
-			t.Error("an idle connection stands although the kill is near")
-		}
-		mu.Lock()
-		answer = ""
-		mu.Unlock()
-		resp, _ := a.roundTrip(t, strings.Replace(validRequest, "2000m", "9000m", 1))
-		if took := time.Since(from); resp.StatusCode != 503 || took > 3400*time.Millisecond {
-			t.Errorf("a request that finds no answer got %d after %v", resp.StatusCode, took)
-		}
-		if took := <-left; took < 2200*time.Millisecond || took > 3700*time.Millisecond {
-			t.Errorf("left after %v", took)
+		answerAndHold(answer)(conn)
+	}}, NewSockets(0))
+	a.front.SetReady()
+	if answer, _ := a.roundTrip(t, healthCheck); answer.StatusCode != 200 {
+		t.Errorf("/up %d", answer.StatusCode)
+	}
+	client, conn := net.Pipe()
+	defer client.Close()
+	idle := a.front.sockets.track(conn, true)
+	a.front.sockets.ConnIdle(idle, false)
+
+	from, ended := time.Now(), make(chan time.Duration, 1)
+	go func() { // ends with the shutdown
+		a.front.Shutdown(t.Context(), make(pipeListener))
+		ended <- time.Since(from)
+	}()
+	for _, c := range []struct {
+		at         time.Duration
+		closesConn bool
+	}{
+		{300 * time.Millisecond, false},
+		{1500 * time.Millisecond, false},
+		{2300 * time.Millisecond, true},
+	} {
+		time.Sleep(c.at - time.Since(from))
+		if answer, _ := a.roundTrip(t, healthCheck); answer.StatusCode != 503 {
+			t.Errorf("at %v: /up %d", c.at, answer.StatusCode)
 		}
-		there.Close()
-		a.close()
-		b := newTestInstance(network{}, NewSockets(0))
-		from = time.Now()
-		b.front.Shutdown(context.Background(), make(pipeListener))
-		if took := time.Since(from); took > acceptWindow+50*time.Millisecond {
-			t.Errorf("left after %v though nobody was connected", took)
+		answer, _ := a.roundTrip(t, requestWithID(c.at.String()))
+		if answer.StatusCode != 200 || answer.Close != c.closesConn {
+			t.Errorf("at %v: %d, close %v", c.at, answer.StatusCode, answer.Close)
 		}
-		b.close()
-	})
+	}
+	if !idle.closed {
+		t.Error("an idle connection is open although the kill is near")
+	}
+
+	silent.Store(true)
+	answer, _ := a.roundTrip(t, strings.Replace(validRequest, "2000m", "9000m", 1))
+	if took := time.Since(from); answer.StatusCode != 503 || took > 3400*time.Millisecond {
+		t.Errorf("a request that finds no answer got %d after %v", answer.StatusCode, took)
+	}
+	if took := <-ended; took < 2200*time.Millisecond || took > 3700*time.Millisecond {
+		t.Errorf("ended after %v", took)
+	}
+	a.close()
 }
--- a/internal/httpwire/sockets_test.go
+++ b/internal/httpwire/sockets_test.go
@@ -1,7 +1,7 @@
 package httpwire
 
 import (
-	"io"
+	"fmt"
 	"net"
 	"syscall"
 	"testing"
@@ -11,73 +11,93 @@
 	"onyxgate/policy"
 )
 
-// Want of sockets: what has been idle longest goes, nothing new or in use does, and an appliance is not blamed.
+// Want of sockets: what has been idle longest is closed, nothing new or in use is.
 func TestSockets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := NewSockets(reservedSockets + 10) // eight for clients, from five on idle ones go
-		var clients []net.Conn
-		hold := func() net.Conn {
-			here, there := net.Pipe()
-			t.Cleanup(func() { there.Close() })
+		s := NewSockets(reservedSockets + 10) // eight for clients, from three on idle ones make room
+		var clients []*trackedConn
+		track := func() {
+			client, conn := net.Pipe()
+			t.Cleanup(func() { client.Close() })
 			s.makeRoom(true)
-			clients = append(clients, s.track(here, true))
-			return clients[len(clients)-1]
+			clients = append(clients, s.track(conn, true))
 		}
 		used := func() int { _, n, _ := s.Used(); return n }
-		gone := func(k int) bool { return clients[k].(*trackedConn).closed }
 		for range 8 {
-			hold()
+			track()
 		}
-		if s.makeRoom(true) || used() != 8 || !s.makeRoom(false) {
-			t.Error("a client's connection in use went, or appliances' part with it")
+		if !s.makeRoom(false) {
+			t.Error("clients have taken the backends' part")
 		}
-		s.ConnIdle(clients[1], false)
-		if s.makeRoom(true) {
-			t.Error("one went that was used a moment ago")
+		for _, c := range []struct {
+			name    string
+			prepare func()
+			hasRoom bool
+			used    int
+			closed  []int // those closed so far
+		}{
+			{"all in use", func() {}, false, 8, nil},
+			{"one used a moment ago stays", func() { s.ConnIdle(clients[1], false) }, false, 8, nil},
+			{"the one idle longest goes", func() {
+				time.Sleep(idleGrace)
+				s.ConnIdle(clients[2], false)
+				s.ConnIdle(clients[3], true)
+			}, true, 7, []int{1}},
+			{"the next idle one goes, not one that may be about to say something", func() {
+				time.Sleep(idleGrace)
+			}, true, 6, []int{1, 2}},
+			{"one that has said nothing for long goes first", func() {
+				s.ConnIdle(clients[4], false)
+				time.Sleep(newConnGrace)
+			}, true, 5, []int{1, 2, 3}},
+			{"one that came a moment ago stays", func() {
+				s.ConnIdle(clients[5], true)
+				s.ConnActive(clients[4])
+				for used() < 8 {
+					track()
+				}
+			}, false, 8, []int{1, 2, 3}},
+			{"where none else can, one that came a little earlier goes", func() { time.Sleep(idleGrace) }, true, 7, []int{1, 2, 3, 5}},
+			{"one in use stays", func() {}, true, 7, []int{1, 2, 3, 5}},
+		} {
+			c.prepare()
+			got := fmt.Sprint(s.makeRoom(true), used(), closedIndices(clients))
+			if want := fmt.Sprint(c.hasRoom, c.used, c.closed); got != want {
+				t.Errorf("%s: room, open and closed are %s, want %s", c.name, got, want)
+			}
 		}
-		time.Sleep(idleGrace)
-		s.ConnIdle(clients[2], false)
-		s.ConnIdle(clients[3], true)
-		if !s.makeRoom(true) || used() != 7 || !gone(1) {
-			t.Error("the one idle longest should have gone")
-		}
-		time.Sleep(idleGrace)
-		if !s.makeRoom(true) || used() != 6 || !gone(2) {
-			t.Error("the next idle one should have gone, not one that may be about to say something")
-		}
-		s.ConnIdle(clients[4], false)
-		time.Sleep(newConnGrace)
-		if !s.makeRoom(true) || used() != 5 || !gone(3) {
-			t.Error("the one that has said nothing for long should have gone first")
-		}
-		s.ConnIdle(clients[5], true)
-		s.ConnActive(clients[4])
-		for used() < 8 {
-			hold()
-		}
-		if s.makeRoom(true) {
-			t.Error("one went that came a moment ago")
+		for _, c := range clients {
+			c.Close()
 		}
-		time.Sleep(idleGrace)
-		if !s.makeRoom(true) || used() != 7 || !gone(5) {
-			t.Error("where none else can go, one that came a moment ago should have")
+		if all, _, idle := s.Used(); all != 0 || idle != 0 {
+			t.Errorf("%d left, %d idle", all, idle)
 		}
-		if s.makeRoom(true); gone(4) || used() != 7 {
-			t.Error("one in use went")
+	})
+}
+
+// closedIndices tells which of the connections are closed.
+func closedIndices(conns []*trackedConn) []int {
+	var closed []int
+	for i, conn := range conns {
+		if conn.closed {
+			closed = append(closed, i)
 		}
+	}
+	return closed
+}
+
+// Where no socket is left for an attempt the backend is not blamed: it was never sent.
+func TestNoSocketLeft(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
 		a := newTestInstance(network{"app:1": answerOnce("")}, NewSockets(reservedSockets+4))
 		a.front.sockets.used = 3 // the client's is the last
-		a.roundTrip(t, validRequest)
+		if answer, _ := a.roundTrip(t, validRequest); answer.StatusCode != 503 {
+			t.Errorf("answered %d", answer.StatusCode)
+		}
 		if n := a.core.Counts(); n.AttemptsByStatus[policy.StatusNotSent] != 1 {
 			t.Errorf("%+v", n)
 		}
 		a.close()
-		for _, c := range clients {
-			c.Close()
-		}
-		if all, _, idle := s.Used(); all != 0 || idle != 0 {
-			t.Errorf("%d left, %d idle", all, idle)
-		}
 	})
 }
 
@@ -115,75 +135,80 @@
 	return err
 }
 
-// A connection between requests is given up only if no byte of the next one has been taken from its socket, even if
-// its reader has not come to say so.
+// A connection between requests is closed only if no byte of the next one has been taken from its socket, even if its reader
+// has not come to say so.
 func TestIdleClose(t *testing.T) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer listener.Close()
-	client, err := net.Dial("tcp", listener.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer client.Close()
-	there, err := listener.Accept()
+	listener := listenTCP(t)
+	client := connectTCP(t, listener.Addr().String())
+	socket, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := NewSockets(0)
-	raw := stoppedReader{there, make(chan bool), make(chan bool)}
-	c := s.track(raw, true)
-	defer c.Close()
-	s.ConnIdle(c, false)
-	c.listedAt = time.Time{} // for long
-	io.WriteString(client, "G")
+	reader := stoppedReader{socket, make(chan bool), make(chan bool)}
+	conn := s.track(reader, true)
+	defer conn.Close()
+	idleForLong := func() {
+		s.ConnIdle(conn, false)
+		conn.listedAt = time.Time{}
+	}
+
+	// A byte is taken first: the connection stays.
+	idleForLong()
+	send(client, "G")
 	read := make(chan int)
-	go func() {
-		n, _ := c.Read(make([]byte, 9))
+	go func() { // ends once the byte is read
+		n, err := conn.Read(make([]byte, 9))
+		if err != nil {
+			t.Error(err)
+		}
 		read <- n
 	}()
-	<-raw.taken
+	<-reader.taken
 	s.CloseIdleClients()
-	if c.closed {
+	if conn.closed {
 		t.Error("closed, though a byte of the next request had been taken")
 	}
-	raw.resume <- true
+	reader.resume <- true
 	if n := <-read; n != 1 {
 		t.Errorf("%d bytes", n)
 	}
 
-	// The other way round: given up first, nothing is taken any more.
-	s.RequestRead(c)
-	s.ConnIdle(c, false)
-	c.listedAt = time.Time{}
+	// The connection is closed first: nothing is taken any more.
+	s.RequestRead(conn)
+	idleForLong()
 	s.CloseIdleClients()
-	if n, err := c.Read(make([]byte, 9)); !c.closed || n != 0 || err == nil {
+	if n, err := conn.Read(make([]byte, 9)); !conn.closed || n != 0 || err == nil {
 		t.Errorf("read %d bytes (%v) of a connection given up", n, err)
 	}
 }
 
-// A byte of the next request may be taken ahead, by a server that looks whether its client has gone: then the connection
-// does not rest.
+// A byte of the next request may be taken ahead, by a server that looks whether its client has gone: then the connection is
+// not idle.
 func TestByteAhead(t *testing.T) {
 	s := NewSockets(0)
-	here, there := net.Pipe()
-	c := s.track(there, true)
-	defer c.Close()
-	s.ConnIdle(c, true)
-	go io.WriteString(here, "r1G")
-	c.Read(make([]byte, 2))
-	s.ConnActive(c)
-	s.RequestRead(c) // r1 has been read
-	c.Read(make([]byte, 1))
-	s.ConnIdle(c, false)
-	if _, _, idle := s.Used(); idle != 0 || s.RequestAge(c) == 0 {
-		t.Errorf("%d rest, the next request comes since %v", idle, s.RequestAge(c))
+	client, serverSide := net.Pipe()
+	conn := s.track(serverSide, true)
+	defer conn.Close()
+	read := func(bytes int) {
+		t.Helper()
+		if n, err := conn.Read(make([]byte, bytes)); n != bytes || err != nil {
+			t.Errorf("read %d bytes of %d: %v", n, bytes, err)
+		}
+	}
+	s.ConnIdle(conn, true)
+	go send(client, "r1G") // ends once all of it is read
+	read(2)
+	s.ConnActive(conn)
+	s.RequestRead(conn) // r1 has been read
+	read(1)
+	s.ConnIdle(conn, false)
+	if _, _, idle := s.Used(); idle != 0 || s.RequestAge(conn) == 0 {
+		t.Errorf("%d idle, the next request comes since %v", idle, s.RequestAge(conn))
 	}
-	s.RequestRead(c)
-	s.ConnIdle(c, false)
-	if _, _, idle := s.Used(); idle != 1 || s.RequestAge(c) != 0 {
-		t.Errorf("%d rest, the next request comes since %v", idle, s.RequestAge(c))
+	s.RequestRead(conn)
+	s.ConnIdle(conn, false)
+	if _, _, idle := s.Used(); idle != 1 || s.RequestAge(conn) != 0 {
+		t.Errorf("%d idle, the next request comes since %v", idle, s.RequestAge(conn))
 	}
 }
