--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -127,7 +127,16 @@
 	if o.Tables.Sources.On() {
 		address = func(id string) string { return a.sources.Address(id) }
 	}
-	a.upstream = httpwire.NewUpstream(a.core, tcp, address, a.budget, up, idle, onAnswers, onProbes)
+	a.upstream = httpwire.NewUpstream(httpwire.UpstreamConfig{
+		Core:               a.core,
+		Dial:               tcp,
+		Sockets:            a.budget,
+		Address:            address,
+		ConnectTimeout:     duration(up),
+		BackendIdleTimeout: duration(idle),
+		LoadOnResponses:    onAnswers,
+		LoadOnProbes:       onProbes,
+	})
 	a.discovery.OnRemove(a.upstream.CloseAddress)
 	room := int64(1 << 30)
 	if memoryMB > 0 {
@@ -160,6 +169,9 @@
 	return a, nil
 }
 
+// duration converts milliseconds as the settings have them.
+func duration(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+
 const (
 	// The process before this one may hold the address for a moment more.
 	listenMost  = 10 * time.Second
--- a/internal/ci/clock_test.go
+++ b/internal/ci/clock_test.go
@@ -14,16 +14,16 @@
 
 // wallClockUses are the lines that may read it, and why.
 var wallClockUses = map[string]string{
-	"internal/core/clock.go: return time.Now().UnixNano()":         "the epoch of Core.Now, and steps against the monotonic clock",
-	"internal/httpwire/upstream.go: SetDeadline(time.Unix(1, 0))":  "a deadline long past, by any clock",
+	"internal/core/clock.go: return time.Now().UnixNano()":          "the epoch of Core.Now, and steps against the monotonic clock",
+	"internal/httpwire/conn.go: canceledDeadline = time.Unix(1, 0)": "a deadline long past, by any clock",
 	"internal/httpwire/writer.go: SetReadDeadline(time.Unix(1, 0))": "the same",
-	"internal/httpwire/discovery.go: SetDeadline(time.Unix(1, 0))": "the same",
-	"internal/sources/dns/dns.go: SetDeadline(time.Unix(1, 0))":    "the same",
-	"internal/record/sqlstore/sqlstore.go: time.Now().UnixMilli()": "a time that is stored for people",
-	"internal/record/recorder/ship.go: uint64(from.UnixNano())":    "a seed",
-	"cmd/onyxgate/record.go: UnixMilli":                            "times that operators give and read",
-	"cmd/onyxgate/record.go: t.UnixNano()":                         "the same",
-	"cmd/onyxgate/sources.go: Unix":                                "a time that operators read, and a seed",
+	"internal/httpwire/discovery.go: SetDeadline(time.Unix(1, 0))":  "the same",
+	"internal/sources/dns/dns.go: SetDeadline(time.Unix(1, 0))":     "the same",
+	"internal/record/sqlstore/sqlstore.go: time.Now().UnixMilli()":  "a time that is stored for people",
+	"internal/record/recorder/ship.go: uint64(from.UnixNano())":     "a seed",
+	"cmd/onyxgate/record.go: UnixMilli":                             "times that operators give and read",
+	"cmd/onyxgate/record.go: t.UnixNano()":                          "the same",
+	"cmd/onyxgate/sources.go: Unix":                                 "a time that operators read, and a seed",
 }
 
 // Spans are of monotonic time: no program code takes the wall clock as a number but where it is an epoch, a seed or for people.
--- a/internal/httpwire/helpers_test.go
+++ b/internal/httpwire/helpers_test.go
@@ -61,7 +61,11 @@
 		})
 	})
 	a.discovery = NewDiscovery(a.core, n.dial, "list", []string{"z"}, []string{"k"}, false, 1)
-	a.upstream = NewUpstream(a.core, n.dial, a.discovery.Address, sockets, 250, 30000, true, true)
+	a.upstream = NewUpstream(UpstreamConfig{
+		Core: a.core, Dial: n.dial, Sockets: sockets, Address: a.discovery.Address,
+		ConnectTimeout: 250 * time.Millisecond, BackendIdleTimeout: 30 * time.Second,
+		LoadOnResponses: true, LoadOnProbes: true,
+	})
 	a.discovery.OnRemove(a.upstream.CloseAddress)
 	a.front = NewFront(FrontConfig{
 		Core: a.core, Upstream: a.upstream, Sockets: sockets, ClassNames: []string{"look", "save", "pay"}, Classes: classes,
--- a/internal/httpwire/loopback_test.go
+++ b/internal/httpwire/loopback_test.go
@@ -94,7 +94,7 @@
 func newLoopback(t *testing.T, address string, dial Dial, cancelAllowed bool) *loopback {
 	t.Helper()
 	a := newTestInstance(network{}, NewSockets(0))
-	a.upstream.dial, a.upstream.connectTimeout = dial, time.Minute
+	a.upstream.conns.dial, a.upstream.conns.connectTimeout = dial, time.Minute
 	a.front.cancelAllowed = cancelAllowed
 	a.applyChange(t, 2, `{"id":"s","addr":"`+address+`","state":"Ready","weight":1,"version_no":1}`)
 	listener := listenTCP(t)
--- a/internal/httpwire/platform.go
+++ b/internal/httpwire/platform.go
@@ -251,7 +251,7 @@
 }
 
 // voteOutcome reads an answer by the protocol's table.
-func (p *Platform) voteOutcome(answer response, err error) (policy.VoteResponse, func(string) string, error) {
+func (p *Platform) voteOutcome(answer upstreamResponse, err error) (policy.VoteResponse, func(string) string, error) {
 	if errors.Is(err, errNotWritten) {
 		return policy.VoteRefused, nil, err
 	}
--- a/internal/httpwire/upstream_crossings_test.go
+++ b/internal/httpwire/upstream_crossings_test.go
@@ -19,7 +19,7 @@
 func TestSecondAnswerLate(t *testing.T) {
 	s := newFakeBackend(t)
 	l := newLoopback(t, s.address(), dialTCP, true)
-	l.upstream.reuseDelay = time.Hour // however slow the machine
+	l.upstream.conns.reuseDelay = time.Hour // however slow the machine
 	c := l.dialFront()
 	io.WriteString(c, requestWithID("r1"))
 	first := <-s.conns
@@ -81,7 +81,7 @@
 	} {
 		s, other := newFakeBackend(t), newFakeBackend(t)
 		l := newLoopback(t, s.address(), dialTCP, true)
-		l.upstream.reuseDelay = 0
+		l.upstream.conns.reuseDelay = 0
 		c := l.dialFront()
 		io.WriteString(c, requestWithID("r1"))
 		first := <-s.conns
