--- a/internal/httpwire/attempt.go
+++ b/internal/httpwire/attempt.go
@@ -139,7 +139,7 @@
 	return policy.StatusErrored
 }
 
-// hopByHopHeaders belong to a connection and not to the request, or are told anew with each attempt.
+// hopByHopHeaders belong to a connection and not to the request, or are sent anew with each attempt.
 var hopByHopHeaders = map[string]bool{
 	"Connection":          true,
 	"Content-Length":      true,
--- a/internal/httpwire/discovery.go
+++ b/internal/httpwire/discovery.go
@@ -42,7 +42,7 @@
 	Zones           []string // the decisions know a zone by its index here
 	HardwareClasses []string // and a hardware class by its index here
 
-	// OnDemand has the decisions open the watch by Refresh: discovery tells its list only to those who ask. A lost watch is not
+	// OnDemand has the decisions open the watch by Refresh: discovery sends its list only to those who ask. A lost watch is not
 	// opened again then but reported to the core.
 	OnDemand bool
 
@@ -63,7 +63,7 @@
 
 	refreshes   chan bool     // true: a snapshot is wanted, false: the watch
 	moved       chan bool     // the address has changed
-	firstUpdate chan struct{} // closed once discovery has told a list
+	firstUpdate chan struct{} // closed once discovery has sent a list
 
 	// applyOrder is a lock that is held until a list has been handed on, so that lists are handed on in the order in which they
 	// were taken. A channel, since a test has to see that a goroutine waits for it.
@@ -128,10 +128,10 @@
 	}
 }
 
-// FirstUpdate is closed once discovery has told a list. Until then the instance has only what it was started with.
+// FirstUpdate is closed once discovery has sent a list. Until then the instance has only what it was started with.
 func (d *Discovery) FirstUpdate() <-chan struct{} { return d.firstUpdate }
 
-// SetAddress names another address of discovery. The watch there is opened at once; the old one is kept until the new one tells
+// SetAddress names another address of discovery. The watch there is opened at once; the old one is kept until the new one sends
 // something.
 func (d *Discovery) SetAddress(address string) {
 	d.mu.Lock()
@@ -184,7 +184,7 @@
 	}
 }
 
-// keepWatch keeps the watch open until ctx ends; where the list is told on demand, until the watch is lost.
+// keepWatch keeps the watch open until ctx ends; where the list comes on demand only, until the watch is lost.
 func (d *Discovery) keepWatch(ctx context.Context) {
 	keepStream(ctx, streamConfig{
 		read:         d.watch,
@@ -196,7 +196,7 @@
 	})
 }
 
-// watch reads one watch until it breaks, falls silent or tells what can't be read.
+// watch reads one watch until it breaks, falls silent or sends what can't be read.
 func (d *Discovery) watch(ctx context.Context, heard func()) error {
 	defer d.onDisconnect()
 	address, generation, version := d.position()
--- a/internal/httpwire/framing.go
+++ b/internal/httpwire/framing.go
@@ -41,7 +41,7 @@
 		case '\n':
 			return i + 1, data[:0], nil
 		case '{':
-			if i > 0 { // what stands before the list is dropped first
+			if i > 0 { // what comes before the list is dropped first
 				return i, nil, nil
 			}
 			return f.splitList(data, atEOF)
--- a/internal/httpwire/listversion.go
+++ b/internal/httpwire/listversion.go
@@ -5,13 +5,13 @@
 // What identifies a list: the address of discovery that it came from, counted by generation (SetAddress starts the next one),
 // and its version within that generation. Versions of two generations don't compare.
 //
-// What orders lists: the generation, then the version. In one generation the watch tells in order, so a snapshot on the watch is
+// What orders lists: the generation, then the version. In one generation the watch sends in order, so a snapshot on the watch is
 // newer than all before it, whatever its version: a discovery that has lost its count begins with one.
 //
 // What is accepted, against what is held:
 //
 //	generation  version          list                     taken
-//	older       any              any                      no: that address is left once the next one has told something
+//	older       any              any                      no: that address is left once the next one has sent something
 //	same        same or newer    any                      yes
 //	same        older            snapshot on the watch    yes, and versions count anew from it
 //	same        older            from the configuration   yes
@@ -21,7 +21,7 @@
 //	newer       older            change                   yes, but what was left out between the two counts can't be known:
 //	                                                      the version held becomes 0, so that the next watch asks for all
 //
-// Until discovery has told a list, what the configuration holds is assumed.
+// Until discovery has sent a list, what the configuration holds is assumed.
 
 import (
 	"errors"
@@ -126,7 +126,7 @@
 	return decision, d.directory.apply(list)
 }
 
-// closeFirstUpdate tells those who wait that discovery has told a list. applyOrder is held.
+// closeFirstUpdate wakes those who wait until discovery has sent a list. applyOrder is held.
 func (d *Discovery) closeFirstUpdate() {
 	select {
 	case <-d.firstUpdate: // closed before
--- a/internal/httpwire/notices.go
+++ b/internal/httpwire/notices.go
@@ -1,6 +1,6 @@
 package httpwire
 
-// This file follows the platform's notices, a stream of events that tells where releases stand.
+// This file follows the platform's notices, a stream of events that hold the states of releases.
 
 import (
 	"bufio"
@@ -37,7 +37,7 @@
 	})
 }
 
-// readNotices reads one stream until it breaks, falls silent or tells what can't be read.
+// readNotices reads one stream until it breaks, falls silent or sends what can't be read.
 func (p *Platform) readNotices(ctx context.Context, heard func()) error {
 	stream, err := openControlStream(ctx, p.dial, p.currentAddress(), noticesPath, noticeSilence)
 	if err != nil {
--- a/internal/httpwire/platform.go
+++ b/internal/httpwire/platform.go
@@ -1,6 +1,6 @@
 package httpwire
 
-// This file holds what the two connections to the platform share. notices.go follows the notices that tell where releases stand,
+// This file holds what the two connections to the platform share. notices.go follows the notices of releases' states,
 // votes.go sends the votes, releasestate.go parses a release's state. They must never vote, repeat a vote or read more into a
 // response than the protocol's table says; notices never wait on votes, nor either on traffic.
 
--- a/internal/httpwire/releasestate.go
+++ b/internal/httpwire/releasestate.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// releaseState is where a release stands.
+// releaseState is the state of one release.
 type releaseState struct {
 	release policy.ReleaseID
 	stage   int
--- a/internal/httpwire/stream.go
+++ b/internal/httpwire/stream.go
@@ -1,8 +1,8 @@
 package httpwire
 
 // This file keeps one long-lived stream open, to discovery or to the platform. One that is lost is opened again after a pause,
-// which doubles for each that told nothing. After a change of address the new stream is opened beside the old one, which is
-// left as soon as the new one tells something: until then the old one may be the only one that does.
+// which doubles for each that sent nothing. After a change of address the new stream is opened beside the old one, which is
+// left as soon as the new one sends something: until then the old one may be the only one that does.
 
 import (
 	"context"
@@ -15,16 +15,16 @@
 	reconnectPauseMax = 1000.0 // ms, before jitter: discovery's changes count as known 4 to 6 s after they were made
 )
 
-// streamState is where the newest stream stands.
+// streamState is the state of the newest stream.
 type streamState uint8
 
 const (
-	streamConnecting streamState = iota // opened; it has told nothing yet
-	streamConnected                     // it has told something
+	streamConnecting streamState = iota // opened; nothing has come on it yet
+	streamConnected                     // something has come on it
 	streamBackingOff                    // lost; it is opened again after the pause
 )
 
-// streamConfig says which stream is kept and who is told of it.
+// streamConfig says which stream is kept and who hears of it.
 type streamConfig struct {
 	// read opens one stream and reads it until it ends, at the latest with ctx, and returns why. It calls heard whenever
 	// something has come, from the goroutine that it was called on.
@@ -41,7 +41,7 @@
 // streamKeeper is the state of keepStream, which owns it. The readers' goroutines only send on its channels.
 type streamKeeper struct {
 	config streamConfig
-	heard  chan int       // the number of a stream that has told something for the first time
+	heard  chan int       // the number of a stream on which something has come for the first time
 	ended  chan streamEnd // a stream that has ended
 	retry  <-chan time.Time
 
@@ -49,7 +49,7 @@
 	newest         int     // number of the newest stream
 	pause          float64 // ms, before the next reconnect
 	cancelNewest   func()  // ends the newest stream
-	cancelPrevious func()  // ends the stream that is kept until the newest tells something
+	cancelPrevious func()  // ends the stream that is kept until something comes on the newest
 }
 
 // streamEnd is the end of one stream.
@@ -127,7 +127,7 @@
 	}
 }
 
-// connected leaves the previous stream, now that the newest has told something.
+// connected leaves the previous stream, now that something has come on the newest.
 func (k *streamKeeper) connected(number int) {
 	if number != k.newest {
 		return
@@ -136,7 +136,7 @@
 	k.state, k.pause = streamConnected, reconnectPauseMin
 }
 
-// move opens a stream to the new address. One that has told something is kept until the new one does; one that has not is left.
+// move opens a stream to the new address. One on which something has come is kept until that is so of the new one; else it is left.
 func (k *streamKeeper) move(ctx context.Context) {
 	if k.state == streamConnected {
 		k.cancelPrevious = k.cancelNewest
--- a/internal/httpwire/upstream.go
+++ b/internal/httpwire/upstream.go
@@ -4,7 +4,7 @@
 // are pool.go (connections kept for reuse), conn.go (one connection and one round trip on it), upstreamresponse.go (the parser),
 // attempt.go (one attempt and its outcome), loadprobe.go and loadreport.go.
 //
-// The upstream side must never resend anything on its own, pick a backend, or give up sooner than it is told: one call is one
+// The upstream side must never resend anything on its own, pick a backend, or give up before it is canceled: one call is one
 // attempt, and one result comes of it.
 
 import (
