--- a/internal/httpwire/listversion.go
+++ b/internal/httpwire/listversion.go
@@ -13,7 +13,7 @@
 //	generation  version          list                     taken
 //	older       any              any                      no: that address is left once the next one has sent something
 //	same        same or newer    any                      yes
-//	same        older            snapshot on the watch    yes, and versions count anew from it
+//	same        older            snapshot on the watch    yes: versions count anew from it
 //	same        older            from the configuration   yes
 //	same        older            any other                no: stale
 //	newer       same or newer    any                      yes
