--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -4,6 +4,7 @@
 	"math"
 	"slices"
 
+	"onyxgate/policy/gossip"
 	"onyxgate/policy/release"
 )
 
@@ -87,7 +88,7 @@
 	for i := range a.id {
 		if len(a.id) >= minBackendsForReuse && a.state[i] == EndpointRemoved && a.openAttempts[i] == 0 && a.now > a.removedAt[i]+reuseAfter {
 			delete(a.indexOf, a.id[i])
-			delete(a.indexOfHash, backendHash(a.id[i]))
+			delete(a.indexOfHash, gossip.BackendHash(a.id[i]))
 			for arm := range a.evidence {
 				for p, e := range a.evidence[arm] {
 					a.evidence[arm][p] = slices.DeleteFunc(e, func(o outcome) bool { return o.backend == i })
@@ -100,8 +101,10 @@
 	for _, x := range []*[]int{&a.zone, &a.hardwareClass, &a.cell, &a.openAttempts} {
 		*x = append(*x, 0)
 	}
-	for _, x := range []*[]float64{&a.weight, &a.startedAt, &a.successes, &a.failures, &a.recordUpdatedAt, &a.latencyInflation, &a.slowStartBudget, &a.slowStartBudgetAt, &a.concurrencyLimit,
-		&a.upSince, &a.reportedLoad, &a.reportedAt, &a.consecutiveFailures, &a.ejectedUntil, &a.removedAt} {
+	for _, x := range []*[]float64{
+		&a.weight, &a.startedAt, &a.successes, &a.failures, &a.recordUpdatedAt, &a.latencyInflation, &a.slowStartBudget, &a.slowStartBudgetAt, &a.concurrencyLimit,
+		&a.upSince, &a.reportedLoad, &a.reportedAt, &a.consecutiveFailures, &a.ejectedUntil, &a.removedAt,
+	} {
 		*x = append(*x, 0)
 	}
 	a.id, a.state, a.recentLatencies = append(a.id, ""), append(a.state, EndpointRemoved), append(a.recentLatencies, nil)
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -1,57 +1,48 @@
 package policy
 
-import (
-	"encoding/binary"
-	"hash/fnv"
-	"math"
-)
-
-// Outcomes go to the judging agents as fixed records: appliance by hash, build, product, how it went, latency
-// and age.
-const summarySize = 14
+import "onyxgate/policy/gossip"
 
-func backendHash(id string) uint32 {
-	h := fnv.New32a()
-	h.Write([]byte(id))
-	return h.Sum32()
-}
+// This file owns whom the instance tells what it sees of releases, and what a summary received from another one does. The
+// first few instances evaluate for the fleet (isEvaluator); all send their outcomes to those.
 
-func (a *Instance) queueSummary(o outcome, build ReleaseID, product int) {
-	flags := byte(0)
-	if o.failed {
-		flags = 1
-	}
-	if o.connectionBroken {
-		flags |= 2
-	}
-	b := binary.LittleEndian.AppendUint32(nil, backendHash(a.id[o.backend]))
-	b = binary.LittleEndian.AppendUint16(b, uint16(build))
-	b = append(b, byte(product), flags)
-	b = binary.LittleEndian.AppendUint32(b, math.Float32bits(float32(o.latency)))
-	a.summaries, a.summaryTimes = append(a.summaries, b), append(a.summaryTimes, o.at)
-}
+const (
+	broadcastInterval = 500 // ms, between two rounds of messages
+	maxMessageBytes   = 250 // in one message
+)
 
-// encodeSummaries empties the notes into messages.
-func (a *Instance) encodeSummaries(most int) (out [][]byte) {
-	for k, b := range a.summaries {
-		if k%(most/summarySize) == 0 {
-			out = append(out, nil)
-		}
-		age := min(max(a.now-a.summaryTimes[k], 0), math.MaxUint16)
-		out[len(out)-1] = binary.LittleEndian.AppendUint16(append(out[len(out)-1], b...), uint16(age))
-	}
-	a.summaries, a.summaryTimes = nil, nil
-	return out
+// queueSummary queues an attempt's outcome for the evaluators.
+func (a *Instance) queueSummary(o outcome, release ReleaseID, class int) {
+	a.summaries.Add(gossip.Summary{
+		BackendHash:      gossip.BackendHash(a.id[o.backend]),
+		Release:          int(release),
+		Class:            class,
+		Failed:           o.failed,
+		ConnectionBroken: o.connectionBroken,
+		Latency:          o.latency,
+		EndedAt:          o.at,
+	})
 }
 
-// broadcastSummaries sends the outcomes of late to those who judge.
+// broadcastSummaries sends the queued outcomes to the evaluators.
 func (a *Instance) broadcastSummaries() {
 	a.broadcastAt = a.now + broadcastInterval
-	for _, note := range a.encodeSummaries(maxMessageBytes) {
-		for k := range min(evaluators, a.instances) {
-			if k != a.index {
-				a.port.SendMessage(k, note)
+	for _, message := range a.summaries.Encode(a.now, maxMessageBytes) {
+		for evaluator := range min(evaluators, a.instances) {
+			if evaluator != a.index {
+				a.port.SendMessage(evaluator, message)
 			}
 		}
 	}
 }
+
+// mergeSummary takes another instance's outcome as if it were an own one. One of a backend or class that is not known here,
+// or that comes before any release is announced, is ignored.
+func (a *Instance) mergeSummary(s gossip.Summary) {
+	backend, known := a.indexOfHash[s.BackendHash]
+	if !known || s.Class >= len(a.classes) || !a.announced {
+		return
+	}
+	a.countArrival(a.now)
+	a.addEvidence(ReleaseID(s.Release), s.Class,
+		outcome{at: s.EndedAt, latency: s.Latency, failed: s.Failed, connectionBroken: s.ConnectionBroken, backend: backend})
+}
--- a/policy/instance.go
+++ b/policy/instance.go
@@ -1,13 +1,13 @@
 package policy
 
 import (
-	"encoding/binary"
 	"maps"
 	"math"
 	"math/rand/v2"
 	"slices"
 
 	"onyxgate/policy/exposure"
+	"onyxgate/policy/gossip"
 	"onyxgate/policy/release"
 )
 
@@ -18,19 +18,11 @@
 	a.applyRules()
 }
 
-// OnMessage takes another agent's outcomes; what names an unknown appliance or product is passed over.
+// OnMessage takes another instance's outcome summaries; what it can't read or does not know is ignored.
 func (a *Instance) OnMessage(now float64, raw []byte) {
 	a.advanceClock(now)
-	for ; len(raw) >= summarySize; raw = raw[summarySize:] {
-		i, ok := a.indexOfHash[binary.LittleEndian.Uint32(raw)]
-		build, product := ReleaseID(binary.LittleEndian.Uint16(raw[4:])), int(raw[6])
-		lat := float64(math.Float32frombits(binary.LittleEndian.Uint32(raw[8:])))
-		if !ok || product >= len(a.classes) || !a.announced || !(lat >= 0 && lat < 1e9) {
-			continue
-		}
-		a.countArrival(now)
-		at := now - float64(binary.LittleEndian.Uint16(raw[12:]))
-		a.addEvidence(build, product, outcome{at: at, latency: lat, failed: raw[7]&1 != 0, connectionBroken: raw[7]&2 != 0, backend: i})
+	for _, summary := range gossip.Decode(now, raw) {
+		a.mergeSummary(summary)
 	}
 	a.applyRules()
 }
@@ -51,7 +43,7 @@
 		{"overdue", func(a *Instance) bool { return len(a.pending) > 0 }, (*Instance).handleOverdue},
 		{"ask", func(a *Instance) bool { return a.discoveryOnDemand && !a.watching && a.now >= a.watchDueAt }, (*Instance).watchEndpoints},
 		{"judge", func(a *Instance) bool { return a.now >= a.evaluateAt }, (*Instance).evaluate},
-		{"tell", func(a *Instance) bool { return len(a.summaries) > 0 && a.now >= a.broadcastAt }, (*Instance).broadcastSummaries},
+		{"tell", func(a *Instance) bool { return a.summaries.Len() > 0 && a.now >= a.broadcastAt }, (*Instance).broadcastSummaries},
 		{"vote", (*Instance).voteDue, (*Instance).sendVote},
 		{"arm", func(a *Instance) bool { return len(a.timers) > 0 && a.timers[0].at < a.armedAt }, (*Instance).armTimer},
 	}
@@ -65,8 +57,7 @@
 	salt                              uint64
 	index, instances                  int
 	peerMessages                      bool // messages between agents
-	summaries                         [][]byte
-	summaryTimes                      []float64
+	summaries                         gossip.Queue
 	broadcastAt                       float64
 	classes                           []RequestClass
 	maxOpenRequests                   float64 // txns that the agent can bear at once
@@ -148,7 +139,7 @@
 		i, ok := a.indexOf[e.ID]
 		if !ok {
 			i = a.allocateIndex()
-			a.indexOf[e.ID], a.indexOfHash[backendHash(e.ID)], a.id[i] = i, i, e.ID
+			a.indexOf[e.ID], a.indexOfHash[gossip.BackendHash(e.ID)], a.id[i] = i, i, e.ID
 			a.openAttempts[i], a.recordUpdatedAt[i], a.startedAt[i], a.release[i] = 0, 0, -1, 0
 		}
 		if a.startedAt[i] != e.StartedAt || a.release[i] != e.Release {
--- a/policy/rolloutconstants.go
+++ b/policy/rolloutconstants.go
@@ -24,7 +24,6 @@
 	inflationWindow, saturationLimit    = 3000, 7000
 	voteRetryPause, outdatedVotePause   = 300, 3000 // before a vote is sent again that did not count, or did not fit
 	sliceCount, maxEvidence             = 5, 400    // slices; outcomes kept by build and product
-	broadcastInterval, maxMessageBytes  = 500, 250  // and bytes in a message
 	saturatedFrom, saturatedUntil       = 1.6, 1.35 // times the latency before the build: hot, and no longer so
 	renewalShare, renewalSpread         = 0.7, 0.2  // of a vote's life, and up to this later: renewals scatter
 )
