--- a/policy/gossip/gossip_test.go
+++ b/policy/gossip/gossip_test.go
@@ -61,25 +61,15 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var queue Queue
-			var want []Summary
-			for i := range c.count {
-				summary := Summary{BackendHash: uint32(i) * 7919, Release: i, Class: i % 4, Failed: i%2 == 0, ConnectionBroken: i%4 == 0, Latency: float64(i) * 0.5, EndedAt: float64(1000 - i)}
+			want := summariesOf(c.count)
+			for _, summary := range want {
 				queue.Add(summary)
-				want = append(want, summary)
 			}
 			if queue.Len() != c.count {
 				t.Errorf("%d wait, want %d", queue.Len(), c.count)
 			}
 			messages := queue.Encode(1000, c.maxBytes)
-			var sizes []int
-			var got []Summary
-			for _, message := range messages {
-				sizes = append(sizes, len(message)/RecordSize)
-				got = append(got, Decode(1000, message)...)
-				if len(message) > c.maxBytes || len(message)%RecordSize != 0 {
-					t.Errorf("message of %d bytes", len(message))
-				}
-			}
+			sizes, got := decodeAll(t, messages, c.maxBytes)
 			if fmt.Sprint(sizes) != fmt.Sprint(c.wantMessages) {
 				t.Errorf("records by message: got %v, want %v", sizes, c.wantMessages)
 			}
@@ -93,6 +83,30 @@
 	}
 }
 
+// decodeAll reads messages of at most maxBytes each: the records in each message, and all summaries.
+func decodeAll(t *testing.T, messages [][]byte, maxBytes int) (sizes []int, summaries []Summary) {
+	t.Helper()
+	for _, message := range messages {
+		sizes = append(sizes, len(message)/RecordSize)
+		summaries = append(summaries, Decode(1000, message)...)
+		if len(message) > maxBytes || len(message)%RecordSize != 0 {
+			t.Errorf("message of %d bytes", len(message))
+		}
+	}
+	return sizes, summaries
+}
+
+// summariesOf makes summaries that differ in every field and lose nothing in a record.
+func summariesOf(count int) (summaries []Summary) {
+	for i := range count {
+		summaries = append(summaries, Summary{
+			BackendHash: uint32(i) * 7919, Release: i, Class: i % 4, Failed: i%2 == 0, ConnectionBroken: i%4 == 0,
+			Latency: float64(i) * 0.5, EndedAt: float64(1000 - i),
+		})
+	}
+	return summaries
+}
+
 // What cannot be read is left out, and hides nothing that can be.
 func TestDecodeDamaged(t *testing.T) {
 	var queue Queue
