--- a/policy/admission.go
+++ b/policy/admission.go
@@ -3,80 +3,80 @@
 import "math"
 
 // admit sets a new txn's SLA time and counts it where the cap, the reserve for the dear and the heat need it.
-func (a *Instance) admit(t *request, r Request) {
-	p := &a.classes[t.class]
-	t.objectiveAt = t.arrivedAt + p.LatencyObjective + p.ObjectivePerWork*r.Work
+func (inst *Instance) admit(req *request, r Request) {
+	class := &inst.classes[req.class]
+	req.objectiveAt = req.arrivedAt + class.LatencyObjective + class.ObjectivePerWork*r.Work
 	// A repeat's SLA time began with the first try: what is left of the expiry tells, once less than usual.
-	a.longestTimeLeft[t.class] = max(a.longestTimeLeft[t.class], r.TimeLeft)
-	if r.Retry && r.TimeLeft < a.longestTimeLeft[t.class]-1 {
-		t.objectiveAt -= p.Timeout - r.TimeLeft
+	inst.longestTimeLeft[req.class] = max(inst.longestTimeLeft[req.class], r.TimeLeft)
+	if r.Retry && r.TimeLeft < inst.longestTimeLeft[req.class]-1 {
+		req.objectiveAt -= class.Timeout - r.TimeLeft
 	}
-	t.objectiveAt = min(t.objectiveAt, t.deadline)
-	t.value = p.Value
-	if t.tenant < len(a.quotas) && a.overQuota(t) {
-		t.value *= a.overQuotaValue
+	req.objectiveAt = min(req.objectiveAt, req.deadline)
+	req.value = class.Value
+	if req.tenant < len(inst.quotas) && inst.overQuota(req) {
+		req.value *= inst.overQuotaValue
 	}
-	a.meanValue += (t.value - a.meanValue) * max(meanStep, 1/a.requestsTaken)
-	a.allowance.OnRequest(a.exposureLane(t.class), a.releases)
-	a.pending, a.cancellationBudget = append(a.pending, t), min(a.cancellationBudget+cancellationsPerRequest, maxCancellations)
-	a.schedule(t.deadline-finalAnswerMargin, t)
+	inst.meanValue += (req.value - inst.meanValue) * max(meanStep, 1/inst.requestsTaken)
+	inst.allowance.OnRequest(inst.exposureLane(req.class), inst.releases)
+	inst.pending, inst.cancellationBudget = append(inst.pending, req), min(inst.cancellationBudget+cancellationsPerRequest, maxCancellations)
+	inst.schedule(req.deadline-finalAnswerMargin, req)
 }
 
 // onOverloadSignal moves the part of the txns that is taken on, and of those whose probes went unanswered: down for late
 // answers, up for good ones and with time. Limits on open work bind nothing where each agent has little.
-func (a *Instance) onOverloadSignal(blind bool, short float64) {
-	for k := range a.admission {
+func (inst *Instance) onOverloadSignal(blind bool, short float64) {
+	for k := range inst.admission {
 		if k == 0 || blind {
-			flow := a.admissionProbability(k) * (1 - admissionDecrease*short)
+			flow := inst.admissionProbability(k) * (1 - admissionDecrease*short)
 			if short == 0 {
 				flow += admissionIncrease
 			}
-			a.admission[k], a.admissionAt[k] = min(flow, 1), a.now
+			inst.admission[k], inst.admissionAt[k] = min(flow, 1), inst.now
 		}
 	}
 }
 
 // admits draws whether a txn goes on, the dear sooner.
-func (a *Instance) admits(k int, t *request) bool {
-	return a.rng.Float64() < math.Pow(a.admissionProbability(k)/fullAdmission, a.meanValue/max(t.value, 1e-9))
+func (inst *Instance) admits(k int, req *request) bool {
+	return inst.rng.Float64() < math.Pow(inst.admissionProbability(k)/fullAdmission, inst.meanValue/max(req.value, 1e-9))
 }
 
-func (a *Instance) queueDeadline(t *request) float64 {
-	return t.arrivedAt + maxQueueShare*(t.deadline-t.arrivedAt)
+func (inst *Instance) queueDeadline(req *request) float64 {
+	return req.arrivedAt + maxQueueShare*(req.deadline-req.arrivedAt)
 }
 
 // expectedLatency: what an answer takes. Bounded, or a product sent no more would keep its worst hour's for ever.
-func (a *Instance) expectedLatency(t *request) float64 {
-	return min(a.meanLatency[t.class], maxExpectedLatencyShare*a.classes[t.class].LatencyObjective)
+func (inst *Instance) expectedLatency(req *request) float64 {
+	return min(inst.meanLatency[req.class], maxExpectedLatencyShare*inst.classes[req.class].LatencyObjective)
 }
 
-func (a *Instance) admissionProbability(k int) float64 {
-	return 1 - (1-a.admission[k])*math.Exp(-(a.now-a.admissionAt[k])/admissionRecoveryTime)
+func (inst *Instance) admissionProbability(k int) float64 {
+	return 1 - (1-inst.admission[k])*math.Exp(-(inst.now-inst.admissionAt[k])/admissionRecoveryTime)
 }
 
 // countArrival counts what is asked for.
-func (a *Instance) countArrival(now float64) {
-	a.arrivals = a.arrivals*math.Exp(-(now-a.arrivalsAt)/inflationWindow) + 1
-	a.arrivalsAt = now
-	if a.arrivalsSince == 0 {
-		a.arrivalsSince = now
+func (inst *Instance) countArrival(now float64) {
+	inst.arrivals = inst.arrivals*math.Exp(-(now-inst.arrivalsAt)/inflationWindow) + 1
+	inst.arrivalsAt = now
+	if inst.arrivalsSince == 0 {
+		inst.arrivalsSince = now
 	}
 }
 
 // overQuota tells that a tenant asks for more than its share, of which an agent takes its part to be like
 // others'.
-func (a *Instance) overQuota(t *request) bool {
-	rate := a.quotas[t.tenant] / float64(a.instances)
-	a.quotaTokens[t.tenant] = min(a.quotaTokens[t.tenant]+rate*(t.arrivedAt-a.quotaTokensAt[t.tenant]), rate*quotaBurstTime) - 1
-	a.quotaTokensAt[t.tenant] = t.arrivedAt
-	if a.quotaTokens[t.tenant] < 0 {
-		a.quotaTokens[t.tenant]++
+func (inst *Instance) overQuota(req *request) bool {
+	rate := inst.quotas[req.tenant] / float64(inst.instances)
+	inst.quotaTokens[req.tenant] = min(inst.quotaTokens[req.tenant]+rate*(req.arrivedAt-inst.quotaTokensAt[req.tenant]), rate*quotaBurstTime) - 1
+	inst.quotaTokensAt[req.tenant] = req.arrivedAt
+	if inst.quotaTokens[req.tenant] < 0 {
+		inst.quotaTokens[req.tenant]++
 		return true
 	}
 	return false
 }
 
 // arrivalRate is the first tries of late, right also soon after the start, when few can have been counted.
-func (a *Instance) arrivalRate() float64 {
-	return a.arrivals * math.Exp(-(a.now-a.arrivalsAt)/inflationWindow) / max(1-math.Exp(-(a.now-a.arrivalsSince)/inflationWindow), 0.05)
+func (inst *Instance) arrivalRate() float64 {
+	return inst.arrivals * math.Exp(-(inst.now-inst.arrivalsAt)/inflationWindow) / max(1-math.Exp(-(inst.now-inst.arrivalsSince)/inflationWindow), 0.05)
 }
--- a/policy/balance.go
+++ b/policy/balance.go
@@ -3,64 +3,64 @@
 import "math"
 
 // rolloutShare is the part of the txns for the newest build: its machines' share, within the cap.
-func (a *Instance) rolloutShare() float64 {
-	limit, all := a.rolloutCap*capUtilization, a.capacity[0]+a.capacity[1]
+func (inst *Instance) rolloutShare() float64 {
+	limit, all := inst.rolloutCap*capUtilization, inst.capacity[0]+inst.capacity[1]
 	if limit >= capUtilization {
 		limit = 1
 	}
 	// Where the earlier machines stay, the last stage's get what their places would, at no more load a machine.
-	if a.inLastStage() {
-		all = min(all, a.placesWeight)
+	if inst.inLastStage() {
+		all = min(all, inst.placesWeight)
 	}
-	return min(a.capacity[1]/max(all, 1e-9), limit)
+	return min(inst.capacity[1]/max(all, 1e-9), limit)
 }
 
 // inLastStage: earlier machines that stay are idle in a stage over all places, and latencies are not compared.
-func (a *Instance) inLastStage() bool {
-	return a.stage == len(a.stages)-1 && a.placesWeight > 0 && a.rolloutRelease <= a.newest
+func (inst *Instance) inLastStage() bool {
+	return inst.stage == len(inst.stages)-1 && inst.placesWeight > 0 && inst.rolloutRelease <= inst.newest
 }
 
 // pickBackend chooses the arm, then of some random appliances in it the one with least to do for its size.
-func (a *Instance) pickBackend(t *request) int {
+func (inst *Instance) pickBackend(req *request) int {
 	// What failed on the trial build is tried elsewhere.
-	failed := len(t.attempts) > 0 && a.underCap(t.attempts[len(t.attempts)-1].release)
-	trial := !failed && a.rolloutDraw(t) < a.rolloutShare()
-	untied := t.affinityKey != 0 && a.rolloutCap < 1 && a.oldestAllowedRelease(t) < a.rolloutRelease
-	if untied && a.popularKeys[t.key] > 2+maxKeyShareOfCap*a.rolloutCap*a.requestsTaken {
+	failed := len(req.attempts) > 0 && inst.underCap(req.attempts[len(req.attempts)-1].release)
+	trial := !failed && inst.rolloutDraw(req) < inst.rolloutShare()
+	untied := req.affinityKey != 0 && inst.rolloutCap < 1 && inst.oldestAllowedRelease(req) < inst.rolloutRelease
+	if untied && inst.popularKeys[req.key] > 2+maxKeyShareOfCap*inst.rolloutCap*inst.requestsTaken {
 		trial = false // a popular key, once tied, could need more than the allowance
 	}
-	if i := a.pickCandidate(t, trial); i >= 0 || !trial && untied {
-		return i
+	if backend := inst.pickCandidate(req, trial); backend >= 0 || !trial && untied {
+		return backend
 	}
-	return a.pickCandidate(t, !trial)
+	return inst.pickCandidate(req, !trial)
 }
 
 // rolloutDraw is a txn's place in [0,1): by key where keys stay with a release. The trial's keys are the same ones from the first
 // listing of its release on, before its news, after it and in a process that starts anew.
-func (a *Instance) rolloutDraw(t *request) float64 {
-	if t.affinityKey != 0 {
-		return keyPosition(t.key, a.salt^uint64(max(a.rolloutRelease, a.newest)))
+func (inst *Instance) rolloutDraw(req *request) float64 {
+	if req.affinityKey != 0 {
+		return keyPosition(req.key, inst.salt^uint64(max(inst.rolloutRelease, inst.newest)))
 	}
-	return a.rng.Float64()
+	return inst.rng.Float64()
 }
 
 // pickCandidate draws appliances of one arm by what each can bear, compared by own open work: agents that see little
 // would else all find the same few best. Drawn first, tested after: cost must not grow with the fleet.
-func (a *Instance) pickCandidate(t *request, trial bool) int {
-	in := a.candidates[boolIndex(trial)]
+func (inst *Instance) pickCandidate(req *request, trial bool) int {
+	in := inst.candidates[boolIndex(trial)]
 	best, bestLoad := -1, math.Inf(1)
 	for n, tries := 0, 0; n < choicesCompared && tries < maxDraws && len(in) > 0; tries++ {
-		i := in[a.rng.IntN(len(in))]
-		if a.rng.Float64()*a.maxCapacity > a.capacityOf(i) || a.tried(t, i) || !a.hasCapacity(t, i) || !a.maySendTo(t, i) ||
-			a.drawsUnhealthy(i) {
+		i := in[inst.rng.IntN(len(in))]
+		if inst.rng.Float64()*inst.maxCapacity > inst.capacityOf(i) || inst.tried(req, i) || !inst.hasCapacity(req, i) || !inst.maySendTo(req, i) ||
+			inst.drawsUnhealthy(i) {
 			continue
 		}
 		n++
-		load := float64(a.openAttempts[i])
-		if a.instances < manyInstances { // else reports are old, and false ones would draw all racers
-			load += a.reportedLoadNow(i)
+		load := float64(inst.openAttempts[i])
+		if inst.instances < manyInstances { // else reports are old, and false ones would draw all racers
+			load += inst.reportedLoadNow(i)
 		}
-		if load /= a.capacityOf(i); load < bestLoad {
+		if load /= inst.capacityOf(i); load < bestLoad {
 			best, bestLoad = i, load
 		}
 	}
@@ -68,19 +68,19 @@
 		return best
 	}
 	// Hardly any will do: the first that may go is taken.
-	from := a.rng.IntN(len(in))
+	from := inst.rng.IntN(len(in))
 	for k := range in {
-		if i := in[(from+k)%len(in)]; a.hasCapacity(t, i) && a.maySendTo(t, i) {
-			return i
+		if backend := in[(from+k)%len(in)]; inst.hasCapacity(req, backend) && inst.maySendTo(req, backend) {
+			return backend
 		}
 	}
 	return -1
 }
 
 // capacityOf is what an appliance can bear, as far as is known.
-func (a *Instance) capacityOf(i int) float64 {
-	w := a.weight[i] * a.warmUpProgress(i) / a.latencyInflation[i]
-	if a.crossZonePrice && a.zone[i] != a.zoneIndex {
+func (inst *Instance) capacityOf(backend int) float64 {
+	w := inst.weight[backend] * inst.warmUpProgress(backend) / inst.latencyInflation[backend]
+	if inst.crossZonePrice && inst.zone[backend] != inst.zoneIndex {
 		w /= crossZonePenalty
 	}
 	return w
--- a/policy/config.go
+++ b/policy/config.go
@@ -102,62 +102,62 @@
 
 // New makes an instance that acts through a port. Its decisions follow from the configuration and the events alone.
 func New(port Port, c Config) *Instance {
-	a := &Instance{port: port, rng: NewRand(c.Seed), index: c.Index, instances: max(c.Instances, 1), requests: map[string]*request{}}
-	a.maxOpenRequests, a.armedAt, a.retryQueuedAt, a.admission = math.Inf(1), math.Inf(1), math.Inf(1), [2]float64{1, 1}
-	a.salt = uint64(c.Index+1) << 32 // not by the seed: a process that starts anew draws the same keys for a release that rolls out
-	a.popularKeys = map[string]float64{}
-	a.affinity = exposure.NewAffinity()
-	a.indexOf, a.indexOfHash = map[string]int{}, map[uint32]int{}
-	a.evaluateAt = math.Inf(1)
-	a.configureClasses(c)
-	a.configureSlowStart(c.SlowStart)
-	a.configureExposure(c.Exposure)
-	a.configureRollout(c.Rollout)
-	a.configureTenants(c.Tenants)
+	inst := &Instance{port: port, rng: NewRand(c.Seed), index: c.Index, instances: max(c.Instances, 1), requests: map[string]*request{}}
+	inst.maxOpenRequests, inst.armedAt, inst.retryQueuedAt, inst.admission = math.Inf(1), math.Inf(1), math.Inf(1), [2]float64{1, 1}
+	inst.salt = uint64(c.Index+1) << 32 // not by the seed: a process that starts anew draws the same keys for a release that rolls out
+	inst.popularKeys = map[string]float64{}
+	inst.affinity = exposure.NewAffinity()
+	inst.indexOf, inst.indexOfHash = map[string]int{}, map[uint32]int{}
+	inst.evaluateAt = math.Inf(1)
+	inst.configureClasses(c)
+	inst.configureSlowStart(c.SlowStart)
+	inst.configureExposure(c.Exposure)
+	inst.configureRollout(c.Rollout)
+	inst.configureTenants(c.Tenants)
 	if c.MaxOpenRequests > 0 {
-		a.maxOpenRequests = float64(c.MaxOpenRequests)
+		inst.maxOpenRequests = float64(c.MaxOpenRequests)
 	}
-	a.peerMessages = c.PeerMessages
-	a.probesAllowed, a.probePrice = c.ProbesAllowed, c.ProbePrice
-	a.maxRetryAfter = c.MaxRetryAfter
-	a.zoneIndex, a.crossZonePrice = c.Zone, c.CrossZonePrice
-	a.discoveryOnDemand, a.refreshInterval = c.Discovery.OnDemand, c.Discovery.RefreshInterval
-	return a
+	inst.peerMessages = c.PeerMessages
+	inst.probesAllowed, inst.probePrice = c.ProbesAllowed, c.ProbePrice
+	inst.maxRetryAfter = c.MaxRetryAfter
+	inst.zoneIndex, inst.crossZonePrice = c.Zone, c.CrossZonePrice
+	inst.discoveryOnDemand, inst.refreshInterval = c.Discovery.OnDemand, c.Discovery.RefreshInterval
+	return inst
 }
 
-func (a *Instance) configureSlowStart(c SlowStartConfig) {
-	a.initialCapacity, a.warmUpTime, a.overloadFactor, a.overloadWindow = c.InitialCapacity, c.WarmUp, c.OverloadFactor, c.OverloadWindow
+func (inst *Instance) configureSlowStart(c SlowStartConfig) {
+	inst.initialCapacity, inst.warmUpTime, inst.overloadFactor, inst.overloadWindow = c.InitialCapacity, c.WarmUp, c.OverloadFactor, c.OverloadWindow
 }
 
-func (a *Instance) configureClasses(c Config) {
+func (inst *Instance) configureClasses(c Config) {
 	n := len(c.Classes)
-	a.classes, a.maxAttempts, a.concurrentAttempts, a.cancelAllowed = c.Classes, c.MaxAttempts, c.ConcurrentAttempts, c.CancelAllowed
-	a.meanLatencyPerWork, a.tailLatency = make([]float64, n), make([]float64, n)
-	a.meanLatency, a.longestTimeLeft = make([]float64, n), make([]float64, n)
-	for p := range a.tailLatency {
-		a.tailLatency[p] = math.Inf(1)
+	inst.classes, inst.maxAttempts, inst.concurrentAttempts, inst.cancelAllowed = c.Classes, c.MaxAttempts, c.ConcurrentAttempts, c.CancelAllowed
+	inst.meanLatencyPerWork, inst.tailLatency = make([]float64, n), make([]float64, n)
+	inst.meanLatency, inst.longestTimeLeft = make([]float64, n), make([]float64, n)
+	for p := range inst.tailLatency {
+		inst.tailLatency[p] = math.Inf(1)
 	}
-	a.baseline.usual, a.saturatedSince, a.baselineCorrection = make([]float64, n), math.Inf(1), 1
-	for i := range a.evidence {
-		a.evidence[i] = make([][]outcome, n)
+	inst.baseline.usual, inst.saturatedSince, inst.baselineCorrection = make([]float64, n), math.Inf(1), 1
+	for i := range inst.evidence {
+		inst.evidence[i] = make([][]outcome, n)
 	}
 }
 
-func (a *Instance) configureExposure(c ExposureConfig) {
-	a.guardedStages, a.exposurePerClass, a.keyAffinity, a.exposureWindow = c.GuardedStages, c.PerClass, c.KeyAffinity, c.Window
+func (inst *Instance) configureExposure(c ExposureConfig) {
+	inst.guardedStages, inst.exposurePerClass, inst.keyAffinity, inst.exposureWindow = c.GuardedStages, c.PerClass, c.KeyAffinity, c.Window
 	first := 0.0
 	if len(c.Caps) > 0 {
 		first = c.Caps[0]
 	}
-	a.releases = release.NewBook(first)
-	a.allowance = exposure.NewAllowance(c.FreeAttempts, len(a.classes))
+	inst.releases = release.NewBook(first)
+	inst.allowance = exposure.NewAllowance(c.FreeAttempts, len(inst.classes))
 }
 
-func (a *Instance) configureRollout(c RolloutConfig) {
-	a.stages, a.control, a.rollbackVotes, a.voteLifetime = c.Stages, c.Control, max(c.RollbackVotes, 1), c.VoteLifetime
+func (inst *Instance) configureRollout(c RolloutConfig) {
+	inst.stages, inst.control, inst.rollbackVotes, inst.voteLifetime = c.Stages, c.Control, max(c.RollbackVotes, 1), c.VoteLifetime
 }
 
-func (a *Instance) configureTenants(c TenantConfig) {
-	a.quotas, a.overQuotaValue = c.Quotas, c.OverQuotaValue
-	a.quotaTokens, a.quotaTokensAt = make([]float64, len(c.Quotas)), make([]float64, len(c.Quotas))
+func (inst *Instance) configureTenants(c TenantConfig) {
+	inst.quotas, inst.overQuotaValue = c.Quotas, c.OverQuotaValue
+	inst.quotaTokens, inst.quotaTokensAt = make([]float64, len(c.Quotas)), make([]float64, len(c.Quotas))
 }
--- a/policy/decision_bench_test.go
+++ b/policy/decision_bench_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// quiet is a port that keeps nothing.
-type quiet struct{ record }
+// discardingPort is a port that keeps nothing.
+type discardingPort struct{ recordingPort }
 
-func (q *quiet) SendAttempt(txn, appliance string, limit float64) {
+func (q *discardingPort) SendAttempt(txn, appliance string, limit float64) {
 	q.did = append(q.did[:0], appliance)
 }
 
@@ -16,12 +16,12 @@
 func BenchmarkDecision(b *testing.B) {
 	for _, n := range []int{10, 200, 3200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			q := &quiet{}
-			a := New(q, Config{Seed: 7, Instances: 300})
-			a.configureClasses(Config{Classes: []RequestClass{{LatencyObjective: 1000, Timeout: 4000, Value: 1}}, MaxAttempts: 5, ConcurrentAttempts: true, CancelAllowed: true})
-			a.configureExposure(ExposureConfig{FreeAttempts: 2, Caps: []float64{0.1, 0.5, 1}, PerClass: true, KeyAffinity: true})
-			a.configureRollout(RolloutConfig{Stages: []float64{0.1, 0.5, 1}, Control: ControlMajority, RollbackVotes: 1, VoteLifetime: 4000})
-			a.OnReleaseUpdate(1, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.1, Known: true})
+			q := &discardingPort{}
+			inst := New(q, Config{Seed: 7, Instances: 300})
+			inst.configureClasses(Config{Classes: []RequestClass{{LatencyObjective: 1000, Timeout: 4000, Value: 1}}, MaxAttempts: 5, ConcurrentAttempts: true, CancelAllowed: true})
+			inst.configureExposure(ExposureConfig{FreeAttempts: 2, Caps: []float64{0.1, 0.5, 1}, PerClass: true, KeyAffinity: true})
+			inst.configureRollout(RolloutConfig{Stages: []float64{0.1, 0.5, 1}, Control: ControlMajority, RollbackVotes: 1, VoteLifetime: 4000})
+			inst.OnReleaseUpdate(1, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.1, Known: true})
 			var list []Endpoint
 			for i := range n {
 				build := ReleaseID(1)
@@ -30,7 +30,7 @@
 				}
 				list = append(list, Endpoint{ID: fmt.Sprint("s", i), Release: build, Weight: 1})
 			}
-			a.OnEndpoints(1, EndpointUpdate{Endpoints: list, Snapshot: true})
+			inst.OnEndpoints(1, EndpointUpdate{Endpoints: list, Snapshot: true})
 			keys := make([]string, 4096)
 			ids := make([]string, 4096)
 			for k := range keys {
@@ -41,8 +41,8 @@
 			for k := range b.N {
 				now := 10 + float64(k)*0.5
 				id := ids[k&4095]
-				a.OnRequest(now, Request{ID: id, Key: keys[(k*7)&4095], TimeLeft: 4000})
-				a.OnAttemptResult(now+0.2, AttemptResult{RequestID: id, Status: StatusServed, Final: true, Took: 10})
+				inst.OnRequest(now, Request{ID: id, Key: keys[(k*7)&4095], TimeLeft: 4000})
+				inst.OnAttemptResult(now+0.2, AttemptResult{RequestID: id, Status: StatusServed, Final: true, Took: 10})
 			}
 		})
 	}
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -10,10 +10,10 @@
 
 // scheduleWatchRetry: a failure does not say which call it was, so the subscription is asked for again, later each
 // time and scattered, yet well before the agent would be taken to know what it was not told.
-func (a *Instance) scheduleWatchRetry() {
-	part := min(firstWatchRetry*math.Pow(2, a.watchFailures), maxWatchRetry) * (1 + a.rng.Float64())
-	a.watching, a.watchDueAt, a.watchFailures = false, a.now+a.refreshInterval*part, a.watchFailures+1
-	a.schedule(a.watchDueAt, nil)
+func (inst *Instance) scheduleWatchRetry() {
+	part := min(firstWatchRetry*math.Pow(2, inst.watchFailures), maxWatchRetry) * (1 + inst.rng.Float64())
+	inst.watching, inst.watchDueAt, inst.watchFailures = false, inst.now+inst.refreshInterval*part, inst.watchFailures+1
+	inst.schedule(inst.watchDueAt, nil)
 }
 
 // endpointTable holds what is known of each appliance, in parallel arrays under a small index.
@@ -49,64 +49,64 @@
 	refreshInterval, watchDueAt                    float64
 }
 
-func (a *Instance) watchEndpoints() {
-	a.port.WatchEndpoints()
-	a.watching = true // until a failure is told
+func (inst *Instance) watchEndpoints() {
+	inst.port.WatchEndpoints()
+	inst.watching = true // until a failure is told
 }
 
 // refreshAggregates sums over the fleet what choosing a place needs.
-func (a *Instance) refreshAggregates() {
-	a.aggregatesDueAt = a.now + evaluationInterval
-	a.candidates[0], a.candidates[1] = a.candidates[0][:0], a.candidates[1][:0]
-	a.capacity, a.totalConcurrencyLimit, a.warmWeight, a.maxCapacity, a.rolloutCap, a.rolloutRelease = [2]float64{}, 0, 0, 0, 0, 0
-	a.inferReleasedReleases()
-	for i := range a.id {
-		if a.state[i] != EndpointRunning {
+func (inst *Instance) refreshAggregates() {
+	inst.aggregatesDueAt = inst.now + evaluationInterval
+	inst.candidates[0], inst.candidates[1] = inst.candidates[0][:0], inst.candidates[1][:0]
+	inst.capacity, inst.totalConcurrencyLimit, inst.warmWeight, inst.maxCapacity, inst.rolloutCap, inst.rolloutRelease = [2]float64{}, 0, 0, 0, 0, 0
+	inst.inferReleasedReleases()
+	for i := range inst.id {
+		if inst.state[i] != EndpointRunning {
 			continue
 		}
-		arm, w := 0, a.weight[i]*a.warmUpProgress(i)
-		if limit, limited := a.releases.Cap(a.release[i]); limited && limit <= 0 {
+		arm, w := 0, inst.weight[i]*inst.warmUpProgress(i)
+		if limit, limited := inst.releases.Cap(inst.release[i]); limited && limit <= 0 {
 			continue // nothing may go there
 		} else if limited {
-			arm, a.rolloutCap = 1, max(a.rolloutCap, limit)
-			if a.release[i] != release.Unknown {
-				a.rolloutRelease = max(a.rolloutRelease, a.release[i])
+			arm, inst.rolloutCap = 1, max(inst.rolloutCap, limit)
+			if inst.release[i] != release.Unknown {
+				inst.rolloutRelease = max(inst.rolloutRelease, inst.release[i])
 			}
 		}
-		a.candidates[arm] = append(a.candidates[arm], i)
-		a.capacity[arm] += w
-		a.totalConcurrencyLimit += a.concurrencyLimit[i]
-		a.maxCapacity = max(a.maxCapacity, a.capacityOf(i))
-		if a.warmUpProgress(i) >= 1 {
-			a.warmWeight += a.weight[i]
+		inst.candidates[arm] = append(inst.candidates[arm], i)
+		inst.capacity[arm] += w
+		inst.totalConcurrencyLimit += inst.concurrencyLimit[i]
+		inst.maxCapacity = max(inst.maxCapacity, inst.capacityOf(i))
+		if inst.warmUpProgress(i) >= 1 {
+			inst.warmWeight += inst.weight[i]
 		}
 	}
 }
 
 // allocateIndex is a place in the arrays: a new one, or where there are many that of an appliance long gone.
-func (a *Instance) allocateIndex() int {
-	for i := range a.id {
-		if len(a.id) >= minBackendsForReuse && a.state[i] == EndpointRemoved && a.openAttempts[i] == 0 && a.now > a.removedAt[i]+reuseAfter {
-			delete(a.indexOf, a.id[i])
-			delete(a.indexOfHash, gossip.BackendHash(a.id[i]))
-			for arm := range a.evidence {
-				for p, e := range a.evidence[arm] {
-					a.evidence[arm][p] = slices.DeleteFunc(e, func(o outcome) bool { return o.backend == i })
+func (inst *Instance) allocateIndex() int {
+	for i := range inst.id {
+		if len(inst.id) >= minBackendsForReuse && inst.state[i] == EndpointRemoved && inst.openAttempts[i] == 0 && inst.now > inst.removedAt[i]+reuseAfter {
+			delete(inst.indexOf, inst.id[i])
+			delete(inst.indexOfHash, gossip.BackendHash(inst.id[i]))
+			for arm := range inst.evidence {
+				for p, e := range inst.evidence[arm] {
+					inst.evidence[arm][p] = slices.DeleteFunc(e, func(o outcome) bool { return o.backend == i })
 				}
 			}
 			return i
 		}
 	}
-	a.release = append(a.release, 0)
-	for _, x := range []*[]int{&a.zone, &a.hardwareClass, &a.cell, &a.openAttempts} {
+	inst.release = append(inst.release, 0)
+	for _, x := range []*[]int{&inst.zone, &inst.hardwareClass, &inst.cell, &inst.openAttempts} {
 		*x = append(*x, 0)
 	}
 	for _, x := range []*[]float64{
-		&a.weight, &a.startedAt, &a.successes, &a.failures, &a.recordUpdatedAt, &a.latencyInflation, &a.slowStartBudget, &a.slowStartBudgetAt, &a.concurrencyLimit,
-		&a.upSince, &a.reportedLoad, &a.reportedAt, &a.consecutiveFailures, &a.ejectedUntil, &a.removedAt,
+		&inst.weight, &inst.startedAt, &inst.successes, &inst.failures, &inst.recordUpdatedAt, &inst.latencyInflation, &inst.slowStartBudget, &inst.slowStartBudgetAt, &inst.concurrencyLimit,
+		&inst.upSince, &inst.reportedLoad, &inst.reportedAt, &inst.consecutiveFailures, &inst.ejectedUntil, &inst.removedAt,
 	} {
 		*x = append(*x, 0)
 	}
-	a.id, a.state, a.recentLatencies = append(a.id, ""), append(a.state, EndpointRemoved), append(a.recentLatencies, nil)
-	return len(a.id) - 1
+	inst.id, inst.state, inst.recentLatencies = append(inst.id, ""), append(inst.state, EndpointRemoved), append(inst.recentLatencies, nil)
+	return len(inst.id) - 1
 }
--- a/policy/health.go
+++ b/policy/health.go
@@ -7,26 +7,26 @@
 )
 
 // drawsUnhealthy draws an appliance's chance of an answer in time from its posterior, held against the fleet's.
-func (a *Instance) drawsUnhealthy(i int) bool {
-	f, all := math.Exp(-(a.now-a.recordUpdatedAt[i])/healthDecayTime), math.Exp(-(a.now-a.totalUpdatedAt)/healthDecayTime)
-	good, poor := a.totalSuccesses*all, a.totalFailures*all
-	if a.failures[i]*f < 0.5 {
+func (inst *Instance) drawsUnhealthy(backend int) bool {
+	f, all := math.Exp(-(inst.now-inst.recordUpdatedAt[backend])/healthDecayTime), math.Exp(-(inst.now-inst.totalUpdatedAt)/healthDecayTime)
+	good, poor := inst.totalSuccesses*all, inst.totalFailures*all
+	if inst.failures[backend]*f < 0.5 {
 		return false
 	}
-	drawn := distuv.Beta{Alpha: 1 + a.successes[i]*f, Beta: 1 + a.failures[i]*f, Src: a.rng}.Rand()
+	drawn := distuv.Beta{Alpha: 1 + inst.successes[backend]*f, Beta: 1 + inst.failures[backend]*f, Src: inst.rng}.Rand()
 	return drawn < healthThreshold*(good+1)/(good+poor+1)
 }
 
-func (a *Instance) recordAnswer(i int, good bool) {
-	f := math.Exp(-(a.now - a.totalUpdatedAt) / healthDecayTime)
-	a.totalSuccesses, a.totalFailures, a.totalUpdatedAt = a.totalSuccesses*f, a.totalFailures*f, a.now
-	f = math.Exp(-(a.now - a.recordUpdatedAt[i]) / healthDecayTime)
-	a.successes[i], a.failures[i], a.recordUpdatedAt[i] = a.successes[i]*f, a.failures[i]*f, a.now
+func (inst *Instance) recordAnswer(backend int, good bool) {
+	f := math.Exp(-(inst.now - inst.totalUpdatedAt) / healthDecayTime)
+	inst.totalSuccesses, inst.totalFailures, inst.totalUpdatedAt = inst.totalSuccesses*f, inst.totalFailures*f, inst.now
+	f = math.Exp(-(inst.now - inst.recordUpdatedAt[backend]) / healthDecayTime)
+	inst.successes[backend], inst.failures[backend], inst.recordUpdatedAt[backend] = inst.successes[backend]*f, inst.failures[backend]*f, inst.now
 	if good {
-		a.successes[i]++
-		a.totalSuccesses++
+		inst.successes[backend]++
+		inst.totalSuccesses++
 	} else {
-		a.failures[i]++
-		a.totalFailures++
+		inst.failures[backend]++
+		inst.totalFailures++
 	}
 }
--- a/policy/instance.go
+++ b/policy/instance.go
@@ -12,19 +12,19 @@
 )
 
 // OnClockStep tells that the wall clock was stepped since this process started.
-func (a *Instance) OnClockStep(now float64) {
-	a.advanceClock(now)
-	a.clockStepped = true
-	a.applyRules()
+func (inst *Instance) OnClockStep(now float64) {
+	inst.advanceClock(now)
+	inst.clockStepped = true
+	inst.applyRules()
 }
 
 // OnMessage takes another instance's outcome summaries; what it can't read or does not know is ignored.
-func (a *Instance) OnMessage(now float64, raw []byte) {
-	a.advanceClock(now)
+func (inst *Instance) OnMessage(now float64, raw []byte) {
+	inst.advanceClock(now)
 	for _, summary := range gossip.Decode(now, raw) {
-		a.mergeSummary(summary)
+		inst.mergeSummary(summary)
 	}
-	a.applyRules()
+	inst.applyRules()
 }
 
 // rules are gone through in order after every input, from the top again after each that fires.
@@ -32,20 +32,22 @@
 
 func init() {
 	rules = []rule{
-		{"survey", func(a *Instance) bool { return a.now >= a.aggregatesDueAt }, (*Instance).refreshAggregates},
-		{"ring", func(a *Instance) bool { return len(a.timers) > 0 && a.timers[0].at <= a.now }, (*Instance).timerFired},
-		{"pass over", func(a *Instance) bool { return len(a.pending) > 0 && a.pending[0].ended }, (*Instance).dropPending},
-		{"last moment", func(a *Instance) bool {
-			return len(a.pending) > 0 && !a.pending[0].streaming && a.now >= a.pending[0].deadline-finalAnswerMargin
-		}, func(a *Instance) { a.answerFinally(a.pending[0]) }},
-		{"route", func(a *Instance) bool { return len(a.pending) > 0 && a.pending[0].openAttempts == 0 }, (*Instance).route},
-		{"recall", func(a *Instance) bool { return a.now >= a.retryQueuedAt && len(a.retryQueue) > 0 }, (*Instance).retryQueued},
-		{"overdue", func(a *Instance) bool { return len(a.pending) > 0 }, (*Instance).handleOverdue},
-		{"ask", func(a *Instance) bool { return a.discoveryOnDemand && !a.watching && a.now >= a.watchDueAt }, (*Instance).watchEndpoints},
-		{"judge", func(a *Instance) bool { return a.now >= a.evaluateAt }, (*Instance).evaluate},
-		{"tell", func(a *Instance) bool { return a.summaries.Len() > 0 && a.now >= a.broadcastAt }, (*Instance).broadcastSummaries},
+		{"survey", func(inst *Instance) bool { return inst.now >= inst.aggregatesDueAt }, (*Instance).refreshAggregates},
+		{"ring", func(inst *Instance) bool { return len(inst.timers) > 0 && inst.timers[0].at <= inst.now }, (*Instance).timerFired},
+		{"pass over", func(inst *Instance) bool { return len(inst.pending) > 0 && inst.pending[0].ended }, (*Instance).dropPending},
+		{"last moment", func(inst *Instance) bool {
+			return len(inst.pending) > 0 && !inst.pending[0].streaming && inst.now >= inst.pending[0].deadline-finalAnswerMargin
+		}, func(inst *Instance) { inst.answerFinally(inst.pending[0]) }},
+		{"route", func(inst *Instance) bool { return len(inst.pending) > 0 && inst.pending[0].openAttempts == 0 }, (*Instance).route},
+		{"recall", func(inst *Instance) bool { return inst.now >= inst.retryQueuedAt && len(inst.retryQueue) > 0 }, (*Instance).retryQueued},
+		{"overdue", func(inst *Instance) bool { return len(inst.pending) > 0 }, (*Instance).handleOverdue},
+		{"ask", func(inst *Instance) bool {
+			return inst.discoveryOnDemand && !inst.watching && inst.now >= inst.watchDueAt
+		}, (*Instance).watchEndpoints},
+		{"judge", func(inst *Instance) bool { return inst.now >= inst.evaluateAt }, (*Instance).evaluate},
+		{"tell", func(inst *Instance) bool { return inst.summaries.Len() > 0 && inst.now >= inst.broadcastAt }, (*Instance).broadcastSummaries},
 		{"vote", (*Instance).voteDue, (*Instance).sendVote},
-		{"arm", func(a *Instance) bool { return len(a.timers) > 0 && a.timers[0].at < a.armedAt }, (*Instance).armTimer},
+		{"arm", func(inst *Instance) bool { return len(inst.timers) > 0 && inst.timers[0].at < inst.armedAt }, (*Instance).armTimer},
 	}
 }
 
@@ -114,125 +116,125 @@
 }
 
 // advanceClock sets the time of an input and sees whether the agent stood still before it: its own timers tell.
-func (a *Instance) advanceClock(now float64) {
-	if len(a.timers) > 0 && now-a.timers[0].at > stallThreshold {
-		a.resumedAt = now
+func (inst *Instance) advanceClock(now float64) {
+	if len(inst.timers) > 0 && now-inst.timers[0].at > stallThreshold {
+		inst.resumedAt = now
 	}
-	a.now = now
-	if !a.started {
-		a.started = true
-		a.allowance.HoldUntil(now + a.exposureWindow)
+	inst.now = now
+	if !inst.started {
+		inst.started = true
+		inst.allowance.HoldUntil(now + inst.exposureWindow)
 	}
 }
 
 // OnEndpoints takes what discovery tells of the endpoints; a snapshot drops what it no longer names.
-func (a *Instance) OnEndpoints(now float64, update EndpointUpdate) {
-	a.advanceClock(now)
+func (inst *Instance) OnEndpoints(now float64, update EndpointUpdate) {
+	inst.advanceClock(now)
 	if update.Snapshot {
-		for i := range a.state {
-			if a.state[i] != EndpointRemoved {
-				a.state[i], a.removedAt[i] = EndpointRemoved, now
+		for i := range inst.state {
+			if inst.state[i] != EndpointRemoved {
+				inst.state[i], inst.removedAt[i] = EndpointRemoved, now
 			}
 		}
 	}
 	for _, e := range update.Endpoints {
-		i, ok := a.indexOf[e.ID]
+		backend, ok := inst.indexOf[e.ID]
 		if !ok {
-			i = a.allocateIndex()
-			a.indexOf[e.ID], a.indexOfHash[gossip.BackendHash(e.ID)], a.id[i] = i, i, e.ID
-			a.openAttempts[i], a.recordUpdatedAt[i], a.startedAt[i], a.release[i] = 0, 0, -1, 0
+			backend = inst.allocateIndex()
+			inst.indexOf[e.ID], inst.indexOfHash[gossip.BackendHash(e.ID)], inst.id[backend] = backend, backend, e.ID
+			inst.openAttempts[backend], inst.recordUpdatedAt[backend], inst.startedAt[backend], inst.release[backend] = 0, 0, -1, 0
 		}
-		if a.startedAt[i] != e.StartedAt || a.release[i] != e.Release {
+		if inst.startedAt[backend] != e.StartedAt || inst.release[backend] != e.Release {
 			// A re-used id or a restart: nothing learned of the former process holds, and it is cold.
-			a.successes[i], a.failures[i], a.latencyInflation[i], a.recentLatencies[i], a.slowStartBudget[i], a.slowStartBudgetAt[i] = 0, 0, 1, nil, 0, now
-			a.consecutiveFailures[i], a.ejectedUntil[i], a.reportedLoad[i], a.reportedAt[i], a.concurrencyLimit[i] = 0, 0, 0, now, initialConcurrencyLimit
-			a.upSince[i] = a.believedStart(e.StartedAt)
-			if a.instances >= manyInstances && e.StartedAt > 0 { // by chance, or all would start at once, and none soon
-				a.slowStartBudget[i] = a.rng.Float64()
+			inst.successes[backend], inst.failures[backend], inst.latencyInflation[backend], inst.recentLatencies[backend], inst.slowStartBudget[backend], inst.slowStartBudgetAt[backend] = 0, 0, 1, nil, 0, now
+			inst.consecutiveFailures[backend], inst.ejectedUntil[backend], inst.reportedLoad[backend], inst.reportedAt[backend], inst.concurrencyLimit[backend] = 0, 0, 0, now, initialConcurrencyLimit
+			inst.upSince[backend] = inst.believedStart(e.StartedAt)
+			if inst.instances >= manyInstances && e.StartedAt > 0 { // by chance, or all would start at once, and none soon
+				inst.slowStartBudget[backend] = inst.rng.Float64()
 			}
 		}
 		if e.State != EndpointRemoved {
-			a.onReleaseListed(e.Release)
+			inst.onReleaseListed(e.Release)
 		}
-		a.release[i], a.zone[i], a.hardwareClass[i], a.cell[i] = e.Release, e.Zone, e.HardwareClass, e.Cell
-		a.state[i], a.weight[i], a.startedAt[i], a.removedAt[i] = e.State, max(e.Weight, 0.01), e.StartedAt, now
+		inst.release[backend], inst.zone[backend], inst.hardwareClass[backend], inst.cell[backend] = e.Release, e.Zone, e.HardwareClass, e.Cell
+		inst.state[backend], inst.weight[backend], inst.startedAt[backend], inst.removedAt[backend] = e.State, max(e.Weight, 0.01), e.StartedAt, now
 	}
 	if !update.Cached {
-		a.watchFailures, a.discoveryHeard = 0, true
+		inst.watchFailures, inst.discoveryHeard = 0, true
 	}
-	a.aggregatesDueAt = now
-	a.applyRules()
+	inst.aggregatesDueAt = now
+	inst.applyRules()
 }
 
 // OnEndpointsFailed tells that a list call failed or the subscription broke.
-func (a *Instance) OnEndpointsFailed(now float64) {
-	a.advanceClock(now)
-	a.scheduleWatchRetry()
-	a.applyRules()
+func (inst *Instance) OnEndpointsFailed(now float64) {
+	inst.advanceClock(now)
+	inst.scheduleWatchRetry()
+	inst.applyRules()
 }
 
 // OnStreamStarted: the stream belongs to the client now; no expiry holds.
-func (a *Instance) OnStreamStarted(now float64, id string, sub int) {
-	a.advanceClock(now)
-	if t := a.requests[id]; t != nil {
-		t.streaming = true
+func (inst *Instance) OnStreamStarted(now float64, id string, sub int) {
+	inst.advanceClock(now)
+	if req := inst.requests[id]; req != nil {
+		req.streaming = true
 	}
-	a.applyRules()
+	inst.applyRules()
 }
 
-func (a *Instance) OnTimer(now float64, token uint64) {
-	a.advanceClock(now)
-	if token == a.timerToken {
-		a.armedAt = math.Inf(1)
+func (inst *Instance) OnTimer(now float64, token uint64) {
+	inst.advanceClock(now)
+	if token == inst.timerToken {
+		inst.armedAt = math.Inf(1)
 	}
-	a.applyRules()
+	inst.applyRules()
 }
 
 // OnProbeResult takes the end of a load probe.
-func (a *Instance) OnProbeResult(now float64, result ProbeResult) {
-	a.advanceClock(now)
-	i, known := a.indexOf[result.Backend]
-	if known && a.zone[i] == a.zoneIndex { // else the way may be at fault
-		a.probeFailureShare -= backendStep * a.probeFailureShare
+func (inst *Instance) OnProbeResult(now float64, result ProbeResult) {
+	inst.advanceClock(now)
+	backend, known := inst.indexOf[result.Backend]
+	if known && inst.zone[backend] == inst.zoneIndex { // else the way may be at fault
+		inst.probeFailureShare -= backendStep * inst.probeFailureShare
 		if !result.OK {
-			a.probeFailureShare += backendStep
+			inst.probeFailureShare += backendStep
 		}
 	}
 	if known && result.OK {
-		a.reportLoad(i, result.Load)
-		a.placeAfterProbe(i)
+		inst.reportLoad(backend, result.Load)
+		inst.placeAfterProbe(backend)
 	}
-	a.loadProbes = slices.DeleteFunc(a.loadProbes, func(r loadProbe) bool { return r.request.ended || r.request.openAttempts > 0 })
-	a.applyRules()
+	inst.loadProbes = slices.DeleteFunc(inst.loadProbes, func(r loadProbe) bool { return r.request.ended || r.request.openAttempts > 0 })
+	inst.applyRules()
 }
 
 // OnPlatformCounts takes the platform's own figures. Votes go by the outcomes that the instance has seen itself, so they decide
 // nothing.
-func (a *Instance) OnPlatformCounts(now float64) {
-	a.advanceClock(now)
+func (inst *Instance) OnPlatformCounts(now float64) {
+	inst.advanceClock(now)
 }
 
 // OnClientGone: the client has gone; an id no longer held is passed over.
-func (a *Instance) OnClientGone(now float64, id string) {
-	a.advanceClock(now)
-	if t := a.requests[id]; t != nil && !t.ended {
-		a.cancelOpenAttempts(t)
+func (inst *Instance) OnClientGone(now float64, id string) {
+	inst.advanceClock(now)
+	if req := inst.requests[id]; req != nil && !req.ended {
+		inst.cancelOpenAttempts(req)
 	}
-	a.applyRules()
+	inst.applyRules()
 }
 
 // OnWrongAnswer corrects the agent's own outcome.
-func (a *Instance) OnWrongAnswer(now float64, app string, product int, age float64) {
-	a.advanceClock(now)
-	i, ok := a.indexOf[app]
+func (inst *Instance) OnWrongAnswer(now float64, app string, class int, age float64) {
+	inst.advanceClock(now)
+	backend, ok := inst.indexOf[app]
 	if !ok {
 		return
 	}
-	a.recordAnswer(i, false)
-	for arm := range a.evidence {
-		e := a.evidence[arm][product]
+	inst.recordAnswer(backend, false)
+	for arm := range inst.evidence {
+		e := inst.evidence[arm][class]
 		for k := len(e) - 1; k >= 0; k-- {
-			if e[k].backend == i && !e[k].failed && math.Abs(e[k].at-e[k].latency-(now-age)) < 1 {
+			if e[k].backend == backend && !e[k].failed && math.Abs(e[k].at-e[k].latency-(now-age)) < 1 {
 				e[k].failed = true
 				return
 			}
@@ -241,75 +243,75 @@
 }
 
 // OnRequest takes a request. It ends with SendAttempt and that attempt's result, with Reject or with Fail.
-func (a *Instance) OnRequest(now float64, r Request) {
-	a.advanceClock(now)
-	t := &request{id: r.ID, key: r.Key, class: r.Class, tenant: r.Tenant, arrivedAt: now, deadline: now + r.TimeLeft, relativeWork: 1, workDivisor: 1}
-	if a.keyAffinity {
-		t.affinityKey = exposure.KeyOf(r.Key)
+func (inst *Instance) OnRequest(now float64, r Request) {
+	inst.advanceClock(now)
+	req := &request{id: r.ID, key: r.Key, class: r.Class, tenant: r.Tenant, arrivedAt: now, deadline: now + r.TimeLeft, relativeWork: 1, workDivisor: 1}
+	if inst.keyAffinity {
+		req.affinityKey = exposure.KeyOf(r.Key)
 	}
 	if r.Work > 0 {
-		if a.meanWork == 0 {
-			a.meanWork = r.Work
+		if inst.meanWork == 0 {
+			inst.meanWork = r.Work
 		}
-		a.meanWork += meanStep * (r.Work - a.meanWork)
-		t.relativeWork, t.workDivisor = r.Work/a.meanWork, r.Work
+		inst.meanWork += meanStep * (r.Work - inst.meanWork)
+		req.relativeWork, req.workDivisor = r.Work/inst.meanWork, r.Work
 	}
-	a.requestsTaken++
-	if a.keyAffinity && r.Key != "" {
-		if a.popularKeys[r.Key]++; len(a.popularKeys) > maxCountedKeys {
-			a.decayPopularKeys()
+	inst.requestsTaken++
+	if inst.keyAffinity && r.Key != "" {
+		if inst.popularKeys[r.Key]++; len(inst.popularKeys) > maxCountedKeys {
+			inst.decayPopularKeys()
 		}
 	}
 	if !r.Retry {
-		a.countArrival(now)
+		inst.countArrival(now)
 	}
-	a.requests[r.ID] = t
-	a.admit(t, r)
-	a.applyRules()
+	inst.requests[r.ID] = req
+	inst.admit(req, r)
+	inst.applyRules()
 }
 
 // OnAttemptResult takes the end of one attempt; one that is not open is ignored.
-func (a *Instance) OnAttemptResult(now float64, result AttemptResult) {
-	a.advanceClock(now)
+func (inst *Instance) OnAttemptResult(now float64, result AttemptResult) {
+	inst.advanceClock(now)
 	sub := result.Attempt
-	if t := a.requests[result.RequestID]; t != nil && sub >= 0 && sub < len(t.attempts) && t.attempts[sub].open {
-		s, r := &t.attempts[sub], result.Status
+	if req := inst.requests[result.RequestID]; req != nil && sub >= 0 && sub < len(req.attempts) && req.attempts[sub].open {
+		s, r := &req.attempts[sub], result.Status
 		s.open, s.notRun = false, r == StatusRejected || r == StatusConnectFailed || r == StatusNotSent
-		t.openAttempts--
-		t.ended = t.ended || result.Final
-		a.affinity.AttemptEnded(t.affinityKey, s.bindsTo)
-		a.openAttempts[s.backend]--
-		a.totalOpenAttempts--
-		a.retryQueuedAt = now
-		a.reportLoad(s.backend, result.Load)
-		a.onAttemptEnd(t, s, r, result.Took)
+		req.openAttempts--
+		req.ended = req.ended || result.Final
+		inst.affinity.AttemptEnded(req.affinityKey, s.bindsTo)
+		inst.openAttempts[s.backend]--
+		inst.totalOpenAttempts--
+		inst.retryQueuedAt = now
+		inst.reportLoad(s.backend, result.Load)
+		inst.onAttemptEnd(req, s, r, result.Took)
 	}
-	a.applyRules()
+	inst.applyRules()
 }
 
 // OnReleaseUpdate takes the state of a release, or the response to a vote, which may tell one too.
-func (a *Instance) OnReleaseUpdate(now float64, update ReleaseUpdate) {
-	a.advanceClock(now)
-	if update.Response != NotAVote && a.votePending {
-		a.onVoteResponse(update.Response)
+func (inst *Instance) OnReleaseUpdate(now float64, update ReleaseUpdate) {
+	inst.advanceClock(now)
+	if update.Response != NotAVote && inst.votePending {
+		inst.onVoteResponse(update.Response)
 	}
 	if update.Response == NotAVote || update.Known {
-		a.applyReleaseUpdate(release.Update{Release: update.Release, Stage: update.Stage, Phase: update.Phase, Cap: update.Cap}, update.Age,
+		inst.applyReleaseUpdate(release.Update{Release: update.Release, Stage: update.Stage, Phase: update.Phase, Cap: update.Cap}, update.Age,
 			update.Response)
 	}
-	a.applyRules()
+	inst.applyRules()
 }
 
 // OnShutdown: the agent ends, and whatever it holds has its final answer by then.
-func (a *Instance) OnShutdown(now, by float64) {
-	a.advanceClock(now)
-	for _, id := range slices.Sorted(maps.Keys(a.requests)) {
-		if t := a.requests[id]; !t.ended && t.deadline > by {
-			t.deadline, t.objectiveAt = by, min(t.objectiveAt, by)
-			a.schedule(by-finalAnswerMargin, t)
+func (inst *Instance) OnShutdown(now, by float64) {
+	inst.advanceClock(now)
+	for _, id := range slices.Sorted(maps.Keys(inst.requests)) {
+		if req := inst.requests[id]; !req.ended && req.deadline > by {
+			req.deadline, req.objectiveAt = by, min(req.objectiveAt, by)
+			inst.schedule(by-finalAnswerMargin, req)
 		}
 	}
-	a.applyRules()
+	inst.applyRules()
 }
 
 // rule is a condition and an effect that makes the condition false.
@@ -319,10 +321,10 @@
 	apply func(*Instance)
 }
 
-func (a *Instance) applyRules() {
+func (inst *Instance) applyRules() {
 	for i := 0; i < len(rules); i++ {
-		if rules[i].when(a) {
-			rules[i].apply(a)
+		if rules[i].when(inst) {
+			rules[i].apply(inst)
 			i = -1
 		}
 	}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -33,15 +33,15 @@
 	} {
 		for n := range 20 { // the pick is by chance
 			p := RequestClass{LatencyObjective: 1000, Timeout: 4000, Value: 1, Semantics: c.effect, DedupScope: c.group, DedupWindow: 250}
-			a, r := tier(p, 8)
-			a.rng.IntN(n + 1)
-			a.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
-			first := r.take()[0]
-			a.OnAttemptResult(10+c.after, AttemptResult{RequestID: "t", Status: c.result, Took: c.after})
-			for now := 10 + c.after; len(r.did) == 0 && now < 5000; now += 10 {
-				a.OnTimer(now, a.timerToken)
+			inst, port := startInstance(p, 8)
+			inst.rng.IntN(n + 1)
+			inst.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
+			first := port.take()[0]
+			inst.OnAttemptResult(10+c.after, AttemptResult{RequestID: "t", Status: c.result, Took: c.after})
+			for now := 10 + c.after; len(port.did) == 0 && now < 5000; now += 10 {
+				inst.OnTimer(now, inst.timerToken)
 			}
-			got := r.take()
+			got := port.take()
 			if len(got) != 1 || !strings.HasPrefix(got[0], c.want) {
 				t.Fatalf("%s: got %v, want %s", c.name, got, c.want)
 			}
@@ -58,17 +58,17 @@
 		effect Semantics
 		want   string
 	}{{Safe, "[decline t revoke t 0]"}, {Idempotent, "[decline t revoke t 0]"}, {NonIdempotent, "[void t revoke t 0]"}} {
-		a, r := tier(RequestClass{LatencyObjective: 1000, Timeout: 4000, Value: 1, Semantics: c.effect, DedupWindow: 9000}, 2)
-		a.OnRequest(10, Request{ID: "t", TimeLeft: 500})
-		r.take()
+		inst, port := startInstance(RequestClass{LatencyObjective: 1000, Timeout: 4000, Value: 1, Semantics: c.effect, DedupWindow: 9000}, 2)
+		inst.OnRequest(10, Request{ID: "t", TimeLeft: 500})
+		port.take()
 		for now := 15.0; now < 510; now += 5 {
-			a.OnTimer(now, a.timerToken)
+			inst.OnTimer(now, inst.timerToken)
 		}
-		expect(t, "at the expiry", r.take(), c.want)
-		a.OnAttemptResult(520, AttemptResult{RequestID: "t", Status: StatusTimedOut, Final: true, Took: 510})
-		a.OnClientGone(521, "t")
-		expect(t, "afterwards", r.take(), "[]")
-		expect(t, "still held", len(a.requests), 0)
+		expect(t, "at the expiry", port.take(), c.want)
+		inst.OnAttemptResult(520, AttemptResult{RequestID: "t", Status: StatusTimedOut, Final: true, Took: 510})
+		inst.OnClientGone(521, "t")
+		expect(t, "afterwards", port.take(), "[]")
+		expect(t, "still held", len(inst.requests), 0)
 	}
 }
 
@@ -85,22 +85,22 @@
 		{"not in a whole list", Endpoint{ID: "b", Release: 1, Weight: 1}, true, "[submit t b]"},
 		{"runs", Endpoint{ID: "a", Release: 1, Weight: 1}, false, "[submit t a]"},
 	} {
-		a, r := tier(RequestClass{}, 1)
-		a.OnEndpoints(5, EndpointUpdate{Endpoints: []Endpoint{c.entry}, Snapshot: c.whole})
-		a.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
-		expect(t, c.name, r.take(), c.want)
-	}
-	a, r := tier(RequestClass{}, 1)
-	a.discoveryOnDemand, a.refreshInterval = true, 10000
-	a.OnTimer(2, 0)
-	a.OnEndpointsFailed(3)
-	expect(t, "asked once", r.take(), "[subscribe]")
+		inst, port := startInstance(RequestClass{}, 1)
+		inst.OnEndpoints(5, EndpointUpdate{Endpoints: []Endpoint{c.entry}, Snapshot: c.whole})
+		inst.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
+		expect(t, c.name, port.take(), c.want)
+	}
+	inst, port := startInstance(RequestClass{}, 1)
+	inst.discoveryOnDemand, inst.refreshInterval = true, 10000
+	inst.OnTimer(2, 0)
+	inst.OnEndpointsFailed(3)
+	expect(t, "asked once", port.take(), "[subscribe]")
 	var asked []float64
 	for now := 3.0; now < 60000; now += 5 {
-		a.OnTimer(now, a.timerToken)
-		if len(r.take()) > 0 {
+		inst.OnTimer(now, inst.timerToken)
+		if len(port.take()) > 0 {
 			asked = append(asked, now)
-			a.OnEndpointsFailed(now)
+			inst.OnEndpointsFailed(now)
 		}
 	}
 	for k := 1; k < len(asked); k++ {
@@ -132,20 +132,20 @@
 		{"not announced: first stage", 1, Released, 0, Safe, 1, 12, 2},
 		{"released", 1, Released, 0, Safe, 2, 100, 30},
 	} {
-		a, r := tier(RequestClass{LatencyObjective: 1000, Timeout: 4000, Value: 1, Semantics: c.effect}, 4)
-		a.configureExposure(ExposureConfig{FreeAttempts: 2, Caps: []float64{0.1, 0.5, 1}, GuardedStages: c.guarded})
-		a.OnReleaseUpdate(2, ReleaseUpdate{Release: c.news, Phase: c.phase, Cap: c.limit, Known: true})
-		a.OnEndpoints(3, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, Weight: 1}, {ID: "y", Release: 2, Weight: 1}, {ID: "z", Release: 2, Weight: 4}}})
+		inst, port := startInstance(RequestClass{LatencyObjective: 1000, Timeout: 4000, Value: 1, Semantics: c.effect}, 4)
+		inst.configureExposure(ExposureConfig{FreeAttempts: 2, Caps: []float64{0.1, 0.5, 1}, GuardedStages: c.guarded})
+		inst.OnReleaseUpdate(2, ReleaseUpdate{Release: c.news, Phase: c.phase, Cap: c.limit, Known: true})
+		inst.OnEndpoints(3, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, Weight: 1}, {ID: "y", Release: 2, Weight: 1}, {ID: "z", Release: 2, Weight: 4}}})
 		n := 0
 		for k := range 100 {
 			id, now := fmt.Sprint(k), 10+float64(k)*20
-			a.OnRequest(now, Request{ID: id, TimeLeft: 4000})
-			for _, did := range r.take() {
+			inst.OnRequest(now, Request{ID: id, TimeLeft: 4000})
+			for _, did := range port.take() {
 				if strings.ContainsAny(did[len(did)-1:], "xyz") {
 					n++
 				}
 			}
-			a.OnAttemptResult(now+10, AttemptResult{RequestID: id, Status: StatusServed, Final: true, Took: 10})
+			inst.OnAttemptResult(now+10, AttemptResult{RequestID: id, Status: StatusServed, Final: true, Took: 10})
 		}
 		if n > c.most || n < c.least {
 			t.Errorf("%s: %d submissions, want %d to %d", c.name, n, c.least, c.most)
@@ -159,17 +159,17 @@
 		phase Phase
 		open  bool // an earlier build may serve the key
 	}{{RollingOut, false}, {Released, false}, {RollingBack, true}, {Withdrawn, true}} {
-		a, r := tier(RequestClass{}, 1)
-		a.configureExposure(ExposureConfig{FreeAttempts: 2, Caps: []float64{1}, KeyAffinity: true})
-		a.OnReleaseUpdate(2, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 1, Known: true})
-		a.OnEndpoints(3, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, Weight: 1}, {ID: "a", Release: 1, State: EndpointDraining, Weight: 1}}})
-		a.OnRequest(10, Request{ID: "t", Key: "k", TimeLeft: 4000})
-		a.OnAttemptResult(20, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Took: 10})
-		expect(t, "first", r.take(), "[submit t x]")
-		a.OnEndpoints(30, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, State: EndpointDraining, Weight: 1}, {ID: "a", Release: 1, Weight: 1}}})
-		a.OnReleaseUpdate(31, ReleaseUpdate{Release: 2, Phase: c.phase, Cap: 1, Known: true})
-		a.OnRequest(40, Request{ID: "u", Key: "k", TimeLeft: 4000})
-		expect(t, fmt.Sprint("phase ", c.phase), len(r.take()) == 1, c.open)
+		inst, port := startInstance(RequestClass{}, 1)
+		inst.configureExposure(ExposureConfig{FreeAttempts: 2, Caps: []float64{1}, KeyAffinity: true})
+		inst.OnReleaseUpdate(2, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 1, Known: true})
+		inst.OnEndpoints(3, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, Weight: 1}, {ID: "a", Release: 1, State: EndpointDraining, Weight: 1}}})
+		inst.OnRequest(10, Request{ID: "t", Key: "k", TimeLeft: 4000})
+		inst.OnAttemptResult(20, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Took: 10})
+		expect(t, "first", port.take(), "[submit t x]")
+		inst.OnEndpoints(30, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, State: EndpointDraining, Weight: 1}, {ID: "a", Release: 1, Weight: 1}}})
+		inst.OnReleaseUpdate(31, ReleaseUpdate{Release: 2, Phase: c.phase, Cap: 1, Known: true})
+		inst.OnRequest(40, Request{ID: "u", Key: "k", TimeLeft: 4000})
+		expect(t, fmt.Sprint("phase ", c.phase), len(port.take()) == 1, c.open)
 	}
 }
 
@@ -180,73 +180,91 @@
 		result AttemptStatus // 0: still out
 		phase  Phase
 		open   bool // an earlier build may serve the key
-	}{{StatusServed, RollingOut, false}, {StatusReset, RollingOut, false}, {StatusTimedOut, RollingOut, false}, {StatusCanceled, RollingOut, false},
-		{0, RollingOut, false}, {StatusErrored, RollingOut, true}, {StatusRejected, RollingOut, true}, {StatusConnectFailed, RollingOut, true},
-		{0, RollingBack, true}, {StatusServed, RollingBack, true}} {
-		a, r := tier(RequestClass{}, 1)
-		a.configureExposure(ExposureConfig{FreeAttempts: 2, Caps: []float64{1}, KeyAffinity: true})
-		a.OnReleaseUpdate(2, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 1, Known: true})
-		a.OnEndpoints(3, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, Weight: 1}, {ID: "a", Release: 1, State: EndpointDraining, Weight: 1}}})
-		a.OnRequest(10, Request{ID: "t", Key: "k", TimeLeft: 400})
-		a.OnReleaseUpdate(15, ReleaseUpdate{Release: 2, Phase: c.phase, Cap: 1, Known: true})
+	}{
+		{StatusServed, RollingOut, false},
+		{StatusReset, RollingOut, false},
+		{StatusTimedOut, RollingOut, false},
+		{StatusCanceled, RollingOut, false},
+		{0, RollingOut, false},
+		{StatusErrored, RollingOut, true},
+		{StatusRejected, RollingOut, true},
+		{StatusConnectFailed, RollingOut, true},
+		{0, RollingBack, true},
+		{StatusServed, RollingBack, true},
+	} {
+		inst, port := startInstance(RequestClass{}, 1)
+		inst.configureExposure(ExposureConfig{FreeAttempts: 2, Caps: []float64{1}, KeyAffinity: true})
+		inst.OnReleaseUpdate(2, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 1, Known: true})
+		inst.OnEndpoints(3, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, Weight: 1}, {ID: "a", Release: 1, State: EndpointDraining, Weight: 1}}})
+		inst.OnRequest(10, Request{ID: "t", Key: "k", TimeLeft: 400})
+		inst.OnReleaseUpdate(15, ReleaseUpdate{Release: 2, Phase: c.phase, Cap: 1, Known: true})
 		if c.result != 0 {
-			a.OnAttemptResult(20, AttemptResult{RequestID: "t", Status: c.result, Final: true, Took: 10})
+			inst.OnAttemptResult(20, AttemptResult{RequestID: "t", Status: c.result, Final: true, Took: 10})
 		}
-		expect(t, "first", r.take()[0], "submit t x")
-		a.OnEndpoints(30, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, State: EndpointDraining, Weight: 1}, {ID: "a", Release: 1, Weight: 1}}})
-		a.OnRequest(40, Request{ID: "u", Key: "k", TimeLeft: 4000})
-		expect(t, fmt.Sprint("result ", c.result, ", phase ", c.phase), len(r.take()) == 1, c.open)
+		expect(t, "first", port.take()[0], "submit t x")
+		inst.OnEndpoints(30, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, State: EndpointDraining, Weight: 1}, {ID: "a", Release: 1, Weight: 1}}})
+		inst.OnRequest(40, Request{ID: "u", Key: "k", TimeLeft: 4000})
+		expect(t, fmt.Sprint("result ", c.result, ", phase ", c.phase), len(port.take()) == 1, c.open)
 	}
 }
 
 // What comes and goes for good leaves nothing behind, and an id that returns is new in all that is believed of it.
 func TestTurnover(t *testing.T) {
-	a, r := tier(RequestClass{}, 3)
-	a.configureExposure(ExposureConfig{FreeAttempts: 2, Caps: []float64{1}, KeyAffinity: true})
+	inst, port := startInstance(RequestClass{}, 3)
+	inst.configureExposure(ExposureConfig{FreeAttempts: 2, Caps: []float64{1}, KeyAffinity: true})
 	now := 10.0
 	for k := range 40000 {
 		now += 4
 		if k%20 == 0 {
 			id := fmt.Sprint("x", k)
-			a.OnEndpoints(now, EndpointUpdate{Endpoints: []Endpoint{{ID: id, Release: ReleaseID(1 + k/400), Weight: 1}}})
+			inst.OnEndpoints(now, EndpointUpdate{Endpoints: []Endpoint{{ID: id, Release: ReleaseID(1 + k/400), Weight: 1}}})
 			if k >= 200 {
-				a.OnEndpoints(now, EndpointUpdate{Endpoints: []Endpoint{{ID: fmt.Sprint("x", k-200), State: EndpointRemoved}}})
+				inst.OnEndpoints(now, EndpointUpdate{Endpoints: []Endpoint{{ID: fmt.Sprint("x", k-200), State: EndpointRemoved}}})
 			}
 		}
 		if k%400 == 0 {
-			a.OnReleaseUpdate(now, ReleaseUpdate{Release: ReleaseID(1 + k/400), Phase: Released, Cap: 1, Known: true})
+			inst.OnReleaseUpdate(now, ReleaseUpdate{Release: ReleaseID(1 + k/400), Phase: Released, Cap: 1, Known: true})
 		}
 		id := fmt.Sprint(k)
-		a.OnRequest(now, Request{ID: id, Key: "key" + id, TimeLeft: 400})
-		for _, did := range r.take() {
+		inst.OnRequest(now, Request{ID: id, Key: "key" + id, TimeLeft: 400})
+		for _, did := range port.take() {
 			if strings.HasPrefix(did, "submit "+id+" ") {
-				a.OnAttemptResult(now+2, AttemptResult{RequestID: id, Status: StatusServed, Final: true, Took: 2})
+				inst.OnAttemptResult(now+2, AttemptResult{RequestID: id, Status: StatusServed, Final: true, Took: 2})
 			}
 		}
 		if k == 39999 {
 			for range 100 { // alarms that are still set
 				now += 10
-				a.OnTimer(now, a.timerToken)
+				inst.OnTimer(now, inst.timerToken)
 			}
 		}
 	}
 	for _, c := range []struct {
 		name      string
 		got, most int
-	}{{"txns", len(a.requests), 0}, {"keys pending", a.affinity.Pending(), 0}, {"keys bound", a.affinity.Len(), 3 * 400},
-		{"keys counted", len(a.popularKeys), maxCountedKeys + 1}, {"appliances", len(a.id), 1000}, {"names", len(a.indexOf), 1000},
-		{"hashes", len(a.indexOfHash), 1000}, {"alarms", len(a.timers), 9}, {"allowances", a.allowance.Len(), 3},
-		{"held", len(a.retryQueue), 0}, {"to do", len(a.pending), 0}} {
+	}{
+		{"txns", len(inst.requests), 0},
+		{"keys pending", inst.affinity.Pending(), 0},
+		{"keys bound", inst.affinity.Len(), 3 * 400},
+		{"keys counted", len(inst.popularKeys), maxCountedKeys + 1},
+		{"appliances", len(inst.id), 1000},
+		{"names", len(inst.indexOf), 1000},
+		{"hashes", len(inst.indexOfHash), 1000},
+		{"alarms", len(inst.timers), 9},
+		{"allowances", inst.allowance.Len(), 3},
+		{"held", len(inst.retryQueue), 0},
+		{"to do", len(inst.pending), 0},
+	} {
 		if c.got > c.most {
 			t.Errorf("%s: %d left, %d at the most", c.name, c.got, c.most)
 		}
 	}
-	a.OnEndpoints(now, EndpointUpdate{Endpoints: []Endpoint{{ID: "y", Release: 500, Weight: 1}}, Snapshot: true})
-	a.OnTimer(now+evaluationInterval, 0)
-	i := a.indexOf["y"]
-	a.successes[i], a.failures[i], a.latencyInflation[i], a.consecutiveFailures[i], a.reportedLoad[i], a.concurrencyLimit[i] = 5, 9, 4, 3, 7, 1
-	a.OnEndpoints(now+1, EndpointUpdate{Endpoints: []Endpoint{{ID: "y", Release: 501, Weight: 1}}})
-	expect(t, "believed", []float64{a.successes[i], a.failures[i], a.latencyInflation[i], a.consecutiveFailures[i], a.reportedLoad[i], a.concurrencyLimit[i]}, "[0 0 1 0 0 4]")
+	inst.OnEndpoints(now, EndpointUpdate{Endpoints: []Endpoint{{ID: "y", Release: 500, Weight: 1}}, Snapshot: true})
+	inst.OnTimer(now+evaluationInterval, 0)
+	i := inst.indexOf["y"]
+	inst.successes[i], inst.failures[i], inst.latencyInflation[i], inst.consecutiveFailures[i], inst.reportedLoad[i], inst.concurrencyLimit[i] = 5, 9, 4, 3, 7, 1
+	inst.OnEndpoints(now+1, EndpointUpdate{Endpoints: []Endpoint{{ID: "y", Release: 501, Weight: 1}}})
+	expect(t, "believed", []float64{inst.successes[i], inst.failures[i], inst.latencyInflation[i], inst.consecutiveFailures[i], inst.reportedLoad[i], inst.concurrencyLimit[i]}, "[0 0 1 0 0 4]")
 }
 
 // A submission that outlasts nearly all answers is given up and tried elsewhere, where that may be; no more than a part.
@@ -256,9 +274,13 @@
 		effect      Semantics
 		lost        int // of 100 txns: whose first submission is never answered
 		least, most int // of them that are settled in time all the same
-	}{{"some answers lost", Safe, 8, 100, 100}, {"repeats known", Idempotent, 8, 100, 100},
-		{"never to run twice", NonIdempotent, 8, 92, 92}, {"most answers lost", Safe, 60, 40, 70}} {
-		a, r := tier(RequestClass{LatencyObjective: 1000, Timeout: 4000, Value: 1, Semantics: c.effect, DedupWindow: 9000}, 20)
+	}{
+		{"some answers lost", Safe, 8, 100, 100},
+		{"repeats known", Idempotent, 8, 100, 100},
+		{"never to run twice", NonIdempotent, 8, 92, 92},
+		{"most answers lost", Safe, 60, 40, 70},
+	} {
+		inst, port := startInstance(RequestClass{LatencyObjective: 1000, Timeout: 4000, Value: 1, Semantics: c.effect, DedupWindow: 9000}, 20)
 		type answer struct {
 			at  float64
 			id  string
@@ -268,24 +290,24 @@
 		tries, settled := map[string]int{}, 0
 		for now := 10.0; now < 7000; now++ {
 			if k := int(now) / 10; int(now)%10 == 0 && k <= 600 {
-				a.OnRequest(now, Request{ID: fmt.Sprint(k), TimeLeft: 4000})
+				inst.OnRequest(now, Request{ID: fmt.Sprint(k), TimeLeft: 4000})
 			}
 			for len(coming) > 0 && coming[0].at <= now {
-				if t := a.requests[coming[0].id]; t != nil {
-					a.OnAttemptResult(now, AttemptResult{RequestID: coming[0].id, Attempt: coming[0].sub, Status: StatusServed, Final: true, Took: 20})
+				if t := inst.requests[coming[0].id]; t != nil {
+					inst.OnAttemptResult(now, AttemptResult{RequestID: coming[0].id, Attempt: coming[0].sub, Status: StatusServed, Final: true, Took: 20})
 					if k, _ := strconv.Atoi(coming[0].id); k > 500 {
 						settled++
 					}
 				}
 				coming = coming[1:]
 			}
-			a.OnTimer(now, a.timerToken)
-			for did := r.take(); len(did) > 0; did = append(did[1:], r.take()...) {
+			inst.OnTimer(now, inst.timerToken)
+			for did := port.take(); len(did) > 0; did = append(did[1:], port.take()...) {
 				var what, id, x string
 				fmt.Sscan(did[0], &what, &id, &x)
 				k, _ := strconv.Atoi(id)
 				if what == "revoke" {
-					a.OnAttemptResult(now, AttemptResult{RequestID: id, Attempt: tries[id] - 1, Status: StatusCanceled, Took: 150})
+					inst.OnAttemptResult(now, AttemptResult{RequestID: id, Attempt: tries[id] - 1, Status: StatusCanceled, Took: 150})
 				}
 				if what == "submit" {
 					if k <= 500 || tries[id] > 0 || k*c.lost/100 == (k-1)*c.lost/100 {
@@ -304,20 +326,20 @@
 // A txn for which there is no place is declined while its client still has time to go elsewhere.
 func TestHalfGone(t *testing.T) {
 	for _, c := range []struct{ left, after float64 }{{4000, 1000}, {1600, 720}, {300, 135}} {
-		a, r := tier(RequestClass{}, 0)
-		a.OnRequest(10, Request{ID: "t", TimeLeft: c.left})
+		inst, port := startInstance(RequestClass{}, 0)
+		inst.OnRequest(10, Request{ID: "t", TimeLeft: c.left})
 		for now := 10.0; now < 5000; now++ {
-			if len(a.timers) > 0 && a.timers[0].at <= now {
-				a.OnTimer(now, a.timerToken)
+			if len(inst.timers) > 0 && inst.timers[0].at <= now {
+				inst.OnTimer(now, inst.timerToken)
 			}
-			if len(r.did) > 0 {
+			if len(port.did) > 0 {
 				if took := now - 10; took > c.after+queueRetryInterval || took < c.after-queueRetryInterval {
 					t.Errorf("%.0f ms: declined after %.0f", c.left, took)
 				}
 				break
 			}
 		}
-		expect(t, "declined", r.take(), "[decline t]")
+		expect(t, "declined", port.take(), "[decline t]")
 	}
 }
 
@@ -329,22 +351,22 @@
 		txns int // one each 5 ms, answered at once by the cold appliance alone
 		most int // submissions at it
 	}{{"among warm", 4, 100, 30}, {"alone", 0, 600, 30}} {
-		a, r := tier(RequestClass{}, c.warm)
+		inst, port := startInstance(RequestClass{}, c.warm)
 		for k := range 400 {
 			id, now := fmt.Sprint("w", k), 10+float64(k)*5
-			a.OnRequest(now, Request{ID: id, TimeLeft: 4000})
-			a.OnAttemptResult(now+4, AttemptResult{RequestID: id, Status: StatusServed, Final: true, Took: 50})
+			inst.OnRequest(now, Request{ID: id, TimeLeft: 4000})
+			inst.OnAttemptResult(now+4, AttemptResult{RequestID: id, Status: StatusServed, Final: true, Took: 50})
 		}
-		a.OnEndpoints(2100, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 1, Weight: 1, StartedAt: 2050}}})
-		r.take()
+		inst.OnEndpoints(2100, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 1, Weight: 1, StartedAt: 2050}}})
+		port.take()
 		n := 0
 		for k := range c.txns {
 			id, now := fmt.Sprint(k), 2101+float64(k)*5
-			a.OnRequest(now, Request{ID: id, TimeLeft: 4000})
-			for _, did := range r.take() {
+			inst.OnRequest(now, Request{ID: id, TimeLeft: 4000})
+			for _, did := range port.take() {
 				if strings.HasSuffix(did, " x") {
 					n++
-					a.OnAttemptResult(now+4, AttemptResult{RequestID: strings.Fields(did)[1], Status: StatusServed, Final: true, Took: 50})
+					inst.OnAttemptResult(now+4, AttemptResult{RequestID: strings.Fields(did)[1], Status: StatusServed, Final: true, Took: 50})
 				}
 			}
 		}
@@ -412,15 +434,15 @@
 		{"a bad build on a clock", ControlTimed, []VoteResponse{VoteCounted}, 1, 2, "vote 2 3 0", 1000, 9},
 		{"full, then counted", ControlMajority, []VoteResponse{VoteRefused, VoteUnanswered, VoteCounted}, 1, 0, "vote 2 1 0", 4000, 8},
 	} {
-		a, r := tier(RequestClass{}, 9)
-		a.configureRollout(RolloutConfig{Stages: []float64{0.1, 1}, Control: c.control, RollbackVotes: 1, VoteLifetime: 4000})
-		a.OnReleaseUpdate(900, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.3, Known: true})
-		a.OnEndpoints(1001, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, Weight: 1, StartedAt: 1000}}})
+		inst, port := startInstance(RequestClass{}, 9)
+		inst.configureRollout(RolloutConfig{Stages: []float64{0.1, 1}, Control: c.control, RollbackVotes: 1, VoteLifetime: 4000})
+		inst.OnReleaseUpdate(900, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.3, Known: true})
+		inst.OnEndpoints(1001, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, Weight: 1, StartedAt: 1000}}})
 		votes, first, at := 0, "", 0.0
 		for k := range 1900 {
 			now, id := 1010+float64(k)*10, fmt.Sprint(k)
-			a.OnRequest(now, Request{ID: id, TimeLeft: 4000})
-			for _, did := range r.take() {
+			inst.OnRequest(now, Request{ID: id, TimeLeft: 4000})
+			for _, did := range port.take() {
 				switch {
 				case strings.HasPrefix(did, "vote"):
 					if votes == 0 {
@@ -428,11 +450,11 @@
 					}
 					reply := c.replies[min(votes, len(c.replies)-1)]
 					votes++
-					a.OnReleaseUpdate(now, ReleaseUpdate{Release: 2, Phase: RollingOut, Response: reply, Cap: 0.3, Age: now - 900, Known: reply == VoteCounted})
+					inst.OnReleaseUpdate(now, ReleaseUpdate{Release: 2, Phase: RollingOut, Response: reply, Cap: 0.3, Age: now - 900, Known: reply == VoteCounted})
 				case strings.HasPrefix(did, "submit "+id+" x") && c.fail > 0 && k%c.fail == 0:
-					a.OnAttemptResult(now+5, AttemptResult{RequestID: id, Status: StatusErrored, Final: true, Took: 5})
+					inst.OnAttemptResult(now+5, AttemptResult{RequestID: id, Status: StatusErrored, Final: true, Took: 5})
 				case strings.HasPrefix(did, "submit"):
-					a.OnAttemptResult(now+5, AttemptResult{RequestID: id, Status: StatusServed, Final: true, Took: 50 + float64(k*37%101)})
+					inst.OnAttemptResult(now+5, AttemptResult{RequestID: id, Status: StatusServed, Final: true, Took: 50 + float64(k*37%101)})
 				}
 			}
 		}
@@ -445,28 +467,28 @@
 // Work is refused by a machine that fails at once, and found again when it recovers.
 func TestQuickFailures(t *testing.T) {
 	for _, result := range []AttemptStatus{StatusRejected, StatusConnectFailed, StatusErrored} {
-		one, did := tier(RequestClass{}, 1)
+		one, port := startInstance(RequestClass{}, 1)
 		one.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
 		one.OnAttemptResult(11, AttemptResult{RequestID: "t", Status: result, Took: 1})
-		expect(t, "sent, and not again at once", did.take(), "[submit t a]")
-		a, r := tier(RequestClass{}, 4)
+		expect(t, "sent, and not again at once", port.take(), "[submit t a]")
+		inst, port := startInstance(RequestClass{}, 4)
 		n, late := 0, 0
 		for k := range 900 {
 			id, now := fmt.Sprint(k), 10+float64(k)*10
-			a.OnRequest(now, Request{ID: id, TimeLeft: 4000})
+			inst.OnRequest(now, Request{ID: id, TimeLeft: 4000})
 			for s := 0; s < 5; s++ {
-				did := r.take()
+				did := port.take()
 				if len(did) == 0 {
 					break
 				}
 				if !strings.HasSuffix(did[0], " a") {
-					a.OnAttemptResult(now+9, AttemptResult{RequestID: id, Attempt: s, Status: StatusServed, Final: true, Took: 9})
+					inst.OnAttemptResult(now+9, AttemptResult{RequestID: id, Attempt: s, Status: StatusServed, Final: true, Took: 9})
 				} else if k < 300 {
 					n++
-					a.OnAttemptResult(now+1, AttemptResult{RequestID: id, Attempt: s, Status: result, Took: 1})
+					inst.OnAttemptResult(now+1, AttemptResult{RequestID: id, Attempt: s, Status: result, Took: 1})
 				} else {
 					late++
-					a.OnAttemptResult(now+9, AttemptResult{RequestID: id, Attempt: s, Status: StatusServed, Final: true, Took: 9})
+					inst.OnAttemptResult(now+9, AttemptResult{RequestID: id, Attempt: s, Status: StatusServed, Final: true, Took: 9})
 				}
 			}
 		}
@@ -481,14 +503,14 @@
 	g := mwc{x: 1, c: 0}
 	expect(t, "generator", []uint64{g.next(), g.next(), g.next()}, []uint64{4294957665, 92756161, 18591715})
 	run := func(seed uint64) string {
-		r := &record{}
-		a := New(r, Config{Seed: seed, Instances: 1})
-		a.configureClasses(Config{Classes: []RequestClass{{LatencyObjective: 1000, Timeout: 4000, Value: 1}}, MaxAttempts: 5, ConcurrentAttempts: true, CancelAllowed: true})
-		a.OnEndpoints(1, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Weight: 1}, {ID: "b", Weight: 1}, {ID: "c", Weight: 1}}, Snapshot: true})
+		port := &recordingPort{}
+		inst := New(port, Config{Seed: seed, Instances: 1})
+		inst.configureClasses(Config{Classes: []RequestClass{{LatencyObjective: 1000, Timeout: 4000, Value: 1}}, MaxAttempts: 5, ConcurrentAttempts: true, CancelAllowed: true})
+		inst.OnEndpoints(1, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Weight: 1}, {ID: "b", Weight: 1}, {ID: "c", Weight: 1}}, Snapshot: true})
 		for k := range 50 {
-			a.OnRequest(float64(k), Request{ID: fmt.Sprint(k), TimeLeft: 4000})
+			inst.OnRequest(float64(k), Request{ID: fmt.Sprint(k), TimeLeft: 4000})
 		}
-		return fmt.Sprint(r.did)
+		return fmt.Sprint(port.did)
 	}
 	expect(t, "same seed", run(7), run(7))
 	expect(t, "another seed differs", run(7) != run(8), true)
@@ -498,26 +520,32 @@
 func TestGuard(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		spoil func(a *Instance, x *request)
+		spoil func(inst *Instance, x *request)
 	}{
-		{"once-only, may have run", func(a *Instance, x *request) { a.classes[0].Semantics = NonIdempotent; x.attempts = []attempt{{}} }},
-		{"too many submissions", func(a *Instance, x *request) { x.attempts = make([]attempt, 5) }},
-		{"past its expiry", func(a *Instance, x *request) { a.now = x.deadline }},
-		{"two out", func(a *Instance, x *request) { x.openAttempts = 2 }},
-		{"one out, no copies allowed", func(a *Instance, x *request) { x.openAttempts, a.concurrentAttempts = 1, false }},
-		{"ended", func(a *Instance, x *request) { x.ended = true }},
-		{"allowance used up", func(a *Instance, x *request) { a.allowance.Use(1, 0, a.now); a.allowance.Use(1, 0, a.now) }},
-		{"draining", func(a *Instance, x *request) { a.state[0] = EndpointDraining }},
-		{"its release goes back", func(a *Instance, x *request) {
-			a.OnReleaseUpdate(3, ReleaseUpdate{Release: 1, Stage: 1, Phase: RollingBack, Cap: 0, Known: true})
+		{"once-only, may have run", func(inst *Instance, x *request) {
+			inst.classes[0].Semantics = NonIdempotent
+			x.attempts = []attempt{{}}
+		}},
+		{"too many submissions", func(inst *Instance, x *request) { x.attempts = make([]attempt, 5) }},
+		{"past its expiry", func(inst *Instance, x *request) { inst.now = x.deadline }},
+		{"two out", func(inst *Instance, x *request) { x.openAttempts = 2 }},
+		{"one out, no copies allowed", func(inst *Instance, x *request) { x.openAttempts, inst.concurrentAttempts = 1, false }},
+		{"ended", func(inst *Instance, x *request) { x.ended = true }},
+		{"allowance used up", func(inst *Instance, x *request) {
+			inst.allowance.Use(1, 0, inst.now)
+			inst.allowance.Use(1, 0, inst.now)
+		}},
+		{"draining", func(inst *Instance, x *request) { inst.state[0] = EndpointDraining }},
+		{"its release goes back", func(inst *Instance, x *request) {
+			inst.OnReleaseUpdate(3, ReleaseUpdate{Release: 1, Stage: 1, Phase: RollingBack, Cap: 0, Known: true})
 		}},
 	} {
-		a, _ := tier(RequestClass{}, 1)
-		a.OnReleaseUpdate(2, ReleaseUpdate{Release: 1, Stage: 1, Phase: RollingOut, Cap: 0.5, Known: true})
+		inst, _ := startInstance(RequestClass{}, 1)
+		inst.OnReleaseUpdate(2, ReleaseUpdate{Release: 1, Stage: 1, Phase: RollingOut, Cap: 0.5, Known: true})
 		x := &request{deadline: 100, relativeWork: 1}
-		expect(t, "before: "+c.name, a.maySendTo(x, 0), true)
-		c.spoil(a, x)
-		expect(t, c.name, a.maySendTo(x, 0), false)
+		expect(t, "before: "+c.name, inst.maySendTo(x, 0), true)
+		c.spoil(inst, x)
+		expect(t, c.name, inst.maySendTo(x, 0), false)
 	}
 }
 
@@ -550,13 +578,13 @@
 		rated, told float64 // of appliance a; the others are rated 1 and tell 0.8
 		least, most int     // of 1000 picks among 5
 	}{{"alike", 1, 0.8, 150, 250}, {"rated higher", 1.5, 0.8, 220, 340}, {"tells no load", 1, 0, 150, 250}} {
-		a, _ := tier(RequestClass{}, 5)
-		a.instances, a.weight[0], a.aggregatesDueAt = 300, c.rated, 0
-		a.OnTimer(2, 0)
-		a.reportedLoad, a.reportedAt = []float64{c.told, 0.8, 0.8, 0.8, 0.8}, []float64{2, 2, 2, 2, 2}
+		inst, _ := startInstance(RequestClass{}, 5)
+		inst.instances, inst.weight[0], inst.aggregatesDueAt = 300, c.rated, 0
+		inst.OnTimer(2, 0)
+		inst.reportedLoad, inst.reportedAt = []float64{c.told, 0.8, 0.8, 0.8, 0.8}, []float64{2, 2, 2, 2, 2}
 		n := 0
 		for range 1000 {
-			if a.pickBackend(&request{deadline: 100, relativeWork: 1}) == 0 {
+			if inst.pickBackend(&request{deadline: 100, relativeWork: 1}) == 0 {
 				n++
 			}
 		}
@@ -579,25 +607,25 @@
 		{"answered with an error", true, false, "", "submit"},
 		{"unanswered", false, false, "", "submit"},
 	} {
-		a, r := tier(RequestClass{}, 8)
-		a.instances = 300
-		a.probesAllowed, a.probePrice = true, 0.01
-		a.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
-		probed := r.take()
+		inst, port := startInstance(RequestClass{}, 8)
+		inst.instances = 300
+		inst.probesAllowed, inst.probePrice = true, 0.01
+		inst.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
+		probed := port.take()
 		if len(probed) == 0 || !strings.HasPrefix(probed[0], "probe") {
 			t.Fatalf("%s: %v", c.name, probed)
 		}
 		last := strings.Fields(probed[len(probed)-1])[1]
 		if c.answer {
-			a.OnProbeResult(12, ProbeResult{Backend: last, OK: c.ok, Took: 2})
+			inst.OnProbeResult(12, ProbeResult{Backend: last, OK: c.ok, Took: 2})
 		}
-		got := fmt.Sprint(r.take())
+		got := fmt.Sprint(port.take())
 		if c.want != "" && got != "[submit t "+last+"]" || c.want == "" && got != "[]" {
 			t.Errorf("%s: %s", c.name, got)
 		}
-		a.OnTimer(140, a.timerToken) // a second race
-		a.OnTimer(270, a.timerToken)
-		if did := r.take(); c.later != "" && (len(did) == 0 || !strings.HasPrefix(did[len(did)-1], c.later)) {
+		inst.OnTimer(140, inst.timerToken) // a second race
+		inst.OnTimer(270, inst.timerToken)
+		if did := port.take(); c.later != "" && (len(did) == 0 || !strings.HasPrefix(did[len(did)-1], c.later)) {
 			t.Errorf("%s, later: %v", c.name, did)
 		}
 	}
@@ -617,7 +645,7 @@
 		{"the one before goes back", 6, 3, 0, EndpointRunning, EndpointDraining, 6},
 		{"the new one drains some already", 0, 6, 2, EndpointRunning, EndpointRunning, 6},
 	} {
-		a, _ := tier(RequestClass{}, 0)
+		inst, _ := startInstance(RequestClass{}, 0)
 		var list []Endpoint
 		add := func(n int, build ReleaseID, state EndpointState) {
 			for k := range n {
@@ -630,9 +658,9 @@
 			list[k].State = EndpointDraining
 		}
 		add(c.new, 3, EndpointRunning)
-		a.OnEndpoints(5, EndpointUpdate{Endpoints: list, Snapshot: true})
-		a.OnReleaseUpdate(10, ReleaseUpdate{Release: 3, Phase: RollingOut, Cap: 0.1, Known: true})
-		expect(t, c.name, a.places, c.want)
+		inst.OnEndpoints(5, EndpointUpdate{Endpoints: list, Snapshot: true})
+		inst.OnReleaseUpdate(10, ReleaseUpdate{Release: 3, Phase: RollingOut, Cap: 0.1, Known: true})
+		expect(t, c.name, inst.places, c.want)
 	}
 }
 
@@ -642,11 +670,11 @@
 		price float64
 		first string
 	}{{0, "probe"}, {0.02, "probe"}, {0.03, "submit"}, {0.08, "submit"}} {
-		a, r := tier(RequestClass{}, 4)
-		a.instances = manyInstances
-		a.probesAllowed, a.probePrice = true, c.price
-		a.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
-		if did := r.take(); len(did) == 0 || !strings.HasPrefix(did[0], c.first) {
+		inst, port := startInstance(RequestClass{}, 4)
+		inst.instances = manyInstances
+		inst.probesAllowed, inst.probePrice = true, c.price
+		inst.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
+		if did := port.take(); len(did) == 0 || !strings.HasPrefix(did[0], c.first) {
 			t.Errorf("at %v: %v", c.price, did)
 		}
 	}
@@ -660,8 +688,13 @@
 		times            float64
 		machines, ailing int // of the new ones: so many are four times slower, as one of six earlier ones is
 		least, most      int // times of 100 that it is sent back
-	}{{"twice as slow", 2.3, 5, 0, 80, 100}, {"as fast", 1, 5, 0, 0, 1}, {"hardly slower", 1.15, 5, 0, 0, 2},
-		{"a machine in trouble", 1, 5, 1, 0, 2}, {"two machines only", 2.3, 2, 0, 0, 60}} {
+	}{
+		{"twice as slow", 2.3, 5, 0, 80, 100},
+		{"as fast", 1, 5, 0, 0, 1},
+		{"hardly slower", 1.15, 5, 0, 0, 2},
+		{"a machine in trouble", 1, 5, 1, 0, 2},
+		{"two machines only", 2.3, 2, 0, 0, 60},
+	} {
 		backs := 0
 		for seed := range uint64(100) {
 			rnd := NewRand(seed * 7919)
@@ -708,8 +741,8 @@
 		{"few agents: errors among resets that all have", 4, 1, 6, 0, 3, 12, 100, 10, true},
 		{"few agents: one error is not", 4, 1, 1, 0, 1, 1, 24, 0, false},
 	} {
-		a, _ := tier(RequestClass{}, 3)
-		a.instances, a.rollbackVotes = c.agents, c.backs
+		inst, _ := startInstance(RequestClass{}, 3)
+		inst.instances, inst.rollbackVotes = c.agents, c.backs
 		neu, old := make([]outcome, c.n), make([]outcome, c.old)
 		for k := range neu {
 			neu[k].backend = k % 3
@@ -720,33 +753,33 @@
 		for k := range old {
 			old[k].backend, old[k].failed, old[k].connectionBroken = 3+k%5, k < c.oldBroken, k < c.oldBroken
 		}
-		expect(t, c.name, failsMore(neu, old, false, a.errorBudget(), a.rollbackVotes), c.want)
+		expect(t, c.name, failsMore(neu, old, false, inst.errorBudget(), inst.rollbackVotes), c.want)
 	}
 }
 
 // Late answers lower what is taken on, the cheap first; time forgets; no product is locked out for ever.
 func TestShortage(t *testing.T) {
-	a, r := tier(RequestClass{}, 3)
-	a.instances = 300
+	inst, port := startInstance(RequestClass{}, 3)
+	inst.instances = 300
 	for range 8 {
-		a.onOverloadSignal(false, 1)
+		inst.onOverloadSignal(false, 1)
 	}
-	low, dear, cheap := a.admissionProbability(0), 0, 0
-	a.meanValue = 3
+	low, dear, cheap := inst.admissionProbability(0), 0, 0
+	inst.meanValue = 3
 	for range 1000 {
-		if a.admits(0, &request{value: 9}) {
+		if inst.admits(0, &request{value: 9}) {
 			dear++
 		}
-		if a.admits(0, &request{value: 1}) {
+		if inst.admits(0, &request{value: 1}) {
 			cheap++
 		}
 	}
-	if a.now += 60000; low > 0.1 || a.admissionProbability(0) < 0.9 || dear <= cheap {
-		t.Errorf("flow %.2f, then %.2f; %d dear and %d cheap of 1000", low, a.admissionProbability(0), dear, cheap)
+	if inst.now += 60000; low > 0.1 || inst.admissionProbability(0) < 0.9 || dear <= cheap {
+		t.Errorf("flow %.2f, then %.2f; %d dear and %d cheap of 1000", low, inst.admissionProbability(0), dear, cheap)
 	}
-	a.meanLatency[0] = 5000 // past the SLA time of 1000
-	a.OnRequest(a.now, Request{ID: "t", TimeLeft: 4000})
-	expect(t, "sent all the same", strings.HasPrefix(fmt.Sprint(r.take()), "[submit t"), true)
+	inst.meanLatency[0] = 5000 // past the SLA time of 1000
+	inst.OnRequest(inst.now, Request{ID: "t", TimeLeft: 4000})
+	expect(t, "sent all the same", strings.HasPrefix(fmt.Sprint(port.take()), "[submit t"), true)
 }
 
 // An outcome found after the agent itself stood still is no word on appliance or build.
@@ -756,15 +789,15 @@
 		stood  bool
 		proofs int
 	}{{"awake", false, 1}, {"stood still", true, 0}} {
-		a, r := tier(RequestClass{}, 1)
-		a.OnReleaseUpdate(2, ReleaseUpdate{Release: 1, Phase: RollingOut, Cap: 1, Known: true})
-		a.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
-		r.take()
+		inst, port := startInstance(RequestClass{}, 1)
+		inst.OnReleaseUpdate(2, ReleaseUpdate{Release: 1, Phase: RollingOut, Cap: 1, Known: true})
+		inst.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
+		port.take()
 		for now := 20.0; now < 900 && !c.stood; now += 20 {
-			a.OnTimer(now, a.timerToken)
+			inst.OnTimer(now, inst.timerToken)
 		}
-		a.OnAttemptResult(900, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Took: 890})
-		expect(t, c.name, len(a.evidence[1][0]), c.proofs)
+		inst.OnAttemptResult(900, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Took: 890})
+		expect(t, c.name, len(inst.evidence[1][0]), c.proofs)
 	}
 }
 
@@ -774,17 +807,21 @@
 		name          string
 		first, second float64 // heat in the first stage and in the next
 		hot           bool
-	}{{"none", 1, 1, false}, {"comes with the second stage", 1, 1.8, true}, {"was there before", 1.9, 2, false},
-		{"was there, and grows", 1.9, 3.2, true}} {
-		a, _ := tier(RequestClass{}, 4)
-		a.announced, a.baseline.typical, a.baseline.usual[0], a.baseline.demand = true, 1, 1, 1
+	}{
+		{"none", 1, 1, false},
+		{"comes with the second stage", 1, 1.8, true},
+		{"was there before", 1.9, 2, false},
+		{"was there, and grows", 1.9, 3.2, true},
+	} {
+		inst, _ := startInstance(RequestClass{}, 4)
+		inst.announced, inst.baseline.typical, inst.baseline.usual[0], inst.baseline.demand = true, 1, 1, 1
 		hot := false
 		for k, heat := range []float64{c.first, c.second} {
-			a.stage, a.now = k, a.now+10000
+			inst.stage, inst.now = k, inst.now+10000
 			for i := range 40 {
-				a.evidence[0][0] = append(a.evidence[0][0], outcome{at: a.now, latency: heat, backend: i % 4, comparable: true})
+				inst.evidence[0][0] = append(inst.evidence[0][0], outcome{at: inst.now, latency: heat, backend: i % 4, comparable: true})
 			}
-			hot, _ = a.trackSaturation()
+			hot, _ = inst.trackSaturation()
 		}
 		expect(t, c.name, hot, c.hot)
 	}
@@ -792,14 +829,14 @@
 
 // Outcomes told by other agents count like own ones; what cannot be read is passed over.
 func TestNotes(t *testing.T) {
-	teller, r := tier(RequestClass{}, 3)
+	teller, port := startInstance(RequestClass{}, 3)
 	teller.instances, teller.index = 300, 7
 	teller.peerMessages = true
 	teller.OnReleaseUpdate(2, ReleaseUpdate{Release: 1, Phase: RollingOut, Cap: 1, Known: true})
 	teller.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
 	teller.OnAttemptResult(60, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Took: 50})
 	var note []byte
-	for _, did := range r.take() {
+	for _, did := range port.take() {
 		if strings.HasPrefix(did, "tell 0 ") {
 			fmt.Sscanf(did, "tell 0 %x", &note)
 		}
@@ -808,10 +845,14 @@
 		name string
 		note []byte
 		want int
-	}{{"told", note, 1}, {"cut short", note[:9], 0}, {"nothing", nil, 0},
+	}{
+		{"told", note, 1},
+		{"cut short", note[:9], 0},
+		{"nothing", nil, 0},
 		{"unknown appliance", append([]byte{1, 2, 3, 4}, note[4:]...), 0},
-		{"unknown product", append(append([]byte{}, note[:6]...), append([]byte{9}, note[7:]...)...), 0}} {
-		judge, _ := tier(RequestClass{}, 3)
+		{"unknown product", append(append([]byte{}, note[:6]...), append([]byte{9}, note[7:]...)...), 0},
+	} {
+		judge, _ := startInstance(RequestClass{}, 3)
 		judge.OnReleaseUpdate(2, ReleaseUpdate{Release: 1, Phase: RollingOut, Cap: 1, Known: true})
 		judge.OnMessage(70, c.note)
 		expect(t, c.name, len(judge.evidence[1][0]), c.want)
@@ -823,16 +864,16 @@
 	const agents = 400
 	at := map[float64]int{5: 0, 1000: 0}
 	for k := range agents {
-		r := &record{}
-		a := New(r, Config{Seed: uint64(k)*977 + 1, Index: k, Instances: agents})
-		a.configureClasses(Config{Classes: []RequestClass{{LatencyObjective: 1000, Timeout: 4000, Value: 1}}, MaxAttempts: 5, ConcurrentAttempts: true, CancelAllowed: true})
-		a.configureSlowStart(SlowStartConfig{InitialCapacity: 0.4, WarmUp: 5000, OverloadFactor: 3, OverloadWindow: 1000})
-		a.OnEndpoints(1, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 1, Weight: 1, StartedAt: 1}}, Snapshot: true})
+		port := &recordingPort{}
+		inst := New(port, Config{Seed: uint64(k)*977 + 1, Index: k, Instances: agents})
+		inst.configureClasses(Config{Classes: []RequestClass{{LatencyObjective: 1000, Timeout: 4000, Value: 1}}, MaxAttempts: 5, ConcurrentAttempts: true, CancelAllowed: true})
+		inst.configureSlowStart(SlowStartConfig{InitialCapacity: 0.4, WarmUp: 5000, OverloadFactor: 3, OverloadWindow: 1000})
+		inst.OnEndpoints(1, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 1, Weight: 1, StartedAt: 1}}, Snapshot: true})
 		for _, now := range []float64{5, 1000} {
-			a.OnRequest(now, Request{ID: fmt.Sprint(now), TimeLeft: 300})
-			at[now] += len(r.take())
-			a.OnClientGone(now, fmt.Sprint(now))
-			r.take()
+			inst.OnRequest(now, Request{ID: fmt.Sprint(now), TimeLeft: 300})
+			at[now] += len(port.take())
+			inst.OnClientGone(now, fmt.Sprint(now))
+			port.take()
 		}
 	}
 	// One txn a second is the floor where nothing warm is seen, times multiple, least warmth and margin.
@@ -848,12 +889,12 @@
 		taken   int
 		decline int
 	}{{math.Inf(1), 30, 0}, {20, 12, 0}, {20, 30, 18}} {
-		a, r := tier(RequestClass{}, 1)
-		a.maxOpenRequests = c.most
+		inst, port := startInstance(RequestClass{}, 1)
+		inst.maxOpenRequests = c.most
 		declined := 0
 		for k := range c.taken {
-			a.OnRequest(2+float64(k)/1000, Request{ID: fmt.Sprint(k), TimeLeft: 4000})
-			for _, did := range r.take() {
+			inst.OnRequest(2+float64(k)/1000, Request{ID: fmt.Sprint(k), TimeLeft: 4000})
+			for _, did := range port.take() {
 				if did == fmt.Sprintf("decline %d", k) {
 					declined++
 				}
@@ -869,15 +910,15 @@
 		result AttemptStatus
 		falls  bool
 	}{{StatusReset, false}, {StatusErrored, false}, {StatusConnectFailed, false}, {StatusRejected, true}, {StatusTimedOut, true}} {
-		a, _ := tier(RequestClass{}, 1)
+		inst, _ := startInstance(RequestClass{}, 1)
 		for k := range 20 {
-			a.now = float64(10 + 1000*k)
-			a.OnRequest(a.now, Request{ID: fmt.Sprint(k), TimeLeft: 4000})
-			if len(a.requests[fmt.Sprint(k)].attempts) > 0 {
-				a.OnAttemptResult(a.now+1, AttemptResult{RequestID: fmt.Sprint(k), Status: c.result, Final: true, Took: 1})
+			inst.now = float64(10 + 1000*k)
+			inst.OnRequest(inst.now, Request{ID: fmt.Sprint(k), TimeLeft: 4000})
+			if len(inst.requests[fmt.Sprint(k)].attempts) > 0 {
+				inst.OnAttemptResult(inst.now+1, AttemptResult{RequestID: fmt.Sprint(k), Status: c.result, Final: true, Took: 1})
 			}
 		}
-		expect(t, fmt.Sprint("after result ", c.result, " the limit fell"), a.concurrencyLimit[0] < initialConcurrencyLimit, c.falls)
+		expect(t, fmt.Sprint("after result ", c.result, " the limit fell"), inst.concurrencyLimit[0] < initialConcurrencyLimit, c.falls)
 	}
 }
 
@@ -887,18 +928,22 @@
 		name           string
 		waited, took   float64
 		lowers, raises bool
-	}{{"in time", 0, 300, false, true}, {"late by the wait here", 950, 100, false, true},
-		{"slow after a wait", 950, 400, true, false}, {"slow", 0, 1100, true, false}} {
-		a, r := tier(RequestClass{}, 1)
-		a.OnRequest(2, Request{ID: "t", TimeLeft: 4000})
-		a.requests["t"].objectiveAt -= c.waited
-		a.requests["t"].attempts[0].dueAt = a.latencyDeadline(a.requests["t"])
-		a.concurrencyLimit[0] = 1.5
-		was := a.concurrencyLimit[0]
-		a.OnTimer(2+c.took, 0)
-		a.OnAttemptResult(2+c.took, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Took: c.took})
-		r.take()
-		if got := a.concurrencyLimit[0]; got < was != c.lowers || got > was != c.raises {
+	}{
+		{"in time", 0, 300, false, true},
+		{"late by the wait here", 950, 100, false, true},
+		{"slow after a wait", 950, 400, true, false},
+		{"slow", 0, 1100, true, false},
+	} {
+		inst, port := startInstance(RequestClass{}, 1)
+		inst.OnRequest(2, Request{ID: "t", TimeLeft: 4000})
+		inst.requests["t"].objectiveAt -= c.waited
+		inst.requests["t"].attempts[0].dueAt = inst.latencyDeadline(inst.requests["t"])
+		inst.concurrencyLimit[0] = 1.5
+		was := inst.concurrencyLimit[0]
+		inst.OnTimer(2+c.took, 0)
+		inst.OnAttemptResult(2+c.took, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Took: c.took})
+		port.take()
+		if got := inst.concurrencyLimit[0]; got < was != c.lowers || got > was != c.raises {
 			t.Errorf("%s: the limit went from %.1f to %.1f", c.name, was, got)
 		}
 	}
--- a/policy/prevailingrelease_test.go
+++ b/policy/prevailingrelease_test.go
@@ -29,10 +29,10 @@
 		{"draining backends do not count", 2, 9, EndpointDraining, 1, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			a, _ := tier(RequestClass{}, 0)
-			a.OnReleaseUpdate(2, ReleaseUpdate{Release: 1, Stage: 2, Phase: Released, Cap: 1, Known: true})
-			a.OnReleaseUpdate(3, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.1, Known: true})
-			a.OnReleaseUpdate(4, ReleaseUpdate{Release: 3, Phase: RollingOut, Cap: 0.1, Known: true})
+			inst, _ := startInstance(RequestClass{}, 0)
+			inst.OnReleaseUpdate(2, ReleaseUpdate{Release: 1, Stage: 2, Phase: Released, Cap: 1, Known: true})
+			inst.OnReleaseUpdate(3, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.1, Known: true})
+			inst.OnReleaseUpdate(4, ReleaseUpdate{Release: 3, Phase: RollingOut, Cap: 0.1, Known: true})
 			var list []Endpoint
 			add := func(count int, release ReleaseID, state EndpointState) {
 				for k := range count {
@@ -42,11 +42,11 @@
 			add(c.first, 1, EndpointRunning)
 			add(c.superseded, 2, c.supersededListed)
 			add(c.newest, 3, EndpointRunning)
-			a.OnEndpoints(5, EndpointUpdate{Endpoints: list, Snapshot: true})
-			superseded := a.releases.Record(2)
+			inst.OnEndpoints(5, EndpointUpdate{Endpoints: list, Snapshot: true})
+			superseded := inst.releases.Record(2)
 			expect(t, "released", superseded.Phase == Released, c.want)
 			expect(t, "superseded", superseded.Superseded, !c.want)
-			limit, limited := a.releases.Cap(2)
+			limit, limited := inst.releases.Cap(2)
 			expect(t, "under a cap", limited, !c.want)
 			expect(t, "cap", limit, map[bool]float64{true: 1, false: 0.1}[c.want])
 		})
--- a/policy/probes.go
+++ b/policy/probes.go
@@ -8,20 +8,20 @@
 // probeBeforePlacement probes some appliances for a txn and gives it to the first that answers. Where many agents see little
 // each, own open work tells nothing of the load; what stands still, is slow, unreachable or reports falsely
 // loses the race. Where probes fail though txns are served, the pick goes on without them.
-func (a *Instance) probeBeforePlacement(t *request) {
-	t.probeRounds++
+func (inst *Instance) probeBeforePlacement(req *request) {
+	req.probeRounds++
 	for range probesPerRound {
-		if i := a.pickBackend(t); i >= 0 && !slices.Contains(a.loadProbes, loadProbe{t, i}) {
-			a.loadProbes = append(a.loadProbes, loadProbe{t, i})
-			a.port.SendProbe(a.id[i])
+		if backend := inst.pickBackend(req); backend >= 0 && !slices.Contains(inst.loadProbes, loadProbe{req, backend}) {
+			inst.loadProbes = append(inst.loadProbes, loadProbe{req, backend})
+			inst.port.SendProbe(inst.id[backend])
 		}
 	}
-	a.schedule(a.now+probeRoundShare*a.classes[t.class].LatencyObjective, t)
+	inst.schedule(inst.now+probeRoundShare*inst.classes[req.class].LatencyObjective, req)
 }
 
-func (a *Instance) placeAfterProbe(i int) {
-	if t := a.probedRequest(i); t != nil && a.now < t.objectiveAt && a.maySendTo(t, i) {
-		a.placeRequest(t, i)
+func (inst *Instance) placeAfterProbe(backend int) {
+	if req := inst.probedRequest(backend); req != nil && inst.now < req.objectiveAt && inst.maySendTo(req, backend) {
+		inst.placeRequest(req, backend)
 	}
 }
 
@@ -32,9 +32,9 @@
 }
 
 // probedRequest is the first txn without a place for which this appliance was probed.
-func (a *Instance) probedRequest(i int) *request {
-	for _, r := range a.loadProbes {
-		if r.backend == i && !r.request.ended && r.request.openAttempts == 0 {
+func (inst *Instance) probedRequest(backend int) *request {
+	for _, r := range inst.loadProbes {
+		if r.backend == backend && !r.request.ended && r.request.openAttempts == 0 {
 			return r.request
 		}
 	}
@@ -42,13 +42,13 @@
 }
 
 // reportLoad notes what a backend tells of its load.
-func (a *Instance) reportLoad(i int, load LoadReport) {
+func (inst *Instance) reportLoad(backend int, load LoadReport) {
 	if load.Present {
-		a.reportedLoad[i], a.reportedAt[i] = load.Waiting+load.Busy, a.now
+		inst.reportedLoad[backend], inst.reportedAt[backend] = load.Waiting+load.Busy, inst.now
 	}
 }
 
 // reportedLoadNow is an appliance's load by its last report, txns waiting and how busy it is, fading with its age.
-func (a *Instance) reportedLoadNow(i int) float64 {
-	return a.reportedLoad[i] * math.Exp(-(a.now-a.reportedAt[i])/loadReportDecayTime)
+func (inst *Instance) reportedLoadNow(backend int) float64 {
+	return inst.reportedLoad[backend] * math.Exp(-(inst.now-inst.reportedAt[backend])/loadReportDecayTime)
 }
--- a/policy/release/release_test.go
+++ b/policy/release/release_test.go
@@ -112,8 +112,10 @@
 		furthest, newest := map[ID]Phase{}, ID(0)
 		closed := map[ID]bool{}
 		for range rapid.IntRange(1, 40).Draw(t, "updates") {
-			u := Update{Release: ID(rapid.IntRange(1, 4).Draw(t, "release")), Stage: rapid.IntRange(0, 2).Draw(t, "stage"),
-				Phase: Phase(rapid.IntRange(0, 3).Draw(t, "phase")), Cap: float64(rapid.IntRange(0, 4).Draw(t, "cap")) / 4}
+			u := Update{
+				Release: ID(rapid.IntRange(1, 4).Draw(t, "release")), Stage: rapid.IntRange(0, 2).Draw(t, "stage"),
+				Phase: Phase(rapid.IntRange(0, 3).Draw(t, "phase")), Cap: float64(rapid.IntRange(0, 4).Draw(t, "cap")) / 4,
+			}
 			if rapid.Bool().Draw(t, "listed first") {
 				b.OnListed(u.Release)
 			}
--- a/policy/releases.go
+++ b/policy/releases.go
@@ -27,43 +27,43 @@
 }
 
 // ReleaseStatus is the state of releases for logs and metrics.
-func (a *Instance) ReleaseStatus() ReleaseStatus {
-	newest, _ := a.releases.Newest()
-	return ReleaseStatus{Newest: newest, RollingOut: a.rolloutRelease, Keys: a.affinity.Len(), Skipped: a.skipped}
+func (inst *Instance) ReleaseStatus() ReleaseStatus {
+	newest, _ := inst.releases.Newest()
+	return ReleaseStatus{Newest: newest, RollingOut: inst.rolloutRelease, Keys: inst.affinity.Len(), Skipped: inst.skipped}
 }
 
 // underCap tells that a release is under a cap.
-func (a *Instance) underCap(build ReleaseID) bool {
-	_, limited := a.releases.Cap(build)
+func (inst *Instance) underCap(id ReleaseID) bool {
+	_, limited := inst.releases.Cap(id)
 	return limited
 }
 
 // oldestAllowedRelease is the earliest release that may serve a request, by its key.
-func (a *Instance) oldestAllowedRelease(t *request) ReleaseID {
-	if now := a.affinity.Changes() + 1; t.oldestReleaseAsOf != now {
-		t.oldestRelease, t.oldestReleaseAsOf = a.affinity.Floor(t.affinityKey), now
+func (inst *Instance) oldestAllowedRelease(req *request) ReleaseID {
+	if now := inst.affinity.Changes() + 1; req.oldestReleaseAsOf != now {
+		req.oldestRelease, req.oldestReleaseAsOf = inst.affinity.Floor(req.affinityKey), now
 	}
-	return t.oldestRelease
+	return req.oldestRelease
 }
 
 // withinExposureCap guards the rule on exposure for one attempt of a request at a backend.
-func (a *Instance) withinExposureCap(t *request, i int) bool {
-	build := a.release[i]
-	if a.releases.ServesAs(build) < a.oldestAllowedRelease(t) {
-		a.skipped.Affinity++
+func (inst *Instance) withinExposureCap(req *request, backend int) bool {
+	build := inst.release[backend]
+	if inst.releases.ServesAs(build) < inst.oldestAllowedRelease(req) {
+		inst.skipped.Affinity++
 		return false
 	}
-	limit, limited := a.releases.Cap(build)
+	limit, limited := inst.releases.Cap(build)
 	if !limited {
 		return true
 	}
-	guarded := a.guardedStages > 0 && a.classes[t.class].Semantics != Safe && a.releases.Record(build).Stage < a.guardedStages
+	guarded := inst.guardedStages > 0 && inst.classes[req.class].Semantics != Safe && inst.releases.Record(build).Stage < inst.guardedStages
 	if limit <= 0 || guarded {
-		a.skipped.Closed++
+		inst.skipped.Closed++
 		return false
 	}
-	if !a.allowance.Allows(build, a.exposureLane(t.class), a.now) {
-		a.skipped.CapReached++
+	if !inst.allowance.Allows(build, inst.exposureLane(req.class), inst.now) {
+		inst.skipped.CapReached++
 		return false
 	}
 	return true
@@ -71,110 +71,110 @@
 
 // bindKey notes that a release may have answered a request's key. Where the backend was listed with another release meanwhile, it
 // may have been either that answered.
-func (a *Instance) bindKey(t *request, s *attempt) {
-	for _, build := range [...]ReleaseID{s.release, a.release[s.backend]} {
-		if to := a.releases.BindsAs(build); !a.releases.IsClosed(to) {
-			a.affinity.Bind(t.affinityKey, to)
+func (inst *Instance) bindKey(req *request, s *attempt) {
+	for _, build := range [...]ReleaseID{s.release, inst.release[s.backend]} {
+		if to := inst.releases.BindsAs(build); !inst.releases.IsClosed(to) {
+			inst.affinity.Bind(req.affinityKey, to)
 		}
 	}
 }
 
 // MaySend tells whether an attempt that was decided a while ago may still go out: its connection came up late, and the list,
 // the news or another attempt's answer came meanwhile. One that may not counts as never sent.
-func (a *Instance) MaySend(id string, attempt int) bool {
-	t := a.requests[id]
-	if t == nil || attempt < 0 || attempt >= len(t.attempts) {
+func (inst *Instance) MaySend(id string, attempt int) bool {
+	req := inst.requests[id]
+	if req == nil || attempt < 0 || attempt >= len(req.attempts) {
 		return false
 	}
-	s := &t.attempts[attempt]
-	if a.state[s.backend] != EndpointRunning || a.release[s.backend] != s.release || a.releases.ServesAs(s.release) < a.oldestAllowedRelease(t) {
+	s := &req.attempts[attempt]
+	if inst.state[s.backend] != EndpointRunning || inst.release[s.backend] != s.release || inst.releases.ServesAs(s.release) < inst.oldestAllowedRelease(req) {
 		return false
 	}
-	limit, limited := a.releases.Cap(s.release)
+	limit, limited := inst.releases.Cap(s.release)
 	return !limited || limit > 0
 }
 
 // onReleaseListed notes that a backend of a release is listed.
-func (a *Instance) onReleaseListed(build ReleaseID) {
-	if a.releases.OnListed(build) {
-		limit, _ := a.releases.Cap(build)
-		a.port.Log(fmt.Sprintf("release %d: listed before any news of it, first stage, cap %.2f", build, limit))
+func (inst *Instance) onReleaseListed(id ReleaseID) {
+	if inst.releases.OnListed(id) {
+		limit, _ := inst.releases.Cap(id)
+		inst.port.Log(fmt.Sprintf("release %d: listed before any news of it, first stage, cap %.2f", id, limit))
 	}
 }
 
 // applyReleaseUpdate takes an update on a release; age is how long it has stood so.
-func (a *Instance) applyReleaseUpdate(u release.Update, age float64, by VoteResponse) {
-	was, known := a.releases.Newest()
-	change := a.releases.Apply(u)
-	a.logUpdate(u, change, by)
+func (inst *Instance) applyReleaseUpdate(u release.Update, age float64, by VoteResponse) {
+	was, known := inst.releases.Newest()
+	change := inst.releases.Apply(u)
+	inst.logUpdate(u, change, by)
 	if change != release.Moved {
 		return
 	}
-	a.aggregatesDueAt = a.now
-	if a.releases.IsClosed(u.Release) {
-		a.affinity.ReleaseKeys(u.Release)
+	inst.aggregatesDueAt = inst.now
+	if inst.releases.IsClosed(u.Release) {
+		inst.affinity.ReleaseKeys(u.Release)
 	}
-	now, _ := a.releases.Newest()
+	now, _ := inst.releases.Newest()
 	if !known || now.Release != was.Release {
-		a.startRollout(now.Release)
-		a.affinity.ForgetBefore(a.releases.Baseline())
-		a.allowance.Forget(a.releases.Baseline())
+		inst.startRollout(now.Release)
+		inst.affinity.ForgetBefore(inst.releases.Baseline())
+		inst.allowance.Forget(inst.releases.Baseline())
 	}
-	if now.Stage != a.stage || now.Phase != a.phase {
-		a.stateSince, a.voteNotBefore = a.now-age, 0
-		a.stageStarted, a.desiredVerdict = false, NoVerdict // what was seen of one stage carries no vote on the next
+	if now.Stage != inst.stage || now.Phase != inst.phase {
+		inst.stateSince, inst.voteNotBefore = inst.now-age, 0
+		inst.stageStarted, inst.desiredVerdict = false, NoVerdict // what was seen of one stage carries no vote on the next
 	}
-	a.announced, a.newest, a.stage, a.phase = true, now.Release, now.Stage, now.Phase
+	inst.announced, inst.newest, inst.stage, inst.phase = true, now.Release, now.Stage, now.Phase
 }
 
-func (a *Instance) logUpdate(u release.Update, change release.Change, by VoteResponse) {
+func (inst *Instance) logUpdate(u release.Update, change release.Change, by VoteResponse) {
 	what := fmt.Sprintf("release %d: stage %d, %s, cap %.2f, by %s", u.Release, u.Stage, u.Phase, u.Cap, by)
 	switch change {
 	case release.Moved:
-		a.port.Log(what)
+		inst.port.Log(what)
 	case release.StaleUpdate:
-		held := a.releases.Record(u.Release)
-		a.port.Log(fmt.Sprintf("%s: passed over, it is at stage %d, %s, cap %.2f", what, held.Stage, held.Phase, held.Cap))
+		held := inst.releases.Record(u.Release)
+		inst.port.Log(fmt.Sprintf("%s: passed over, it is at stage %d, %s, cap %.2f", what, held.Stage, held.Phase, held.Cap))
 	}
 }
 
 // inferReleasedReleases looks which release the fleet runs: the oldest listed one as long as nothing is announced, and one whose end was
 // missed where most backends of earlier releases run it.
-func (a *Instance) inferReleasedReleases() {
+func (inst *Instance) inferReleasedReleases() {
 	oldest, earlier, counts := ReleaseID(math.MaxInt), 0, map[ReleaseID]int{}
-	for i, build := range a.release {
-		if a.state[i] == EndpointRemoved || build == release.Unknown {
+	for i, build := range inst.release {
+		if inst.state[i] == EndpointRemoved || build == release.Unknown {
 			continue
 		}
 		oldest = min(oldest, build)
-		if a.state[i] == EndpointRunning && build < a.newest {
+		if inst.state[i] == EndpointRunning && build < inst.newest {
 			earlier++
 			counts[build]++
 		}
 	}
 	if oldest < math.MaxInt {
-		a.releases.SetOldestListed(oldest)
+		inst.releases.SetOldestListed(oldest)
 	}
 	for build, n := range counts { // one at most has more than half
 		if 2*n > earlier {
-			a.releases.MarkPrevailing(build)
+			inst.releases.MarkPrevailing(build)
 		}
 	}
 }
 
-func (a *Instance) exposureLane(product int) int {
-	if a.exposurePerClass {
-		return product
+func (inst *Instance) exposureLane(class int) int {
+	if inst.exposurePerClass {
+		return class
 	}
 	return 0
 }
 
 // decayPopularKeys forgets keys seen long ago: popularity is of late, and the record must not grow for ever.
-func (a *Instance) decayPopularKeys() {
-	for k, n := range a.popularKeys {
-		if a.popularKeys[k] = n / 2; n < 2 {
-			delete(a.popularKeys, k)
+func (inst *Instance) decayPopularKeys() {
+	for k, n := range inst.popularKeys {
+		if inst.popularKeys[k] = n / 2; n < 2 {
+			delete(inst.popularKeys, k)
 		}
 	}
-	a.requestsTaken /= 2
+	inst.requestsTaken /= 2
 }
--- a/policy/releases_test.go
+++ b/policy/releases_test.go
@@ -8,16 +8,16 @@
 	"pgregory.net/rapid"
 )
 
-// keyed starts an agent whose keys stay, on so many backends of release 1, with news of that and a cap for the first stage.
-func keyed(backends int, limit float64) (*Instance, *record) {
-	a, r := tier(RequestClass{}, backends)
-	a.configureExposure(ExposureConfig{FreeAttempts: 2, Caps: []float64{limit, 1}, KeyAffinity: true})
-	a.OnReleaseUpdate(2, ReleaseUpdate{Release: 1, Stage: 2, Phase: Released, Cap: 1, Known: true})
-	return a, r
+// startWithAffinity starts an agent whose keys stay, on so many backends of release 1, with news of that and a cap for the first stage.
+func startWithAffinity(backends int, limit float64) (*Instance, *recordingPort) {
+	inst, port := startInstance(RequestClass{}, backends)
+	inst.configureExposure(ExposureConfig{FreeAttempts: 2, Caps: []float64{limit, 1}, KeyAffinity: true})
+	inst.OnReleaseUpdate(2, ReleaseUpdate{Release: 1, Stage: 2, Phase: Released, Cap: 1, Known: true})
+	return inst, port
 }
 
-// where is the backend to which the only attempt of what was done goes; empty: there is none.
-func where(did []string) (backend string) {
+// attemptedBackend is the backend to which the only attempt of what was done goes; empty: there is none.
+func attemptedBackend(did []string) (backend string) {
 	for _, line := range did {
 		if strings.HasPrefix(line, "submit ") {
 			backend = line[strings.LastIndexByte(line, ' ')+1:]
@@ -28,78 +28,88 @@
 
 // A key that a release has answered, or may be answering, goes to no earlier one, whichever came first, the list or the news.
 func TestAffinityCrossings(t *testing.T) {
-	trial := func(a *Instance, now float64, release ReleaseID) {
-		a.OnReleaseUpdate(now, ReleaseUpdate{Release: release, Phase: RollingOut, Cap: 1, Known: true})
+	trial := func(inst *Instance, now float64, release ReleaseID) {
+		inst.OnReleaseUpdate(now, ReleaseUpdate{Release: release, Phase: RollingOut, Cap: 1, Known: true})
 	}
-	listed := func(a *Instance, now float64, id string, release ReleaseID, state EndpointState) {
-		a.OnEndpoints(now, EndpointUpdate{Endpoints: []Endpoint{{ID: id, Release: release, Weight: 1, State: state}}})
+	listed := func(inst *Instance, now float64, id string, release ReleaseID, state EndpointState) {
+		inst.OnEndpoints(now, EndpointUpdate{Endpoints: []Endpoint{{ID: id, Release: release, Weight: 1, State: state}}})
 	}
-	withdrawn := func(a *Instance, now float64, release ReleaseID) {
-		a.OnReleaseUpdate(now, ReleaseUpdate{Release: release, Phase: RollingOut, Cap: 1, Known: true})
-		a.OnReleaseUpdate(now+1, ReleaseUpdate{Release: release, Phase: Withdrawn, Cap: 0, Known: true})
+	withdrawn := func(inst *Instance, now float64, release ReleaseID) {
+		inst.OnReleaseUpdate(now, ReleaseUpdate{Release: release, Phase: RollingOut, Cap: 1, Known: true})
+		inst.OnReleaseUpdate(now+1, ReleaseUpdate{Release: release, Phase: Withdrawn, Cap: 0, Known: true})
 	}
 	for _, c := range []struct {
 		name   string
-		before func(a *Instance) // up to the first answer: only x is there to give it
-		after  func(a *Instance) // then, before the key comes again: only a is there
-		open   bool              // a may serve the key
+		before func(inst *Instance) // up to the first answer: only x is there to give it
+		after  func(inst *Instance) // then, before the key comes again: only a is there
+		open   bool                 // a may serve the key
 	}{
-		{"news, list", func(a *Instance) { trial(a, 5, 2); listed(a, 6, "x", 2, EndpointRunning) }, nil, false},
-		{"list, no news", func(a *Instance) { listed(a, 6, "x", 2, EndpointRunning) }, nil, false},
-		{"list, then news", func(a *Instance) { listed(a, 6, "x", 2, EndpointRunning) }, func(a *Instance) { trial(a, 25, 2) }, false},
-		{"the one before withdrawn, list, no news", func(a *Instance) { withdrawn(a, 3, 2); listed(a, 6, "x", 3, EndpointRunning) }, nil, false},
-		{"the one before withdrawn, list, then news", func(a *Instance) { withdrawn(a, 3, 2); listed(a, 6, "x", 3, EndpointRunning) },
-			func(a *Instance) { trial(a, 25, 3) }, false},
-		{"the one before going back is told on", func(a *Instance) { withdrawn(a, 3, 2); listed(a, 6, "x", 3, EndpointRunning) },
-			func(a *Instance) {
-				a.OnReleaseUpdate(25, ReleaseUpdate{Release: 2, Phase: RollingBack, Cap: 0, Known: true})
-			}, false},
-		{"two unannounced", func(a *Instance) { listed(a, 6, "x", 2, EndpointRunning) }, func(a *Instance) { trial(a, 25, 3) }, false},
-		{"released, and an earlier one's fresh backend before the word", func(a *Instance) { trial(a, 5, 2); listed(a, 6, "x", 2, EndpointRunning) },
-			func(a *Instance) {
-				a.OnReleaseUpdate(25, ReleaseUpdate{Release: 2, Stage: 1, Phase: Released, Cap: 1, Known: true})
-				a.OnEndpoints(26, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, Weight: 1}}, Snapshot: true}) // nothing earlier is listed
-				a.OnTimer(26+2*evaluationInterval, 0)
-			}, false},
-		{"goes back, told after the list", func(a *Instance) { trial(a, 5, 2); listed(a, 6, "x", 2, EndpointRunning) },
-			func(a *Instance) {
-				a.OnReleaseUpdate(25, ReleaseUpdate{Release: 2, Phase: RollingBack, Cap: 0, Known: true})
-			}, true},
-		{"goes back, and an answer on its trial comes late", func(a *Instance) { trial(a, 5, 2); listed(a, 6, "x", 2, EndpointRunning) },
-			func(a *Instance) {
-				a.OnReleaseUpdate(25, ReleaseUpdate{Release: 2, Phase: RollingBack, Cap: 0, Known: true})
-				a.OnReleaseUpdate(26, ReleaseUpdate{Release: 2, Phase: RollingOut, Response: VoteCounted, Cap: 1, Known: true})
-			}, true},
-		{"the later of two goes back", func(a *Instance) {
-			trial(a, 3, 2)
-			a.OnReleaseUpdate(4, ReleaseUpdate{Release: 2, Stage: 1, Phase: Released, Cap: 1, Known: true})
-			listed(a, 6, "x", 2, EndpointRunning)
-		}, func(a *Instance) {
-			trial(a, 25, 3)
-			a.OnEndpoints(26, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, State: EndpointDraining}, {ID: "y", Release: 3, Weight: 1}}})
-			a.OnRequest(30, Request{ID: "t2", Key: "k", TimeLeft: 4000})
-			a.OnAttemptResult(31, AttemptResult{RequestID: "t2", Status: StatusServed, Final: true, Took: 1})
-			a.OnReleaseUpdate(32, ReleaseUpdate{Release: 3, Phase: RollingBack, Cap: 0, Known: true})
+		{"news, list", func(inst *Instance) { trial(inst, 5, 2); listed(inst, 6, "x", 2, EndpointRunning) }, nil, false},
+		{"list, no news", func(inst *Instance) { listed(inst, 6, "x", 2, EndpointRunning) }, nil, false},
+		{"list, then news", func(inst *Instance) { listed(inst, 6, "x", 2, EndpointRunning) }, func(inst *Instance) { trial(inst, 25, 2) }, false},
+		{"the one before withdrawn, list, no news", func(inst *Instance) { withdrawn(inst, 3, 2); listed(inst, 6, "x", 3, EndpointRunning) }, nil, false},
+		{
+			"the one before withdrawn, list, then news", func(inst *Instance) { withdrawn(inst, 3, 2); listed(inst, 6, "x", 3, EndpointRunning) },
+			func(inst *Instance) { trial(inst, 25, 3) }, false,
+		},
+		{
+			"the one before going back is told on", func(inst *Instance) { withdrawn(inst, 3, 2); listed(inst, 6, "x", 3, EndpointRunning) },
+			func(inst *Instance) {
+				inst.OnReleaseUpdate(25, ReleaseUpdate{Release: 2, Phase: RollingBack, Cap: 0, Known: true})
+			}, false,
+		},
+		{"two unannounced", func(inst *Instance) { listed(inst, 6, "x", 2, EndpointRunning) }, func(inst *Instance) { trial(inst, 25, 3) }, false},
+		{
+			"released, and an earlier one's fresh backend before the word", func(inst *Instance) { trial(inst, 5, 2); listed(inst, 6, "x", 2, EndpointRunning) },
+			func(inst *Instance) {
+				inst.OnReleaseUpdate(25, ReleaseUpdate{Release: 2, Stage: 1, Phase: Released, Cap: 1, Known: true})
+				inst.OnEndpoints(26, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, Weight: 1}}, Snapshot: true}) // nothing earlier is listed
+				inst.OnTimer(26+2*evaluationInterval, 0)
+			}, false,
+		},
+		{
+			"goes back, told after the list", func(inst *Instance) { trial(inst, 5, 2); listed(inst, 6, "x", 2, EndpointRunning) },
+			func(inst *Instance) {
+				inst.OnReleaseUpdate(25, ReleaseUpdate{Release: 2, Phase: RollingBack, Cap: 0, Known: true})
+			}, true,
+		},
+		{
+			"goes back, and an answer on its trial comes late", func(inst *Instance) { trial(inst, 5, 2); listed(inst, 6, "x", 2, EndpointRunning) },
+			func(inst *Instance) {
+				inst.OnReleaseUpdate(25, ReleaseUpdate{Release: 2, Phase: RollingBack, Cap: 0, Known: true})
+				inst.OnReleaseUpdate(26, ReleaseUpdate{Release: 2, Phase: RollingOut, Response: VoteCounted, Cap: 1, Known: true})
+			}, true,
+		},
+		{"the later of two goes back", func(inst *Instance) {
+			trial(inst, 3, 2)
+			inst.OnReleaseUpdate(4, ReleaseUpdate{Release: 2, Stage: 1, Phase: Released, Cap: 1, Known: true})
+			listed(inst, 6, "x", 2, EndpointRunning)
+		}, func(inst *Instance) {
+			trial(inst, 25, 3)
+			inst.OnEndpoints(26, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, State: EndpointDraining}, {ID: "y", Release: 3, Weight: 1}}})
+			inst.OnRequest(30, Request{ID: "t2", Key: "k", TimeLeft: 4000})
+			inst.OnAttemptResult(31, AttemptResult{RequestID: "t2", Status: StatusServed, Final: true, Took: 1})
+			inst.OnReleaseUpdate(32, ReleaseUpdate{Release: 3, Phase: RollingBack, Cap: 0, Known: true})
 		}, false},
 	} {
-		a, r := keyed(1, 1)
-		listed(a, 2, "a", 1, EndpointDraining)
-		c.before(a)
+		inst, port := startWithAffinity(1, 1)
+		listed(inst, 2, "a", 1, EndpointDraining)
+		c.before(inst)
 		now := 10.0
 		// The first of a process's attempts at a release on trial needs no more than the free ones.
-		a.OnRequest(now, Request{ID: "t", Key: "k", TimeLeft: 4000})
-		if got := where(r.take()); got != "x" {
+		inst.OnRequest(now, Request{ID: "t", Key: "k", TimeLeft: 4000})
+		if got := attemptedBackend(port.take()); got != "x" {
 			t.Fatalf("%s: first %q", c.name, got)
 		}
-		a.OnAttemptResult(now+5, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Took: 5})
+		inst.OnAttemptResult(now+5, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Took: 5})
 		if c.after != nil {
-			c.after(a)
+			c.after(inst)
 		}
 		now = 1000
-		a.OnEndpoints(now, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1, StartedAt: 0}, {ID: "x", Release: 2, State: EndpointRemoved}, {ID: "y", Release: 3, State: EndpointRemoved}}})
-		r.take()
-		a.OnRequest(now+1, Request{ID: "u", Key: "k", TimeLeft: 4000})
-		if got := where(r.take()); (got == "a") != c.open {
+		inst.OnEndpoints(now, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1, StartedAt: 0}, {ID: "x", Release: 2, State: EndpointRemoved}, {ID: "y", Release: 3, State: EndpointRemoved}}})
+		port.take()
+		inst.OnRequest(now+1, Request{ID: "u", Key: "k", TimeLeft: 4000})
+		if got := attemptedBackend(port.take()); (got == "a") != c.open {
 			t.Errorf("%s: the key goes to %q, open %v", c.name, got, c.open)
 		}
 	}
@@ -107,33 +117,33 @@
 
 // An id that returns with another release while its answer is out: either may have given it.
 func TestAnswerAcrossReleases(t *testing.T) {
-	a, r := keyed(2, 1)
-	a.OnEndpoints(3, EndpointUpdate{Endpoints: []Endpoint{{ID: "b", State: EndpointRemoved}}})
-	a.OnRequest(10, Request{ID: "t", Key: "k", TimeLeft: 4000})
-	expect(t, "first", where(r.take()), "a")
-	a.OnEndpoints(12, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 2, Weight: 1}}})
-	a.OnAttemptResult(15, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Took: 5})
-	a.OnEndpoints(16, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 2, Weight: 1, State: EndpointDraining}, {ID: "b", Release: 1, Weight: 1}}})
-	a.OnRequest(20, Request{ID: "u", Key: "k", TimeLeft: 4000})
-	expect(t, "again, with only the earlier release there", where(r.take()), "")
-	a.OnRequest(21, Request{ID: "v", Key: "other", TimeLeft: 4000})
-	expect(t, "another key", where(r.take()), "b")
+	inst, port := startWithAffinity(2, 1)
+	inst.OnEndpoints(3, EndpointUpdate{Endpoints: []Endpoint{{ID: "b", State: EndpointRemoved}}})
+	inst.OnRequest(10, Request{ID: "t", Key: "k", TimeLeft: 4000})
+	expect(t, "first", attemptedBackend(port.take()), "a")
+	inst.OnEndpoints(12, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 2, Weight: 1}}})
+	inst.OnAttemptResult(15, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Took: 5})
+	inst.OnEndpoints(16, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 2, Weight: 1, State: EndpointDraining}, {ID: "b", Release: 1, Weight: 1}}})
+	inst.OnRequest(20, Request{ID: "u", Key: "k", TimeLeft: 4000})
+	expect(t, "again, with only the earlier release there", attemptedBackend(port.take()), "")
+	inst.OnRequest(21, Request{ID: "v", Key: "other", TimeLeft: 4000})
+	expect(t, "another key", attemptedBackend(port.take()), "b")
 }
 
 // With the next release announced, the one before still binds the keys that it has answered, and no others.
 func TestKeysOfReleaseBefore(t *testing.T) {
-	a, r := keyed(1, 1)
-	a.OnReleaseUpdate(3, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 1, Known: true})
-	a.OnEndpoints(4, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1, State: EndpointDraining}, {ID: "x", Release: 2, Weight: 1}}})
-	a.OnRequest(10, Request{ID: "t", Key: "k", TimeLeft: 4000})
-	a.OnAttemptResult(15, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Took: 5})
-	a.OnReleaseUpdate(20, ReleaseUpdate{Release: 2, Stage: 1, Phase: Released, Cap: 1, Known: true})
-	a.OnReleaseUpdate(21, ReleaseUpdate{Release: 3, Phase: RollingOut, Cap: 1, Known: true})
-	a.OnEndpoints(22, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1}, {ID: "x", Release: 2, Weight: 1, State: EndpointDraining}}})
-	r.take()
+	inst, port := startWithAffinity(1, 1)
+	inst.OnReleaseUpdate(3, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 1, Known: true})
+	inst.OnEndpoints(4, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1, State: EndpointDraining}, {ID: "x", Release: 2, Weight: 1}}})
+	inst.OnRequest(10, Request{ID: "t", Key: "k", TimeLeft: 4000})
+	inst.OnAttemptResult(15, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Took: 5})
+	inst.OnReleaseUpdate(20, ReleaseUpdate{Release: 2, Stage: 1, Phase: Released, Cap: 1, Known: true})
+	inst.OnReleaseUpdate(21, ReleaseUpdate{Release: 3, Phase: RollingOut, Cap: 1, Known: true})
+	inst.OnEndpoints(22, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1}, {ID: "x", Release: 2, Weight: 1, State: EndpointDraining}}})
+	port.take()
 	for key, want := range map[string]string{"k": "", "other": "a"} {
-		a.OnRequest(30, Request{ID: key, Key: key, TimeLeft: 4000})
-		expect(t, key, where(r.take()), want)
+		inst.OnRequest(30, Request{ID: key, Key: key, TimeLeft: 4000})
+		expect(t, key, attemptedBackend(port.take()), want)
 	}
 }
 
@@ -141,63 +151,63 @@
 func TestSendable(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		mean  func(a *Instance)
+		mean  func(inst *Instance)
 		want  bool
 		trial bool // the attempt is at the release on trial
 	}{
-		{"nothing", func(a *Instance) {}, true, false},
-		{"its backend drains", func(a *Instance) {
-			a.OnEndpoints(11, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1, State: EndpointDraining}}})
+		{"nothing", func(inst *Instance) {}, true, false},
+		{"its backend drains", func(inst *Instance) {
+			inst.OnEndpoints(11, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1, State: EndpointDraining}}})
 		}, false, false},
-		{"its backend has another release", func(a *Instance) {
-			a.OnEndpoints(11, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 2, Weight: 1}}})
+		{"its backend has another release", func(inst *Instance) {
+			inst.OnEndpoints(11, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 2, Weight: 1}}})
 		}, false, false},
-		{"a later release answers the key", func(a *Instance) {
-			a.OnEndpoints(11, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1, State: EndpointDraining}, {ID: "x", Release: 2, Weight: 1}}})
-			a.OnRequest(12, Request{ID: "other", Key: "k", TimeLeft: 4000})
-			a.OnAttemptResult(13, AttemptResult{RequestID: "other", Status: StatusServed, Final: true, Took: 1})
-			a.OnEndpoints(14, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1}}})
+		{"a later release answers the key", func(inst *Instance) {
+			inst.OnEndpoints(11, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1, State: EndpointDraining}, {ID: "x", Release: 2, Weight: 1}}})
+			inst.OnRequest(12, Request{ID: "other", Key: "k", TimeLeft: 4000})
+			inst.OnAttemptResult(13, AttemptResult{RequestID: "other", Status: StatusServed, Final: true, Took: 1})
+			inst.OnEndpoints(14, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1}}})
 		}, false, false},
-		{"an attempt at a later release is out", func(a *Instance) {
-			a.OnEndpoints(11, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1, State: EndpointDraining}, {ID: "x", Release: 2, Weight: 1}}})
-			a.OnRequest(12, Request{ID: "other", Key: "k", TimeLeft: 4000})
-			a.OnEndpoints(14, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1}}})
+		{"an attempt at a later release is out", func(inst *Instance) {
+			inst.OnEndpoints(11, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1, State: EndpointDraining}, {ID: "x", Release: 2, Weight: 1}}})
+			inst.OnRequest(12, Request{ID: "other", Key: "k", TimeLeft: 4000})
+			inst.OnEndpoints(14, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1}}})
 		}, false, false},
-		{"on trial, nothing", func(a *Instance) {}, true, true},
-		{"its release goes back", func(a *Instance) {
-			a.OnReleaseUpdate(11, ReleaseUpdate{Release: 2, Phase: RollingBack, Cap: 0, Known: true})
+		{"on trial, nothing", func(inst *Instance) {}, true, true},
+		{"its release goes back", func(inst *Instance) {
+			inst.OnReleaseUpdate(11, ReleaseUpdate{Release: 2, Phase: RollingBack, Cap: 0, Known: true})
 		}, false, true},
 	} {
-		a, r := keyed(1, 1)
+		inst, port := startWithAffinity(1, 1)
 		want := "a"
 		if c.trial {
 			want = "x"
-			a.OnReleaseUpdate(3, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 1, Known: true})
-			a.OnEndpoints(4, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1, State: EndpointDraining}, {ID: "x", Release: 2, Weight: 1}}})
+			inst.OnReleaseUpdate(3, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 1, Known: true})
+			inst.OnEndpoints(4, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1, State: EndpointDraining}, {ID: "x", Release: 2, Weight: 1}}})
 		}
-		a.OnRequest(10, Request{ID: "t", Key: "k", TimeLeft: 4000})
-		if got := where(r.take()); got != want {
+		inst.OnRequest(10, Request{ID: "t", Key: "k", TimeLeft: 4000})
+		if got := attemptedBackend(port.take()); got != want {
 			t.Fatalf("%s: first %q", c.name, got)
 		}
-		c.mean(a)
-		expect(t, c.name, a.MaySend("t", 0), c.want)
+		c.mean(inst)
+		expect(t, c.name, inst.MaySend("t", 0), c.want)
 	}
 }
 
 // The keys of a trial are the same ones before its news, after it and in the process that follows, and others for another agent.
 func TestTrialKeys(t *testing.T) {
 	drawn := func(seed uint64, me int, told bool) (set string) {
-		a := New(&record{}, Config{Seed: seed, Index: me, Instances: 2})
-		a.configureClasses(Config{Classes: []RequestClass{{LatencyObjective: 1000, Timeout: 4000, Value: 1}}, MaxAttempts: 5, ConcurrentAttempts: true, CancelAllowed: true})
-		a.configureExposure(ExposureConfig{FreeAttempts: 2, Caps: []float64{0.5, 1}, KeyAffinity: true})
-		a.OnReleaseUpdate(1, ReleaseUpdate{Release: 2, Phase: Withdrawn, Cap: 0, Known: true})
-		a.OnEndpoints(2, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1}, {ID: "x", Release: 3, Weight: 1}}, Snapshot: true})
+		inst := New(&recordingPort{}, Config{Seed: seed, Index: me, Instances: 2})
+		inst.configureClasses(Config{Classes: []RequestClass{{LatencyObjective: 1000, Timeout: 4000, Value: 1}}, MaxAttempts: 5, ConcurrentAttempts: true, CancelAllowed: true})
+		inst.configureExposure(ExposureConfig{FreeAttempts: 2, Caps: []float64{0.5, 1}, KeyAffinity: true})
+		inst.OnReleaseUpdate(1, ReleaseUpdate{Release: 2, Phase: Withdrawn, Cap: 0, Known: true})
+		inst.OnEndpoints(2, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1}, {ID: "x", Release: 3, Weight: 1}}, Snapshot: true})
 		if told {
-			a.OnReleaseUpdate(3, ReleaseUpdate{Release: 3, Phase: RollingOut, Cap: 0.5, Known: true})
+			inst.OnReleaseUpdate(3, ReleaseUpdate{Release: 3, Phase: RollingOut, Cap: 0.5, Known: true})
 		}
 		for k := range 64 {
 			x := &request{key: fmt.Sprint(k), affinityKey: 1}
-			set += fmt.Sprint(boolIndex(a.rolloutDraw(x) < 0.5))
+			set += fmt.Sprint(boolIndex(inst.rolloutDraw(x) < 0.5))
 		}
 		return set
 	}
@@ -210,31 +220,31 @@
 // A backend whose release no source tells may run any: its answers bind a key as the latest release's would, it serves only keys
 // that the oldest one may, and the trial's keys are not drawn anew for it.
 func TestUnknownRelease(t *testing.T) {
-	only := func(a *Instance, now float64, id string) {
+	only := func(inst *Instance, now float64, id string) {
 		list := []Endpoint{{ID: "a", Release: 1, Weight: 1}, {ID: "x", Release: 2, Weight: 1}, {ID: "u", Release: UnknownRelease, Weight: 1}}
 		for k := range list {
 			if list[k].ID != id {
 				list[k].State = EndpointDraining
 			}
 		}
-		a.OnEndpoints(now, EndpointUpdate{Endpoints: list})
+		inst.OnEndpoints(now, EndpointUpdate{Endpoints: list})
 	}
 	for _, c := range []struct {
 		first, then string
 		serves      bool
 	}{{"a", "u", true}, {"x", "u", false}, {"u", "x", true}, {"u", "a", false}, {"u", "u", false}} {
-		a, r := keyed(1, 1)
-		a.OnReleaseUpdate(3, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 1, Known: true})
-		only(a, 4, "")
-		drawn := a.rolloutDraw(&request{key: "k", affinityKey: 1})
-		only(a, 5, c.first)
-		expect(t, "drawn", a.rolloutDraw(&request{key: "k", affinityKey: 1}), drawn)
-		a.OnRequest(10, Request{ID: "t", Key: "k", TimeLeft: 4000})
-		expect(t, "first", where(r.take()), c.first)
-		a.OnAttemptResult(15, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Took: 5})
-		only(a, 20, c.then)
-		a.OnRequest(30, Request{ID: "v", Key: "k", TimeLeft: 4000})
-		expect(t, fmt.Sprint(c.first, " has answered, ", c.then, " is there"), where(r.take()) == c.then, c.serves)
+		inst, port := startWithAffinity(1, 1)
+		inst.OnReleaseUpdate(3, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 1, Known: true})
+		only(inst, 4, "")
+		drawn := inst.rolloutDraw(&request{key: "k", affinityKey: 1})
+		only(inst, 5, c.first)
+		expect(t, "drawn", inst.rolloutDraw(&request{key: "k", affinityKey: 1}), drawn)
+		inst.OnRequest(10, Request{ID: "t", Key: "k", TimeLeft: 4000})
+		expect(t, "first", attemptedBackend(port.take()), c.first)
+		inst.OnAttemptResult(15, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Took: 5})
+		only(inst, 20, c.then)
+		inst.OnRequest(30, Request{ID: "v", Key: "k", TimeLeft: 4000})
+		expect(t, fmt.Sprint(c.first, " has answered, ", c.then, " is there"), attemptedBackend(port.take()) == c.then, c.serves)
 	}
 }
 
@@ -242,45 +252,45 @@
 func TestEvidenceByRelease(t *testing.T) {
 	for _, c := range []struct {
 		name       string
-		news       func(a *Instance)
+		news       func(inst *Instance)
 		release    ReleaseID
 		old, newer int // outcomes on record
 	}{
-		{"the newest", func(a *Instance) {
-			a.OnReleaseUpdate(5, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.5, Known: true})
+		{"the newest", func(inst *Instance) {
+			inst.OnReleaseUpdate(5, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.5, Known: true})
 		}, 2, 0, 1},
-		{"the one before", func(a *Instance) {
-			a.OnReleaseUpdate(5, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.5, Known: true})
+		{"the one before", func(inst *Instance) {
+			inst.OnReleaseUpdate(5, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.5, Known: true})
 		}, 1, 1, 0},
-		{"its news is to come", func(a *Instance) {}, 2, 0, 0},
-		{"it was withdrawn, and the next one came", func(a *Instance) {
-			a.OnReleaseUpdate(5, ReleaseUpdate{Release: 2, Phase: Withdrawn, Cap: 0, Known: true})
-			a.OnReleaseUpdate(6, ReleaseUpdate{Release: 3, Phase: RollingOut, Cap: 0.5, Known: true})
+		{"its news is to come", func(inst *Instance) {}, 2, 0, 0},
+		{"it was withdrawn, and the next one came", func(inst *Instance) {
+			inst.OnReleaseUpdate(5, ReleaseUpdate{Release: 2, Phase: Withdrawn, Cap: 0, Known: true})
+			inst.OnReleaseUpdate(6, ReleaseUpdate{Release: 3, Phase: RollingOut, Cap: 0.5, Known: true})
 		}, 2, 0, 0},
 	} {
-		a, _ := keyed(1, 0.5)
-		c.news(a)
-		a.addEvidence(c.release, 0, outcome{at: 10, latency: 5})
-		expect(t, c.name, []int{len(a.evidence[0][0]), len(a.evidence[1][0])}, []int{c.old, c.newer})
+		inst, _ := startWithAffinity(1, 0.5)
+		c.news(inst)
+		inst.addEvidence(c.release, 0, outcome{at: 10, latency: 5})
+		expect(t, c.name, []int{len(inst.evidence[0][0]), len(inst.evidence[1][0])}, []int{c.old, c.newer})
 	}
 }
 
 // An answer to a vote on the release before is no vote on the one that has come meanwhile.
 func TestVoteOnReleaseBefore(t *testing.T) {
-	a, r := keyed(1, 0.5)
-	a.OnReleaseUpdate(5, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.5, Known: true})
-	a.desiredVerdict = Promote
-	a.OnTimer(6, 0)
-	if did := fmt.Sprint(r.take()); !strings.Contains(did, "vote 2") {
+	inst, port := startWithAffinity(1, 0.5)
+	inst.OnReleaseUpdate(5, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.5, Known: true})
+	inst.desiredVerdict = Promote
+	inst.OnTimer(6, 0)
+	if did := fmt.Sprint(port.take()); !strings.Contains(did, "vote 2") {
 		t.Fatalf("no vote: %s", did)
 	}
-	a.OnReleaseUpdate(7, ReleaseUpdate{Release: 3, Phase: RollingOut, Cap: 0.5, Known: true})
-	a.OnReleaseUpdate(8, ReleaseUpdate{Release: 2, Phase: RollingOut, Response: VoteCounted, Cap: 0.5, Known: true})
-	expect(t, "stands for release 3", a.acceptedVerdict, NoVerdict)
-	expect(t, "newest", a.newest, 3)
-	a.desiredVerdict = Promote
-	a.OnTimer(9, 0)
-	if did := fmt.Sprint(r.take()); !strings.Contains(did, "vote 3") {
+	inst.OnReleaseUpdate(7, ReleaseUpdate{Release: 3, Phase: RollingOut, Cap: 0.5, Known: true})
+	inst.OnReleaseUpdate(8, ReleaseUpdate{Release: 2, Phase: RollingOut, Response: VoteCounted, Cap: 0.5, Known: true})
+	expect(t, "stands for release 3", inst.acceptedVerdict, NoVerdict)
+	expect(t, "newest", inst.newest, 3)
+	inst.desiredVerdict = Promote
+	inst.OnTimer(9, 0)
+	if did := fmt.Sprint(port.take()); !strings.Contains(did, "vote 3") {
 		t.Errorf("no vote on release 3: %s", did)
 	}
 }
@@ -314,13 +324,15 @@
 // Random orders of lists, news, votes' answers, requests and ends keep the rule on exposure, by a reference of its own.
 func TestExposureAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, r := keyed(0, 0.5)
-		rule := &exposureRule{phase: map[ReleaseID]Phase{1: Released}, limit: map[ReleaseID]float64{}, newest: 1, answered: map[string][]ReleaseID{},
-			sent: map[ReleaseID]int{}, from: map[ReleaseID]int{}}
+		inst, port := startWithAffinity(0, 0.5)
+		rule := &exposureRule{
+			phase: map[ReleaseID]Phase{1: Released}, limit: map[ReleaseID]float64{}, newest: 1, answered: map[string][]ReleaseID{},
+			sent: map[ReleaseID]int{}, from: map[ReleaseID]int{},
+		}
 		runs, at, out := map[string]ReleaseID{}, map[string][2]string{}, []string{}
 		now, ids := 10.0, 0
 		attempts := func() {
-			for did := r.take(); len(did) > 0; did = r.take() {
+			for did := port.take(); len(did) > 0; did = port.take() {
 				for _, line := range did {
 					var what, id, backend string
 					if fmt.Sscan(line, &what, &id, &backend); what != "submit" {
@@ -368,7 +380,7 @@
 				}
 			}
 			rule.newest = max(rule.newest, release)
-			a.OnReleaseUpdate(now, ReleaseUpdate{Release: release, Stage: stage, Phase: phase, Response: reply, Cap: limit, Known: true})
+			inst.OnReleaseUpdate(now, ReleaseUpdate{Release: release, Stage: stage, Phase: phase, Response: reply, Cap: limit, Known: true})
 		}
 		for range rapid.IntRange(20, 120).Draw(t, "events") {
 			now += float64(rapid.IntRange(1, 300).Draw(t, "after"))
@@ -380,7 +392,7 @@
 				if state != EndpointRemoved {
 					runs[id] = release
 				}
-				a.OnEndpoints(now, EndpointUpdate{Endpoints: []Endpoint{{ID: id, Release: release, State: state, Weight: 1}}})
+				inst.OnEndpoints(now, EndpointUpdate{Endpoints: []Endpoint{{ID: id, Release: release, State: state, Weight: 1}}})
 			case 2: // the platform tells a state, in any order
 				release := ReleaseID(rapid.IntRange(1, 4).Draw(t, "release"))
 				phase := Phase(rapid.IntRange(0, 3).Draw(t, "phase"))
@@ -391,14 +403,14 @@
 				id, key := fmt.Sprint(ids), fmt.Sprint("k", rapid.IntRange(0, 5).Draw(t, "key"))
 				at[id] = [2]string{key}
 				rule.taken++
-				a.OnRequest(now, Request{ID: id, Key: key, TimeLeft: 2000})
+				inst.OnRequest(now, Request{ID: id, Key: key, TimeLeft: 2000})
 			case 7, 8: // an attempt ends
 				if len(out) > 0 {
 					k := rapid.IntRange(0, len(out)-1).Draw(t, "which")
 					id := out[k]
 					out = append(out[:k], out[k+1:]...)
 					result := []AttemptStatus{StatusServed, StatusServed, StatusServed, StatusErrored, StatusRejected, StatusReset}[rapid.IntRange(0, 5).Draw(t, "result")]
-					x := a.requests[id]
+					x := inst.requests[id]
 					if x == nil {
 						continue
 					}
@@ -410,10 +422,10 @@
 					if phase, told := rule.phase[release]; result == StatusServed && !(told && (phase == RollingBack || phase == Withdrawn)) {
 						rule.answered[at[id][0]] = append(rule.answered[at[id][0]], release)
 					}
-					a.OnAttemptResult(now, AttemptResult{RequestID: id, Attempt: sub, Status: result, Final: result == StatusServed, Took: 10})
+					inst.OnAttemptResult(now, AttemptResult{RequestID: id, Attempt: sub, Status: result, Final: result == StatusServed, Took: 10})
 				}
 			case 9:
-				a.OnTimer(now, a.timerToken)
+				inst.OnTimer(now, inst.timerToken)
 			}
 			attempts()
 		}
--- a/policy/replay_test.go
+++ b/policy/replay_test.go
@@ -10,7 +10,7 @@
 
 // replayPort hands each action to the recorder but log lines; what the instance sends to others is kept to be played back.
 type replayPort struct {
-	record
+	recordingPort
 	to    *replay.Recorder
 	sent  [][]byte
 	timer uint64
@@ -25,8 +25,9 @@
 func (p *replayPort) Reject(id string, wait float64) { p.add("decline %s %v", id, wait) }
 func (p *replayPort) SendMessage(instance int, note []byte) {
 	p.sent = append(p.sent, note)
-	p.record.SendMessage(instance, note)
+	p.recordingPort.SendMessage(instance, note)
 }
+
 func (p *replayPort) SetTimer(after float64, token uint64) {
 	p.timer = token
 	p.add("timer %v %d", after, token)
@@ -36,7 +37,7 @@
 // schedule is a random order of events for one instance, whatever sense they make together.
 type schedule struct {
 	rng      *rand.Rand
-	a        *Instance
+	inst     *Instance
 	port     *replayPort
 	now      float64
 	ids      int
@@ -70,13 +71,13 @@
 			start = now - s.rng.Float64()*40000
 		}
 		whole := s.rng.IntN(30) == 0
-		s.a.OnEndpoints(now, EndpointUpdate{Endpoints: []Endpoint{{ID: id, Release: release, State: state, Weight: 1 + s.rng.Float64(), StartedAt: start, Zone: s.rng.IntN(2), Cell: s.rng.IntN(2)}}, Snapshot: whole, Cached: s.rng.IntN(50) == 0})
+		s.inst.OnEndpoints(now, EndpointUpdate{Endpoints: []Endpoint{{ID: id, Release: release, State: state, Weight: 1 + s.rng.Float64(), StartedAt: start, Zone: s.rng.IntN(2), Cell: s.rng.IntN(2)}}, Snapshot: whole, Cached: s.rng.IntN(50) == 0})
 		return fmt.Sprint("list ", id, release, int(state), start, whole)
 	case 1:
 		release, stage, phase, reply := ReleaseID(1+s.rng.IntN(5)), s.rng.IntN(3), Phase(s.rng.IntN(4)), VoteResponse(s.rng.IntN(5))
 		limit := []float64{0.5, 0, 1, 0}[phase]
 		told := s.rng.IntN(3) > 0
-		s.a.OnReleaseUpdate(now, ReleaseUpdate{Release: release, Stage: stage, Phase: phase, Response: reply, Cap: limit, Age: s.rng.Float64() * 100, Known: told})
+		s.inst.OnReleaseUpdate(now, ReleaseUpdate{Release: release, Stage: stage, Phase: phase, Response: reply, Cap: limit, Age: s.rng.Float64() * 100, Known: told})
 		return fmt.Sprint("news ", release, stage, int(phase), int(reply), told)
 	case 2, 3, 4, 5, 6, 7:
 		s.ids++
@@ -86,56 +87,56 @@
 		}
 		s.open = append(s.open, id)
 		class, left, hint := s.rng.IntN(4), 100+s.rng.Float64()*4000, s.rng.Float64()*20-5
-		s.a.OnRequest(now, Request{ID: id, Key: key, Class: class, Tenant: s.rng.IntN(3), Retry: s.rng.IntN(6) == 0, TimeLeft: left, Work: hint})
+		s.inst.OnRequest(now, Request{ID: id, Key: key, Class: class, Tenant: s.rng.IntN(3), Retry: s.rng.IntN(6) == 0, TimeLeft: left, Work: hint})
 		return fmt.Sprint("request ", id, key, class, left, hint)
 	case 8, 9, 10, 11, 12, 13, 14:
 		id, attempt := s.request(), s.rng.IntN(3)
 		result := []AttemptStatus{StatusServed, StatusServed, StatusServed, StatusServed, StatusErrored, StatusRejected, StatusTimedOut, StatusConnectFailed, StatusReset, StatusCanceled, StatusNotSent}[s.rng.IntN(11)]
 		took, waiting := s.rng.Float64()*300, float64(s.rng.IntN(4)-1)
-		s.a.OnAttemptResult(now, AttemptResult{RequestID: id, Attempt: attempt, Status: result, Final: result == StatusServed, Took: took, Load: loadReport(waiting, waiting/2)})
+		s.inst.OnAttemptResult(now, AttemptResult{RequestID: id, Attempt: attempt, Status: result, Final: result == StatusServed, Took: took, Load: loadReportOf(waiting, waiting/2)})
 		return fmt.Sprint("outcome ", id, attempt, int(result), took, waiting)
 	case 15:
 		id := s.request()
-		s.a.OnClientGone(now, id)
+		s.inst.OnClientGone(now, id)
 		return "hangup " + id
 	case 16:
 		id := s.backend()
-		s.a.OnProbeResult(now, ProbeResult{Backend: id, OK: s.rng.IntN(3) > 0, Took: s.rng.Float64() * 50, Load: loadReport(float64(s.rng.IntN(4)-1), -1)})
+		s.inst.OnProbeResult(now, ProbeResult{Backend: id, OK: s.rng.IntN(3) > 0, Took: s.rng.Float64() * 50, Load: loadReportOf(float64(s.rng.IntN(4)-1), -1)})
 		return "probed " + id
 	case 17:
 		if len(s.port.sent) > 0 {
 			note := s.port.sent[s.rng.IntN(len(s.port.sent))]
-			s.a.OnMessage(now, note[:s.rng.IntN(len(note)+1)])
+			s.inst.OnMessage(now, note[:s.rng.IntN(len(note)+1)])
 		}
 		return "told"
 	case 18:
-		s.a.OnWrongAnswer(now, s.backend(), s.rng.IntN(4), s.rng.Float64()*1000)
+		s.inst.OnWrongAnswer(now, s.backend(), s.rng.IntN(4), s.rng.Float64()*1000)
 		return "reported wrong"
 	case 19:
 		switch s.rng.IntN(12) {
 		case 0:
-			s.a.OnClockStep(now)
+			s.inst.OnClockStep(now)
 			return "clock stepped"
 		case 1:
-			s.a.OnEndpointsFailed(now)
+			s.inst.OnEndpointsFailed(now)
 			return "list failed"
 		case 2:
-			s.a.OnPlatformCounts(now)
+			s.inst.OnPlatformCounts(now)
 			return "counted"
 		}
-		s.a.OnStreamStarted(now, s.request(), 0)
+		s.inst.OnStreamStarted(now, s.request(), 0)
 		return "began"
 	case 20:
 		id, attempt := s.request(), s.rng.IntN(3)
-		s.port.add("sendable %v", s.a.MaySend(id, attempt))
+		s.port.add("sendable %v", s.inst.MaySend(id, attempt))
 		return fmt.Sprint("sendable ", id, attempt)
 	}
-	s.a.OnTimer(now, s.port.timer)
+	s.inst.OnTimer(now, s.port.timer)
 	return "wake"
 }
 
 func (s *schedule) status() {
-	r := s.a.ReleaseStatus()
+	r := s.inst.ReleaseStatus()
 	newest := r.Newest
 	s.port.add("releases %d %d %d %v %v %v", newest.Release, newest.Stage, newest.Phase, newest.Cap, newest.Announced, newest.Superseded)
 	s.port.add("releases %d %d %d %d %d", r.RollingOut, r.Keys, r.Skipped.Closed, r.Skipped.CapReached, r.Skipped.Affinity)
@@ -144,23 +145,26 @@
 // configured is an instance of a kind drawn from the schedule's seed.
 func configured(s *schedule) *Instance {
 	agents := []int{1, 2, 8, 40, 300}[s.rng.IntN(5)]
-	a := New(s.port, Config{Seed: s.rng.Uint64(), Index: s.rng.IntN(min(agents, 4)), Instances: agents})
-	classes := []RequestClass{{LatencyObjective: 1000, Timeout: 4000, Value: 1}, {LatencyObjective: 800, Timeout: 3000, Value: 3, Semantics: Idempotent, DedupWindow: 2000},
+	inst := New(s.port, Config{Seed: s.rng.Uint64(), Index: s.rng.IntN(min(agents, 4)), Instances: agents})
+	classes := []RequestClass{
+		{LatencyObjective: 1000, Timeout: 4000, Value: 1},
+		{LatencyObjective: 800, Timeout: 3000, Value: 3, Semantics: Idempotent, DedupWindow: 2000},
 		{LatencyObjective: 1000, Timeout: 4000, Value: 5, Semantics: NonIdempotent, LateValue: 0.2},
-		{LatencyObjective: 500, ObjectivePerWork: 2, Timeout: 4000, Value: 2, Semantics: Idempotent, DedupScope: DedupScope(1 + s.rng.IntN(2)), DedupWindow: 1500}}
-	a.configureClasses(Config{Classes: classes, MaxAttempts: 2 + s.rng.IntN(4), ConcurrentAttempts: s.rng.IntN(2) == 0, CancelAllowed: s.rng.IntN(2) == 0})
-	a.maxOpenRequests = float64(20 + s.rng.IntN(200))
-	a.peerMessages = s.rng.IntN(2) == 0
-	a.probesAllowed, a.probePrice = s.rng.IntN(2) == 0, 0.01
-	a.maxRetryAfter = 2000
-	a.zoneIndex, a.crossZonePrice = s.rng.IntN(2), s.rng.IntN(2) == 0
-	a.discoveryOnDemand, a.refreshInterval = s.rng.IntN(2) == 0, 10000
-	a.configureSlowStart(SlowStartConfig{InitialCapacity: 0.4, WarmUp: 5000, OverloadFactor: 3, OverloadWindow: 1000})
-	a.configureExposure(ExposureConfig{FreeAttempts: 2, Caps: []float64{0.1, 0.5, 1}, GuardedStages: s.rng.IntN(2), PerClass: s.rng.IntN(2) == 0, KeyAffinity: s.rng.IntN(3) > 0})
-	a.exposureWindow = float64(s.rng.IntN(2) * 3000)
-	a.configureRollout(RolloutConfig{Stages: []float64{0.1, 0.5, 1}, Control: RolloutControl(s.rng.IntN(3)), RollbackVotes: 1 + s.rng.IntN(5), VoteLifetime: 4000})
-	a.configureTenants(TenantConfig{Quotas: []float64{0.02, 0.005}, OverQuotaValue: 0.1})
-	return a
+		{LatencyObjective: 500, ObjectivePerWork: 2, Timeout: 4000, Value: 2, Semantics: Idempotent, DedupScope: DedupScope(1 + s.rng.IntN(2)), DedupWindow: 1500},
+	}
+	inst.configureClasses(Config{Classes: classes, MaxAttempts: 2 + s.rng.IntN(4), ConcurrentAttempts: s.rng.IntN(2) == 0, CancelAllowed: s.rng.IntN(2) == 0})
+	inst.maxOpenRequests = float64(20 + s.rng.IntN(200))
+	inst.peerMessages = s.rng.IntN(2) == 0
+	inst.probesAllowed, inst.probePrice = s.rng.IntN(2) == 0, 0.01
+	inst.maxRetryAfter = 2000
+	inst.zoneIndex, inst.crossZonePrice = s.rng.IntN(2), s.rng.IntN(2) == 0
+	inst.discoveryOnDemand, inst.refreshInterval = s.rng.IntN(2) == 0, 10000
+	inst.configureSlowStart(SlowStartConfig{InitialCapacity: 0.4, WarmUp: 5000, OverloadFactor: 3, OverloadWindow: 1000})
+	inst.configureExposure(ExposureConfig{FreeAttempts: 2, Caps: []float64{0.1, 0.5, 1}, GuardedStages: s.rng.IntN(2), PerClass: s.rng.IntN(2) == 0, KeyAffinity: s.rng.IntN(3) > 0})
+	inst.exposureWindow = float64(s.rng.IntN(2) * 3000)
+	inst.configureRollout(RolloutConfig{Stages: []float64{0.1, 0.5, 1}, Control: RolloutControl(s.rng.IntN(3)), RollbackVotes: 1 + s.rng.IntN(5), VoteLifetime: 4000})
+	inst.configureTenants(TenantConfig{Quotas: []float64{0.02, 0.005}, OverQuotaValue: 0.1})
+	return inst
 }
 
 // Random schedules, among them what no simulated day has: steps of the clock, unknown releases, attempts asked again as they are
@@ -172,7 +176,7 @@
 			return
 		}
 		s := &schedule{rng: rand.New(rand.NewPCG(seed, 2)), port: &replayPort{to: recorder}, now: 1000}
-		s.a = configured(s)
+		s.inst = configured(s)
 		recorder.Event(fmt.Sprint("schedule ", seed))
 		for range 1200 {
 			s.now += s.rng.ExpFloat64() * 15
@@ -180,10 +184,10 @@
 			s.port.flush()
 		}
 		s.status()
-		s.a.OnShutdown(s.now, s.now+500)
+		s.inst.OnShutdown(s.now, s.now+500)
 		for range 50 {
 			s.now += 20
-			s.a.OnTimer(s.now, s.port.timer)
+			s.inst.OnTimer(s.now, s.port.timer)
 		}
 		s.status()
 		s.port.flush()
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -16,36 +16,36 @@
 // a warm one. So the start is believed only as long as no step of the clock was seen and where it can be true of a backend that is listed
 // just now; else it has been up since now, which is later than its start by the list's delay and never too soon. In a process's first
 // list there is nothing else to go by.
-func (a *Instance) believedStart(start float64) float64 {
+func (inst *Instance) believedStart(start float64) float64 {
 	switch {
 	case start <= 0:
 		return 0
-	case a.discoveryHeard && (a.clockStepped || a.now-start > maxStartAge):
-		return a.now
+	case inst.discoveryHeard && (inst.clockStepped || inst.now-start > maxStartAge):
+		return inst.now
 	}
-	return min(start, a.now)
+	return min(start, inst.now)
 }
 
 // warmUpProgress is the part of its capacity that a backend has at the least.
-func (a *Instance) warmUpProgress(i int) float64 {
-	up := a.now - a.upSince[i]
-	if a.upSince[i] <= 0 || a.warmUpTime <= 0 || up >= a.warmUpTime {
+func (inst *Instance) warmUpProgress(backend int) float64 {
+	up := inst.now - inst.upSince[backend]
+	if inst.upSince[backend] <= 0 || inst.warmUpTime <= 0 || up >= inst.warmUpTime {
 		return 1
 	}
-	return a.initialCapacity + (1-a.initialCapacity)*max(up, 0)/a.warmUpTime
+	return inst.initialCapacity + (1-inst.initialCapacity)*max(up, 0)/inst.warmUpTime
 }
 
 // allowsWarmingUp keeps the cold budget: a part, by the least warmth, of what warm appliances are seen to serve.
-func (a *Instance) allowsWarmingUp(t *request, i int) bool {
-	c := a.warmUpProgress(i)
+func (inst *Instance) allowsWarmingUp(req *request, backend int) bool {
+	c := inst.warmUpProgress(backend)
 	if c >= 1 {
 		return true
 	}
-	pace := a.throughput / throughputTime / max(1-math.Exp(-a.throughputAge/throughputTime), 0.05) * a.weight[i]
+	pace := inst.throughput / throughputTime / max(1-math.Exp(-inst.throughputAge/throughputTime), 0.05) * inst.weight[backend]
 	// One core at the least bears one txn per latency, shared by all: the floor where nothing warm is seen.
-	mean := cmp.Or(a.overallMeanLatency, a.classes[t.class].LatencyObjective)
-	rate := slowStartMargin * a.overloadFactor * c * max(pace, 1/(mean*float64(a.instances)))
-	a.slowStartBudget[i] = min(a.slowStartBudget[i]+rate*(a.now-a.slowStartBudgetAt[i]), max(rate*a.overloadWindow*slowStartBurst, 1))
-	a.slowStartBudgetAt[i] = a.now
-	return a.slowStartBudget[i] >= 1
+	mean := cmp.Or(inst.overallMeanLatency, inst.classes[req.class].LatencyObjective)
+	rate := slowStartMargin * inst.overloadFactor * c * max(pace, 1/(mean*float64(inst.instances)))
+	inst.slowStartBudget[backend] = min(inst.slowStartBudget[backend]+rate*(inst.now-inst.slowStartBudgetAt[backend]), max(rate*inst.overloadWindow*slowStartBurst, 1))
+	inst.slowStartBudgetAt[backend] = inst.now
+	return inst.slowStartBudget[backend] >= 1
 }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -30,17 +30,17 @@
 		{"in the first list, in the future, warm by now", false, false, now + hour, now + 5_000, 1, 1},
 		{"long ago", true, false, 0, now, 1, 1},
 	} {
-		a, _ := tier(RequestClass{}, 0)
-		a.discoveryHeard = false
+		inst, _ := startInstance(RequestClass{}, 0)
+		inst.discoveryHeard = false
 		if c.listed {
-			a.OnEndpoints(1, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1}}, Snapshot: true})
+			inst.OnEndpoints(1, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1}}, Snapshot: true})
 		}
 		if c.seen {
-			a.OnClockStep(2)
+			inst.OnClockStep(2)
 		}
-		a.OnEndpoints(now, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 1, Weight: 1, StartedAt: c.start}}})
-		a.OnTimer(c.at, 0)
-		if got := a.warmUpProgress(a.indexOf["x"]); got < c.minimum-1e-9 || got > c.maximum+1e-9 {
+		inst.OnEndpoints(now, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 1, Weight: 1, StartedAt: c.start}}})
+		inst.OnTimer(c.at, 0)
+		if got := inst.warmUpProgress(inst.indexOf["x"]); got < c.minimum-1e-9 || got > c.maximum+1e-9 {
 			t.Errorf("%s: %.2f of its capacity, want %.2f to %.2f", c.name, got, c.minimum, c.maximum)
 		}
 	}
@@ -48,9 +48,9 @@
 
 // A start that is told in the future keeps no stage waiting for it.
 func TestFutureStartVotes(t *testing.T) {
-	a, _ := tier(RequestClass{}, 3)
-	a.OnReleaseUpdate(10, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.5, Known: true})
-	a.OnEndpoints(1000, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, Weight: 1, StartedAt: 3600_000}}})
-	a.newestReleaseBackends()
-	expect(t, "last start", a.lastBackendStart, 1000.0)
+	inst, _ := startInstance(RequestClass{}, 3)
+	inst.OnReleaseUpdate(10, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.5, Known: true})
+	inst.OnEndpoints(1000, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, Weight: 1, StartedAt: 3600_000}}})
+	inst.newestReleaseBackends()
+	expect(t, "last start", inst.lastBackendStart, 1000.0)
 }
--- a/policy/timers.go
+++ b/policy/timers.go
@@ -2,13 +2,13 @@
 
 import "container/heap"
 
-func (a *Instance) armTimer() {
-	a.timerToken++
-	a.armedAt = a.timers[0].at
-	a.port.SetTimer(max(a.armedAt-a.now, 0.001), a.timerToken)
+func (inst *Instance) armTimer() {
+	inst.timerToken++
+	inst.armedAt = inst.timers[0].at
+	inst.port.SetTimer(max(inst.armedAt-inst.now, 0.001), inst.timerToken)
 }
 
-func (a *Instance) schedule(at float64, t *request) { heap.Push(&a.timers, timer{at, t}) }
+func (inst *Instance) schedule(at float64, req *request) { heap.Push(&inst.timers, timer{at, req}) }
 
 func (h timerQueue) Len() int { return len(h) }
 
@@ -32,8 +32,8 @@
 	request *request
 }
 
-func (a *Instance) timerFired() {
-	if t := heap.Pop(&a.timers).(timer).request; t != nil && !t.ended {
-		a.pending = append(a.pending, t)
+func (inst *Instance) timerFired() {
+	if req := heap.Pop(&inst.timers).(timer).request; req != nil && !req.ended {
+		inst.pending = append(inst.pending, req)
 	}
 }
