--- a/policy/admission.go
+++ b/policy/admission.go
@@ -1,82 +1,74 @@
 package policy
 
-import "math"
+const (
+	// maxQueueShare is the part of a request's time that it may wait without ever having been sent: its client then still has time
+	// to try elsewhere.
+	maxQueueShare = 0.45
+	// maxExpectedLatencyShare bounds the expected latency, as a part of the latency objective. Without a bound, a class that gets no more
+	// requests would keep the figure of its worst hour for good.
+	maxExpectedLatencyShare = 0.5
+	// timeoutOverloadSignal is how sure a sign of overload a timeout is: the answer may as well have been lost on the way.
+	timeoutOverloadSignal = 0.3
+	// minRepeatGap (ms): a repeat has at least so much less time left than the most that any request of its class had.
+	minRepeatGap = 1
+	// cancellationsPerRequest is what each request adds to the cancellation budget, maxCancellations its bound: cancellations
+	// add attempts, and too many of them would feed an overload.
+	cancellationsPerRequest, maxCancellations = 0.1, 20
+)
 
-// admit sets a new txn's SLA time and counts it where the cap, the reserve for the dear and the heat need it.
-func (inst *Instance) admit(req *request, r Request) {
-	class := &inst.classes[req.class]
-	req.objectiveAt = req.arrivedAt + class.LatencyObjective + class.ObjectivePerWork*r.Work
-	// A repeat's SLA time began with the first try: what is left of the expiry tells, once less than usual.
-	inst.longestTimeLeft[req.class] = max(inst.longestTimeLeft[req.class], r.TimeLeft)
-	if r.Retry && r.TimeLeft < inst.longestTimeLeft[req.class]-1 {
-		req.objectiveAt -= class.Timeout - r.TimeLeft
-	}
-	req.objectiveAt = min(req.objectiveAt, req.deadline)
-	req.value = class.Value
-	if req.tenant < len(inst.quotas) && inst.overQuota(req) {
+// admit sets the latency objective and value of a new request and counts it for the exposure cap and the cancellation budget.
+func (inst *Instance) admit(req *request, arrived Request) {
+	req.objectiveAt = inst.objectiveAt(req, arrived)
+	req.value = inst.classes[req.class].Value
+	if inst.quotas.Over(req.tenant, req.arrivedAt) {
 		req.value *= inst.overQuotaValue
 	}
 	inst.meanValue += (req.value - inst.meanValue) * max(meanStep, 1/inst.requestsTaken)
 	inst.allowance.OnRequest(inst.exposureLane(req.class), inst.releases)
-	inst.pending, inst.cancellationBudget = append(inst.pending, req), min(inst.cancellationBudget+cancellationsPerRequest, maxCancellations)
+	inst.pending = append(inst.pending, req)
+	inst.cancellationBudget = min(inst.cancellationBudget+cancellationsPerRequest, maxCancellations)
 	inst.schedule(req.deadline-finalAnswerMargin, req)
 }
 
-// onOverloadSignal moves the part of the txns that is taken on, and of those whose probes went unanswered: down for late
-// answers, up for good ones and with time. Limits on open work bind nothing where each agent has little.
-func (inst *Instance) onOverloadSignal(blind bool, short float64) {
-	for k := range inst.admission {
-		if k == 0 || blind {
-			flow := inst.admissionProbability(k) * (1 - admissionDecrease*short)
-			if short == 0 {
-				flow += admissionIncrease
-			}
-			inst.admission[k], inst.admissionAt[k] = min(flow, 1), inst.now
-		}
+// objectiveAt is until when an answer has the full value. For a repeat that time began with the first try: how long ago that was shows
+// in its time left, which is less than usual.
+func (inst *Instance) objectiveAt(req *request, arrived Request) float64 {
+	class, longest := &inst.classes[req.class], &inst.latencies[req.class].longestTimeLeft
+	at := req.arrivedAt + class.LatencyObjective + class.ObjectivePerWork*arrived.Work
+	*longest = max(*longest, arrived.TimeLeft)
+	if arrived.Retry && arrived.TimeLeft < *longest-minRepeatGap {
+		at -= class.Timeout - arrived.TimeLeft
 	}
+	return min(at, req.deadline)
 }
 
-// admits draws whether a txn goes on, the dear sooner.
-func (inst *Instance) admits(k int, req *request) bool {
-	return inst.rng.Float64() < math.Pow(inst.admissionProbability(k)/fullAdmission, inst.meanValue/max(req.value, 1e-9))
+// learnWork takes a request's work as the client estimates it.
+func (inst *Instance) learnWork(req *request, work float64) {
+	if inst.meanWork == 0 {
+		inst.meanWork = work
+	}
+	inst.meanWork += meanStep * (work - inst.meanWork)
+	req.relativeWork, req.workDivisor = work/inst.meanWork, work
 }
 
+// queueDeadline is until when a request may wait in the queue without ever having been sent.
 func (inst *Instance) queueDeadline(req *request) float64 {
 	return req.arrivedAt + maxQueueShare*(req.deadline-req.arrivedAt)
 }
 
-// expectedLatency: what an answer takes. Bounded, or a product sent no more would keep its worst hour's for ever.
+// expectedLatency is how long an answer usually takes (ms).
 func (inst *Instance) expectedLatency(req *request) float64 {
-	return min(inst.meanLatency[req.class], maxExpectedLatencyShare*inst.classes[req.class].LatencyObjective)
-}
-
-func (inst *Instance) admissionProbability(k int) float64 {
-	return 1 - (1-inst.admission[k])*math.Exp(-(inst.now-inst.admissionAt[k])/admissionRecoveryTime)
+	return min(inst.latencies[req.class].mean, maxExpectedLatencyShare*inst.classes[req.class].LatencyObjective)
 }
 
-// countArrival counts what is asked for.
-func (inst *Instance) countArrival(now float64) {
-	inst.arrivals = inst.arrivals*math.Exp(-(now-inst.arrivalsAt)/inflationWindow) + 1
-	inst.arrivalsAt = now
-	if inst.arrivalsSince == 0 {
-		inst.arrivalsSince = now
+// onOverloadSignal moves the admission probability of all requests, and for an unprobed one that of the unprobed: unanswered probes may be
+// lost or wait in queues, and only requests that went on without them show which.
+func (inst *Instance) onOverloadSignal(unprobed bool, overload float64) {
+	inst.admission.OnSignal(overload, inst.now)
+	if unprobed {
+		inst.unprobedAdmission.OnSignal(overload, inst.now)
 	}
 }
 
-// overQuota tells that a tenant asks for more than its share, of which an agent takes its part to be like
-// others'.
-func (inst *Instance) overQuota(req *request) bool {
-	rate := inst.quotas[req.tenant] / float64(inst.instances)
-	inst.quotaTokens[req.tenant] = min(inst.quotaTokens[req.tenant]+rate*(req.arrivedAt-inst.quotaTokensAt[req.tenant]), rate*quotaBurstTime) - 1
-	inst.quotaTokensAt[req.tenant] = req.arrivedAt
-	if inst.quotaTokens[req.tenant] < 0 {
-		inst.quotaTokens[req.tenant]++
-		return true
-	}
-	return false
-}
-
-// arrivalRate is the first tries of late, right also soon after the start, when few can have been counted.
-func (inst *Instance) arrivalRate() float64 {
-	return inst.arrivals * math.Exp(-(inst.now-inst.arrivalsAt)/inflationWindow) / max(1-math.Exp(-(inst.now-inst.arrivalsSince)/inflationWindow), 0.05)
-}
+// arrivalRate is how many requests that are no repeats arrive in 3 s.
+func (inst *Instance) arrivalRate() float64 { return inst.arrivals.PerWindow(inst.now) }
--- /dev/null
+++ b/policy/attempts.go
@@ -0,0 +1,140 @@
+package policy
+
+import "math"
+
+// This file owns the ends of attempts: what each says of its backend, the load and the release, and how the request goes on.
+
+// endAttempt takes the end of an open attempt.
+func (inst *Instance) endAttempt(req *request, att *attempt, result AttemptResult) {
+	att.open, att.notRun = false, result.Status.provesNotRun()
+	req.openAttempts--
+	req.ended = req.ended || result.Final
+	inst.affinity.AttemptEnded(req.affinityKey, att.bindsTo)
+	inst.endpoints.At(att.backend).OpenAttempts--
+	inst.openAttempts--
+	inst.retryQueuedAt = inst.now // there may be room for a queued request
+	inst.reportLoad(att.backend, result.Load)
+	inst.learnFromAttempt(req, att, result.Status, result.Took)
+	inst.continueRequest(req, att)
+}
+
+// learnFromAttempt draws the conclusions from an attempt's end. took is in ms, infinite where it is not known.
+func (inst *Instance) learnFromAttempt(req *request, att *attempt, status AttemptStatus, took float64) {
+	served := status == StatusServed
+	inTime := served && inst.now <= att.dueAt
+	inst.updateEjection(att, status)
+	if served && inst.now == inst.resumedAt {
+		// What took so long may be this instance's own stall: it says nothing of the backend, the load or the release.
+		took, inTime = math.Inf(1), true
+	}
+	inst.signalOverload(req, att, status, inTime)
+	inst.sampleAnswer(att, status, inTime)
+	if served {
+		inst.learnLatency(inst.endpoints.At(att.backend), req, took)
+	}
+	// An answer that broke on its way, or came when nobody read it, has bound its key all the same.
+	if status != StatusErrored && !att.notRun {
+		inst.bindKey(req, att)
+	}
+	isEvidence := !math.IsInf(took, 1) && !att.notRun && status != StatusCanceled
+	if inst.announced && isEvidence {
+		inst.recordEvidence(att, req, status, took)
+	}
+}
+
+// continueRequest ends a request that has its answer, and lets one without an open attempt go on where it may run again.
+func (inst *Instance) continueRequest(req *request, att *attempt) {
+	mayRunAgain := att.notRun || inst.classes[req.class].Semantics != NonIdempotent
+	switch {
+	case req.ended:
+		inst.cancelOpenAttempts(req)
+	case req.openAttempts > 0: // the other attempt decides
+	case mayRunAgain:
+		req.probeRounds, req.unprobed = 0, false
+		inst.pending = append(inst.pending, req)
+	default:
+		inst.answerFinally(req)
+	}
+}
+
+// updateEjection ejects a backend that fails quickly.
+func (inst *Instance) updateEjection(att *attempt, status AttemptStatus) {
+	ejection := &inst.endpoints.At(att.backend).Ejection
+	switch status {
+	case StatusServed:
+		ejection.OnSuccess()
+	case StatusRejected, StatusConnectFailed, StatusErrored, StatusReset:
+		ejection.OnFailure(inst.now, inst.rng)
+	}
+}
+
+// signalOverload takes an attempt's end as a sign of overload or of none. Ends in other zones are no sign: the way there may be at fault.
+func (inst *Instance) signalOverload(req *request, att *attempt, status AttemptStatus, inTime bool) {
+	if inst.endpoints.At(att.backend).Zone != inst.zone {
+		return
+	}
+	switch {
+	case status == StatusRejected, status == StatusServed && !inTime:
+		inst.onOverloadSignal(req.unprobed, 1)
+	case status == StatusServed:
+		inst.onOverloadSignal(req.unprobed, 0)
+	case status == StatusTimedOut:
+		inst.onOverloadSignal(req.unprobed, timeoutOverloadSignal)
+	}
+}
+
+// sampleAnswer counts an attempt's end in its backend's record and as a sample for its concurrency limit, once. What breaks on the way says
+// nothing of the load there, and a canceled attempt nothing at all.
+func (inst *Instance) sampleAnswer(att *attempt, status AttemptStatus, inTime bool) {
+	if status == StatusCanceled || status == StatusNotSent || att.countedLate {
+		return
+	}
+	inst.recordAnswer(inst.endpoints.At(att.backend), inTime)
+	broke := status == StatusConnectFailed || status == StatusErrored || status == StatusReset
+	if !broke {
+		inst.sampleLimit(att.backend, inTime)
+	}
+}
+
+// sampleLimit moves a backend's concurrency limit and the sum of all limits.
+func (inst *Instance) sampleLimit(backend int, inTime bool) {
+	b := inst.endpoints.At(backend)
+	inst.fleet.concurrencyLimit += b.Limit.OnSample(inTime, b.OpenAttempts, inst.instances)
+}
+
+// handleOverdue takes the first pending request's attempts that are late or taken for lost.
+func (inst *Instance) handleOverdue() {
+	req := inst.pending[0]
+	inst.dropPending()
+	for k := range req.attempts {
+		if att := &req.attempts[k]; att.open && !att.countedLate {
+			inst.handleOverdueAttempt(req, k)
+		}
+	}
+}
+
+// handleOverdueAttempt counts a late attempt against its backend at once, and cancels one that is taken for lost while there is time to try
+// elsewhere: answers get lost on any way. No second copy goes out beside it, and the cancellation budget keeps such retries few: both
+// would feed an overload.
+func (inst *Instance) handleOverdueAttempt(req *request, k int) {
+	att := &req.attempts[k]
+	late := inst.now >= att.dueAt
+	if !late && !inst.isLost(req, att) {
+		return
+	}
+	att.countedLate = true
+	inst.recordAnswer(inst.endpoints.At(att.backend), false)
+	if late {
+		inst.sampleLimit(att.backend, false)
+		return
+	}
+	att.canceled, inst.cancellationBudget = true, inst.cancellationBudget-1
+	inst.port.CancelAttempt(req.id, k)
+}
+
+// isLost says whether an attempt has outlasted nearly all answers and can be replaced in time.
+func (inst *Instance) isLost(req *request, att *attempt) bool {
+	outlasted := inst.now >= inst.givenUpAt(req.class, att.sentAt)
+	mayReplace := len(req.attempts) < inst.maxAttempts && inst.cancellationBudget >= 1
+	return outlasted && mayReplace && inst.now+inst.expectedLatency(req) < req.objectiveAt
+}
--- /dev/null
+++ b/policy/balance/choice_test.go
@@ -0,0 +1,49 @@
+package balance
+
+import (
+	"math/rand/v2"
+	"testing"
+)
+
+// Which of 20 candidates is chosen, how often of 1000 times, by what is accepted and what fits. Candidate 3 has the least load.
+func TestLeastLoaded(t *testing.T) {
+	all := func(int) bool { return true }
+	none := func(int) bool { return false }
+	only := func(one int) func(int) bool { return func(candidate int) bool { return candidate == one } }
+	for _, tc := range []struct {
+		name             string
+		candidates       int
+		accepts, fits    func(int) bool
+		chosen           int
+		minimum, maximum int
+	}{
+		{"all are accepted: the best of six drawn", 20, all, all, 3, 200, 320},
+		{"one is accepted", 20, only(5), all, 5, 800, 1000},
+		{"none is accepted, one fits", 20, none, only(7), 7, 1000, 1000},
+		{"none is accepted, all fit", 20, none, all, 3, 20, 90},
+		{"none fits", 20, none, none, -1, 1000, 1000},
+		{"there is none", 0, all, all, -1, 1000, 1000},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			rng, chosen := rand.New(rand.NewPCG(1, 1)), 0
+			candidates := make([]int, tc.candidates)
+			for k := range candidates {
+				candidates[k] = k
+			}
+			load := func(candidate int) float64 {
+				if candidate == 3 {
+					return 0.5
+				}
+				return 1
+			}
+			for range 1000 {
+				if LeastLoaded(candidates, rng, tc.accepts, tc.fits, load) == tc.chosen {
+					chosen++
+				}
+			}
+			if chosen < tc.minimum || chosen > tc.maximum {
+				t.Errorf("candidate %d chosen %d of 1000 times, want %d to %d", tc.chosen, chosen, tc.minimum, tc.maximum)
+			}
+		})
+	}
+}
--- a/policy/config.go
+++ b/policy/config.go
@@ -1,17 +1,20 @@
 package policy
 
-// This file owns what an instance is told once, at its start: the deployment's settings in the terms of the decisions.
+// This file owns what an instance is given once, at its start: the deployment's settings in the terms of the decisions.
 
 import (
 	"errors"
 	"fmt"
 	"math"
 
+	"onyxgate/policy/admission"
+	"onyxgate/policy/endpoints"
 	"onyxgate/policy/exposure"
 	"onyxgate/policy/release"
+	"onyxgate/policy/slowstart"
 )
 
-// Config is all that an instance is told at its start. Times are in milliseconds, prices and values in any one unit. Validate says
+// Config is all that an instance is given at its start. Times are in ms, prices and values in any one unit. Validate says
 // what can't be used; New takes it as it is.
 type Config struct {
 	Seed      uint64 // of the instance's random numbers
@@ -19,11 +22,11 @@
 	Instances int    // in the fleet; less than 1 counts as 1
 
 	Classes            []RequestClass
-	MaxAttempts        int  // for one request
-	ConcurrentAttempts bool // a request may have two attempts open at the same time
-	CancelAllowed      bool // an open attempt may be canceled
-	MaxOpenRequests    int  // that the instance can hold, by its connections or its memory; 0: any number
-	MaxRetryAfter      float64
+	MaxAttempts        int     // for one request
+	ConcurrentAttempts bool    // a request may have two attempts open at the same time
+	CancelAllowed      bool    // an open attempt may be canceled
+	MaxOpenRequests    int     // that the instance can hold, by its connections or its memory; 0: any number
+	MaxRetryAfter      float64 // ms, the longest wait that clients accept
 
 	PeerMessages  bool // instances may send each other messages
 	ProbesAllowed bool
@@ -42,38 +45,33 @@
 // DiscoveryConfig says how endpoints become known.
 type DiscoveryConfig struct {
 	OnDemand        bool    // changes come only to instances that have asked for them
-	RefreshInterval float64 // an instance without a subscription counts as told of what was listed this long ago
+	RefreshInterval float64 // ms: an instance without a subscription counts as knowing what was listed this long ago
 }
 
-// SlowStartConfig says what a backend bears after its start.
-type SlowStartConfig struct {
-	InitialCapacity float64 // share of its capacity right after the start, at the least
-	WarmUp          float64 // time after which it has all of its capacity
-	OverloadFactor  float64 // times its present capacity, at which it falls
-	OverloadWindow  float64 // time for which it has to get that much
-}
+// SlowStartConfig says what a backend can take after its start.
+type SlowStartConfig = slowstart.Config
 
 // ExposureConfig limits how much of the traffic may go to a release that is rolling out.
 type ExposureConfig struct {
 	FreeAttempts  float64   // in any window, beside the share
 	Caps          []float64 // share of the requests taken, for each stage
-	Window        float64   // over which attempts are counted
+	Window        float64   // ms over which attempts are counted
 	GuardedStages int       // below this stage only safe requests may go there
 	PerClass      bool      // each class counts for itself
 	KeyAffinity   bool      // a key that a release has served goes to no earlier one
 }
 
-// RolloutConfig says what moves a release on or back.
+// RolloutConfig says what promotes a release or rolls it back.
 type RolloutConfig struct {
 	Stages        []float64 // share of the places that get the release, for each stage
 	Control       RolloutControl
-	RollbackVotes int // that roll a release back; less than 1 counts as 1
-	VoteLifetime  float64
+	RollbackVotes int     // that roll a release back; less than 1 counts as 1
+	VoteLifetime  float64 // ms
 }
 
 // TenantConfig limits what each tenant may use at full value.
 type TenantConfig struct {
-	Quotas         []float64 // requests per millisecond, by all instances together
+	Quotas         []float64 // requests per ms, by all instances together
 	OverQuotaValue float64   // value of a request over its quota, as a part of its class's
 }
 
@@ -102,54 +100,70 @@
 
 // New makes an instance that acts through a port. Its decisions follow from the configuration and the events alone.
 func New(port Port, c Config) *Instance {
-	inst := &Instance{port: port, rng: NewRand(c.Seed), index: c.Index, instances: max(c.Instances, 1), requests: map[string]*request{}}
-	inst.maxOpenRequests, inst.armedAt, inst.retryQueuedAt, inst.admission = math.Inf(1), math.Inf(1), math.Inf(1), [2]float64{1, 1}
-	inst.salt = uint64(c.Index+1) << 32 // not by the seed: a process that starts anew draws the same keys for a release that rolls out
-	inst.popularKeys = map[string]float64{}
-	inst.affinity = exposure.NewAffinity()
-	inst.indexOf, inst.indexOfHash = map[string]int{}, map[uint32]int{}
+	inst := &Instance{
+		port:      port,
+		rng:       NewRand(c.Seed),
+		index:     c.Index,
+		instances: max(c.Instances, 1),
+		// Not by the seed: a process that starts anew draws the same keys for a release that rolls out.
+		salt: uint64(c.Index+1) << 32,
+
+		maxOpenRequests: math.Inf(1),
+		maxRetryAfter:   c.MaxRetryAfter,
+		peerMessages:    c.PeerMessages,
+		probesAllowed:   c.ProbesAllowed,
+		probePrice:      c.ProbePrice,
+		zone:            c.Zone,
+		crossZonePrice:  c.CrossZonePrice,
+
+		endpoints: endpoints.NewTable(),
+		discovery: discovery{onDemand: c.Discovery.OnDemand, refreshInterval: c.Discovery.RefreshInterval},
+		requests:  map[string]*request{},
+
+		admission:         admission.NewThrottle(),
+		unprobedAdmission: admission.NewThrottle(),
+		popularKeys:       map[string]float64{},
+		affinity:          exposure.NewAffinity(),
+
+		retryQueuedAt: math.Inf(1),
+		armedAt:       math.Inf(1),
+	}
 	inst.evaluateAt = math.Inf(1)
+	if c.MaxOpenRequests > 0 {
+		inst.maxOpenRequests = float64(c.MaxOpenRequests)
+	}
 	inst.configureClasses(c)
 	inst.configureSlowStart(c.SlowStart)
 	inst.configureExposure(c.Exposure)
 	inst.configureRollout(c.Rollout)
 	inst.configureTenants(c.Tenants)
-	if c.MaxOpenRequests > 0 {
-		inst.maxOpenRequests = float64(c.MaxOpenRequests)
-	}
-	inst.peerMessages = c.PeerMessages
-	inst.probesAllowed, inst.probePrice = c.ProbesAllowed, c.ProbePrice
-	inst.maxRetryAfter = c.MaxRetryAfter
-	inst.zoneIndex, inst.crossZonePrice = c.Zone, c.CrossZonePrice
-	inst.discoveryOnDemand, inst.refreshInterval = c.Discovery.OnDemand, c.Discovery.RefreshInterval
 	return inst
 }
 
-func (inst *Instance) configureSlowStart(c SlowStartConfig) {
-	inst.initialCapacity, inst.warmUpTime, inst.overloadFactor, inst.overloadWindow = c.InitialCapacity, c.WarmUp, c.OverloadFactor, c.OverloadWindow
-}
+func (inst *Instance) configureSlowStart(c SlowStartConfig) { inst.slowStart = c }
 
 func (inst *Instance) configureClasses(c Config) {
+	inst.classes, inst.maxAttempts = c.Classes, c.MaxAttempts
+	inst.concurrentAttempts, inst.cancelAllowed = c.ConcurrentAttempts, c.CancelAllowed
 	n := len(c.Classes)
-	inst.classes, inst.maxAttempts, inst.concurrentAttempts, inst.cancelAllowed = c.Classes, c.MaxAttempts, c.ConcurrentAttempts, c.CancelAllowed
-	inst.meanLatencyPerWork, inst.tailLatency = make([]float64, n), make([]float64, n)
-	inst.meanLatency, inst.longestTimeLeft = make([]float64, n), make([]float64, n)
-	for p := range inst.tailLatency {
-		inst.tailLatency[p] = math.Inf(1)
+	inst.latencies = make([]classLatency, n)
+	for class := range inst.latencies {
+		inst.latencies[class].tail = math.Inf(1)
 	}
+	inst.meanLatencyPerWork = make([]float64, n)
 	inst.baseline.usual, inst.saturatedSince, inst.baselineCorrection = make([]float64, n), math.Inf(1), 1
-	for i := range inst.evidence {
-		inst.evidence[i] = make([][]outcome, n)
+	for arm := range inst.evidence {
+		inst.evidence[arm] = make([][]outcome, n)
 	}
 }
 
 func (inst *Instance) configureExposure(c ExposureConfig) {
 	inst.guardedStages, inst.exposurePerClass, inst.keyAffinity, inst.exposureWindow = c.GuardedStages, c.PerClass, c.KeyAffinity, c.Window
-	first := 0.0
+	firstCap := 0.0
 	if len(c.Caps) > 0 {
-		first = c.Caps[0]
+		firstCap = c.Caps[0]
 	}
-	inst.releases = release.NewBook(first)
+	inst.releases = release.NewBook(firstCap)
 	inst.allowance = exposure.NewAllowance(c.FreeAttempts, len(inst.classes))
 }
 
@@ -158,6 +172,5 @@
 }
 
 func (inst *Instance) configureTenants(c TenantConfig) {
-	inst.quotas, inst.overQuotaValue = c.Quotas, c.OverQuotaValue
-	inst.quotaTokens, inst.quotaTokensAt = make([]float64, len(c.Quotas)), make([]float64, len(c.Quotas))
+	inst.quotas, inst.overQuotaValue = admission.NewQuotas(c.Quotas, inst.instances), c.OverQuotaValue
 }
--- /dev/null
+++ b/policy/discovery.go
@@ -0,0 +1,82 @@
+package policy
+
+import (
+	"math"
+	"slices"
+
+	"onyxgate/policy/slowstart"
+)
+
+// discovery is where the endpoint list comes from and how far it can be relied on.
+type discovery struct {
+	onDemand        bool    // changes come only after a subscription
+	refreshInterval float64 // ms
+	watching        bool    // subscribed, as far as is known
+	watchDueAt      float64 // ms, when to subscribe
+	failures        float64 // in a row
+	heard           bool    // a list other than the cached one that the process started with has come
+	clockStepped    bool    // the wall clock was, since the start
+}
+
+const (
+	// firstWatchRetry and maxWatchRetry are pauses after one failure and after many, as parts of the refresh interval: well before
+	// the instance would count as knowing what it was not sent.
+	firstWatchRetry, maxWatchRetry = 0.02, 0.3
+)
+
+func (inst *Instance) watchDue() bool {
+	return inst.discovery.onDemand && !inst.discovery.watching && inst.now >= inst.discovery.watchDueAt
+}
+
+func (inst *Instance) watchEndpoints() {
+	inst.port.WatchEndpoints()
+	inst.discovery.watching = true // until a failure comes
+}
+
+// scheduleWatchRetry: a failure does not say which call it was, so the subscription is made again, after a longer pause each time, and
+// scattered over the instances.
+func (inst *Instance) scheduleWatchRetry() {
+	d := &inst.discovery
+	share := min(firstWatchRetry*math.Pow(2, d.failures), maxWatchRetry) * (1 + inst.rng.Float64())
+	d.watching, d.watchDueAt, d.failures = false, inst.now+d.refreshInterval*share, d.failures+1
+	inst.schedule(d.watchDueAt, nil)
+}
+
+// applyEndpoint takes one backend as listed.
+func (inst *Instance) applyEndpoint(listed Endpoint) {
+	backend, known := inst.endpoints.Find(listed.ID)
+	if !known {
+		backend = inst.addEndpoint(listed.ID)
+	}
+	b := inst.endpoints.At(backend)
+	if b.IsNewProcess(listed) {
+		start := slowstart.Start{ListedStart: listed.StartedAt, FirstList: !inst.discovery.heard, ClockStepped: inst.discovery.clockStepped}
+		b.StartProcess(start.Believed(inst.now), inst.now)
+		if inst.instances >= manyInstances && listed.StartedAt > 0 {
+			// With an empty budget each of many instances would wait long for its first request; with a full one all would send at once.
+			b.SlowStart = slowstart.NewBudget(inst.rng.Float64(), inst.now)
+		}
+	}
+	if listed.State != EndpointRemoved {
+		inst.onReleaseListed(listed.Release)
+	}
+	b.Update(listed, inst.now)
+}
+
+// addEndpoint makes an entry for a new backend. Evidence on the backend whose entry it takes is dropped, since it goes by that index.
+func (inst *Instance) addEndpoint(id string) int {
+	backend, reused := inst.endpoints.Add(id, inst.now)
+	if reused {
+		inst.dropEvidence(backend)
+	}
+	return backend
+}
+
+// dropEvidence forgets the outcomes at a backend.
+func (inst *Instance) dropEvidence(backend int) {
+	for arm := range inst.evidence {
+		for class, outcomes := range inst.evidence[arm] {
+			inst.evidence[arm][class] = slices.DeleteFunc(outcomes, func(o outcome) bool { return o.backend == backend })
+		}
+	}
+}
--- a/policy/evidence.go
+++ b/policy/evidence.go
@@ -34,14 +34,15 @@
 
 // isSteady is gate one's check of a machine: halves of its recent outcomes agree, or its told warm-up is over.
 func (a *Instance) isSteady(i int, rel float64) bool {
-	a.recentLatencies[i] = append(a.recentLatencies[i], rel)
-	if len(a.recentLatencies[i]) > steadySample {
-		a.recentLatencies[i] = a.recentLatencies[i][1:]
+	b := a.endpoints.At(i)
+	b.RecentLatencies = append(b.RecentLatencies, rel)
+	if len(b.RecentLatencies) > steadySample {
+		b.RecentLatencies = b.RecentLatencies[1:]
 	}
-	if a.warmUpProgress(i) >= 1 || len(a.recentLatencies[i]) < steadySample {
-		return a.warmUpProgress(i) >= 1
+	if a.warmUpProgress(b) >= 1 || len(b.RecentLatencies) < steadySample {
+		return a.warmUpProgress(b) >= 1
 	}
-	x, y := stat.Mean(a.recentLatencies[i][:steadySample/2], nil), stat.Mean(a.recentLatencies[i][steadySample/2:], nil)
+	x, y := stat.Mean(b.RecentLatencies[:steadySample/2], nil), stat.Mean(b.RecentLatencies[steadySample/2:], nil)
 	return math.Abs(x-y) <= latencyZone*max(x, y)
 }
 
@@ -67,7 +68,7 @@
 // typicalLatency is a low latency of a machine of the faster part, over the usual of each product: low, since queues
 // touch it least, and of the faster part, so that trouble of some machines does not pass for trouble of all.
 func (a *Instance) typicalLatency(evidence [2][][]outcome, span float64) float64 {
-	by := make([][]float64, len(a.id))
+	by := make([][]float64, a.endpoints.Len())
 	for _, arm := range evidence {
 		for p, e := range arm {
 			for k := len(e) - 1; k >= 0 && e[k].at > a.now-span && a.baseline.usual[p] > 0; k-- {
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -13,7 +13,7 @@
 // queueSummary queues an attempt's outcome for the evaluators.
 func (a *Instance) queueSummary(o outcome, release ReleaseID, class int) {
 	a.summaries.Add(gossip.Summary{
-		BackendHash:      gossip.BackendHash(a.id[o.backend]),
+		BackendHash:      gossip.BackendHash(a.endpoints.At(o.backend).ID),
 		Release:          int(release),
 		Class:            class,
 		Failed:           o.failed,
@@ -38,11 +38,11 @@
 // mergeSummary takes another instance's outcome as if it were an own one. One of a backend or class that is not known here,
 // or that comes before any release is announced, is ignored.
 func (a *Instance) mergeSummary(s gossip.Summary) {
-	backend, known := a.indexOfHash[s.BackendHash]
+	backend, known := a.endpoints.FindHash(s.BackendHash)
 	if !known || s.Class >= len(a.classes) || !a.announced {
 		return
 	}
-	a.countArrival(a.now)
+	a.arrivals.Add(a.now)
 	a.addEvidence(ReleaseID(s.Release), s.Class,
 		outcome{at: s.EndedAt, latency: s.Latency, failed: s.Failed, connectionBroken: s.ConnectionBroken, backend: backend})
 }
--- /dev/null
+++ b/policy/health/health_test.go
@@ -0,0 +1,45 @@
+package health
+
+import (
+	"math/rand/v2"
+	"testing"
+)
+
+// How often of 1000 draws a backend is skipped, by its record beside a fleet that answers nearly all in time.
+func TestDrawUnhealthy(t *testing.T) {
+	for _, tc := range []struct {
+		name                string
+		successes, failures int
+		age                 float64 // ms since the backend's last answer
+		minimum, maximum    int
+	}{
+		{"no answers", 0, 0, 0, 0, 0},
+		{"only successes", 20, 0, 0, 0, 0},
+		{"one failure of many", 20, 1, 0, 0, 50},
+		{"half of the answers failed", 10, 10, 0, 900, 1000},
+		{"all failed", 0, 10, 0, 990, 1000},
+		{"all failed, long ago", 0, 10, 20 * decayTime, 0, 0},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			var backend, fleet Record
+			for range 100 {
+				fleet.Add(1000, true)
+			}
+			for range tc.successes {
+				backend.Add(1000, true)
+			}
+			for range tc.failures {
+				backend.Add(1000, false)
+			}
+			rng, skipped := rand.New(rand.NewPCG(1, 1)), 0
+			for range 1000 {
+				if DrawUnhealthy(&backend, &fleet, 1000+tc.age, rng) {
+					skipped++
+				}
+			}
+			if skipped < tc.minimum || skipped > tc.maximum {
+				t.Errorf("skipped in %d of 1000 draws, want %d to %d", skipped, tc.minimum, tc.maximum)
+			}
+		})
+	}
+}
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -1,37 +1,70 @@
 package policy
 
-import "math"
+import (
+	"math"
 
-// learnLatency keeps the usual latencies and the load that warm appliances bear.
-func (inst *Instance) learnLatency(backend int, req *request, took float64) {
+	"onyxgate/policy/endpoints"
+)
+
+const (
+	// meanStep is the weight of one answer in a mean latency, work or value; backendStep that in the figures of one backend, which
+	// sees fewer answers.
+	meanStep, backendStep = 0.02, 0.1
+	// maxLatencyInflation bounds what one answer counts, as times the usual latency: a single one must not shut out its backend.
+	maxLatencyInflation = 10
+	// tailQuantile is the share of the answers that come within the tail latency. An attempt that takes tailMultiple times the tail
+	// latency is taken for lost.
+	tailQuantile, tailMultiple = 0.97, 1.5
+	// tailUpdateStep is how far one answer moves the logarithm of the tail latency.
+	tailUpdateStep = 0.2
+)
+
+// classLatency is what is known of the latency of one class. Times are in ms.
+type classLatency struct {
+	mean            float64 // 0: no answer yet
+	tail            float64 // within which tailQuantile of the answers come; infinite while attempts are never taken for lost
+	longestTimeLeft float64 // the most that a request had on arrival
+}
+
+// learnLatency takes the latency of an answer.
+func (inst *Instance) learnLatency(b *endpoints.Backend, req *request, took float64) {
 	if math.IsInf(took, 1) {
 		return
 	}
-	u := &inst.meanLatency[req.class]
-	if *u == 0 {
-		*u = took
+	latency := &inst.latencies[req.class]
+	moveMean(&latency.mean, took)
+	inst.learnTail(req.class, took)
+	moveMean(&inst.meanLatency, took)
+	b.LatencyInflation += backendStep * (min(took/max(latency.mean, 1), maxLatencyInflation) - b.LatencyInflation)
+	if inst.fleet.warmWeight > 0 && inst.warmUpProgress(b) >= 1 {
+		inst.throughput.Add(req.relativeWork/inst.fleet.warmWeight, inst.now)
 	}
-	*u += meanStep * (took - *u)
-	// Up by each answer beyond it and down by the others, so that tailPart of them stay under it.
-	q := &inst.tailLatency[req.class]
-	if math.IsInf(*q, 1) && inst.cancelAllowed && inst.classes[req.class].Semantics != NonIdempotent { // else nothing is ever past hope
-		*q = maxLatencyInflation * took
-	}
-	if took > *q {
-		*q *= math.Exp(tailUpdateStep * tailQuantile)
-	} else {
-		*q *= math.Exp(-tailUpdateStep * (1 - tailQuantile))
+}
+
+// moveMean moves an exponential mean, which starts with its first value.
+func moveMean(mean *float64, value float64) {
+	if *mean == 0 {
+		*mean = value
 	}
-	if inst.overallMeanLatency == 0 {
-		inst.overallMeanLatency = took
+	*mean += meanStep * (value - *mean)
+}
+
+// learnTail moves the tail latency up for each answer beyond it and down for the others, by steps that balance where tailQuantile of the
+// answers stay within it. It stays infinite where a lost attempt could not be replaced.
+func (inst *Instance) learnTail(class int, took float64) {
+	tail := &inst.latencies[class].tail
+	replaceable := inst.cancelAllowed && inst.classes[class].Semantics != NonIdempotent
+	if math.IsInf(*tail, 1) && replaceable {
+		*tail = maxLatencyInflation * took
 	}
-	inst.overallMeanLatency += meanStep * (took - inst.overallMeanLatency)
-	inst.latencyInflation[backend] += backendStep * (min(took/max(*u, 1), maxLatencyInflation) - inst.latencyInflation[backend])
-	if inst.warmWeight > 0 && inst.warmUpProgress(backend) >= 1 {
-		if inst.throughputAt > 0 {
-			dt := inst.now - inst.throughputAt
-			inst.throughput, inst.throughputAge = inst.throughput*math.Exp(-dt/throughputTime), inst.throughputAge+dt
-		}
-		inst.throughput, inst.throughputAt = inst.throughput+req.relativeWork/inst.warmWeight, inst.now
+	if took > *tail {
+		*tail *= math.Exp(tailUpdateStep * tailQuantile)
+	} else {
+		*tail *= math.Exp(-tailUpdateStep * (1 - tailQuantile))
 	}
 }
+
+// givenUpAt is when an attempt sent at a time is taken for lost.
+func (inst *Instance) givenUpAt(class int, sentAt float64) float64 {
+	return sentAt + tailMultiple*inst.latencies[class].tail
+}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -6,6 +6,9 @@
 	"strconv"
 	"strings"
 	"testing"
+
+	"onyxgate/policy/balance"
+	"onyxgate/policy/concurrency"
 )
 
 // What is done after a first submission has ended so: the rule on effects.
@@ -91,7 +94,7 @@
 		expect(t, c.name, port.take(), c.want)
 	}
 	inst, port := startInstance(RequestClass{}, 1)
-	inst.discoveryOnDemand, inst.refreshInterval = true, 10000
+	inst.discovery.onDemand, inst.discovery.refreshInterval = true, 10000
 	inst.OnTimer(2, 0)
 	inst.OnEndpointsFailed(3)
 	expect(t, "asked once", port.take(), "[subscribe]")
@@ -239,6 +242,7 @@
 			}
 		}
 	}
+	ids, hashes := inst.endpoints.Indexed()
 	for _, c := range []struct {
 		name      string
 		got, most int
@@ -247,9 +251,9 @@
 		{"keys pending", inst.affinity.Pending(), 0},
 		{"keys bound", inst.affinity.Len(), 3 * 400},
 		{"keys counted", len(inst.popularKeys), maxCountedKeys + 1},
-		{"appliances", len(inst.id), 1000},
-		{"names", len(inst.indexOf), 1000},
-		{"hashes", len(inst.indexOfHash), 1000},
+		{"appliances", inst.endpoints.Len(), 1000},
+		{"names", ids, 1000},
+		{"hashes", hashes, 1000},
 		{"alarms", len(inst.timers), 9},
 		{"allowances", inst.allowance.Len(), 3},
 		{"held", len(inst.retryQueue), 0},
@@ -261,10 +265,16 @@
 	}
 	inst.OnEndpoints(now, EndpointUpdate{Endpoints: []Endpoint{{ID: "y", Release: 500, Weight: 1}}, Snapshot: true})
 	inst.OnTimer(now+evaluationInterval, 0)
-	i := inst.indexOf["y"]
-	inst.successes[i], inst.failures[i], inst.latencyInflation[i], inst.consecutiveFailures[i], inst.reportedLoad[i], inst.concurrencyLimit[i] = 5, 9, 4, 3, 7, 1
+	i, _ := inst.endpoints.Find("y")
+	b := inst.endpoints.At(i)
+	for range 5 {
+		b.Answers.Add(now, true)
+		b.Answers.Add(now, false)
+		b.Ejection.OnFailure(now, inst.rng)
+	}
+	b.LatencyInflation, b.Load, b.Limit = 4, balance.NewLoad(7, 0, now), 1
 	inst.OnEndpoints(now+1, EndpointUpdate{Endpoints: []Endpoint{{ID: "y", Release: 501, Weight: 1}}})
-	expect(t, "believed", []float64{inst.successes[i], inst.failures[i], inst.latencyInflation[i], inst.consecutiveFailures[i], inst.reportedLoad[i], inst.concurrencyLimit[i]}, "[0 0 1 0 0 4]")
+	expect(t, "believed", []any{b.Answers, b.LatencyInflation, b.Ejection, b.Load, b.Limit}, "[{0 0 0} 1 {0 0} {0 0} 4]")
 }
 
 // A submission that outlasts nearly all answers is given up and tried elsewhere, where that may be; no more than a part.
@@ -500,7 +510,7 @@
 
 // The same inputs give the same actions, another seed others; the generator's sequence is known.
 func TestChance(t *testing.T) {
-	g := mwc{x: 1, c: 0}
+	g := multiplyWithCarry{x: 1, carry: 0}
 	expect(t, "generator", []uint64{g.next(), g.next(), g.next()}, []uint64{4294957665, 92756161, 18591715})
 	run := func(seed uint64) string {
 		port := &recordingPort{}
@@ -535,7 +545,7 @@
 			inst.allowance.Use(1, 0, inst.now)
 			inst.allowance.Use(1, 0, inst.now)
 		}},
-		{"draining", func(inst *Instance, x *request) { inst.state[0] = EndpointDraining }},
+		{"draining", func(inst *Instance, x *request) { inst.endpoints.At(0).State = EndpointDraining }},
 		{"its release goes back", func(inst *Instance, x *request) {
 			inst.OnReleaseUpdate(3, ReleaseUpdate{Release: 1, Stage: 1, Phase: RollingBack, Cap: 0, Known: true})
 		}},
@@ -579,9 +589,11 @@
 		least, most int     // of 1000 picks among 5
 	}{{"alike", 1, 0.8, 150, 250}, {"rated higher", 1.5, 0.8, 220, 340}, {"tells no load", 1, 0, 150, 250}} {
 		inst, _ := startInstance(RequestClass{}, 5)
-		inst.instances, inst.weight[0], inst.aggregatesDueAt = 300, c.rated, 0
+		inst.instances, inst.endpoints.At(0).Weight, inst.fleet.dueAt = 300, c.rated, 0
 		inst.OnTimer(2, 0)
-		inst.reportedLoad, inst.reportedAt = []float64{c.told, 0.8, 0.8, 0.8, 0.8}, []float64{2, 2, 2, 2, 2}
+		for backend, load := range []float64{c.told, 0.8, 0.8, 0.8, 0.8} {
+			inst.endpoints.At(backend).Load = balance.NewLoad(load, 0, 2)
+		}
 		n := 0
 		for range 1000 {
 			if inst.pickBackend(&request{deadline: 100, relativeWork: 1}) == 0 {
@@ -764,20 +776,20 @@
 	for range 8 {
 		inst.onOverloadSignal(false, 1)
 	}
-	low, dear, cheap := inst.admissionProbability(0), 0, 0
+	low, dear, cheap := inst.admission.Probability(inst.now), 0, 0
 	inst.meanValue = 3
 	for range 1000 {
-		if inst.admits(0, &request{value: 9}) {
+		if inst.admission.Admits(9, inst.meanValue, inst.now, inst.rng) {
 			dear++
 		}
-		if inst.admits(0, &request{value: 1}) {
+		if inst.admission.Admits(1, inst.meanValue, inst.now, inst.rng) {
 			cheap++
 		}
 	}
-	if inst.now += 60000; low > 0.1 || inst.admissionProbability(0) < 0.9 || dear <= cheap {
-		t.Errorf("flow %.2f, then %.2f; %d dear and %d cheap of 1000", low, inst.admissionProbability(0), dear, cheap)
+	if inst.now += 60000; low > 0.1 || inst.admission.Probability(inst.now) < 0.9 || dear <= cheap {
+		t.Errorf("flow %.2f, then %.2f; %d dear and %d cheap of 1000", low, inst.admission.Probability(inst.now), dear, cheap)
 	}
-	inst.meanLatency[0] = 5000 // past the SLA time of 1000
+	inst.latencies[0].mean = 5000 // past the SLA time of 1000
 	inst.OnRequest(inst.now, Request{ID: "t", TimeLeft: 4000})
 	expect(t, "sent all the same", strings.HasPrefix(fmt.Sprint(port.take()), "[submit t"), true)
 }
@@ -918,7 +930,7 @@
 				inst.OnAttemptResult(inst.now+1, AttemptResult{RequestID: fmt.Sprint(k), Status: c.result, Final: true, Took: 1})
 			}
 		}
-		expect(t, fmt.Sprint("after result ", c.result, " the limit fell"), inst.concurrencyLimit[0] < initialConcurrencyLimit, c.falls)
+		expect(t, fmt.Sprint("after result ", c.result, " the limit fell"), inst.endpoints.At(0).Limit < concurrency.InitialLimit, c.falls)
 	}
 }
 
@@ -938,12 +950,12 @@
 		inst.OnRequest(2, Request{ID: "t", TimeLeft: 4000})
 		inst.requests["t"].objectiveAt -= c.waited
 		inst.requests["t"].attempts[0].dueAt = inst.latencyDeadline(inst.requests["t"])
-		inst.concurrencyLimit[0] = 1.5
-		was := inst.concurrencyLimit[0]
+		inst.endpoints.At(0).Limit = 1.5
+		was := inst.endpoints.At(0).Limit
 		inst.OnTimer(2+c.took, 0)
 		inst.OnAttemptResult(2+c.took, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Took: c.took})
 		port.take()
-		if got := inst.concurrencyLimit[0]; got < was != c.lowers || got > was != c.raises {
+		if got := inst.endpoints.At(0).Limit; got < was != c.lowers || got > was != c.raises {
 			t.Errorf("%s: the limit went from %.1f to %.1f", c.name, was, got)
 		}
 	}
--- a/policy/probes.go
+++ b/policy/probes.go
@@ -1,54 +1,76 @@
 package policy
 
 import (
-	"math"
 	"slices"
+
+	"onyxgate/policy/balance"
+)
+
+const (
+	// probesPerRound is how many backends are probed at once for a request, maxProbeRounds how often that is done.
+	probesPerRound, maxProbeRounds = 2, 2
+	// probeRoundShare is how long a round waits for an answer, as a part of the latency objective.
+	probeRoundShare = 0.12
+	// maxProbePrice is what a round of probes saves, as a part of one request's value. At a higher price no probes are sent.
+	maxProbePrice = 0.045
 )
 
-// probeBeforePlacement probes some appliances for a txn and gives it to the first that answers. Where many agents see little
-// each, own open work tells nothing of the load; what stands still, is slow, unreachable or reports falsely
-// loses the race. Where probes fail though txns are served, the pick goes on without them.
+// loadProbe is a backend that has been probed for a request.
+type loadProbe struct {
+	request *request
+	backend int
+}
+
+// probeBeforePlacement probes some backends for a request, which goes to the first that answers. Where each of many instances sees little of
+// the load, its own open attempts say nothing of it; a backend that stands still, is slow or unreachable or reports a wrong load does
+// not answer first.
 func (inst *Instance) probeBeforePlacement(req *request) {
 	req.probeRounds++
 	for range probesPerRound {
-		if backend := inst.pickBackend(req); backend >= 0 && !slices.Contains(inst.loadProbes, loadProbe{req, backend}) {
+		backend := inst.pickBackend(req)
+		if backend >= 0 && !slices.Contains(inst.loadProbes, loadProbe{req, backend}) {
 			inst.loadProbes = append(inst.loadProbes, loadProbe{req, backend})
-			inst.port.SendProbe(inst.id[backend])
+			inst.port.SendProbe(inst.endpoints.At(backend).ID)
 		}
 	}
 	inst.schedule(inst.now+probeRoundShare*inst.classes[req.class].LatencyObjective, req)
 }
 
-func (inst *Instance) placeAfterProbe(backend int) {
-	if req := inst.probedRequest(backend); req != nil && inst.now < req.objectiveAt && inst.maySendTo(req, backend) {
-		inst.placeRequest(req, backend)
+// endProbe takes a probe's result. Failures in other zones count for nothing: the way there may be at fault.
+func (inst *Instance) endProbe(backend int, result ProbeResult) {
+	if inst.endpoints.At(backend).Zone == inst.zone {
+		inst.probeFailureShare -= backendStep * inst.probeFailureShare
+		if !result.OK {
+			inst.probeFailureShare += backendStep
+		}
+	}
+	if result.OK {
+		inst.reportLoad(backend, result.Load)
+		inst.placeAfterProbe(backend)
 	}
 }
 
-// loadProbe is an appliance that has been probed for a txn.
-type loadProbe struct {
-	request *request
-	backend int
+// placeAfterProbe gives the backend that has answered to the first request that waits for it.
+func (inst *Instance) placeAfterProbe(backend int) {
+	req := inst.probedRequest(backend)
+	if req != nil && inst.now < req.objectiveAt && inst.maySendTo(req, backend) {
+		inst.placeRequest(req, backend)
+	}
 }
 
-// probedRequest is the first txn without a place for which this appliance was probed.
+// probedRequest is the first request without a place for which a backend was probed; nil: there is none.
 func (inst *Instance) probedRequest(backend int) *request {
-	for _, r := range inst.loadProbes {
-		if r.backend == backend && !r.request.ended && r.request.openAttempts == 0 {
-			return r.request
+	for _, probe := range inst.loadProbes {
+		if probe.backend == backend && probe.request.awaitsPlacement() {
+			return probe.request
 		}
 	}
 	return nil
 }
 
-// reportLoad notes what a backend tells of its load.
-func (inst *Instance) reportLoad(backend int, load LoadReport) {
-	if load.Present {
-		inst.reportedLoad[backend], inst.reportedAt[backend] = load.Waiting+load.Busy, inst.now
+// reportLoad takes what a backend says of its load.
+func (inst *Instance) reportLoad(backend int, report LoadReport) {
+	if report.Present {
+		inst.endpoints.At(backend).Load = balance.NewLoad(report.Waiting, report.Busy, inst.now)
 	}
 }
-
-// reportedLoadNow is an appliance's load by its last report, txns waiting and how busy it is, fading with its age.
-func (inst *Instance) reportedLoadNow(backend int) float64 {
-	return inst.reportedLoad[backend] * math.Exp(-(inst.now-inst.reportedAt[backend])/loadReportDecayTime)
-}
--- a/policy/random.go
+++ b/policy/random.go
@@ -1,38 +1,35 @@
 package policy
 
-import (
-	"hash/fnv"
-	"math/rand/v2"
+import "math/rand/v2"
+
+// multiplyWithCarry is a lag-1 multiply-with-carry generator. It is written out here, since recorded decisions must replay with any version of
+// the standard library.
+type multiplyWithCarry struct{ x, carry uint64 }
+
+const (
+	carryMultiplier = 4294957665
+	carryModulus    = carryMultiplier - 1
 )
 
-// keyPosition is a key's place in [0,1), another for each salt.
-func keyPosition(key string, salt uint64) float64 {
-	h := fnv.New64a()
-	h.Write([]byte(key))
-	x := (h.Sum64() ^ salt*0x9e3779b97f4a7c15) * 0xff51afd7ed558ccd
-	x = (x ^ x>>33) * 0xc4ceb9fe1a85ec53
-	return float64((x^x>>29)>>11) / (1 << 53)
+// NewRand is a generator started from a seed.
+func NewRand(seed uint64) *rand.Rand {
+	return rand.New(&multiplyWithCarry{x: seed&0xffffffff | 1, carry: seed >> 32 % carryModulus})
 }
 
+// Uint64 is the next 64 bits.
+func (g *multiplyWithCarry) Uint64() uint64 { return g.next()<<32 | g.next() }
+
+// next is the next 32 bits.
+func (g *multiplyWithCarry) next() uint64 {
+	product := carryMultiplier*g.x + g.carry
+	g.x, g.carry = product&0xffffffff, product>>32
+	return g.x
+}
+
+// boolIndex is 1 for true: the index into a pair whose second element is for the condition.
 func boolIndex(second bool) int {
 	if second {
 		return 1
 	}
 	return 0
 }
-
-func (g *mwc) Uint64() uint64 { return g.next()<<32 | g.next() }
-
-func (g *mwc) next() uint64 {
-	t := 4294957665*g.x + g.c
-	g.x, g.c = t&0xffffffff, t>>32
-	return g.x
-}
-
-// NewRand is a generator started from a seed.
-func NewRand(seed uint64) *rand.Rand {
-	return rand.New(&mwc{x: seed&0xffffffff | 1, c: seed >> 32 % 4294957664})
-}
-
-// mwc is a lag-1 multiply-with-carry generator.
-type mwc struct{ x, c uint64 }
--- a/policy/replay_test.go
+++ b/policy/replay_test.go
@@ -157,8 +157,8 @@
 	inst.peerMessages = s.rng.IntN(2) == 0
 	inst.probesAllowed, inst.probePrice = s.rng.IntN(2) == 0, 0.01
 	inst.maxRetryAfter = 2000
-	inst.zoneIndex, inst.crossZonePrice = s.rng.IntN(2), s.rng.IntN(2) == 0
-	inst.discoveryOnDemand, inst.refreshInterval = s.rng.IntN(2) == 0, 10000
+	inst.zone, inst.crossZonePrice = s.rng.IntN(2), s.rng.IntN(2) == 0
+	inst.discovery.onDemand, inst.discovery.refreshInterval = s.rng.IntN(2) == 0, 10000
 	inst.configureSlowStart(SlowStartConfig{InitialCapacity: 0.4, WarmUp: 5000, OverloadFactor: 3, OverloadWindow: 1000})
 	inst.configureExposure(ExposureConfig{FreeAttempts: 2, Caps: []float64{0.1, 0.5, 1}, GuardedStages: s.rng.IntN(2), PerClass: s.rng.IntN(2) == 0, KeyAffinity: s.rng.IntN(3) > 0})
 	inst.exposureWindow = float64(s.rng.IntN(2) * 3000)
--- a/policy/rollout.go
+++ b/policy/rollout.go
@@ -82,10 +82,10 @@
 // newestReleaseBackends counts the newest build's and tells when the last of them started.
 func (a *Instance) newestReleaseBackends() (n int) {
 	a.lastBackendStart = 0
-	for i := range a.id {
-		if a.state[i] == EndpointRunning && a.release[i] == a.newest {
+	for i := range a.endpoints.Len() {
+		if b := a.endpoints.At(i); b.State == EndpointRunning && b.Release == a.newest {
 			n++
-			a.lastBackendStart = max(a.lastBackendStart, min(a.startedAt[i], a.upSince[i]))
+			a.lastBackendStart = max(a.lastBackendStart, min(b.StartedAt, b.UpSince))
 		}
 	}
 	return n
@@ -103,11 +103,12 @@
 	a.decayPopularKeys()
 	a.places, a.placesWeight = 0, 0
 	base := a.prevailingRelease(build)
-	for i := range a.id {
+	for i := range a.endpoints.Len() {
+		b := a.endpoints.At(i)
 		// Also what its successor already drains, but nothing that the build before it, or its withdrawal, has replaced.
-		if a.state[i] == EndpointRunning && a.release[i] < build || a.state[i] == EndpointDraining && a.release[i] == base {
+		if b.State == EndpointRunning && b.Release < build || b.State == EndpointDraining && b.Release == base {
 			a.places++
-			a.placesWeight += a.weight[i]
+			a.placesWeight += b.Weight
 		}
 	}
 	a.stageStarted, a.desiredVerdict, a.acceptedVerdict, a.stage, a.saturatedSince, a.baselineCorrection = false, NoVerdict, NoVerdict, -1, math.Inf(1), 1
@@ -133,8 +134,8 @@
 // prevailingRelease is the build that most of the running appliances have, of those before a build; the newest of such.
 func (a *Instance) prevailingRelease(build ReleaseID) (base ReleaseID) {
 	counts, most := map[ReleaseID]int{}, 0
-	for i := range a.id {
-		if b := a.release[i]; a.state[i] == EndpointRunning && b < build {
+	for i := range a.endpoints.Len() {
+		if b := a.endpoints.At(i).Release; a.endpoints.At(i).State == EndpointRunning && b < build {
 			if counts[b]++; counts[b] > most || counts[b] == most && b > base {
 				base, most = b, counts[b]
 			}
--- /dev/null
+++ b/policy/rules.go
@@ -0,0 +1,58 @@
+package policy
+
+// rule is a condition on the instance and an action that makes the condition false.
+type rule struct {
+	name  string // in the field's words; for debuggers and readers
+	when  func(*Instance) bool
+	apply func(*Instance)
+}
+
+// rules are gone through in this order after every event, and from the top again after each that applies. So a rule may rely on none
+// above it applying: a pending request that reaches "route" has not ended and has time left. The order enters every decision.
+var rules = []rule{
+	{"refresh aggregates", (*Instance).aggregatesDue, (*Instance).refreshAggregates},
+	{"fire timer", (*Instance).timerDue, (*Instance).timerFired},
+	{"drop ended request", (*Instance).pendingEnded, (*Instance).dropPending},
+	{"answer at deadline", (*Instance).pendingAtDeadline, (*Instance).answerPending},
+	{"route", (*Instance).pendingWithoutAttempt, (*Instance).route},
+	{"retry queued requests", (*Instance).queueDue, (*Instance).retryQueued},
+	{"handle overdue attempts", (*Instance).hasPending, (*Instance).handleOverdue},
+	{"watch endpoints", (*Instance).watchDue, (*Instance).watchEndpoints},
+	{"evaluate rollout", (*Instance).evaluationDue, (*Instance).evaluate},
+	{"broadcast outcomes", (*Instance).broadcastDue, (*Instance).broadcastSummaries},
+	{"vote", (*Instance).voteDue, (*Instance).sendVote},
+	{"arm timer", (*Instance).timerUnarmed, (*Instance).armTimer},
+}
+
+// applyRules ends every event: it applies rules until the condition of none is true.
+func (inst *Instance) applyRules() {
+	for i := 0; i < len(rules); i++ {
+		if rules[i].when(inst) {
+			rules[i].apply(inst)
+			i = -1
+		}
+	}
+}
+
+func (inst *Instance) hasPending() bool { return len(inst.pending) > 0 }
+
+func (inst *Instance) pendingEnded() bool { return inst.hasPending() && inst.pending[0].ended }
+
+// pendingAtDeadline: a request whose stream has begun belongs to its client and has no deadline any more.
+func (inst *Instance) pendingAtDeadline() bool {
+	return inst.hasPending() && !inst.pending[0].streaming && inst.now >= inst.pending[0].deadline-finalAnswerMargin
+}
+
+func (inst *Instance) pendingWithoutAttempt() bool {
+	return inst.hasPending() && inst.pending[0].openAttempts == 0
+}
+
+func (inst *Instance) answerPending() { inst.answerFinally(inst.pending[0]) }
+
+func (inst *Instance) dropPending() { inst.pending = inst.pending[1:] }
+
+func (inst *Instance) evaluationDue() bool { return inst.now >= inst.evaluateAt }
+
+func (inst *Instance) broadcastDue() bool {
+	return inst.summaries.Len() > 0 && inst.now >= inst.broadcastAt
+}
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -31,7 +31,7 @@
 		{"long ago", true, false, 0, now, 1, 1},
 	} {
 		inst, _ := startInstance(RequestClass{}, 0)
-		inst.discoveryHeard = false
+		inst.discovery.heard = false
 		if c.listed {
 			inst.OnEndpoints(1, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1}}, Snapshot: true})
 		}
@@ -40,7 +40,8 @@
 		}
 		inst.OnEndpoints(now, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 1, Weight: 1, StartedAt: c.start}}})
 		inst.OnTimer(c.at, 0)
-		if got := inst.warmUpProgress(inst.indexOf["x"]); got < c.minimum-1e-9 || got > c.maximum+1e-9 {
+		backend, _ := inst.endpoints.Find("x")
+		if got := inst.warmUpProgress(inst.endpoints.At(backend)); got < c.minimum-1e-9 || got > c.maximum+1e-9 {
 			t.Errorf("%s: %.2f of its capacity, want %.2f to %.2f", c.name, got, c.minimum, c.maximum)
 		}
 	}
--- a/policy/timers.go
+++ b/policy/timers.go
@@ -2,38 +2,56 @@
 
 import "container/heap"
 
-func (inst *Instance) armTimer() {
-	inst.timerToken++
-	inst.armedAt = inst.timers[0].at
-	inst.port.SetTimer(max(inst.armedAt-inst.now, 0.001), inst.timerToken)
+// minTimer (ms) is the shortest timer that is set: the host counts in microseconds.
+const minTimer = 0.001
+
+// timer is a time at which a request comes back to the rules; without a request it only makes the rules run.
+type timer struct {
+	at      float64 // ms
+	request *request
 }
 
-func (inst *Instance) schedule(at float64, req *request) { heap.Push(&inst.timers, timer{at, req}) }
+// timerQueue is a heap of timers, the next first.
+type timerQueue []timer
 
-func (h timerQueue) Len() int { return len(h) }
+// Len is part of heap.Interface.
+func (q timerQueue) Len() int { return len(q) }
 
-func (h timerQueue) Less(i, j int) bool { return h[i].at < h[j].at }
+// Less is part of heap.Interface.
+func (q timerQueue) Less(i, j int) bool { return q[i].at < q[j].at }
 
-func (h timerQueue) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+// Swap is part of heap.Interface.
+func (q timerQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-func (h *timerQueue) Push(x any) { *h = append(*h, x.(timer)) }
+// Push is part of heap.Interface.
+func (q *timerQueue) Push(x any) { *q = append(*q, x.(timer)) }
 
-func (h *timerQueue) Pop() any {
-	old := *h
-	x := old[len(old)-1]
-	*h = old[:len(old)-1]
-	return x
+// Pop is part of heap.Interface.
+func (q *timerQueue) Pop() any {
+	old := *q
+	last := old[len(old)-1]
+	*q = old[:len(old)-1]
+	return last
 }
 
-type timerQueue []timer
+// schedule brings a request back to the rules at a time (ms).
+func (inst *Instance) schedule(at float64, req *request) { heap.Push(&inst.timers, timer{at, req}) }
 
-type timer struct {
-	at      float64
-	request *request
-}
+func (inst *Instance) timerDue() bool { return len(inst.timers) > 0 && inst.timers[0].at <= inst.now }
 
 func (inst *Instance) timerFired() {
 	if req := heap.Pop(&inst.timers).(timer).request; req != nil && !req.ended {
 		inst.pending = append(inst.pending, req)
 	}
 }
+
+// timerUnarmed: the port's timer would fire after the next one is due.
+func (inst *Instance) timerUnarmed() bool {
+	return len(inst.timers) > 0 && inst.timers[0].at < inst.armedAt
+}
+
+func (inst *Instance) armTimer() {
+	inst.timerToken++
+	inst.armedAt = inst.timers[0].at
+	inst.port.SetTimer(max(inst.armedAt-inst.now, minTimer), inst.timerToken)
+}
