--- a/policy/exposure/affinity.go
+++ b/policy/exposure/affinity.go
@@ -1,6 +1,8 @@
-// Package exposure keeps the rule on exposure for one instance: how much of the requests taken may go to a release under a
-// cap (Allowance), and which releases may still serve a key that a release has answered (Affinity). It knows releases by
-// number alone; where a release stands is package release's.
+// Package exposure limits what a release that rolls out may get of one instance's requests.
+//
+// It owns how many attempts may still go to a release under a cap (Allowance) and which releases may serve a key that a release has
+// answered (Affinity). It must never know a backend, a request or a clock: it knows releases by number alone, and the state of a release is
+// package release's. Its types are for one goroutine.
 package exposure
 
 import (
@@ -13,7 +15,7 @@
 // which costs a little and breaks nothing.
 type Key uint64
 
-// KeyOf is a request's key.
+// KeyOf is the Key of a request's key; an empty one gives 0.
 func KeyOf(key string) Key {
 	if key == "" {
 		return 0
@@ -21,24 +23,24 @@
 	return Key(xxhash.Sum64String(key) | 1)
 }
 
-// keysMost is how many keys of a release are remembered, at about 20 bytes each. Beyond it every key counts as one of them:
+// maxKeys is how many keys of a release are remembered, at about 20 bytes each. Beyond it every key counts as one of them:
 // forgetting one could send it to an earlier release.
-const keysMost = 1 << 18
+const maxKeys = 1 << 18
 
-// Affinity knows by which releases a key was answered, or may be about to be. Such a key goes to no earlier release until
-// that release goes back.
+// Affinity knows which releases have answered a key, or may be about to. Such a key goes to no earlier release until that
+// release is rolled back.
 type Affinity struct {
 	answered map[release.ID]*keySet
-	pending  map[release.ID]map[Key]int // attempts that are out
-	settled  release.ID                 // every key counts as answered by this release: its own keys were let go
-	most     int
-	changes  uint64 // counted, so that a floor need not be found again while nothing has changed
+	pending  map[release.ID]map[Key]int // open attempts
+	base     release.ID                 // every key counts as answered by this release: its own keys were forgotten; 0: none
+	maxKeys  int                        // of one release
+	changes  uint64                     // counted, so that a floor need not be found again while nothing has changed
 }
 
 // keySet is the keys that one release has answered.
 type keySet struct {
 	keys map[Key]struct{}
-	all  bool // there were too many to tell
+	all  bool // there were too many: every key counts as answered
 }
 
 func (s *keySet) has(key Key) bool {
@@ -46,23 +48,23 @@
 	return ok || s.all
 }
 
-// NewAffinity makes an empty one.
+// NewAffinity is an affinity that has seen no key.
 func NewAffinity() *Affinity {
-	return &Affinity{answered: map[release.ID]*keySet{}, pending: map[release.ID]map[Key]int{}, most: keysMost}
+	return &Affinity{answered: map[release.ID]*keySet{}, pending: map[release.ID]map[Key]int{}, maxKeys: maxKeys}
 }
 
 // Floor is the earliest release that may serve a key; 0: any.
-func (f *Affinity) Floor(key Key) (release release.ID) {
+func (a *Affinity) Floor(key Key) (release release.ID) {
 	if key == 0 {
 		return 0
 	}
-	release = f.settled
-	for r, set := range f.answered {
+	release = a.base
+	for r, set := range a.answered {
 		if r > release && set.has(key) {
 			release = r
 		}
 	}
-	for r, keys := range f.pending {
+	for r, keys := range a.pending {
 		if r > release && keys[key] > 0 {
 			release = r
 		}
@@ -70,87 +72,87 @@
 	return release
 }
 
-// Changes counts what may have moved a floor.
-func (f *Affinity) Changes() uint64 { return f.changes }
+// Changes counts what may have moved a floor: as long as it is the same, so is every floor.
+func (a *Affinity) Changes() uint64 { return a.changes }
 
-// AttemptStarted notes an attempt at a release: its answer may bind the key before it is seen.
-func (f *Affinity) AttemptStarted(key Key, release release.ID) {
+// AttemptStarted notes an open attempt at a release: its answer may bind the key before it is seen here.
+func (a *Affinity) AttemptStarted(key Key, release release.ID) {
 	if key == 0 {
 		return
 	}
-	if f.pending[release] == nil {
-		f.pending[release] = map[Key]int{}
+	if a.pending[release] == nil {
+		a.pending[release] = map[Key]int{}
 	}
-	f.pending[release][key]++
-	f.changes++
+	a.pending[release][key]++
+	a.changes++
 }
 
-// AttemptEnded notes the end of an attempt that Sent has noted.
-func (f *Affinity) AttemptEnded(key Key, release release.ID) {
-	keys := f.pending[release]
+// AttemptEnded notes the end of an attempt that AttemptStarted has noted.
+func (a *Affinity) AttemptEnded(key Key, release release.ID) {
+	keys := a.pending[release]
 	switch n := keys[key]; {
 	case n > 1:
 		keys[key] = n - 1
 	case n == 1:
 		delete(keys, key)
 	}
-	f.changes++
+	a.changes++
 }
 
 // Bind notes that a release has answered a key.
-func (f *Affinity) Bind(key Key, release release.ID) {
+func (a *Affinity) Bind(key Key, release release.ID) {
 	if key == 0 {
 		return
 	}
-	f.changes++
-	set := f.answered[release]
+	a.changes++
+	set := a.answered[release]
 	if set == nil {
 		set = &keySet{keys: map[Key]struct{}{}}
-		f.answered[release] = set
+		a.answered[release] = set
 	}
 	if !set.all {
 		set.keys[key] = struct{}{}
 	}
-	if len(set.keys) > f.most {
+	if len(set.keys) > a.maxKeys {
 		set.keys, set.all = nil, true
 	}
 }
 
-// ReleaseKeys ends what a release binds: it goes back.
-func (f *Affinity) ReleaseKeys(release release.ID) {
-	delete(f.answered, release)
-	delete(f.pending, release)
-	f.changes++
+// ReleaseKeys frees the keys that a release has bound: it is rolled back.
+func (a *Affinity) ReleaseKeys(release release.ID) {
+	delete(a.answered, release)
+	delete(a.pending, release)
+	a.changes++
 }
 
-// ForgetBefore lets the keys of all releases before one go, for none of these is to return. Should a backend of an even earlier
-// one do so all the same, it gets no key at all.
-func (f *Affinity) ForgetBefore(release release.ID) {
-	for r := range f.answered {
+// ForgetBefore forgets the keys of all releases before one, since none of these is to return. Should a backend of an even earlier
+// release return all the same, it gets no key at all.
+func (a *Affinity) ForgetBefore(release release.ID) {
+	for r := range a.answered {
 		if r < release {
-			f.settled = max(f.settled, r)
-			delete(f.answered, r)
+			a.base = max(a.base, r)
+			delete(a.answered, r)
 		}
 	}
-	for r, keys := range f.pending {
+	for r, keys := range a.pending {
 		if r < release && len(keys) == 0 {
-			delete(f.pending, r)
+			delete(a.pending, r)
 		}
 	}
-	f.changes++
+	a.changes++
 }
 
 // Len is how many keys are remembered, for all releases together.
-func (f *Affinity) Len() (n int) {
-	for _, set := range f.answered {
+func (a *Affinity) Len() (n int) {
+	for _, set := range a.answered {
 		n += len(set.keys)
 	}
 	return n
 }
 
-// Pending is how many keys have attempts out.
-func (f *Affinity) Pending() (n int) {
-	for _, keys := range f.pending {
+// Pending is how many keys have open attempts.
+func (a *Affinity) Pending() (n int) {
+	for _, keys := range a.pending {
 		n += len(keys)
 	}
 	return n
--- a/policy/release/release.go
+++ b/policy/release/release.go
@@ -1,40 +1,44 @@
-// Package release keeps one record for each release that an instance has heard of, and moves it by one state machine
-// that never goes back. It answers what may be asked of a release (is it under a cap, is it closed, does it hold its keys) by
-// that release's own record, never by the newest one's. It knows no backend, request, clock or wire.
+// Package release keeps the state of each release that an instance has heard of.
 //
-// Updates come from several sources in any order: notices, answers to votes, the configuration. An update is identified by its
+// It owns one record for each release (Book) and the state machine that moves it, which never goes back. It answers what may be asked of a
+// release (is it under a cap, is it closed) by that release's own record, never by the newest one's. It must never know a backend, a
+// request, a clock or the wire. A Book is for one goroutine.
+//
+// Updates come from several sources in any order: notices, responses to votes, the configuration. An update is identified by its
 // release and ordered by phase, then stage; where both are the same the lower cap holds. What an update would move back is
-// passed over, however late or fresh it looks: a delayed update's age says nothing, since the delay is not in it. Records are kept
-// for good: one that is forgotten would open a withdrawn release.
+// ignored, however fresh it looks: an update's age says nothing of how long it was on its way. Records are kept for good: forgetting
+// one would open a withdrawn release.
 package release
 
 // ID identifies a release. A later release has a higher one.
 type ID int
 
-// Unknown is the release of a backend of which no source has told one. It may be any: it gets what the first stage may, binds keys as
-// the latest release would, and serves only those that the oldest one may.
+// Unknown is the release of a backend for which no source has named one. It may be any. So the backend gets what the first stage may,
+// its answers bind keys as the latest release's would, and it serves only keys that the oldest release may.
 const Unknown ID = 1 << 30
 
-// Phase is where a release stands.
+// Phase is the phase that a release is in.
 type Phase uint8
 
+// Phases of a release.
 const (
-	RollingOut Phase = iota
-	RollingBack
-	Released
-	Withdrawn
+	RollingOut  Phase = iota // stage by stage, under a cap
+	RollingBack              // its backends are replaced by those of the release before
+	Released                 // without a cap
+	Withdrawn                // no backend of it remains
 )
 
-var phaseNames = [...]string{RollingOut: "on trial", RollingBack: "going back", Released: "released", Withdrawn: "withdrawn"}
+var phaseNames = [...]string{RollingOut: "rolling out", RollingBack: "rolling back", Released: "released", Withdrawn: "withdrawn"}
 
+// String is the phase for operators' eyes.
 func (p Phase) String() string { return phaseNames[p] }
 
-// rank orders the phases: a release moves to a higher one only. A released one may still be sent back.
+// rank orders the phases: a release moves to a higher one only. A released one may still be rolled back.
 func (p Phase) rank() int {
 	return [...]int{RollingOut: 0, Released: 1, RollingBack: 2, Withdrawn: 3}[p]
 }
 
-// Update is one telling of where a release stands.
+// Update is the state of a release as one source sends it.
 type Update struct {
 	Release ID
 	Stage   int
@@ -42,34 +46,34 @@
 	Cap     float64 // share of the requests taken, 0 to 1
 }
 
-// Record is what is known of one release. Before its first update only its backends are known, and it stands in the first
-// stage.
+// Record is what is known of one release. Before its first update only its backends are known, and it counts as in the first stage.
 type Record struct {
 	Update
-	Announced bool
-	// Superseded: a later release was announced before this one's end was told. It is taken off by then, or its end was missed.
+	Announced bool // an update has come
+	// Superseded: a later release was announced before an update ended this one. It was withdrawn by then, or the update was missed.
 	Superseded bool
 }
 
 // Change says what an update did.
 type Change uint8
 
+// What an update did.
 const (
-	StaleUpdate Change = iota // it would have moved the release back
-	NoChange
-	Moved
+	StaleUpdate Change = iota // it would have moved the release back, and was ignored
+	NoChange                  // the record says the same already
+	Moved                     // the record has changed
 )
 
 // Book is the records of all releases.
 type Book struct {
 	records  map[ID]*Record
-	newest   ID // announced; valid if announced is set
-	known    bool
-	oldest   ID // listed
-	firstCap float64
+	newest   ID      // announced; valid if known is set
+	known    bool    // a release was announced
+	oldest   ID      // listed
+	firstCap float64 // share of the requests taken, in the first stage
 }
 
-// NewBook makes an empty book; a release of which nothing was told has the cap of the first stage.
+// NewBook is an empty book; a release without an update has the cap of the first stage, a share of the requests taken.
 func NewBook(firstCap float64) *Book {
 	return &Book{records: map[ID]*Record{}, firstCap: firstCap}
 }
@@ -82,10 +86,10 @@
 	return *b.records[b.newest], true
 }
 
-// SetOldestListed tells the oldest release that is listed: as long as nothing is announced, that one is the fleet's.
+// SetOldestListed notes the oldest release that is listed: as long as none is announced, that one counts as what the fleet runs.
 func (b *Book) SetOldestListed(release ID) { b.oldest = release }
 
-// ServesAs is the release by which it is judged which keys a backend may serve: its own, or the oldest where that is unknown.
+// ServesAs is the release that decides which keys a backend may serve: its own, or the oldest listed one where that is unknown.
 func (b *Book) ServesAs(release ID) ID {
 	if release == Unknown {
 		return b.oldest
@@ -93,7 +97,7 @@
 	return release
 }
 
-// BindsAs is the release to which an answer of a backend binds its key: its own, or the latest that is known of.
+// BindsAs is the release to which an answer of a backend binds its key: its own, or the latest known one where that is unknown.
 func (b *Book) BindsAs(release ID) ID {
 	if release != Unknown {
 		return release
@@ -105,7 +109,7 @@
 	return latest
 }
 
-// Record is what is known of a release.
+// Record is a copy of what is known of a release.
 func (b *Book) Record(release ID) Record {
 	if r := b.records[release]; r != nil {
 		return *r
@@ -117,8 +121,7 @@
 	return Record{Update: first}
 }
 
-// before tells, of a release of which nothing was ever told, that the fleet ran it before the newest one came: it is what is
-// being replaced.
+// before says of a release without a record whether the fleet ran it before the newest one came: it is what is being replaced.
 func (b *Book) before(release ID) bool {
 	return b.known && release < b.newest || !b.known && release <= b.oldest
 }
@@ -137,8 +140,8 @@
 	return change
 }
 
-// OnListed notes that a backend of a release is listed; it tells whether nothing was known of that release and something
-// should have been, its news being still to come.
+// OnListed notes that a backend of a release is listed. early says that the release is later than the newest announced one and was not
+// known before: its first update is still to come.
 func (b *Book) OnListed(release ID) (early bool) {
 	if release == Unknown || b.records[release] != nil || !b.known || release <= b.newest {
 		return false
@@ -147,7 +150,7 @@
 	return true
 }
 
-// announce takes a release's first update. Whatever came before it and has not ended is superseded.
+// announce takes a release's first update. It supersedes every earlier release that has not ended.
 func (b *Book) announce(u Update) {
 	r := &Record{Update: u, Announced: true}
 	if u.Phase == Withdrawn {
@@ -179,7 +182,7 @@
 		return Moved
 	}
 	if u.Phase == RollingBack {
-		u.Cap = min(u.Cap, r.Cap) // it only ever falls on the way back
+		u.Cap = min(u.Cap, r.Cap) // a cap never rises during a rollback
 	}
 	if u.Phase == Withdrawn {
 		u.Cap = 0
@@ -188,8 +191,8 @@
 	return Moved
 }
 
-// supersede ends what a later release's announcement ends. Nothing more is told of this one: where it was going back it is as
-// good as withdrawn, and where it was on trial its last cap stays.
+// supersede takes the announcement of a later release. No more updates are to be expected on this one: where it was rolling back it counts
+// as withdrawn, and where it was rolling out it keeps its last cap.
 func (r *Record) supersede() {
 	r.Superseded = r.Phase != Released && r.Phase != Withdrawn
 	if r.Phase == RollingBack {
@@ -197,8 +200,8 @@
 	}
 }
 
-// MarkPrevailing tells that a superseded release runs on most of the backends of earlier releases: it was released, and that news
-// missed, for one that is taken off never gets there.
+// MarkPrevailing notes that a superseded release runs on most of the backends of earlier releases. So it was released and that update was
+// missed: one that is rolled back never gets there.
 func (b *Book) MarkPrevailing(release ID) {
 	if r := b.records[release]; r != nil && r.Superseded && r.Phase == RollingOut {
 		r.Phase, r.Cap, r.Superseded = Released, 1, false
@@ -217,18 +220,18 @@
 	return b.firstCap, true
 }
 
-// IsClosed tells that a release goes back or has gone: its answers bind no key.
+// IsClosed says whether a release is rolling back or withdrawn: its answers bind no key.
 func (b *Book) IsClosed(release ID) bool {
 	p := b.Record(release).Phase
 	return p == RollingBack || p == Withdrawn
 }
 
-// IsEvaluated tells that outcomes of a release are evidence: it is the newest one, or runs in the fleet without a limit.
+// IsEvaluated says whether outcomes of a release are evidence: it is the newest one, or an earlier one without a cap.
 func (b *Book) IsEvaluated(release ID) bool {
 	return b.known && (release == b.newest || release < b.newest && b.Record(release).Phase == Released)
 }
 
-// Baseline is the newest release that is out without a limit, before the newest announced one; 0: none is known by name.
+// Baseline is the newest released release before the newest announced one; 0: none is known.
 func (b *Book) Baseline() (base ID) {
 	for release, r := range b.records {
 		if release < b.newest && r.Phase == Released {
--- a/policy/release/release_test.go
+++ b/policy/release/release_test.go
@@ -7,13 +7,13 @@
 	"pgregory.net/rapid"
 )
 
-// Where a release stands after updates in this order, told of it and of others.
-func TestTell(t *testing.T) {
-	trial := func(release ID, stage int, limit float64) Update { return Update{release, stage, RollingOut, limit} }
-	out := func(release ID) Update { return Update{release, 2, Released, 1} }
-	back := func(release ID, limit float64) Update { return Update{release, 0, RollingBack, limit} }
-	gone := func(release ID) Update { return Update{release, 0, Withdrawn, 0} }
-	for _, c := range []struct {
+// The state of a release after updates on it and on others, in this order.
+func TestApply(t *testing.T) {
+	rollingOut := func(release ID, stage int, limit float64) Update { return Update{release, stage, RollingOut, limit} }
+	released := func(release ID) Update { return Update{release, 2, Released, 1} }
+	rollingBack := func(release ID, limit float64) Update { return Update{release, 0, RollingBack, limit} }
+	withdrawn := func(release ID) Update { return Update{release, 0, Withdrawn, 0} }
+	for _, tc := range []struct {
 		name    string
 		updates []Update
 		of      ID
@@ -23,51 +23,53 @@
 		limited bool
 		last    Change
 	}{
-		{"on trial", []Update{out(1), trial(2, 0, 0.1)}, 2, RollingOut, 0, 0.1, true, Moved},
-		{"the next stage", []Update{trial(2, 0, 0.1), trial(2, 1, 0.5)}, 2, RollingOut, 1, 0.5, true, Moved},
-		{"a stage before, late", []Update{trial(2, 1, 0.5), trial(2, 0, 0.1)}, 2, RollingOut, 1, 0.5, true, StaleUpdate},
-		{"told again", []Update{trial(2, 1, 0.5), trial(2, 1, 0.5)}, 2, RollingOut, 1, 0.5, true, NoChange},
-		{"a lower cap in a stage", []Update{trial(2, 1, 0.5), trial(2, 1, 0.3)}, 2, RollingOut, 1, 0.3, true, Moved},
-		{"a higher cap in a stage", []Update{trial(2, 1, 0.3), trial(2, 1, 0.5)}, 2, RollingOut, 1, 0.3, true, NoChange},
-		{"released", []Update{trial(2, 1, 0.5), out(2)}, 2, Released, 2, 1, false, Moved},
-		{"on trial, late, when released", []Update{out(2), trial(2, 1, 0.5)}, 2, Released, 2, 1, false, StaleUpdate},
-		{"released, then sent back", []Update{out(2), back(2, 0.2)}, 2, RollingBack, 0, 0.2, true, Moved},
-		{"released, late, when going back", []Update{back(2, 0.2), out(2)}, 2, RollingBack, 0, 0.2, true, StaleUpdate},
-		{"on trial, late, when going back", []Update{trial(2, 0, 0.1), back(2, 0), trial(2, 0, 0.1)}, 2, RollingBack, 0, 0, true, StaleUpdate},
-		{"a cap that rises on the way back", []Update{trial(2, 0, 0.1), back(2, 0.2)}, 2, RollingBack, 0, 0.1, true, Moved},
-		{"a cap that falls on the way back", []Update{out(2), back(2, 0.2), back(2, 0), back(2, 0.2)}, 2, RollingBack, 0, 0, true, NoChange},
-		{"withdrawn", []Update{trial(2, 0, 0.1), back(2, 0), gone(2)}, 2, Withdrawn, 0, 0, true, Moved},
-		{"going back, late, when withdrawn", []Update{gone(2), back(2, 0.2)}, 2, Withdrawn, 0, 0, true, StaleUpdate},
-		{"withdrawn, and the next one comes", []Update{gone(2), trial(3, 0, 0.1)}, 2, Withdrawn, 0, 0, true, Moved},
-		{"going back, and the next one comes", []Update{back(2, 0.2), trial(3, 0, 0.1)}, 2, Withdrawn, 0, 0, true, Moved},
-		{"on trial, and the next one comes", []Update{trial(2, 0, 0.2), trial(3, 0, 0.1)}, 2, RollingOut, 0, 0.2, true, Moved},
-		{"its end told late", []Update{trial(2, 0, 0.2), trial(3, 0, 0.1), out(2)}, 2, Released, 2, 1, false, Moved},
-		{"its withdrawal told late", []Update{trial(2, 0, 0.2), trial(3, 0, 0.1), back(2, 0.2)}, 2, Withdrawn, 0, 0, true, Moved},
-		{"first told of after the next one", []Update{trial(3, 0, 0.1), trial(2, 0, 0.2)}, 2, RollingOut, 0, 0.2, true, Moved},
-		{"an answer on the one before", []Update{out(2), trial(3, 0, 0.1), out(2)}, 3, RollingOut, 0, 0.1, true, NoChange},
-		{"nothing told, an earlier one", []Update{trial(3, 0, 0.1)}, 2, Released, 0, 1, false, Moved},
-		{"nothing told, a later one", []Update{gone(2)}, 3, RollingOut, 0, 0.08, true, Moved},
+		{"rolling out", []Update{released(1), rollingOut(2, 0, 0.1)}, 2, RollingOut, 0, 0.1, true, Moved},
+		{"the next stage", []Update{rollingOut(2, 0, 0.1), rollingOut(2, 1, 0.5)}, 2, RollingOut, 1, 0.5, true, Moved},
+		{"a stage before, late", []Update{rollingOut(2, 1, 0.5), rollingOut(2, 0, 0.1)}, 2, RollingOut, 1, 0.5, true, StaleUpdate},
+		{"the same update again", []Update{rollingOut(2, 1, 0.5), rollingOut(2, 1, 0.5)}, 2, RollingOut, 1, 0.5, true, NoChange},
+		{"a lower cap in a stage", []Update{rollingOut(2, 1, 0.5), rollingOut(2, 1, 0.3)}, 2, RollingOut, 1, 0.3, true, Moved},
+		{"a higher cap in a stage", []Update{rollingOut(2, 1, 0.3), rollingOut(2, 1, 0.5)}, 2, RollingOut, 1, 0.3, true, NoChange},
+		{"released", []Update{rollingOut(2, 1, 0.5), released(2)}, 2, Released, 2, 1, false, Moved},
+		{"rolling out, late, when released", []Update{released(2), rollingOut(2, 1, 0.5)}, 2, Released, 2, 1, false, StaleUpdate},
+		{"released, then rolled back", []Update{released(2), rollingBack(2, 0.2)}, 2, RollingBack, 0, 0.2, true, Moved},
+		{"released, late, when rolling back", []Update{rollingBack(2, 0.2), released(2)}, 2, RollingBack, 0, 0.2, true, StaleUpdate},
+		{"rolling out, late, when rolling back", []Update{rollingOut(2, 0, 0.1), rollingBack(2, 0), rollingOut(2, 0, 0.1)}, 2, RollingBack, 0, 0, true, StaleUpdate},
+		{"a cap that rises during the rollback", []Update{rollingOut(2, 0, 0.1), rollingBack(2, 0.2)}, 2, RollingBack, 0, 0.1, true, Moved},
+		{"a cap that falls during the rollback", []Update{released(2), rollingBack(2, 0.2), rollingBack(2, 0), rollingBack(2, 0.2)}, 2, RollingBack, 0, 0, true, NoChange},
+		{"withdrawn", []Update{rollingOut(2, 0, 0.1), rollingBack(2, 0), withdrawn(2)}, 2, Withdrawn, 0, 0, true, Moved},
+		{"rolling back, late, when withdrawn", []Update{withdrawn(2), rollingBack(2, 0.2)}, 2, Withdrawn, 0, 0, true, StaleUpdate},
+		{"withdrawn, and the next one is announced", []Update{withdrawn(2), rollingOut(3, 0, 0.1)}, 2, Withdrawn, 0, 0, true, Moved},
+		{"rolling back, and the next one is announced", []Update{rollingBack(2, 0.2), rollingOut(3, 0, 0.1)}, 2, Withdrawn, 0, 0, true, Moved},
+		{"rolling out, and the next one is announced", []Update{rollingOut(2, 0, 0.2), rollingOut(3, 0, 0.1)}, 2, RollingOut, 0, 0.2, true, Moved},
+		{"its release comes late", []Update{rollingOut(2, 0, 0.2), rollingOut(3, 0, 0.1), released(2)}, 2, Released, 2, 1, false, Moved},
+		{"its rollback comes late", []Update{rollingOut(2, 0, 0.2), rollingOut(3, 0, 0.1), rollingBack(2, 0.2)}, 2, Withdrawn, 0, 0, true, Moved},
+		{"announced after the next one", []Update{rollingOut(3, 0, 0.1), rollingOut(2, 0, 0.2)}, 2, RollingOut, 0, 0.2, true, Moved},
+		{"an update on the one before", []Update{released(2), rollingOut(3, 0, 0.1), released(2)}, 3, RollingOut, 0, 0.1, true, NoChange},
+		{"no update, an earlier one", []Update{rollingOut(3, 0, 0.1)}, 2, Released, 0, 1, false, Moved},
+		{"no update, a later one", []Update{withdrawn(2)}, 3, RollingOut, 0, 0.08, true, Moved},
 	} {
-		b := NewBook(0.08)
-		var last Change
-		for _, u := range c.updates {
-			last = b.Apply(u)
-		}
-		r := b.Record(c.of)
-		limit, limited := b.Cap(c.of)
-		got := fmt.Sprint(r.Phase, r.Stage, limit, limited, last)
-		if want := fmt.Sprint(c.phase, c.stage, c.limit, c.limited, c.last); got != want {
-			t.Errorf("%s: got %s, want %s", c.name, got, want)
-		}
+		t.Run(tc.name, func(t *testing.T) {
+			book := NewBook(0.08)
+			var last Change
+			for _, update := range tc.updates {
+				last = book.Apply(update)
+			}
+			record := book.Record(tc.of)
+			limit, limited := book.Cap(tc.of)
+			got := fmt.Sprint(record.Phase, record.Stage, limit, limited, last)
+			if want := fmt.Sprint(tc.phase, tc.stage, tc.limit, tc.limited, tc.last); got != want {
+				t.Errorf("got %s, want %s", got, want)
+			}
+		})
 	}
 }
 
-// A release that is listed before its news stands in the first stage, and what was listed and never told of is not opened by
-// the announcement of one behind it.
+// A release that is listed before its first update counts as in the first stage, and one that was listed and never got an update is not
+// opened by the announcement of a later one.
 func TestListed(t *testing.T) {
 	b := NewBook(0.08)
 	if b.OnListed(7) {
-		t.Error("before any news everything is as it was")
+		t.Error("before any update every release counts as early")
 	}
 	b.Apply(Update{2, 0, Withdrawn, 0})
 	for _, c := range []struct {
@@ -80,7 +82,7 @@
 	}
 	b.Apply(Update{4, 0, RollingOut, 0.1})
 	if limit, limited := b.Cap(3); !limited || limit != 0.08 {
-		t.Errorf("never told of, with 4 announced: cap %v, limited %v", limit, limited)
+		t.Errorf("no update on it, with 4 announced: cap %v, limited %v", limit, limited)
 	}
 	b.MarkPrevailing(3)
 	if _, limited := b.Cap(3); limited {
@@ -88,54 +90,58 @@
 	}
 	b.MarkPrevailing(2)
 	if limit, limited := b.Cap(2); !limited || limit != 0 {
-		t.Error("a withdrawn release was opened by what runs")
+		t.Error("a withdrawn release was opened by running on most backends")
 	}
 }
 
-// Before any news the oldest listed release is the fleet's, and later ones stand in the first stage.
-func TestNothingTold(t *testing.T) {
+// Before any update the oldest listed release is what the fleet runs, and later ones count as in the first stage.
+func TestNothingAnnounced(t *testing.T) {
 	b := NewBook(0.08)
 	b.SetOldestListed(4)
 	if _, limited := b.Cap(4); limited {
-		t.Error("the fleet's own release is limited")
+		t.Error("the release that the fleet runs is limited")
 	}
 	if limit, limited := b.Cap(5); !limited || limit != 0.08 {
 		t.Error("a later release is not")
 	}
 }
 
+// checkBook compares a book with what each release's own updates say: the furthest phase of each, the newest, and the withdrawn.
+func checkBook(t *rapid.T, book *Book, furthest map[ID]Phase, newest ID) {
+	if record, known := book.Newest(); !known || record.Release != newest {
+		t.Fatalf("newest is %d, not %d", record.Release, newest)
+	}
+	for id, phase := range furthest {
+		if got := book.Record(id).Phase; got.rank() < phase.rank() {
+			t.Fatalf("release %d: %v after %v", id, got, phase)
+		}
+		if limit, limited := book.Cap(id); phase == Withdrawn && (!limited || limit > 0) {
+			t.Fatalf("release %d is withdrawn, and open with %v", id, limit)
+		}
+	}
+}
+
 // In whatever order and however often updates come, each release ends where the furthest of its own updates puts it: no phase
 // goes back, a withdrawn release stays closed, and the newest stays the newest.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := NewBook(0.08)
-		furthest, newest := map[ID]Phase{}, ID(0)
-		closed := map[ID]bool{}
+		book, furthest, newest := NewBook(0.08), map[ID]Phase{}, ID(0)
 		for range rapid.IntRange(1, 40).Draw(t, "updates") {
-			u := Update{
-				Release: ID(rapid.IntRange(1, 4).Draw(t, "release")), Stage: rapid.IntRange(0, 2).Draw(t, "stage"),
-				Phase: Phase(rapid.IntRange(0, 3).Draw(t, "phase")), Cap: float64(rapid.IntRange(0, 4).Draw(t, "cap")) / 4,
+			update := Update{
+				Release: ID(rapid.IntRange(1, 4).Draw(t, "release")),
+				Stage:   rapid.IntRange(0, 2).Draw(t, "stage"),
+				Phase:   Phase(rapid.IntRange(0, 3).Draw(t, "phase")),
+				Cap:     float64(rapid.IntRange(0, 4).Draw(t, "cap")) / 4,
 			}
 			if rapid.Bool().Draw(t, "listed first") {
-				b.OnListed(u.Release)
-			}
-			b.Apply(u)
-			if was, told := furthest[u.Release]; !told || u.Phase.rank() > was.rank() {
-				furthest[u.Release] = u.Phase
-			}
-			newest = max(newest, u.Release)
-			closed[u.Release] = closed[u.Release] || u.Phase == Withdrawn
-			if n, known := b.Newest(); !known || n.Release != newest {
-				t.Fatalf("newest is %d, not %d", n.Release, newest)
+				book.OnListed(update.Release)
 			}
-			for release, phase := range furthest {
-				if got := b.Record(release).Phase; got.rank() < phase.rank() {
-					t.Fatalf("release %d: %v after %v", release, got, phase)
-				}
-				if limit, limited := b.Cap(release); closed[release] && (!limited || limit > 0) {
-					t.Fatalf("release %d is withdrawn, and open with %v", release, limit)
-				}
+			book.Apply(update)
+			if was, announced := furthest[update.Release]; !announced || update.Phase.rank() > was.rank() {
+				furthest[update.Release] = update.Phase
 			}
+			newest = max(newest, update.Release)
+			checkBook(t, book, furthest, newest)
 		}
 	})
 }
