--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -37,7 +37,7 @@
 		inst.bindKey(req, att)
 	}
 	isEvidence := !math.IsInf(took, 1) && !att.notRun && status != StatusCanceled
-	if inst.announced && isEvidence {
+	if inst.evaluator.Announced() && isEvidence {
 		inst.recordEvidence(att, req, status, took)
 	}
 }
--- a/policy/config.go
+++ b/policy/config.go
@@ -12,6 +12,7 @@
 	"onyxgate/policy/exposure"
 	"onyxgate/policy/release"
 	"onyxgate/policy/slowstart"
+	"onyxgate/policy/verdict"
 )
 
 // Config is all that an instance is given at its start. Times are in ms, prices and values in any one unit. Validate says
@@ -150,11 +151,7 @@
 	for class := range inst.latencies {
 		inst.latencies[class].tail = math.Inf(1)
 	}
-	inst.meanLatencyPerWork = make([]float64, n)
-	inst.baseline.usual, inst.saturatedSince, inst.baselineCorrection = make([]float64, n), math.Inf(1), 1
-	for arm := range inst.evidence {
-		inst.evidence[arm] = make([][]outcome, n)
-	}
+	inst.configureEvaluator()
 }
 
 func (inst *Instance) configureExposure(c ExposureConfig) {
@@ -168,7 +165,20 @@
 }
 
 func (inst *Instance) configureRollout(c RolloutConfig) {
-	inst.stages, inst.control, inst.rollbackVotes, inst.voteLifetime = c.Stages, c.Control, max(c.RollbackVotes, 1), c.VoteLifetime
+	inst.rolloutConfig = c
+	inst.configureEvaluator()
+}
+
+// configureEvaluator starts the evaluation of releases anew, with the classes and the rollout's settings as they are now.
+func (inst *Instance) configureEvaluator() {
+	c := inst.rolloutConfig
+	inst.evaluator = verdict.New(verdict.Settings{
+		Classes:       len(inst.classes),
+		Stages:        c.Stages,
+		Control:       c.Control,
+		RollbackVotes: max(c.RollbackVotes, 1),
+		VoteLifetime:  c.VoteLifetime,
+	})
 }
 
 func (inst *Instance) configureTenants(c TenantConfig) {
--- a/policy/discovery.go
+++ b/policy/discovery.go
@@ -2,7 +2,6 @@
 
 import (
 	"math"
-	"slices"
 
 	"onyxgate/policy/slowstart"
 )
@@ -52,6 +51,7 @@
 	if b.IsNewProcess(listed) {
 		start := slowstart.Start{ListedStart: listed.StartedAt, FirstList: !inst.discovery.heard, ClockStepped: inst.discovery.clockStepped}
 		b.StartProcess(start.Believed(inst.now), inst.now)
+		inst.evaluator.ResetBackend(backend)
 		if inst.instances >= manyInstances && listed.StartedAt > 0 {
 			// With an empty budget each of many instances would wait long for its first request; with a full one all would send at once.
 			b.SlowStart = slowstart.NewBudget(inst.rng.Float64(), inst.now)
@@ -67,16 +67,7 @@
 func (inst *Instance) addEndpoint(id string) int {
 	backend, reused := inst.endpoints.Add(id, inst.now)
 	if reused {
-		inst.dropEvidence(backend)
+		inst.evaluator.ForgetBackend(backend)
 	}
 	return backend
 }
-
-// dropEvidence forgets the outcomes at a backend.
-func (inst *Instance) dropEvidence(backend int) {
-	for arm := range inst.evidence {
-		for class, outcomes := range inst.evidence[arm] {
-			inst.evidence[arm][class] = slices.DeleteFunc(outcomes, func(o outcome) bool { return o.backend == backend })
-		}
-	}
-}
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -17,4 +17,5 @@
 //	health       recent answers of a backend against the fleet's
 //	release      the state of each release, merged from updates in any order
 //	slowstart    warm-up of a fresh backend and the budget that it gets
+//	verdict      evidence on the newest release, the gates, the desired verdict and the votes
 package policy
--- a/policy/endpoints/endpoints.go
+++ b/policy/endpoints/endpoints.go
@@ -67,8 +67,7 @@
 	Answers          health.Record
 	Load             balance.Load
 	SlowStart        slowstart.Budget
-	LatencyInflation float64   // mean of latency over the class's usual one
-	RecentLatencies  []float64 // over the class's usual one, oldest first
+	LatencyInflation float64 // mean of latency over the class's usual one
 }
 
 // IsNewProcess says whether an endpoint is another process than the one that was known: an id that is used again, or a restart.
@@ -78,7 +77,7 @@
 
 // StartProcess forgets what was learned of the former process. upSince is since when the new one has been up.
 func (b *Backend) StartProcess(upSince, now float64) {
-	b.Answers, b.LatencyInflation, b.RecentLatencies, b.SlowStart = health.Record{}, 1, nil, slowstart.NewBudget(0, now)
+	b.Answers, b.LatencyInflation, b.SlowStart = health.Record{}, 1, slowstart.NewBudget(0, now)
 	b.Ejection, b.Load, b.Limit = concurrency.Ejection{}, balance.Load{}, concurrency.InitialLimit
 	b.UpSince = upSince
 }
--- a/policy/endpoints/endpoints_test.go
+++ b/policy/endpoints/endpoints_test.go
@@ -51,10 +51,10 @@
 	b.StartProcess(0, 1)
 	b.Answers.Add(500, false)
 	b.Limit.OnSample(false, 3, 1)
-	b.LatencyInflation, b.RecentLatencies = 4, []float64{1}
+	b.LatencyInflation = 4
 	b.StartProcess(900, 1000)
-	if b.Limit != concurrency.InitialLimit || b.LatencyInflation != 1 || b.RecentLatencies != nil || b.UpSince != 900 {
-		t.Errorf("after a restart: limit %v, inflation %v, latencies %v, up since %v", b.Limit, b.LatencyInflation, b.RecentLatencies, b.UpSince)
+	if b.Limit != concurrency.InitialLimit || b.LatencyInflation != 1 || b.UpSince != 900 {
+		t.Errorf("after a restart: limit %v, inflation %v, up since %v", b.Limit, b.LatencyInflation, b.UpSince)
 	}
 	var fresh Backend
 	if b.Answers != fresh.Answers {
--- a/policy/events.go
+++ b/policy/events.go
@@ -117,16 +117,7 @@
 		return
 	}
 	inst.recordAnswer(inst.endpoints.At(backend), false)
-	for arm := range inst.evidence {
-		evidence := inst.evidence[arm][class]
-		for k := len(evidence) - 1; k >= 0; k-- {
-			seen := &evidence[k]
-			if seen.backend == backend && !seen.failed && math.Abs(seen.at-seen.latency-(now-age)) < 1 {
-				seen.failed = true
-				return
-			}
-		}
-	}
+	inst.evaluator.MarkFailed(class, backend, now-age)
 }
 
 // OnClientGone takes notice that a request's client has gone; an id that is not open is ignored.
@@ -151,7 +142,7 @@
 // OnReleaseUpdate takes the state of a release, or the response to a vote, which may hold one too.
 func (inst *Instance) OnReleaseUpdate(now float64, update ReleaseUpdate) {
 	inst.beginEvent(now)
-	if update.Response != NotAVote && inst.votePending {
+	if update.Response != NotAVote {
 		inst.onVoteResponse(update.Response)
 	}
 	if update.Response == NotAVote || update.Known {
--- a/policy/evidence.go
+++ b/policy/evidence.go
@@ -1,94 +1,45 @@
 package policy
 
 import (
-	"math"
-	"slices"
-
-	"gonum.org/v1/gonum/stat"
+	"onyxgate/policy/gossip"
+	"onyxgate/policy/verdict"
 )
 
-// addEvidence keeps evidence in order of time.
-func (a *Instance) addEvidence(build ReleaseID, product int, o outcome) {
-	u := &a.meanLatencyPerWork[product]
-	if *u == 0 {
-		*u = o.latency
-	}
-	*u += meanStep * (o.latency - *u)
-	o.relativeLatency = o.latency / max(*u, 1e-9)
-	o.comparable = !o.failed && a.isSteady(o.backend, o.relativeLatency)
-	if !a.releases.IsEvaluated(build) { // of a release whose news is to come, or one that has been taken off
-		return
-	}
-	arm := boolIndex(build >= a.newest)
-	e := a.evidence[arm][product]
-	k := len(e)
-	for k > 0 && e[k-1].at > o.at {
-		k--
-	}
-	e = slices.Insert(e, k, o)
-	if len(e) > 2*maxEvidence {
-		e = slices.Clone(e[len(e)-maxEvidence:])
-	}
-	a.evidence[arm][product] = e
-}
+// This file owns which attempts become evidence on a release, an instance's own ones and those that others tell it of.
 
-// isSteady is gate one's check of a machine: halves of its recent outcomes agree, or its told warm-up is over.
-func (a *Instance) isSteady(i int, rel float64) bool {
-	b := a.endpoints.At(i)
-	b.RecentLatencies = append(b.RecentLatencies, rel)
-	if len(b.RecentLatencies) > steadySample {
-		b.RecentLatencies = b.RecentLatencies[1:]
-	}
-	if a.warmUpProgress(b) >= 1 || len(b.RecentLatencies) < steadySample {
-		return a.warmUpProgress(b) >= 1
+// recordEvidence takes the end of an own attempt as evidence, and queues it for the evaluators.
+func (inst *Instance) recordEvidence(attempt *attempt, req *request, status AttemptStatus, took float64) {
+	outcome := verdict.Outcome{
+		EndedAt:          inst.now,
+		Latency:          took / req.workDivisor,
+		Failed:           status == StatusErrored || status == StatusReset,
+		ConnectionBroken: status == StatusReset,
+		Backend:          attempt.backend,
+	}
+	inst.addEvidence(attempt.release, req.class, outcome)
+	if inst.peerMessages {
+		inst.queueSummary(outcome, attempt.release, req.class)
 	}
-	x, y := stat.Mean(b.RecentLatencies[:steadySample/2], nil), stat.Mean(b.RecentLatencies[steadySample/2:], nil)
-	return math.Abs(x-y) <= latencyZone*max(x, y)
 }
 
-// outcome is one submission's end as evidence on a build.
-type outcome struct {
-	at, latency      float64
-	relativeLatency  float64 // latency over the product's usual one
-	failed           bool
-	connectionBroken bool // its connection
-	backend          int
-	comparable       bool // its latency counts
-}
-
-// recordEvidence files a submission's end as evidence.
-func (a *Instance) recordEvidence(s *attempt, t *request, r AttemptStatus, took float64) {
-	o := outcome{at: a.now, latency: took / t.workDivisor, failed: r == StatusErrored || r == StatusReset, connectionBroken: r == StatusReset, backend: s.backend}
-	a.addEvidence(s.release, t.class, o)
-	if a.peerMessages {
-		a.queueSummary(o, s.release, t.class)
+// mergeSummary takes another instance's outcome as if it were an own one. One of a backend or class that is not known here,
+// or that comes before any release is announced, is ignored.
+func (inst *Instance) mergeSummary(summary gossip.Summary) {
+	backend, known := inst.endpoints.FindHash(summary.BackendHash)
+	if !known || summary.Class >= len(inst.classes) || !inst.evaluator.Announced() {
+		return
 	}
+	inst.arrivals.Add(inst.now)
+	inst.addEvidence(ReleaseID(summary.Release), summary.Class, verdict.Outcome{
+		EndedAt:          summary.EndedAt,
+		Latency:          summary.Latency,
+		Failed:           summary.Failed,
+		ConnectionBroken: summary.ConnectionBroken,
+		Backend:          backend,
+	})
 }
 
-// typicalLatency is a low latency of a machine of the faster part, over the usual of each product: low, since queues
-// touch it least, and of the faster part, so that trouble of some machines does not pass for trouble of all.
-func (a *Instance) typicalLatency(evidence [2][][]outcome, span float64) float64 {
-	by := make([][]float64, a.endpoints.Len())
-	for _, arm := range evidence {
-		for p, e := range arm {
-			for k := len(e) - 1; k >= 0 && e[k].at > a.now-span && a.baseline.usual[p] > 0; k-- {
-				if e[k].comparable {
-					by[e[k].backend] = append(by[e[k].backend], e[k].latency/a.baseline.usual[p])
-				}
-			}
-		}
-	}
-	var each []float64
-	for _, lat := range by {
-		if len(lat) >= minSamplePerBackend {
-			each = append(each, quantile(lowQuantile, lat))
-		}
-	}
-	if all := slices.Concat(by...); len(all) >= minSample && a.instances >= manyInstances && !a.peerMessages {
-		return quantile(lowQuantile, all) // too few of each machine: those of all machines together
-	}
-	if len(each) < minSamplePerBackend {
-		return 0
-	}
-	return quantile(lowQuantile, each)
+func (inst *Instance) addEvidence(of ReleaseID, class int, outcome verdict.Outcome) {
+	warm := inst.warmUpProgress(inst.endpoints.At(outcome.Backend)) >= 1
+	inst.evaluator.Record(of, class, outcome, warm, inst.releases.IsEvaluated(of))
 }
--- a/policy/fleet.go
+++ b/policy/fleet.go
@@ -68,6 +68,7 @@
 // inferReleased finds the release that the fleet runs: the oldest listed one as long as none is announced, and one whose release was
 // missed where most backends of earlier releases run it.
 func (inst *Instance) inferReleased() {
+	newest := inst.evaluator.Release()
 	oldest, earlier, counts := ReleaseID(math.MaxInt), 0, map[ReleaseID]int{}
 	for backend := range inst.endpoints.Len() {
 		b := inst.endpoints.At(backend)
@@ -75,7 +76,7 @@
 			continue
 		}
 		oldest = min(oldest, b.Release)
-		if b.State == EndpointRunning && b.Release < inst.newest {
+		if b.State == EndpointRunning && b.Release < newest {
 			earlier++
 			counts[b.Release]++
 		}
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -1,9 +1,11 @@
 package policy
 
-import "onyxgate/policy/gossip"
+import (
+	"onyxgate/policy/gossip"
+	"onyxgate/policy/verdict"
+)
 
-// This file owns whom the instance tells what it sees of releases, and what a summary received from another one does. The
-// first few instances evaluate for the fleet (isEvaluator); all send their outcomes to those.
+// This file owns whom the instance tells what it sees of releases: the first few instances, which evaluate for the fleet.
 
 const (
 	broadcastInterval = 500 // ms, between two rounds of messages
@@ -11,38 +13,26 @@
 )
 
 // queueSummary queues an attempt's outcome for the evaluators.
-func (a *Instance) queueSummary(o outcome, release ReleaseID, class int) {
-	a.summaries.Add(gossip.Summary{
-		BackendHash:      gossip.BackendHash(a.endpoints.At(o.backend).ID),
-		Release:          int(release),
+func (inst *Instance) queueSummary(outcome verdict.Outcome, of ReleaseID, class int) {
+	inst.summaries.Add(gossip.Summary{
+		BackendHash:      gossip.BackendHash(inst.endpoints.At(outcome.Backend).ID),
+		Release:          int(of),
 		Class:            class,
-		Failed:           o.failed,
-		ConnectionBroken: o.connectionBroken,
-		Latency:          o.latency,
-		EndedAt:          o.at,
+		Failed:           outcome.Failed,
+		ConnectionBroken: outcome.ConnectionBroken,
+		Latency:          outcome.Latency,
+		EndedAt:          outcome.EndedAt,
 	})
 }
 
 // broadcastSummaries sends the queued outcomes to the evaluators.
-func (a *Instance) broadcastSummaries() {
-	a.broadcastAt = a.now + broadcastInterval
-	for _, message := range a.summaries.Encode(a.now, maxMessageBytes) {
-		for evaluator := range min(evaluators, a.instances) {
-			if evaluator != a.index {
-				a.port.SendMessage(evaluator, message)
+func (inst *Instance) broadcastSummaries() {
+	inst.broadcastAt = inst.now + broadcastInterval
+	for _, message := range inst.summaries.Encode(inst.now, maxMessageBytes) {
+		for evaluator := range min(verdict.Evaluators, inst.instances) {
+			if evaluator != inst.index {
+				inst.port.SendMessage(evaluator, message)
 			}
 		}
 	}
 }
-
-// mergeSummary takes another instance's outcome as if it were an own one. One of a backend or class that is not known here,
-// or that comes before any release is announced, is ignored.
-func (a *Instance) mergeSummary(s gossip.Summary) {
-	backend, known := a.endpoints.FindHash(s.BackendHash)
-	if !known || s.Class >= len(a.classes) || !a.announced {
-		return
-	}
-	a.arrivals.Add(a.now)
-	a.addEvidence(ReleaseID(s.Release), s.Class,
-		outcome{at: s.EndedAt, latency: s.Latency, failed: s.Failed, connectionBroken: s.ConnectionBroken, backend: backend})
-}
--- a/policy/gossip/gossip.go
+++ b/policy/gossip/gossip.go
@@ -90,7 +90,7 @@
 }
 
 // Decode reads a message that came in at the time now. A cut record at its end and records with an impossible latency are
-// left out. Backend, release and class are as told: whether they exist is for the caller to check.
+// left out. Backend, release and class are as the message has them: whether they exist is for the caller to check.
 func Decode(now float64, message []byte) (summaries []Summary) {
 	for ; len(message) >= RecordSize; message = message[RecordSize:] {
 		summary := decodeRecord(now, message)
--- a/policy/instance.go
+++ b/policy/instance.go
@@ -90,12 +90,8 @@
 	popularKeys      map[string]float64 // recent requests by key
 
 	// The rollout of the newest release.
-	stages        []float64
-	control       RolloutControl
-	rollbackVotes int
-	voteLifetime  float64 // ms
+	rolloutConfig RolloutConfig
 	rollout
-	meanLatencyPerWork []float64 // ms for each unit of work, by class, as evidence counts it
-	summaries          gossip.Queue
-	broadcastAt        float64 // ms
+	summaries   gossip.Queue
+	broadcastAt float64 // ms
 }
--- a/policy/messages.go
+++ b/policy/messages.go
@@ -3,6 +3,7 @@
 import (
 	"onyxgate/policy/endpoints"
 	"onyxgate/policy/release"
+	"onyxgate/policy/verdict"
 )
 
 // This file owns the messages between an instance and its host.
@@ -145,42 +146,34 @@
 }
 
 // Verdict is what a vote says of a release.
-type Verdict uint8
+type Verdict = verdict.Verdict
 
 // Verdicts on a release.
 const (
-	NoVerdict Verdict = iota
-	Promote
-	Hold
-	Rollback
+	NoVerdict = verdict.NoVerdict
+	Promote   = verdict.Promote
+	Hold      = verdict.Hold
+	Rollback  = verdict.Rollback
 )
 
 // VoteResponse is how the platform responded to a vote.
-type VoteResponse uint8
+type VoteResponse = verdict.VoteResponse
 
 // Responses to a vote.
 const (
-	NotAVote       VoteResponse = iota // a release update, not a response
-	VoteCounted                        // the vote counts
-	VoteRefused                        // the platform is full or in error: the vote does not count
-	VoteUnanswered                     // no response: the vote may count
-	VoteOutdated                       // the vote was on a release or stage that is over
+	NotAVote       = verdict.NotAVote
+	VoteCounted    = verdict.VoteCounted
+	VoteRefused    = verdict.VoteRefused
+	VoteUnanswered = verdict.VoteUnanswered
+	VoteOutdated   = verdict.VoteOutdated
 )
 
-// String says in what the state of a release came.
-func (r VoteResponse) String() string {
-	if r == NotAVote {
-		return "release update"
-	}
-	return "vote response"
-}
-
 // RolloutControl says what moves a rollout to its next stage.
-type RolloutControl uint8
+type RolloutControl = verdict.RolloutControl
 
 // Controls of a rollout.
 const (
-	ControlSingleVote RolloutControl = iota // one vote
-	ControlMajority                         // votes of a share of the instances
-	ControlTimed                            // time; votes can only hold or roll back
+	ControlSingleVote = verdict.ControlSingleVote
+	ControlMajority   = verdict.ControlMajority
+	ControlTimed      = verdict.ControlTimed
 )
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -41,7 +41,7 @@
 // inLastStage says whether the rollout is in the stage over all places. Earlier backends that stay are idle in it, so that latencies are
 // not compared.
 func (inst *Instance) inLastStage() bool {
-	return inst.stage == len(inst.stages)-1 && inst.placesWeight > 0 && inst.fleet.rolloutRelease <= inst.newest
+	return inst.evaluator.Stage() == len(inst.rolloutConfig.Stages)-1 && inst.placesWeight > 0 && inst.fleet.rolloutRelease <= inst.evaluator.Release()
 }
 
 // pickBackend draws the arm (stable or rollout) and then chooses a backend in it, or in the other one where there is none; -1: none may
@@ -68,7 +68,7 @@
 // listing of its release on: before its first update, after it and in a process that starts anew.
 func (inst *Instance) rolloutDraw(req *request) float64 {
 	if req.affinityKey != 0 {
-		return balance.KeyPosition(req.key, inst.salt^uint64(max(inst.fleet.rolloutRelease, inst.newest)))
+		return balance.KeyPosition(req.key, inst.salt^uint64(max(inst.fleet.rolloutRelease, inst.evaluator.Release())))
 	}
 	return inst.rng.Float64()
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -9,6 +9,7 @@
 
 	"onyxgate/policy/balance"
 	"onyxgate/policy/concurrency"
+	"onyxgate/policy/verdict"
 )
 
 // What is done after a first submission has ended so: the rule on effects.
@@ -386,46 +387,6 @@
 	}
 }
 
-// What the gates say of two arms; n outcomes each, latencies 50 to 150 ms times slow, a share bad.
-func TestGates(t *testing.T) {
-	for _, c := range []struct {
-		name      string
-		n         int
-		slow, bad float64
-		jump      float64 // the third slice of the newest build so many times slower
-		earned    bool
-		worse     string
-	}{
-		{"the same", 200, 1, 0, 1, true, ""},
-		{"wholly slower", 200, 2, 0, 1, false, "latency"},
-		{"wholly faster", 200, 0.5, 0, 1, true, ""},
-		{"one slice slower: latency does not agree", 200, 1, 0, 20, true, ""},
-		{"failures", 200, 1, 0.2, 1, false, "failures"},
-		{"failures, few outcomes", 10, 1, 0.4, 1, false, "failures"},
-		{"too few", 15, 2, 0, 1, false, ""},
-		{"one slice far slower, few outcomes", 40, 1, 0, 20, false, ""},
-		{"two failures are too few", 10, 1, 0.2, 1, false, ""},
-	} {
-		arm := func(slow, bad, jump float64) (out []outcome) {
-			for k := range c.n {
-				o := outcome{at: float64(k), latency: (50 + float64(k*37%101)) * slow, backend: k % 4, comparable: true}
-				if k*5/c.n == 2 {
-					o.latency *= jump
-				}
-				if o.failed = float64(k*7%10) < bad*10; o.failed {
-					o.comparable = false
-				}
-				out = append(out, o)
-			}
-			return out
-		}
-		earned, worse := compareReleases(arm(c.slow, c.bad, c.jump), arm(1, 0, 1), true, false, 0.01, 1)
-		if earned != c.earned || !strings.HasPrefix(worse, c.worse) || (worse != "") != (c.worse != "") {
-			t.Errorf("%s: earned %v, worse %q", c.name, earned, worse)
-		}
-	}
-}
-
 // When the agent votes, and how it answers the platform's answers.
 func TestVotes(t *testing.T) {
 	for _, c := range []struct {
@@ -559,28 +520,6 @@
 	}
 }
 
-// Gate two for latency: slices further apart than a slice is from itself do not agree.
-func TestAgree(t *testing.T) {
-	for _, c := range []struct {
-		times float64 // the last slice against the others
-		want  bool
-	}{{1, true}, {1.05, true}, {3, false}, {0.3, false}} {
-		var s [][]float64
-		for k := range 5 {
-			var lat []float64
-			for n := range 40 {
-				v := 50 + float64((n*37+k*11)%101)
-				if k == 4 {
-					v *= c.times
-				}
-				lat = append(lat, v)
-			}
-			s = append(s, lat)
-		}
-		expect(t, fmt.Sprint("last slice times ", c.times), slicesAgree(s, maxSliceDistance), c.want)
-	}
-}
-
 // Many agents that see little each must not crowd on the appliances rated best, nor on those that report none.
 func TestDraw(t *testing.T) {
 	for _, c := range []struct {
@@ -692,83 +631,6 @@
 	}
 }
 
-// With the few outcomes of a stage, and latencies as uneven as they are, a build twice as slow is seen and one that is
-// not is left alone; so is one of whose few machines some are in trouble that earlier ones know too.
-func TestSlow(t *testing.T) {
-	for _, c := range []struct {
-		name             string
-		times            float64
-		machines, ailing int // of the new ones: so many are four times slower, as one of six earlier ones is
-		least, most      int // times of 100 that it is sent back
-	}{
-		{"twice as slow", 2.3, 5, 0, 80, 100},
-		{"as fast", 1, 5, 0, 0, 1},
-		{"hardly slower", 1.15, 5, 0, 0, 2},
-		{"a machine in trouble", 1, 5, 1, 0, 2},
-		{"two machines only", 2.3, 2, 0, 0, 60},
-	} {
-		backs := 0
-		for seed := range uint64(100) {
-			rnd := NewRand(seed * 7919)
-			arm := func(n, machines int, times float64, ailing func(app int) bool) (out []outcome) {
-				for k := range n {
-					o := outcome{at: float64(k) / float64(n), latency: 70 * times * math.Exp(0.7*rnd.NormFloat64()), backend: k % machines, comparable: true}
-					if ailing(o.backend) {
-						o.latency *= 4
-					}
-					out = append(out, o)
-				}
-				return out
-			}
-			neu := arm(50, c.machines, c.times, func(app int) bool { return app < c.ailing })
-			old := arm(600, 18, 1, func(app int) bool { return app%6 == 0 && c.ailing > 0 })
-			if _, worse := compareReleases(neu, old, true, false, 0.0133, 1); worse != "" {
-				backs++
-			}
-		}
-		if backs < c.least || backs > c.most {
-			t.Errorf("%s: sent back %d times of 100, want %d to %d", c.name, backs, c.least, c.most)
-		}
-	}
-}
-
-// How sure one agent must be goes by how many undo a build and how many look.
-func TestLevels(t *testing.T) {
-	for _, c := range []struct {
-		name                      string
-		agents, backs             int
-		bad, broken, apps, n, old int // the bad ones fall on so many of the appliances
-		oldBroken                 int
-		want                      bool
-	}{
-		{"few agents, one vote", 4, 1, 6, 0, 3, 12, 24, 0, true},
-		{"one machine alone fails", 4, 1, 6, 0, 1, 12, 24, 0, false},
-		{"hundreds look, one vote", 353, 1, 6, 0, 3, 24, 48, 0, false},
-		{"hundreds look, one vote, hardly any doubt", 353, 1, 9, 0, 3, 9, 24, 0, true},
-		{"many must agree: one error is enough", 540, 43, 1, 0, 1, 1, 3, 0, true},
-		{"many must agree: a reset may be the way's", 540, 43, 0, 1, 1, 1, 3, 0, false},
-		{"many must agree: three resets", 540, 43, 0, 3, 3, 3, 9, 0, true},
-		{"few agents: resets of the build's own", 4, 1, 0, 6, 3, 12, 24, 0, true},
-		{"few agents: resets that all have", 4, 1, 0, 6, 3, 12, 100, 10, false},
-		{"few agents: errors among resets that all have", 4, 1, 6, 0, 3, 12, 100, 10, true},
-		{"few agents: one error is not", 4, 1, 1, 0, 1, 1, 24, 0, false},
-	} {
-		inst, _ := startInstance(RequestClass{}, 3)
-		inst.instances, inst.rollbackVotes = c.agents, c.backs
-		neu, old := make([]outcome, c.n), make([]outcome, c.old)
-		for k := range neu {
-			neu[k].backend = k % 3
-		}
-		for k := range c.bad + c.broken {
-			neu[k].failed, neu[k].connectionBroken, neu[k].backend = true, k >= c.bad, k%c.apps
-		}
-		for k := range old {
-			old[k].backend, old[k].failed, old[k].connectionBroken = 3+k%5, k < c.oldBroken, k < c.oldBroken
-		}
-		expect(t, c.name, failsMore(neu, old, false, inst.errorBudget(), inst.rollbackVotes), c.want)
-	}
-}
-
 // Late answers lower what is taken on, the cheap first; time forgets; no product is locked out for ever.
 func TestShortage(t *testing.T) {
 	inst, port := startInstance(RequestClass{}, 3)
@@ -809,33 +671,7 @@
 			inst.OnTimer(now, inst.timerToken)
 		}
 		inst.OnAttemptResult(900, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Took: 890})
-		expect(t, c.name, len(inst.evidence[1][0]), c.proofs)
-	}
-}
-
-// Heat that was there before the build had a share excuses only as much as there was.
-func TestHeat(t *testing.T) {
-	for _, c := range []struct {
-		name          string
-		first, second float64 // heat in the first stage and in the next
-		hot           bool
-	}{
-		{"none", 1, 1, false},
-		{"comes with the second stage", 1, 1.8, true},
-		{"was there before", 1.9, 2, false},
-		{"was there, and grows", 1.9, 3.2, true},
-	} {
-		inst, _ := startInstance(RequestClass{}, 4)
-		inst.announced, inst.baseline.typical, inst.baseline.usual[0], inst.baseline.demand = true, 1, 1, 1
-		hot := false
-		for k, heat := range []float64{c.first, c.second} {
-			inst.stage, inst.now = k, inst.now+10000
-			for i := range 40 {
-				inst.evidence[0][0] = append(inst.evidence[0][0], outcome{at: inst.now, latency: heat, backend: i % 4, comparable: true})
-			}
-			hot, _ = inst.trackSaturation()
-		}
-		expect(t, c.name, hot, c.hot)
+		expect(t, c.name, inst.evaluator.OutcomeCount(verdict.Candidate), c.proofs)
 	}
 }
 
@@ -867,7 +703,7 @@
 		judge, _ := startInstance(RequestClass{}, 3)
 		judge.OnReleaseUpdate(2, ReleaseUpdate{Release: 1, Phase: RollingOut, Cap: 1, Known: true})
 		judge.OnMessage(70, c.note)
-		expect(t, c.name, len(judge.evidence[1][0]), c.want)
+		expect(t, c.name, judge.evaluator.OutcomeCount(verdict.Candidate), c.want)
 	}
 }
 
--- a/policy/releases.go
+++ b/policy/releases.go
@@ -35,11 +35,7 @@
 		inst.affinity.ForgetBefore(inst.releases.Baseline())
 		inst.allowance.Forget(inst.releases.Baseline())
 	}
-	if newest.Stage != inst.stage || newest.Phase != inst.phase {
-		inst.stateSince, inst.voteNotBefore = inst.now-age, 0
-		inst.stageStarted, inst.desiredVerdict = false, NoVerdict // what was seen in one stage is no vote on the next
-	}
-	inst.announced, inst.newest, inst.stage, inst.phase = true, newest.Release, newest.Stage, newest.Phase
+	inst.evaluator.SetState(newest.Stage, newest.Phase, inst.now-age)
 }
 
 // logUpdate writes a line for each update that changes something or is stale.
--- a/policy/rollout.go
+++ b/policy/rollout.go
@@ -1,145 +1,95 @@
 package policy
 
-import (
-	"math"
-	"slices"
-)
+import "onyxgate/policy/verdict"
 
-// evaluate runs the gates and says what the agent wants.
-func (a *Instance) evaluate() {
-	a.evaluateAt = a.now + evaluationInterval
-	a.schedule(a.evaluateAt, nil)
-	gone := !a.announced || a.phase == RollingBack || a.phase == Withdrawn
-	if a.desiredVerdict == Rollback && !gone { // stands until the news says that the build goes
-		return
-	}
-	a.desiredVerdict = NoVerdict
-	neu := a.newestReleaseBackends()
-	if gone || a.stage < 0 || a.stage >= len(a.stages) || neu == 0 {
-		return
-	}
-	// Rounded up; a platform that rounds otherwise is followed after a while.
-	a.stageStarted = a.stageStarted || float64(neu) > a.stages[a.stage]*float64(a.places)-0.01
-	if !a.stageStarted && a.now < a.stateSince+stalledStageAfter {
-		return
-	}
-	hot, long := a.trackSaturation()
-	earned, worse := a.evaluateGates()
-	if worse == "" && long {
-		worse = "old and new alike are slower since it came"
-	}
-	if a.rollbackReason = worse; worse != "" {
-		a.desiredVerdict = Rollback
-	}
-	// An inconclusive comparison blocks nothing: with the least sample seen the floor alone is waited for.
-	ready := max(a.lastBackendStart, a.stateSince) + minStageTime + stageClockMargin
-	few := !earned && len(slices.Concat(a.evidence[1]...)) < minSample
-	if few {
-		ready = max(ready, a.lastBackendStart+maxEvidenceWait)
-	}
-	if !a.isEvaluator() || few && a.control == ControlSingleVote {
-		ready += soloEvaluationDelay
-	}
-	if a.desiredVerdict != Rollback && a.phase == RollingOut && a.control != ControlTimed && a.now >= ready && !hot {
-		a.desiredVerdict = Promote
-	}
-}
+// This file owns what the instance tells package verdict of a rollout, when it has the gates run, and the places of the fleet
+// when the rollout began.
 
-// isEvaluator: where agents may send messages, all tell their outcomes to a few, always the same, since what came
-// before a build counts too. These go through the same gates; the others step in where they stay silent.
-func (a *Instance) isEvaluator() bool { return !a.peerMessages || a.index < evaluators }
+// evaluationInterval (ms) goes between two evaluations of the newest release.
+const evaluationInterval = 200
 
-// rollout is what is known of the newest build.
+// rollout is what is known of the newest release's way into the fleet.
 type rollout struct {
-	newest                 ReleaseID
-	stage                  int
-	phase                  Phase
-	announced              bool
-	places                 int     // running appliances when the newest build was first heard of
-	placesWeight           float64 // and their rating
-	stageStarted           bool    // this stage's window has begun
-	lastBackendStart       float64
-	evidence               [2][][]outcome // earlier and newest build, by product
-	evaluateAt             float64
-	desiredVerdict         Verdict
-	acceptedVerdict        Verdict
-	acceptedStage          int
-	renewAt, voteNotBefore float64
-	rollbackReason         string  // why the last 'back' was wanted
-	stateSince             float64 // when its stage or phase last changed
-	saturatedSince         float64
-	baselineCorrection     float64 // heat that is not the build's doing
-	baseline               struct {
-		usual           []float64 // latency by product
-		demand, typical float64
-	}
-	votePending    bool
-	pendingVerdict Verdict
-	pendingStage   int
-	pendingRelease ReleaseID
+	evaluator    *verdict.Evaluator
+	evaluateAt   float64
+	places       int     // running backends when the newest release was announced
+	placesWeight float64 // and their weight
 }
 
-// newestReleaseBackends counts the newest build's and tells when the last of them started.
-func (a *Instance) newestReleaseBackends() (n int) {
-	a.lastBackendStart = 0
-	for i := range a.endpoints.Len() {
-		if b := a.endpoints.At(i); b.State == EndpointRunning && b.Release == a.newest {
-			n++
-			a.lastBackendStart = max(a.lastBackendStart, min(b.StartedAt, b.UpSince))
-		}
-	}
-	return n
+// evaluate runs the gates, which set the desired verdict.
+func (inst *Instance) evaluate() {
+	inst.evaluateAt = inst.now + evaluationInterval
+	inst.schedule(inst.evaluateAt, nil)
+	inst.evaluator.Evaluate(inst.now, inst.surroundings())
 }
 
-// startRollout turns the page: what a released build has shown becomes the earlier build's record.
-func (a *Instance) startRollout(build ReleaseID) {
-	was := [2][][]outcome{slices.Clone(a.evidence[0]), slices.Clone(a.evidence[1])}
-	if a.announced && a.releases.Record(a.newest).Phase == Released {
-		a.evidence[0], a.evidence[1] = a.evidence[1], a.evidence[0]
-	}
-	for p := range a.evidence[1] {
-		a.evidence[1][p] = nil
+// surroundings is the instance's surroundings as an evaluation needs them.
+func (inst *Instance) surroundings() verdict.Fleet {
+	backends, lastStart := inst.newestReleaseBackends()
+	return verdict.Fleet{
+		Instances:          inst.instances,
+		Index:              inst.index,
+		PeerMessages:       inst.peerMessages,
+		ArrivalRate:        inst.arrivalRate(),
+		Places:             inst.places,
+		CandidateBackends:  backends,
+		LastCandidateStart: lastStart,
+		BaselineIdle:       inst.inLastStage(),
 	}
-	a.decayPopularKeys()
-	a.places, a.placesWeight = 0, 0
-	base := a.prevailingRelease(build)
-	for i := range a.endpoints.Len() {
-		b := a.endpoints.At(i)
-		// Also what its successor already drains, but nothing that the build before it, or its withdrawal, has replaced.
-		if b.State == EndpointRunning && b.Release < build || b.State == EndpointDraining && b.Release == base {
-			a.places++
-			a.placesWeight += b.Weight
+}
+
+// newestReleaseBackends counts the running backends of the newest release, and tells when (ms) the last of them started; 0: all did
+// long ago.
+func (inst *Instance) newestReleaseBackends() (count int, lastStart float64) {
+	newest := inst.evaluator.Release()
+	for backend := range inst.endpoints.Len() {
+		if b := inst.endpoints.At(backend); b.State == EndpointRunning && b.Release == newest {
+			count++
+			lastStart = max(lastStart, min(b.StartedAt, b.UpSince))
 		}
 	}
-	a.stageStarted, a.desiredVerdict, a.acceptedVerdict, a.stage, a.saturatedSince, a.baselineCorrection = false, NoVerdict, NoVerdict, -1, math.Inf(1), 1
-	a.baseline.demand = a.arrivalRate()
-	for p := range a.baseline.usual {
-		var lat []float64
-		for _, arm := range was {
-			for _, o := range arm[p] {
-				if o.comparable && o.at > a.now-2*inflationWindow {
-					lat = append(lat, o.latency)
-				}
-			}
-		}
-		a.baseline.usual[p] = 0
-		if len(lat) >= minSample {
-			a.baseline.usual[p] = quantile(lowQuantile, lat)
+	return count, lastStart
+}
+
+// startRollout begins with a newly announced release: what a released predecessor has shown becomes the baseline.
+func (inst *Instance) startRollout(newest ReleaseID) {
+	previousReleased := inst.evaluator.Announced() && inst.releases.Record(inst.evaluator.Release()).Phase == Released
+	inst.decayPopularKeys()
+	inst.countPlaces(newest)
+	inst.evaluator.StartRollout(inst.now, newest, previousReleased, inst.surroundings())
+	inst.evaluateAt = inst.now
+}
+
+// countPlaces counts the backends that the release will replace: all running ones of earlier releases, and those of the
+// prevailing one that its own backends already push out. What the release before it, or that one's withdrawal, has replaced
+// is none.
+func (inst *Instance) countPlaces(newest ReleaseID) {
+	inst.places, inst.placesWeight = 0, 0
+	prevailing := inst.prevailingRelease(newest)
+	for backend := range inst.endpoints.Len() {
+		b := inst.endpoints.At(backend)
+		running := b.State == EndpointRunning && b.Release < newest
+		replaced := b.State == EndpointDraining && b.Release == prevailing
+		if running || replaced {
+			inst.places++
+			inst.placesWeight += b.Weight
 		}
 	}
-	a.baseline.typical = a.typicalLatency(was, 2*inflationWindow)
-	a.evaluateAt = a.now
 }
 
-// prevailingRelease is the build that most of the running appliances have, of those before a build; the newest of such.
-func (a *Instance) prevailingRelease(build ReleaseID) (base ReleaseID) {
+// prevailingRelease is the one that most running backends have, of the releases before the newest; of several such the latest.
+func (inst *Instance) prevailingRelease(newest ReleaseID) (prevailing ReleaseID) {
 	counts, most := map[ReleaseID]int{}, 0
-	for i := range a.endpoints.Len() {
-		if b := a.endpoints.At(i).Release; a.endpoints.At(i).State == EndpointRunning && b < build {
-			if counts[b]++; counts[b] > most || counts[b] == most && b > base {
-				base, most = b, counts[b]
-			}
+	for backend := range inst.endpoints.Len() {
+		b := inst.endpoints.At(backend)
+		id := b.Release
+		if b.State != EndpointRunning || id >= newest {
+			continue
+		}
+		counts[id]++
+		if counts[id] > most || counts[id] == most && id > prevailing {
+			prevailing, most = id, counts[id]
 		}
 	}
-	return base
+	return prevailing
 }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -52,6 +52,7 @@
 	inst, _ := startInstance(RequestClass{}, 3)
 	inst.OnReleaseUpdate(10, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.5, Known: true})
 	inst.OnEndpoints(1000, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, Weight: 1, StartedAt: 3600_000}}})
-	inst.newestReleaseBackends()
-	expect(t, "last start", inst.lastBackendStart, 1000.0)
+	count, lastStart := inst.newestReleaseBackends()
+	expect(t, "backends", count, 1)
+	expect(t, "last start", lastStart, 1000.0)
 }
--- /dev/null
+++ b/policy/verdict/evaluator_test.go
@@ -0,0 +1,210 @@
+package verdict
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"onyxgate/policy/release"
+)
+
+// feed records so many outcomes of each arm, alike in latency; of the candidate's each nth fails (0: none).
+func feed(e *Evaluator, from, to float64, count, failEvery int) {
+	for k := range count {
+		at := from + (to-from)*float64(k)/float64(count)
+		latency := 50 + float64(k*37%101)
+		e.Record(1, 0, Outcome{EndedAt: at, Latency: latency, Backend: k % 4}, true, true)
+		e.Record(2, 0, Outcome{EndedAt: at, Latency: latency, Backend: 4 + k%4, Failed: failEvery > 0 && k%failEvery == 0}, true, true)
+	}
+}
+
+// steadyFleet is ten places, four of them with the candidate since the time 0.
+var steadyFleet = Fleet{Instances: 2, Places: 10, CandidateBackends: 4}
+
+// What is desired in each phase and under each control, of a good and a bad candidate.
+func TestEvaluate(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		control RolloutControl
+		stage   int
+		phase   release.Phase
+		bad     bool
+		now     float64
+		fleet   func(*Fleet)
+		want    Verdict
+	}{
+		{"good", ControlMajority, 0, release.RollingOut, false, 5000, nil, Promote},
+		{"good, too soon", ControlMajority, 0, release.RollingOut, false, minStageTime + stageClockMargin - 1, nil, NoVerdict},
+		{"good, at the least time", ControlMajority, 0, release.RollingOut, false, minStageTime + stageClockMargin, nil, Promote},
+		{"good, by time", ControlTimed, 0, release.RollingOut, false, 5000, nil, NoVerdict},
+		{"good, released", ControlMajority, 0, release.Released, false, 5000, nil, NoVerdict},
+		{"good, rolling back", ControlMajority, 0, release.RollingBack, false, 5000, nil, NoVerdict},
+		{"good, its last backend started late", ControlMajority, 0, release.RollingOut, false, 5000, func(f *Fleet) { f.LastCandidateStart = 3000 }, NoVerdict},
+		{"good, not an evaluator", ControlMajority, 0, release.RollingOut, false, 5000, func(f *Fleet) { f.PeerMessages, f.Index = true, Evaluators }, NoVerdict},
+		{"good, not an evaluator, later", ControlMajority, 0, release.RollingOut, false, 5000 + soloEvaluationDelay, func(f *Fleet) { f.PeerMessages, f.Index = true, Evaluators }, Promote},
+		{"good, the last evaluator", ControlMajority, 0, release.RollingOut, false, 5000, func(f *Fleet) { f.PeerMessages, f.Index = true, Evaluators-1 }, Promote},
+		{"good, high index without messages", ControlMajority, 0, release.RollingOut, false, 5000, func(f *Fleet) { f.Index = Evaluators }, Promote},
+		{"bad", ControlMajority, 0, release.RollingOut, true, 2000, nil, Rollback},
+		{"bad, by time", ControlTimed, 0, release.RollingOut, true, 2000, nil, Rollback},
+		{"bad, released", ControlMajority, 2, release.Released, true, 2000, func(f *Fleet) { f.CandidateBackends = 10 }, Rollback},
+		{"bad, rolling back", ControlMajority, 0, release.RollingBack, true, 2000, nil, NoVerdict},
+		{"bad, withdrawn", ControlMajority, 0, release.Withdrawn, true, 2000, nil, NoVerdict},
+		{"bad, no backends left", ControlMajority, 0, release.RollingOut, true, 2000, func(f *Fleet) { f.CandidateBackends = 0 }, NoVerdict},
+		{"bad, no such stage", ControlMajority, 3, release.RollingOut, true, 2000, nil, NoVerdict},
+		{"bad, stage without its backends", ControlMajority, 1, release.RollingOut, true, 2000, nil, NoVerdict},
+		{"bad, stage without its backends for long", ControlMajority, 1, release.RollingOut, true, stalledStageAfter, nil, Rollback},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			e := New(Settings{Classes: 1, Stages: []float64{0.1, 0.5, 1}, Control: c.control, RollbackVotes: 1, VoteLifetime: 4000})
+			e.StartRollout(0, 2, true, steadyFleet)
+			e.SetState(c.stage, c.phase, 0)
+			failEvery := 0
+			if c.bad {
+				failEvery = 3 // not in step with the backends
+			}
+			feed(e, 0, c.now, 200, failEvery)
+			fleet := steadyFleet
+			if c.fleet != nil {
+				c.fleet(&fleet)
+			}
+			e.Evaluate(c.now, fleet)
+			expect(t, "desired", e.desired, c.want)
+			expect(t, "reason", strings.HasPrefix(e.RollbackReason(), "class 0: failures: "), c.want == Rollback)
+		})
+	}
+}
+
+// Before any release is announced nothing is desired.
+func TestEvaluateUnannounced(t *testing.T) {
+	e := New(Settings{Classes: 1, Stages: []float64{1}, Control: ControlMajority, RollbackVotes: 1})
+	e.Evaluate(50000, steadyFleet)
+	expect(t, "announced", e.Announced(), false)
+	expect(t, "desired", e.desired, NoVerdict)
+}
+
+// Short of outcomes a candidate is promoted all the same, after a wait; by a single vote after a longer one.
+func TestEvaluateFewOutcomes(t *testing.T) {
+	for _, c := range []struct {
+		control RolloutControl
+		count   int
+		at      float64 // of the promotion
+	}{
+		{ControlMajority, minSample, minStageTime + stageClockMargin},
+		{ControlMajority, minSample - 1, maxEvidenceWait},
+		{ControlMajority, 0, maxEvidenceWait},
+		{ControlSingleVote, minSample, minStageTime + stageClockMargin},
+		{ControlSingleVote, minSample - 1, maxEvidenceWait + soloEvaluationDelay},
+	} {
+		t.Run(fmt.Sprint("control ", c.control, ", outcomes ", c.count), func(t *testing.T) {
+			e := New(Settings{Classes: 1, Stages: []float64{0.1, 1}, Control: c.control, RollbackVotes: 1})
+			e.StartRollout(0, 2, true, steadyFleet)
+			e.SetState(0, release.RollingOut, 0)
+			feed(e, 0, 1000, c.count, 0)
+			e.Evaluate(c.at-1, steadyFleet)
+			expect(t, "before", e.desired, NoVerdict)
+			e.Evaluate(c.at, steadyFleet)
+			expect(t, "then", e.desired, Promote)
+		})
+	}
+}
+
+// A desired rollback stays, whatever is seen later, until another stage, the release's end or the next release.
+func TestRollbackStays(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		then func(e *Evaluator)
+		want Verdict
+	}{
+		{"nothing", func(*Evaluator) {}, Rollback},
+		{"good outcomes", func(e *Evaluator) { feed(e, 2000, 4000, 2000, 0) }, Rollback},
+		{"the same state again", func(e *Evaluator) { e.SetState(0, release.RollingOut, 3000) }, Rollback},
+		{"rolling back", func(e *Evaluator) { e.SetState(0, release.RollingBack, 3000) }, NoVerdict},
+		{"the next release", func(e *Evaluator) {
+			e.StartRollout(3000, 3, false, steadyFleet)
+			e.SetState(0, release.RollingOut, 3000)
+		}, NoVerdict},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			e := New(Settings{Classes: 1, Stages: []float64{0.1, 1}, Control: ControlMajority, RollbackVotes: 1})
+			e.StartRollout(0, 2, true, steadyFleet)
+			e.SetState(0, release.RollingOut, 0)
+			feed(e, 0, 2000, 100, 3)
+			e.Evaluate(2000, steadyFleet)
+			expect(t, "first", e.desired, Rollback)
+			c.then(e)
+			e.Evaluate(4000, steadyFleet)
+			expect(t, "then", e.desired, c.want)
+		})
+	}
+}
+
+// A saturated fleet blocks a promotion at first, then counts as a regression.
+func TestEvaluateSaturated(t *testing.T) {
+	e := New(Settings{Classes: 1, Stages: []float64{0.1, 0.2, 1}, Control: ControlMajority, RollbackVotes: 1})
+	fleet := steadyFleet
+	fleet.ArrivalRate = 1
+	e.StartRollout(0, 1, false, fleet)
+	e.SetState(2, release.Released, 0)
+	slow := func(from, to, latency float64) {
+		for k := range 200 {
+			at := from + (to-from)*float64(k)/200
+			e.Record(1, 0, Outcome{EndedAt: at, Latency: latency, Backend: k % 4}, true, true)
+			e.Record(2, 0, Outcome{EndedAt: at, Latency: latency, Backend: 4 + k%4}, true, true)
+		}
+	}
+	slow(0, 6000, 50)
+	e.StartRollout(6000, 2, true, fleet)
+	e.SetState(1, release.RollingOut, 6000)
+	slow(6000, 12000, 150)
+	e.Evaluate(12000, fleet)
+	expect(t, "while it is saturated", e.desired, NoVerdict)
+	slow(12000, 12000+saturationLimit, 150)
+	e.Evaluate(12000+saturationLimit, fleet)
+	expect(t, "for too long", e.desired, Rollback)
+	expect(t, "reason", strings.HasPrefix(e.RollbackReason(), "saturation: "), true)
+}
+
+// To which arm an outcome counts: by its release, and whether outcomes of that release are evidence at all.
+func TestRecordByRelease(t *testing.T) {
+	for _, c := range []struct {
+		name                string
+		release             release.ID
+		evaluated           bool
+		baseline, candidate int
+	}{
+		{"the newest", 2, true, 0, 1},
+		{"the one before", 1, true, 1, 0},
+		{"taken off", 1, false, 0, 0},
+		{"not announced", 3, false, 0, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			e := rollingOut(0)
+			e.Record(c.release, 0, Outcome{EndedAt: 10, Latency: 5}, true, c.evaluated)
+			expect(t, "baseline", e.OutcomeCount(Baseline), c.baseline)
+			expect(t, "candidate", e.OutcomeCount(Candidate), c.candidate)
+		})
+	}
+}
+
+// The probability at which one instance may be wrong falls with those that look and grows with the votes that are needed.
+func TestErrorProbability(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		votes    int
+		fleet    Fleet
+		low, top float64
+	}{
+		{"one vote of one instance", 1, Fleet{Instances: 1}, 0.04, 0.042},
+		{"one vote of four", 1, Fleet{Instances: 4}, 0.01, 0.0105},
+		{"one vote of hundreds", 1, Fleet{Instances: 400}, 0.0001, 0.00011},
+		{"many votes of hundreds: the greatest", 43, Fleet{Instances: 540}, maxErrorProbability, maxErrorProbability},
+		{"an evaluator of hundreds: three look", 1, Fleet{Instances: 400, PeerMessages: true}, 0.0133, 0.0137},
+		{"not an evaluator", 1, Fleet{Instances: 400, PeerMessages: true, Index: Evaluators}, 0.0001, 0.00011},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if got := errorProbability(c.votes, c.fleet); got < c.low || got > c.top {
+				t.Errorf("got %v, want %v to %v", got, c.low, c.top)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/policy/verdict/saturation_test.go
@@ -0,0 +1,130 @@
+package verdict
+
+import (
+	"fmt"
+	"testing"
+
+	"onyxgate/policy/release"
+)
+
+// A saturation that was there before the candidate had a share excuses only as much as there was.
+func TestSaturation(t *testing.T) {
+	for _, c := range []struct {
+		name          string
+		first, second float64 // latency inflation in the first stage and in the next
+		saturated     bool
+	}{
+		{"none", 1, 1, false},
+		{"comes with the second stage", 1, 1.8, true},
+		{"was there before", 1.9, 2, false},
+		{"was there, and grows", 1.9, 3.2, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			e := New(Settings{Classes: 1, Stages: []float64{0.1, 0.5, 1}, Control: ControlMajority, RollbackVotes: 1})
+			e.announced, e.baseline.typical, e.baseline.lowLatency[0], e.baseline.arrivalRate = true, 1, 1, 1
+			now, saturated := 1.0, false
+			for stage, latency := range []float64{c.first, c.second} {
+				e.stage = stage
+				now += 10000
+				for i := range 40 {
+					e.evidence.outcomes[Baseline][0] = append(e.evidence.outcomes[Baseline][0], Outcome{EndedAt: now, Latency: latency, Backend: i % 4, comparable: true})
+				}
+				saturated, _ = e.updateSaturation(now, Fleet{Instances: 2})
+			}
+			expect(t, "saturated", saturated, c.saturated)
+		})
+	}
+}
+
+// The tracker by itself: when a saturation begins, ends, and is too long.
+func TestSaturationUpdate(t *testing.T) {
+	type step struct {
+		now, inflation float64
+		outside        bool
+		want           string // saturated, too long
+	}
+	for _, c := range []struct {
+		name  string
+		steps []step
+	}{
+		{"below the start", []step{{0, 1.59, false, "false false"}}},
+		{"at the start", []step{{0, saturatedFrom, false, "true false"}}},
+		{"stays until the end", []step{{0, 1.7, false, "true false"}, {200, saturatedUntil, false, "true false"}, {400, 1.34, false, "false false"}}},
+		{"too long", []step{{0, 1.7, false, "true false"}, {saturationLimit - 1, 1.7, false, "true false"}, {saturationLimit, 1.5, false, "true true"}}},
+		{"begins anew", []step{{0, 1.7, false, "true false"}, {6000, 1, false, "false false"}, {6200, 1.7, false, "true false"}, {13000, 1.7, false, "true false"}, {13200, 1.7, false, "true true"}}},
+		{"from outside", []step{{0, 2, true, "false false"}, {200, 2.5, false, "false false"}, {400, 3.2, false, "true false"}}},
+		{"from outside, gone", []step{{0, 2, true, "false false"}, {200, 1, false, "false false"}, {400, 1.7, false, "true false"}}},
+		{"outside does not end one that has begun", []step{{0, 1.7, false, "true false"}, {200, 1.7, true, "true false"}, {7000, 1.7, true, "true true"}}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			s := newSaturation()
+			for _, step := range c.steps {
+				saturated, tooLong := s.update(step.now, step.inflation, step.outside)
+				expect(t, fmt.Sprint("at ", step.now), fmt.Sprint(saturated, tooLong), step.want)
+			}
+		})
+	}
+}
+
+// What begins before the candidate had a share, or once it is released and all traffic has moved, is from outside.
+func TestOutsideSaturation(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		stage int
+		phase release.Phase
+		since float64 // ms in this state
+		want  bool    // it counts against the candidate
+	}{
+		{"first stage", 0, release.RollingOut, 5000, false},
+		{"second stage", 1, release.RollingOut, 5000, true},
+		{"just released", 1, release.Released, releaseSettleTime, true},
+		{"released a while ago", 1, release.Released, releaseSettleTime + 1, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			const now = 20000
+			e := New(Settings{Classes: 1, RollbackVotes: 1})
+			e.baseline.typical, e.baseline.lowLatency[0], e.baseline.arrivalRate = 1, 1, 1
+			e.stage, e.phase, e.stateSince = c.stage, c.phase, now-c.since
+			for i := range 40 {
+				e.evidence.outcomes[Candidate][0] = append(e.evidence.outcomes[Candidate][0], Outcome{EndedAt: now, Latency: 2, Backend: i % 4, comparable: true})
+			}
+			saturated, _ := e.updateSaturation(now, Fleet{Instances: 2})
+			expect(t, "saturated", saturated, c.want)
+		})
+	}
+}
+
+// The typical latency goes by the faster backends, by all together where each instance sees little, and is 0 on too little.
+func TestTypicalLatency(t *testing.T) {
+	for _, c := range []struct {
+		name      string
+		latencies []float64 // by backend, of each three outcomes
+		fleet     Fleet
+		arrivals  float64 // times those before
+		want      float64 // latency inflation over a baseline of 10 ms
+	}{
+		{"all slower", []float64{20, 20, 20, 20}, Fleet{Instances: 2}, 1, 2},
+		{"one of four slower", []float64{10, 10, 10, 50}, Fleet{Instances: 2}, 1, 1},
+		{"all but one slower", []float64{10, 50, 50, 50}, Fleet{Instances: 2}, 1, 5},
+		{"two backends", []float64{20, 20}, Fleet{Instances: 2}, 1, 0},
+		{"two backends, many instances: too few together", []float64{20, 20}, Fleet{Instances: manyInstances}, 1, 0},
+		{"seven backends, many instances", []float64{20, 20, 20, 20, 20, 20, 20}, Fleet{Instances: manyInstances}, 1, 2},
+		{"as many arrivals as are compared", []float64{20, 20, 20, 20}, Fleet{Instances: 2}, comparableArrivals, 2},
+		{"more arrivals", []float64{20, 20, 20, 20}, Fleet{Instances: 2}, 1.4, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			e := New(Settings{Classes: 1, RollbackVotes: 1})
+			e.baseline.typical, e.baseline.lowLatency[0], e.baseline.arrivalRate = 1, 10, 0.5
+			for backend, latency := range c.latencies {
+				for range 3 {
+					e.evidence.add(Baseline, 0, Outcome{EndedAt: 9000, Latency: latency, Backend: backend}, true)
+				}
+				// Too old, and failed ones, have no part in it.
+				e.evidence.add(Baseline, 0, Outcome{EndedAt: 10000 - inflationWindow, Latency: 900, Backend: backend}, true)
+				e.evidence.add(Baseline, 0, Outcome{EndedAt: 9000, Latency: 900, Backend: backend, Failed: true}, true)
+			}
+			c.fleet.ArrivalRate = c.arrivals * 0.5
+			expectNear(t, "inflation", e.latencyInflation(10000, c.fleet), c.want)
+		})
+	}
+}
--- a/policy/votes.go
+++ b/policy/votes.go
@@ -1,37 +1,29 @@
 package policy
 
-import "fmt"
+import (
+	"fmt"
 
-// onVoteResponse reads the platform's answer to the vote that is out. What was asked of a release before the newest one says nothing
-// of votes on that.
-func (a *Instance) onVoteResponse(reply VoteResponse) {
-	a.votePending = false
-	if a.pendingRelease != a.newest {
-		return
-	}
-	if reply == VoteCounted {
-		a.acceptedVerdict, a.acceptedStage = a.pendingVerdict, a.pendingStage
-		a.renewAt = a.now + a.voteLifetime*(renewalShare+renewalSpread*a.rng.Float64())
-		return
-	}
-	// Idle: the stage has moved on and the news is late, asking again tells nothing.
-	pause := [2]float64{voteRetryPause, outdatedVotePause}[boolIndex(reply == VoteOutdated)]
-	a.voteNotBefore = a.now + pause*(0.5+a.rng.Float64())
-	a.schedule(a.voteNotBefore, nil)
-}
+	"onyxgate/policy/verdict"
+)
 
-func (a *Instance) voteDue() bool {
-	if a.votePending || a.now < a.voteNotBefore || a.desiredVerdict == NoVerdict {
-		return false
+// This file owns the sending of votes; which vote is due, and when, is package verdict's.
+
+func (inst *Instance) voteDue() bool { return inst.evaluator.VoteDue(inst.now) }
+
+func (inst *Instance) sendVote() {
+	vote := inst.evaluator.Vote()
+	inst.port.SendVote(vote.Release, vote.Verdict, vote.Stage)
+	if vote.Verdict == verdict.Rollback { // promotions by hundreds of instances would fill any log
+		inst.port.Log(fmt.Sprintf("rollback vote: release %d, stage %d: %s", vote.Release, vote.Stage, inst.evaluator.RollbackReason()))
 	}
-	same := a.acceptedVerdict == a.desiredVerdict && (a.desiredVerdict == Rollback || a.acceptedStage == a.stage)
-	return !same || a.now >= a.renewAt
 }
 
-func (a *Instance) sendVote() {
-	a.votePending, a.pendingVerdict, a.pendingStage, a.pendingRelease = true, a.desiredVerdict, a.stage, a.newest
-	a.port.SendVote(a.newest, a.desiredVerdict, a.stage)
-	if a.desiredVerdict == Rollback { // many agents that say 'on' would fill any log
-		a.port.Log(fmt.Sprintf("vote back on build %d stage %d: %s", a.newest, a.stage, a.rollbackReason))
+// onVoteResponse takes the platform's response to the vote that is out, if one is.
+func (inst *Instance) onVoteResponse(response VoteResponse) {
+	if !inst.evaluator.VotePending() {
+		return
+	}
+	if retryAt, retry := inst.evaluator.OnVoteResponse(inst.now, response, inst.rng); retry {
+		inst.schedule(retryAt, nil)
 	}
 }
