--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -1,56 +1,37 @@
 package policy
 
 import (
-	"encoding/binary"
-	"hash/fnv"
-	"math"
+	"onyxgate/policy/gossip"
+	"onyxgate/policy/verdict"
 )
 
-// Outcomes go to the judging agents as fixed records: appliance by hash, build, product, how it went, latency
-// and age.
-const summarySize = 14
+// This file owns whom the instance tells what it sees of releases: the first few instances, which evaluate for the fleet.
 
-func backendHash(id string) uint32 {
-	h := fnv.New32a()
-	h.Write([]byte(id))
-	return h.Sum32()
-}
-
-func (a *Instance) queueSummary(o outcome, build ReleaseID, product int) {
-	flags := byte(0)
-	if o.failed {
-		flags = 1
-	}
-	if o.connectionBroken {
-		flags |= 2
-	}
-	b := binary.LittleEndian.AppendUint32(nil, backendHash(a.id[o.backend]))
-	b = binary.LittleEndian.AppendUint16(b, uint16(build))
-	b = append(b, byte(product), flags)
-	b = binary.LittleEndian.AppendUint32(b, math.Float32bits(float32(o.latency)))
-	a.summaries, a.summaryTimes = append(a.summaries, b), append(a.summaryTimes, o.at)
-}
+const (
+	broadcastInterval = 500 // ms, between two rounds of messages
+	maxMessageBytes   = 250 // in one message
+)
 
-// encodeSummaries empties the notes into messages.
-func (a *Instance) encodeSummaries(most int) (out [][]byte) {
-	for k, b := range a.summaries {
-		if k%(most/summarySize) == 0 {
-			out = append(out, nil)
-		}
-		age := min(max(a.now-a.summaryTimes[k], 0), math.MaxUint16)
-		out[len(out)-1] = binary.LittleEndian.AppendUint16(append(out[len(out)-1], b...), uint16(age))
-	}
-	a.summaries, a.summaryTimes = nil, nil
-	return out
+// queueSummary queues an attempt's outcome for the evaluators.
+func (inst *Instance) queueSummary(outcome verdict.Outcome, of ReleaseID, class int) {
+	inst.summaries.Add(gossip.Summary{
+		BackendHash:      gossip.BackendHash(inst.endpoints.At(outcome.Backend).ID),
+		Release:          int(of),
+		Class:            class,
+		Failed:           outcome.Failed,
+		ConnectionBroken: outcome.ConnectionBroken,
+		Latency:          outcome.Latency,
+		EndedAt:          outcome.EndedAt,
+	})
 }
 
-// broadcastSummaries sends the outcomes of late to those who judge.
-func (a *Instance) broadcastSummaries() {
-	a.broadcastAt = a.now + broadcastInterval
-	for _, note := range a.encodeSummaries(maxMessageBytes) {
-		for k := range min(evaluators, a.instances) {
-			if k != a.index {
-				a.port.SendMessage(k, note)
+// broadcastSummaries sends the queued outcomes to the evaluators.
+func (inst *Instance) broadcastSummaries() {
+	inst.broadcastAt = inst.now + broadcastInterval
+	for _, message := range inst.summaries.Encode(inst.now, maxMessageBytes) {
+		for evaluator := range min(verdict.Evaluators, inst.instances) {
+			if evaluator != inst.index {
+				inst.port.SendMessage(evaluator, message)
 			}
 		}
 	}
