--- a/internal/httpwire/front_test.go
+++ b/internal/httpwire/front_test.go
@@ -216,3 +216,39 @@
 		})
 	})
 }
+
+// On a kept connection the time of a request runs from its own first byte, and between two requests the connection is idle.
+func TestKeptClientConn(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		deadlines := make(chan string, 2)
+		a := newTestInstance(network{"app:1": func(conn net.Conn) {
+			backend := &peerConn{conn, bufio.NewReader(conn)}
+			for _, deadline, err := backend.readRequest(); err == nil; _, deadline, err = backend.readRequest() {
+				deadlines <- deadline
+				backend.respond("x")
+			}
+		}}, NewSockets(0))
+		server := a.serve()
+		client := server.dial()
+		for k, text := range []string{
+			"POST /pay/k HTTP/1.1\r\nHost: h\r\nReq-Id: r1\r\nReq-Deadline: 2000m\r\nContent-Length: 4\r\n\r\nbody",
+			requestWithID("r2"),
+			requestWithID("r3"),
+		} {
+			send(client, text)
+			if status, _ := client.readResponse(t); status != 200 {
+				t.Errorf("request %d: answered %d", k, status)
+			}
+			if got := <-deadlines; got != "2000m" {
+				t.Errorf("request %d: the backend is given %s of 2000m", k, got)
+			}
+			time.Sleep(500 * time.Millisecond)
+			if _, _, idle := a.front.sockets.Used(); idle != 1 {
+				t.Errorf("after request %d: %d connections are idle", k, idle)
+			}
+		}
+		client.Close()
+		server.close()
+		a.close()
+	})
+}
--- a/internal/httpwire/interceptor_test.go
+++ b/internal/httpwire/interceptor_test.go
@@ -96,6 +96,44 @@
 	}
 }
 
+// An interceptor hears that the answer is written once its last byte has gone to the client, also where the server would hold
+// back a short one; and that it is not where a client does not read a long one in time.
+func TestInterceptorsSlowReader(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		bytes int
+		reads bool
+		want  string
+	}{
+		{"a short answer, read late", 4, true, "r1 true"},
+		{"a long answer, never read", socketBufferBytes + 1, false, "r1 false"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				body := strings.Repeat("x", c.bytes)
+				a, interceptor := intercepted(answerOnce(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", c.bytes, body)))
+				server := a.serve()
+				client := server.dial()
+				send(client, validRequest)
+				time.Sleep(writeTimeout - time.Second)
+				if calls := interceptor.calls; len(calls) != 1 {
+					t.Errorf("told %v before the client has read", calls)
+				}
+				if c.reads {
+					client.readResponse(t)
+				}
+				time.Sleep(2 * time.Second)
+				if calls := interceptor.calls; len(calls) != 2 || calls[1] != c.want {
+					t.Errorf("told %v, want %s", calls, c.want)
+				}
+				client.Close()
+				server.close()
+				a.close()
+			})
+		})
+	}
+}
+
 // A client that goes before its answer is told as gone, one that goes within it as not whole, a handler that fails as failed,
 // and no room is an answer like any other.
 func TestInterceptorsBadEnds(t *testing.T) {
--- a/internal/httpwire/shutdown_test.go
+++ b/internal/httpwire/shutdown_test.go
@@ -15,12 +15,13 @@
 // beyond that, and it ends once nothing has come for a while; at once where nobody is connected.
 func TestLeave(t *testing.T) {
 	t.Run("clients are connected", func(t *testing.T) { synctest.Test(t, testShutdownWithClients) })
+	t.Run("a request stays open", func(t *testing.T) { synctest.Test(t, testShutdownWithOpenRequest) })
 	t.Run("nobody is connected", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			a := newTestInstance(network{}, NewSockets(0))
 			from := time.Now()
 			a.front.Shutdown(t.Context(), make(pipeListener))
-			if took := time.Since(from); took > acceptWindow+50*time.Millisecond {
+			if took := time.Since(from); took < acceptWindow || took > acceptWindow+50*time.Millisecond {
 				t.Errorf("ended after %v", took)
 			}
 			a.close()
@@ -82,3 +83,36 @@
 	}
 	a.close()
 }
+
+func testShutdownWithOpenRequest(t *testing.T) {
+	var backendConns atomic.Int64
+	a := newTestInstance(network{"app:1": func(conn net.Conn) {
+		if backendConns.Add(1) == 1 {
+			holdSilent(conn)
+			return
+		}
+		answerOnce("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")(conn)
+	}}, NewSockets(0))
+	opened := make(chan clientAnswer, 1)
+	go func() { // ends with the request
+		answer, _ := a.roundTrip(t, strings.Replace(validRequest, "2000m", "9000m", 1))
+		opened <- answer
+	}()
+	synctest.Wait()
+	from, ended := time.Now(), make(chan time.Duration, 1)
+	go func() { // ends with the shutdown
+		a.front.Shutdown(t.Context(), make(pipeListener))
+		ended <- time.Since(from)
+	}()
+	time.Sleep(2300 * time.Millisecond)
+	if answer, _ := a.roundTrip(t, requestWithID("r2")); answer.StatusCode != 200 || !answer.Close {
+		t.Errorf("near the kill: %d, close %v", answer.StatusCode, answer.Close)
+	}
+	if answer := <-opened; answer.StatusCode != 503 || time.Since(from) > 3400*time.Millisecond {
+		t.Errorf("the open request got %d after %v", answer.StatusCode, time.Since(from))
+	}
+	if took := <-ended; took > 3700*time.Millisecond {
+		t.Errorf("ended after %v", took)
+	}
+	a.close()
+}
--- a/internal/httpwire/sockets_test.go
+++ b/internal/httpwire/sockets_test.go
@@ -1,6 +1,7 @@
 package httpwire
 
 import (
+	"errors"
 	"fmt"
 	"net"
 	"syscall"
@@ -183,6 +184,27 @@
 	}
 }
 
+// From the look at a connection that finds it idle to its close, no byte of a next request is taken.
+func TestGivenUpTakesNothing(t *testing.T) {
+	listener := listenTCP(t)
+	client := connectTCP(t, listener.Addr().String())
+	socket, err := listener.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	s := NewSockets(0)
+	conn := s.track(socket, true)
+	defer conn.Close()
+	s.ConnIdle(conn, false)
+	if taken, isIdle := s.takeIdleClient(s.idleConns, 0); taken != conn || !isIdle {
+		t.Fatalf("took %v, idle %v", taken, isIdle)
+	}
+	send(client, "G")
+	if n, err := conn.Read(make([]byte, 9)); n != 0 || !errors.Is(err, net.ErrClosed) {
+		t.Errorf("read %d bytes (%v) of a connection given up", n, err)
+	}
+}
+
 // A byte of the next request may be taken ahead, by a server that looks whether its client has gone: then the connection is
 // not idle.
 func TestByteAhead(t *testing.T) {
