--- a/internal/httpwire/interceptor_test.go
+++ b/internal/httpwire/interceptor_test.go
@@ -13,7 +13,7 @@
 	"onyxgate/internal/core"
 )
 
-// recordingInterceptor writes down what it is told.
+// recordingInterceptor writes down its calls.
 type recordingInterceptor struct {
 	mu           sync.Mutex
 	calls        []string
@@ -83,7 +83,7 @@
 				}
 				synctest.Wait()
 				if got := strings.Join(interceptor.calls, "|"); got != c.want {
-					t.Errorf("told %q, want %q", got, c.want)
+					t.Errorf("called with %q, want %q", got, c.want)
 				}
 				for _, overrun := range interceptor.overrun {
 					if overrun > 0.01 {
@@ -117,14 +117,14 @@
 				send(client, validRequest)
 				time.Sleep(writeTimeout - time.Second)
 				if calls := interceptor.calls; len(calls) != 1 {
-					t.Errorf("told %v before the client has read", calls)
+					t.Errorf("called with %v before the client has read", calls)
 				}
 				if c.reads {
 					client.readResponse(t)
 				}
 				time.Sleep(2 * time.Second)
 				if calls := interceptor.calls; len(calls) != 2 || calls[1] != c.want {
-					t.Errorf("told %v, want %s", calls, c.want)
+					t.Errorf("called with %v, want %s", calls, c.want)
 				}
 				client.Close()
 				server.close()
@@ -134,7 +134,7 @@
 	}
 }
 
-// A client that goes before its answer is told as gone, one that goes within it as not whole, a handler that fails as failed,
+// A client that goes before its answer is reported as gone, one that goes within it as not written, a handler that fails as failed,
 // and no room is an answer like any other.
 func TestInterceptorsBadEnds(t *testing.T) {
 	for _, c := range []struct {
@@ -171,7 +171,7 @@
 	client.Close()
 	synctest.Wait()
 	if calls := interceptor.calls; len(calls) != 2 || calls[1] != "r1 false" {
-		t.Errorf("told %v", calls)
+		t.Errorf("called with %v", calls)
 	}
 	server.close()
 	a.close()
@@ -186,7 +186,7 @@
 	}
 	synctest.Wait() // the handler ends after its client has the answer
 	if calls := interceptor.calls; len(calls) != 2 || !strings.Contains(calls[0], " room ") || calls[1] != "r1 true" {
-		t.Errorf("told %v", calls)
+		t.Errorf("called with %v", calls)
 	}
 	a.close()
 }
@@ -205,7 +205,7 @@
 	failed.ResponseWritten(true)
 	failed.Close()
 	if want := fmt.Sprintf("gone|u %d failed  0 1 |u true", core.ActionFail); strings.Join(interceptor.calls, "|") != want {
-		t.Errorf("told %v", interceptor.calls)
+		t.Errorf("called with %v", interceptor.calls)
 	}
 	if n := a.core.Counts(); n.ClientGone != 1 || n.Failed != 1 {
 		t.Errorf("%+v", n)
--- a/internal/httpwire/sockets.go
+++ b/internal/httpwire/sockets.go
@@ -23,7 +23,7 @@
 	// for their requests and no more: those that asked once and stay would fill it, and no other client would get a connection.
 	// So the longest idle ones make room before that.
 	clientShare = 0.25
-	// maxClientShare of the budget is the most for clients: without backends' part no open request would get on.
+	// maxClientShare of the budget is the most for clients: without the backends' share no open request would get on.
 	maxClientShare = 0.8
 
 	// idleGrace protects a connection from being closed that carried a request, or came up, less than this ago: it may be about
--- a/internal/httpwire/sockets_test.go
+++ b/internal/httpwire/sockets_test.go
@@ -28,7 +28,7 @@
 			track()
 		}
 		if !s.makeRoom(false) {
-			t.Error("clients have taken the backends' part")
+			t.Error("clients have taken the backends' share")
 		}
 		for _, c := range []struct {
 			name    string
--- a/internal/httpwire/validate.go
+++ b/internal/httpwire/validate.go
@@ -26,7 +26,7 @@
 	bodyBytes      int64
 }
 
-// validationError says what is wrong with a request, as the client is told: bad input and nothing that the core or a backend saw.
+// validationError says what is wrong with a request, in the words of the answer. Neither the core nor a backend has seen such a request.
 type validationError struct {
 	status int
 	text   string // the answer's body
