--- a/internal/httpwire/interceptor_test.go
+++ b/internal/httpwire/interceptor_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"io"
 	"net"
+	"slices"
 	"strings"
 	"sync"
 	"testing"
@@ -48,6 +49,13 @@
 	r.calls = append(r.calls, "gone")
 }
 
+// recorded returns the calls so far.
+func (r *recordingInterceptor) recorded() []string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return slices.Clone(r.calls)
+}
+
 // An interceptor sees each request's one end before its first byte, whatever the end, and then whether it went whole.
 func TestInterceptors(t *testing.T) {
 	ok := answerOnce("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody")
@@ -82,7 +90,7 @@
 					t.Errorf("%d %q after %v", answer.StatusCode, body, took)
 				}
 				synctest.Wait()
-				if got := strings.Join(interceptor.calls, "|"); got != c.want {
+				if got := strings.Join(interceptor.recorded(), "|"); got != c.want {
 					t.Errorf("called with %q, want %q", got, c.want)
 				}
 				for _, overrun := range interceptor.overrun {
@@ -116,14 +124,14 @@
 				client := server.dial()
 				send(client, validRequest)
 				time.Sleep(writeTimeout - time.Second)
-				if calls := interceptor.calls; len(calls) != 1 {
+				if calls := interceptor.recorded(); len(calls) != 1 {
 					t.Errorf("called with %v before the client has read", calls)
 				}
 				if c.reads {
 					client.readResponse(t)
 				}
 				time.Sleep(2 * time.Second)
-				if calls := interceptor.calls; len(calls) != 2 || calls[1] != c.want {
+				if calls := interceptor.recorded(); len(calls) != 2 || calls[1] != c.want {
 					t.Errorf("called with %v, want %s", calls, c.want)
 				}
 				client.Close()
@@ -170,7 +178,7 @@
 	}
 	client.Close()
 	synctest.Wait()
-	if calls := interceptor.calls; len(calls) != 2 || calls[1] != "r1 false" {
+	if calls := interceptor.recorded(); len(calls) != 2 || calls[1] != "r1 false" {
 		t.Errorf("called with %v", calls)
 	}
 	server.close()
@@ -185,7 +193,7 @@
 		t.Fatal(answer)
 	}
 	synctest.Wait() // the handler ends after its client has the answer
-	if calls := interceptor.calls; len(calls) != 2 || !strings.Contains(calls[0], " room ") || calls[1] != "r1 true" {
+	if calls := interceptor.recorded(); len(calls) != 2 || !strings.Contains(calls[0], " room ") || calls[1] != "r1 true" {
 		t.Errorf("called with %v", calls)
 	}
 	a.close()
@@ -204,8 +212,8 @@
 	failed.Fail()
 	failed.ResponseWritten(true)
 	failed.Close()
-	if want := fmt.Sprintf("gone|u %d failed  0 1 |u true", core.ActionFail); strings.Join(interceptor.calls, "|") != want {
-		t.Errorf("called with %v", interceptor.calls)
+	if want := fmt.Sprintf("gone|u %d failed  0 1 |u true", core.ActionFail); strings.Join(interceptor.recorded(), "|") != want {
+		t.Errorf("called with %v", interceptor.recorded())
 	}
 	if n := a.core.Counts(); n.ClientGone != 1 || n.Failed != 1 {
 		t.Errorf("%+v", n)
