--- a/internal/simadapter/fleet_releases_test.go
+++ b/internal/simadapter/fleet_releases_test.go
@@ -198,11 +198,14 @@
 	promote, rollback := f.acceptedVotes()
 	soaked := f.now > r.stageSince+soakTime
 	timed := f.family()["decided-by"] == "clocked" && f.now > r.stageSince+timedStage
-	majority := 2*promote > len(f.instances)
+	enough := 2*promote > len(f.instances)
+	if f.quorum > 0 {
+		enough = promote >= f.quorum
+	}
 	switch {
 	case rollback > 0:
 		f.rollBack()
-	case soaked && (majority || timed):
+	case soaked && (enough || timed):
 		if r.stage+1 < len(r.stages) {
 			f.setPhase(r.stage+1, phaseRollingOut)
 		} else {
--- a/internal/simadapter/fleet_test.go
+++ b/internal/simadapter/fleet_test.go
@@ -34,6 +34,7 @@
 	zones      int
 	rate       float64 // requests a second at each instance
 	faultEvery float64 // seconds between two faults, on the average
+	quorum     int     // votes that move a stage on; 0: more than half of the instances
 	settings   map[string]any
 }
 
--- a/internal/simadapter/scenarios_test.go
+++ b/internal/simadapter/scenarios_test.go
@@ -78,4 +78,10 @@
 		"grades":      []map[string]any{class("repeatable", "all", 2, false), class("once", "all", 9, false)},
 		"family-info": family("majority", map[string]any{"back-votes": 2}),
 	}},
+	{name: "stalled-rollout", seed: 17, instances: 2, seconds: 300, backends: 12, zones: 1, rate: 8, faultEvery: 40, quorum: 3, settings: map[string]any{
+		"balancers": 4, "discovery": "automatic", "contract": contract(),
+		"limits": limits(nil), "tariffs": map[string]any{"probe": 0.01},
+		"grades":      []map[string]any{class("repeatable", "all", 2, false), class("by_key", "all", 3, false)},
+		"family-info": family("majority", map[string]any{"ballot-ttl-us": 6_000_000}),
+	}},
 }
--- a/policy/replay_test.go
+++ b/policy/replay_test.go
@@ -170,12 +170,19 @@
 // Random schedules, among them what no simulated day has: steps of the clock, unknown releases, attempts asked again as they are
 // sent, leaving. The effects are those of the recording, to the byte.
 func TestReplaySchedules(t *testing.T) {
-	recorder := replay.Open(t, "testdata/schedules.txt")
-	for seed := range uint64(80) {
+	t.Run("early", func(t *testing.T) { playSchedules(t, "testdata/schedules.txt", 80, 1000) })
+	t.Run("late", func(t *testing.T) { playSchedules(t, "testdata/schedules-late.txt", 40, 1_000_000) })
+}
+
+// playSchedules plays so many schedules from a time (ms) on. Late in a process's life the starts of backends may lie far back.
+func playSchedules(t *testing.T, recording string, schedules uint64, from float64) {
+	t.Helper()
+	recorder := replay.Open(t, recording)
+	for seed := range schedules {
 		if recorder.Differs() {
 			return
 		}
-		s := &schedule{rng: rand.New(rand.NewPCG(seed, 2)), port: &replayPort{to: recorder}, now: 1000}
+		s := &schedule{rng: rand.New(rand.NewPCG(seed, 2)), port: &replayPort{to: recorder}, now: from}
 		s.inst = configured(s)
 		recorder.Event(fmt.Sprint("schedule ", seed))
 		for range 1200 {
