--- /dev/null
+++ b/internal/record/recorder/stored_test.go
@@ -0,0 +1,321 @@
+package recorder
+
+import (
+	"bytes"
+	"cmp"
+	"database/sql"
+	"encoding/json"
+	"errors"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"testing"
+	"time"
+
+	"onyxgate/internal/record"
+	"onyxgate/internal/record/spool"
+	"onyxgate/internal/record/sqlstore"
+	"onyxgate/internal/units"
+)
+
+// storedData is what the program at commit a848032 wrote: a spool of two agents (n1: two incarnations, segments left after
+// failed writes, a gap, a torn end; n2: a bit flipped in its first segment), and a SQLite store into which that program had
+// shipped a part of n1's rows when it was stopped. expected.json is what that program itself read, shipped and audited.
+const storedData = "testdata/a848032"
+
+// storedAgent is what the old program made of one agent's spool.
+type storedAgent struct {
+	AuditSpool   []Finding         `json:"audit_spool"` // before anything was shipped
+	AuditStore   []Finding         `json:"audit_store"` // once everything was shipped
+	Rows         []sqlstore.Row    `json:"rows"`
+	Gaps         []sqlstore.GapRow `json:"gaps"`
+	Through      map[string]uint64 `json:"through"` // by incarnation
+	Closed       map[string]bool   `json:"closed"`
+	StoredBefore int               `json:"stored_before"` // rows of it in record.db
+}
+
+func expectedOfStoredData(t *testing.T) map[string]storedAgent {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join(storedData, "expected.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var expected struct {
+		Agents map[string]storedAgent `json:"agents"`
+	}
+	if err := json.Unmarshal(text, &expected); err != nil {
+		t.Fatal(err)
+	}
+	for _, agent := range expected.Agents {
+		slices.SortFunc(agent.Rows, byOrdinal)
+	}
+	return expected.Agents
+}
+
+func byOrdinal(a, b sqlstore.Row) int {
+	return cmp.Or(cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.N, b.N))
+}
+
+// copyStoredData makes a spool and a store that the program takes for its own. A spool names the directory in which it was
+// made, and a store the directory from which an incarnation is shipped, so that a copy is refused. Here the copy is the only
+// one that is ever used, so both get the name of the place at which it stands, and the check itself stays in force.
+func copyStoredData(t *testing.T) Table {
+	t.Helper()
+	dir := t.TempDir()
+	if err := os.CopyFS(dir, os.DirFS(storedData)); err != nil {
+		t.Fatal(err)
+	}
+	table := Default()
+	table.Mode, table.Directory = "spool", filepath.Join(dir, "spool")
+	table.Store.Kind, table.Store.Path, table.Store.Batch = "sqlite", filepath.Join(dir, "record.db"), 7
+	table.Store.Every = units.Span(10 * time.Millisecond)
+	db, err := sql.Open("sqlite", table.Store.Path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer db.Close()
+	owners, err := filepath.Glob(filepath.Join(table.Directory, "*", "*", "owner.json"))
+	if err != nil || len(owners) != 3 {
+		t.Fatalf("owner files %v, %v", owners, err)
+	}
+	for _, file := range owners {
+		place, err := spool.Disk{}.Place(filepath.Dir(file))
+		if err != nil {
+			t.Fatal(err)
+		}
+		text, err := os.ReadFile(file)
+		if err != nil {
+			t.Fatal(err)
+		}
+		var owner map[string]string
+		if err := json.Unmarshal(text, &owner); err != nil {
+			t.Fatal(err)
+		}
+		owner["place"] = place
+		if text, err = json.Marshal(owner); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(file, text, 0o600); err != nil {
+			t.Fatal(err)
+		}
+		if _, err := db.ExecContext(t.Context(), "update onyxgate_incarnation set place = ? where incarnation = ?", place,
+			owner["incarnation"]); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return table
+}
+
+// TestStoredDataRead: each row that the old program shipped is read from its spool.
+func TestStoredDataRead(t *testing.T) {
+	for agent, want := range expectedOfStoredData(t) {
+		t.Run(agent, func(t *testing.T) {
+			rows, gaps := rowsOfSpool(t, copyStoredData(t).Directory, agent)
+			for i := range want.Rows {
+				want.Rows[i].BodyDigest, want.Rows[i].KeyDigest = "", "" // compared where they are stored
+			}
+			if !slices.Equal(rows, want.Rows) || gaps != len(want.Gaps) {
+				t.Errorf("%d gaps, rows\n%+v\nwant %d gaps, rows\n%+v", gaps, rows, len(want.Gaps), want.Rows)
+			}
+		})
+	}
+}
+
+// rowsOfSpool reads all that an agent's spool holds, without digests.
+func rowsOfSpool(t *testing.T, directory, agent string) (rows []sqlstore.Row, gaps int) {
+	t.Helper()
+	opened, err := spool.Open(spool.Disk{}, directory, agent)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer opened.Close()
+	for _, incarnation := range opened.Incarnations() {
+		for _, row := range rowsOfIncarnation(t, opened.Read(incarnation, true)) {
+			if row.Gap != nil {
+				gaps++
+				continue
+			}
+			entry := row.Entry
+			rows = append(rows, sqlstore.Row{
+				Agent: agent, Incarnation: incarnation, N: entry.N, State: row.State.String(), RequestID: entry.RequestID,
+				Class: entry.Class, Outcome: entry.Outcome.String(), Reason: entry.Reason, Release: entry.Release,
+				Backend: entry.Backend, Attempts: entry.Attempts, ArrivedAt: entry.ArrivedAt, AnsweredAt: entry.AnsweredAt,
+			})
+		}
+	}
+	slices.SortFunc(rows, byOrdinal)
+	return rows, gaps
+}
+
+func rowsOfIncarnation(t *testing.T, reader *spool.Reader) (rows []record.Row) {
+	t.Helper()
+	defer reader.Close()
+	for more := true; more; {
+		var read []record.Row
+		var err error
+		if read, more, err = reader.Next(); err != nil {
+			t.Fatal(err)
+		}
+		rows = append(rows, read...)
+	}
+	return rows
+}
+
+// TestStoredDataShip: shipped to a new store and onto the one that the old program left half filled, the rows are those
+// that the old program shipped, each once.
+func TestStoredDataShip(t *testing.T) {
+	expected := expectedOfStoredData(t)
+	t.Run("into a new store", func(t *testing.T) {
+		table := copyStoredData(t)
+		table.Store.Path = filepath.Join(t.TempDir(), "new.db")
+		shipStoredData(t, table, expected)
+	})
+	t.Run("onto the old store", func(t *testing.T) {
+		table := copyStoredData(t)
+		store := openStore(t, table)
+		for agent, want := range expected {
+			if before := len(storedRows(t, store, agent)); before != want.StoredBefore {
+				t.Errorf("%s: %d rows in the store at first, want %d", agent, before, want.StoredBefore)
+			}
+		}
+		shipStoredData(t, table, expected)
+	})
+}
+
+func shipStoredData(t *testing.T, table Table, expected map[string]storedAgent) {
+	t.Helper()
+	store := openStore(t, table)
+	for agent, want := range expected {
+		if err := Ship(t.Context(), table, agent, func(uint64, uint64) {}); err != nil {
+			t.Fatal(err)
+		}
+		checkStored(t, store, agent, want)
+	}
+	for agent, left := range map[string]int{"n1": 0, "n2": 1} { // a damaged incarnation's files stay
+		if in := spool.View(spool.Disk{}, table.Directory, agent).Incarnations(); len(in) != left {
+			t.Errorf("%s: incarnations %v left in the spool, want %d", agent, in, left)
+		}
+	}
+}
+
+func openStore(t *testing.T, table Table) *sqlstore.Store {
+	t.Helper()
+	store, err := table.Store.Open()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		if err := store.Close(); err != nil {
+			t.Error(err)
+		}
+	})
+	return store
+}
+
+// TestStoredDataAudit: the findings are the old program's, in the spool before it is shipped and in the store afterwards.
+func TestStoredDataAudit(t *testing.T) {
+	table := copyStoredData(t)
+	for agent, want := range expectedOfStoredData(t) {
+		t.Run(agent, func(t *testing.T) {
+			spoolOnly, storeOnly := table, table
+			spoolOnly.Store.Kind = "none"
+			storeOnly.Directory = t.TempDir()
+			if found := audit(t, spoolOnly, agent); !slices.Equal(found, want.AuditSpool) {
+				t.Errorf("in the spool: %+v\nwant %+v", found, want.AuditSpool)
+			}
+			if err := Ship(t.Context(), table, agent, func(uint64, uint64) {}); err != nil {
+				t.Fatal(err)
+			}
+			if found := audit(t, storeOnly, agent); !slices.Equal(found, want.AuditStore) {
+				t.Errorf("in the store: %+v\nwant %+v", found, want.AuditStore)
+			}
+		})
+	}
+}
+
+func audit(t *testing.T, table Table, agent string) (found []Finding) {
+	t.Helper()
+	if err := Audit(t.Context(), table, agent, func(f Finding) { found = append(found, f) }, func(int) {}); err != nil {
+		t.Fatal(err)
+	}
+	return found
+}
+
+func storedRows(t *testing.T, store *sqlstore.Store, agent string) (rows []sqlstore.Row) {
+	t.Helper()
+	if err := store.Select(t.Context(), sqlstore.Filter{Agent: agent}, func(r sqlstore.Row) error {
+		rows = append(rows, r)
+		return nil
+	}); err != nil {
+		t.Fatal(err)
+	}
+	slices.SortFunc(rows, byOrdinal)
+	return rows
+}
+
+func checkStored(t *testing.T, store *sqlstore.Store, agent string, want storedAgent) {
+	t.Helper()
+	if rows := storedRows(t, store, agent); !slices.Equal(rows, want.Rows) {
+		t.Errorf("%s: rows\n%+v\nwant\n%+v", agent, rows, want.Rows)
+	}
+	var gaps []sqlstore.GapRow
+	if err := store.Gaps(t.Context(), agent, func(g sqlstore.GapRow) error {
+		gaps = append(gaps, g)
+		return nil
+	}); err != nil {
+		t.Fatal(err)
+	}
+	if !slices.Equal(gaps, want.Gaps) {
+		t.Errorf("%s: gaps\n%+v\nwant\n%+v", agent, gaps, want.Gaps)
+	}
+	through, closed := map[string]uint64{}, map[string]bool{}
+	for incarnation := range want.Through {
+		var err error
+		if through[incarnation], closed[incarnation], err = store.Through(t.Context(), incarnation); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if !reflect.DeepEqual(through, want.Through) || !reflect.DeepEqual(closed, want.Closed) {
+		t.Errorf("%s: through %v, closed %v, want %v, %v", agent, through, closed, want.Through, want.Closed)
+	}
+}
+
+// TestStoredDataEncode: what the old program wrote is written the same way today, byte by byte.
+func TestStoredDataEncode(t *testing.T) {
+	files, err := filepath.Glob(filepath.Join(storedData, "spool", "n1", "*", "*.seg"))
+	if err != nil || len(files) != 7 {
+		t.Fatalf("segments %v, %v", files, err)
+	}
+	kinds := map[record.Kind]int{}
+	for _, file := range files {
+		segment, err := os.ReadFile(file)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for len(segment) > 0 {
+			frame, size, err := record.ParseFrame(segment)
+			if errors.Is(err, record.ErrShortFrame) {
+				break // where a write was cut short
+			}
+			if err != nil {
+				t.Fatalf("%s: %v", file, err)
+			}
+			value, err := record.Decode(frame.Payload)
+			if err != nil {
+				t.Fatalf("%s, frame %d: %v", file, frame.N, err)
+			}
+			kind := record.Kind(frame.Payload[0])
+			kinds[kind]++
+			encoded := record.AppendFrame(nil, frame.N, frame.Chain, record.Encode(kind, value))
+			if !bytes.Equal(encoded, segment[:size]) {
+				t.Errorf("%s, frame %d is written as %x, was %x", file, frame.N, encoded, segment[:size])
+			}
+			segment = segment[size:]
+		}
+	}
+	want := map[record.Kind]int{record.KindHeader: 7, record.KindEntry: 60, record.KindCompletions: 35, record.KindGap: 1}
+	if !reflect.DeepEqual(kinds, want) {
+		t.Errorf("frames by kind %v, want %v", kinds, want)
+	}
+}
