--- a/cmd/e2e/record.go
+++ b/cmd/e2e/record.go
@@ -394,7 +394,7 @@
 	if g.Outcome == "settled" {
 		body = hex.EncodeToString(g.Body[:])
 	}
-	return g.Outcome == r.Outcome && g.Class == r.Class && body == r.BodyDigest && r.Agent == agentName(g.Instance)
+	return g.Outcome == r.Outcome && g.Class == r.Class && body == r.BodyDigest && r.Instance == agentName(g.Instance)
 }
 
 // share is how many of the answers in a span were settled, their p99 in ms and their number.
@@ -524,7 +524,7 @@
 	if err := s.Migrate(context.Background()); err != nil {
 		return err
 	}
-	return s.Hold(context.Background(), func() {
+	return s.HoldWriteLock(context.Background(), func() {
 		fmt.Println("held")
 		io.Copy(io.Discard, os.Stdin)
 	})
--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -382,10 +382,10 @@
 	}
 	if a.keeper != nil {
 		s := a.keeper.Status()
-		logrus.WithFields(logrus.Fields{"spool": s.Health.String(), "entries": s.Entries, "notes": s.Notes, "gaps": s.Gaps,
-			"missed": s.Missed, "syncs": s.Syncs, "failures": s.Failures, "unsynced": s.Unsynced, "spool_bytes": s.Used,
+		logrus.WithFields(logrus.Fields{"spool": s.Health.String(), "entries": s.Entries, "notes": s.Completions, "gaps": s.Gaps,
+			"missed": s.Unrecorded, "syncs": s.Syncs, "failures": s.Failures, "unsynced": s.Unsynced, "spool_bytes": s.Used,
 			"queued_bytes": s.Queued, "shipped": s.Shipped, "in_doubt": s.InDoubt, "oldest_ms": int(s.Oldest),
-			"replies": fmt.Sprint(s.Replies)}).Info("record")
+			"replies": fmt.Sprint(s.Results)}).Info("record")
 	}
 }
 
@@ -456,7 +456,7 @@
 	standing("onyxgate_record_syncs_total", func(s recorder.Status) float64 { return float64(s.Syncs) })
 	standing("onyxgate_record_failures_total", func(s recorder.Status) float64 { return float64(s.Failures) })
 	standing("onyxgate_record_unsynced_total", func(s recorder.Status) float64 { return float64(s.Unsynced) })
-	standing("onyxgate_record_missed_total", func(s recorder.Status) float64 { return float64(s.Missed) })
+	standing("onyxgate_record_missed_total", func(s recorder.Status) float64 { return float64(s.Unrecorded) })
 	standing("onyxgate_record_gaps_total", func(s recorder.Status) float64 { return float64(s.Gaps) })
 	standing("onyxgate_record_shipped_total", func(s recorder.Status) float64 { return float64(s.Shipped) })
 	standing("onyxgate_record_in_doubt_total", func(s recorder.Status) float64 { return float64(s.InDoubt) })
--- a/internal/fake/postgres/postgres.go
+++ b/internal/fake/postgres/postgres.go
@@ -441,7 +441,7 @@
 		x.columns = []string{"agent", "incarnation", "n big", "state", "txn", "product", "outcome", "reason", "build big",
 			"appliance", "submissions big", "taken_ms real", "answered_ms real", "body", "mark"}
 		for _, r := range s.Entries {
-			x.rows = append(x.rows, []string{r.Agent, r.Incarnation, fmt.Sprint(r.N), r.State, r.RequestID, r.Class, r.Outcome,
+			x.rows = append(x.rows, []string{r.Instance, r.Incarnation, fmt.Sprint(r.N), r.State, r.RequestID, r.Class, r.Outcome,
 				r.Reason, fmt.Sprint(r.Release), r.Backend, fmt.Sprint(r.Attempts), fmt.Sprint(r.ArrivedAt), fmt.Sprint(r.AnsweredAt),
 				r.BodyDigest, r.KeyDigest})
 		}
@@ -449,7 +449,7 @@
 		x.columns = []string{"agent", "incarnation", "n big", "settled big", "declined big", "voided big", "unknown big",
 			"from_ms real", "to_ms real", "cause"}
 		for _, g := range s.Gaps {
-			x.rows = append(x.rows, []string{g.Agent, g.Incarnation, fmt.Sprint(g.N), fmt.Sprint(g.Served),
+			x.rows = append(x.rows, []string{g.Instance, g.Incarnation, fmt.Sprint(g.N), fmt.Sprint(g.Served),
 				fmt.Sprint(g.Rejected), fmt.Sprint(g.Failed), fmt.Sprint(g.Unknown), fmt.Sprint(g.From), fmt.Sprint(g.To), g.Cause})
 		}
 	case sqlstore.NameCount:
@@ -459,7 +459,7 @@
 		}
 		x.columns = []string{"agent", "product", "outcome", "state", "n big"}
 		for _, r := range s.Entries {
-			x.rows = append(x.rows, []string{r.Agent, r.Class, r.Outcome, r.State, "1"})
+			x.rows = append(x.rows, []string{r.Instance, r.Class, r.Outcome, r.State, "1"})
 		}
 	default:
 		x.fault("42601", "not played here: "+x.text)
--- a/internal/record/entry.go
+++ b/internal/record/entry.go
@@ -83,8 +83,8 @@
 	Cause    string // one word
 }
 
-// All is how many answers it stands for.
-func (g Gap) All() (n uint64) {
+// Total is how many answers it stands for.
+func (g Gap) Total() (n uint64) {
 	for _, c := range g.Counts {
 		n += c
 	}
@@ -101,7 +101,7 @@
 // SegmentHeader opens each segment.
 type SegmentHeader struct {
 	_           struct{} `cbor:",toarray"`
-	Agent       string
+	Instance    string
 	Incarnation string
 	Segment     uint64
 	From        uint64 // ordinal of the first frame behind it
@@ -131,7 +131,7 @@
 	magic      = [4]byte{0x0f, 'o', 'x', 0xf1}
 	castagnoli = crc32.MakeTable(crc32.Castagnoli)
 	// Made at the first use: an agent that records nothing pays nothing for it.
-	decoding = sync.OnceValue(func() cbor.DecMode {
+	decodeMode = sync.OnceValue(func() cbor.DecMode {
 		m, err := cbor.DecOptions{MaxArrayElements: 8192, MaxNestedLevels: 4, MaxMapPairs: 16}.DecMode()
 		if err != nil {
 			panic(err)
@@ -229,7 +229,7 @@
 	if len(payload) == 0 {
 		return nil, ErrCorruptFrame
 	}
-	read := func(to any) error { return decoding().Unmarshal(payload[1:], to) }
+	read := func(to any) error { return decodeMode().Unmarshal(payload[1:], to) }
 	switch Kind(payload[0]) {
 	case KindHeader:
 		var h SegmentHeader
--- a/internal/record/helper_test.go
+++ b/internal/record/helper_test.go
@@ -45,21 +45,21 @@
 		for len(s) > 0 {
 			x, size, err := ParseFrame(s)
 			if err != nil {
-				f.Tail(int64(len(s)))
+				f.AddTornTail(int64(len(s)))
 				break
 			}
 			s = s[size:]
 			if Kind(x.Payload[0]) == KindHeader {
 				v, _ := Decode(x.Payload)
-				if err := f.Head(*v.(*SegmentHeader)); err != nil {
+				if err := f.StartSegment(*v.(*SegmentHeader)); err != nil {
 					panic(err)
 				}
 				continue
 			}
-			rows = append(rows, f.Frame(x)...)
+			rows = append(rows, f.Apply(x)...)
 		}
 	}
-	return f, append(rows, f.End()...)
+	return f, append(rows, f.Finish()...)
 }
 
 func ledger(sync bool, budget int64, room int, full FullPolicy) *Ledger {
--- a/internal/record/ledger.go
+++ b/internal/record/ledger.go
@@ -28,64 +28,64 @@
 func (h Health) String() string { return HealthNames[min(int(h), len(HealthNames)-1)] }
 
 const (
-	// notesWait (ms): an end is noted this much after it at the latest. What a kill finds unnoted is in doubt.
-	notesWait = 2.0
-	// notesSync (ms): notes are not worth a sync of their own, but a machine may lose its power.
-	notesSync  = 200.0
-	notesFrame = 2048 // ends in one note
-	// againFirst and againMost (ms): pauses after a failure, doubled each time. What was not confirmed waits in memory.
-	againFirst, againMost = 20.0, 1000.0
+	// completionWait (ms): an end is noted this much after it at the latest. What a kill finds unnoted is in doubt.
+	completionWait = 2.0
+	// completionSyncInterval (ms): notes are not worth a sync of their own, but a machine may lose its power.
+	completionSyncInterval = 200.0
+	maxCompletionsPerFrame = 2048 // ends in one note
+	// firstRetryPause and againMost (ms): pauses after a failure, doubled each time. What was not confirmed waits in memory.
+	firstRetryPause, maxRetryPause = 20.0, 1000.0
 )
 
-type framed struct {
-	n      uint64
-	kind   Kind
-	bytes  []byte
-	before Digest  // the chain that it continues
-	at     float64 // when it was queued
+type queuedFrame struct {
+	ordinal     uint64
+	kind        Kind
+	bytes       []byte
+	chainBefore Digest  // the chain that it continues
+	queuedAt    float64 // when it was queued
 }
 
 // Ledger is what one incarnation still has to write.
 type Ledger struct {
-	agent, incarnation string
-	sync               bool
-	group              float64 // ms that a frame waits for others
-	groupMost          int     // bytes in one write
-	segmentMost        int64
-	budget             int64
-	room               int     // bytes of frames that wait in memory
-	patience           float64 // ms that an answer waits
-	stall              float64 // ms after which a write under way counts as behind
-	full               FullPolicy
-
-	next      uint64
-	chain     Digest
-	queue     []framed
-	queued    int // bytes
-	sent      int // of the queue, in the present segment
-	confirmed uint64
-	notes     Completions
-	notesAt   float64
-	gap       Gap
-	gapAt     bool // a gap is being counted
-
-	segment  uint64
-	open     bool // a segment is there to append to
-	size     int64
-	used     int64 // on disk, all incarnations
-	unsynced float64
-	under    float64 // since when a work is under way; 0: none
-	work     IO
-	failures int
-	again    float64
-	counts   Counts
+	instance, incarnation string
+	sync                  bool
+	groupWait             float64 // ms that a frame waits for others
+	maxWriteBytes         int     // bytes in one write
+	maxSegmentBytes       int64
+	maxSpoolBytes         int64
+	maxQueuedBytes        int     // bytes of frames that wait in memory
+	commitDelay           float64 // ms that an answer waits
+	stallAfter            float64 // ms after which a write under way counts as behind
+	fullPolicy            FullPolicy
+
+	nextOrdinal      uint64
+	chain            Digest
+	queue            []queuedFrame
+	queuedBytes      int // bytes
+	written          int // of the queue, in the present segment
+	confirmed        uint64
+	completions      Completions
+	completionsSince float64
+	gap              Gap
+	countingGap      bool // a gap is being counted
+
+	segment       uint64
+	segmentOpen   bool // a segment is there to append to
+	segmentBytes  int64
+	spoolBytes    int64 // on disk, all incarnations
+	unsyncedSince float64
+	ioSince       float64 // since when a work is under way; 0: none
+	inFlight      IO
+	failures      int
+	retryAt       float64
+	counts        Counts
 }
 
 // Counts are what has been since the start.
 type Counts struct {
-	Entries, Notes, Gaps, Missed uint64 // Missed: answers that gaps stand for
-	Writes, Syncs, Failures      uint64
-	Turns                        uint64
+	Entries, Completions, Gaps, Unrecorded uint64 // Missed: answers that gaps stand for
+	Writes, Syncs, Failures                uint64
+	Segments                               uint64
 }
 
 // IO is the writer's next step, in this order: a new segment, bytes at its end, a sync. Where there is none, it is to
@@ -105,119 +105,124 @@
 // NewLedger starts an incarnation's; group, patience and stall in ms, the rest in bytes. used is what the spool holds
 // already.
 func NewLedger(agent, incarnation string, sync bool, group float64, groupMost int, segmentMost, budget int64, room int,
-	patience, stall float64, full FullPolicy, used int64) *Ledger {
-	return &Ledger{agent: agent, incarnation: incarnation, sync: sync, group: group, groupMost: groupMost,
-		segmentMost: segmentMost, budget: budget, room: room, patience: patience, stall: stall, full: full, used: used, next: 1}
+	patience, stall float64, full FullPolicy, used int64,
+) *Ledger {
+	return &Ledger{
+		instance: agent, incarnation: incarnation, sync: sync, groupWait: group, maxWriteBytes: groupMost,
+		maxSegmentBytes: segmentMost, maxSpoolBytes: budget, maxQueuedBytes: room, commitDelay: patience, stallAfter: stall, fullPolicy: full, spoolBytes: used, nextOrdinal: 1,
+	}
 }
 
 // AddEntry takes what will be answered. What finds no room is counted in a gap: ok is false and n means nothing.
 func (l *Ledger) AddEntry(now float64, e Entry) (n uint64, ok bool) {
-	if l.queued >= l.room {
+	if l.queuedBytes >= l.maxQueuedBytes {
 		l.countUnrecorded(now, e.Outcome)
 		return 0, false
 	}
-	e.N = l.next
-	l.frame(now, KindEntry, e)
+	e.N = l.nextOrdinal
+	l.enqueue(now, KindEntry, e)
 	l.counts.Entries++
 	return e.N, true
 }
 
 func (l *Ledger) countUnrecorded(now float64, o Outcome) {
-	if !l.gapAt {
-		l.gap, l.gapAt = Gap{From: now, Cause: l.Health(now).String()}, true
+	if !l.countingGap {
+		l.gap, l.countingGap = Gap{From: now, Cause: l.Health(now).String()}, true
 	}
 	l.gap.Counts[o]++
 	l.gap.To = now
-	l.counts.Missed++
+	l.counts.Unrecorded++
 }
 
 // AddCompletion notes that the answer of entry n ended.
 func (l *Ledger) AddCompletion(now float64, n uint64, whole bool) {
-	if len(l.notes.Delivered)+len(l.notes.Undelivered) == 0 {
-		l.notesAt = now
+	if len(l.completions.Delivered)+len(l.completions.Undelivered) == 0 {
+		l.completionsSince = now
 	}
 	if whole {
-		l.notes.Delivered = append(l.notes.Delivered, n)
+		l.completions.Delivered = append(l.completions.Delivered, n)
 	} else {
-		l.notes.Undelivered = append(l.notes.Undelivered, n)
+		l.completions.Undelivered = append(l.completions.Undelivered, n)
 	}
-	l.counts.Notes++
+	l.counts.Completions++
 }
 
-func (l *Ledger) frame(now float64, kind Kind, v any) {
+func (l *Ledger) enqueue(now float64, kind Kind, v any) {
 	payload := Encode(kind, v)
-	f := framed{n: l.next, kind: kind, before: l.chain, at: now}
+	f := queuedFrame{ordinal: l.nextOrdinal, kind: kind, chainBefore: l.chain, queuedAt: now}
 	l.chain = NextChain(l.chain, payload)
-	f.bytes = AppendFrame(make([]byte, 0, FrameOverhead+len(payload)), f.n, l.chain, payload)
-	l.next++
+	f.bytes = AppendFrame(make([]byte, 0, FrameOverhead+len(payload)), f.ordinal, l.chain, payload)
+	l.nextOrdinal++
 	l.queue = append(l.queue, f)
-	l.queued += len(f.bytes)
+	l.queuedBytes += len(f.bytes)
 }
 
 // NextIO says what to do next; Did must follow before the next call.
 func (l *Ledger) NextIO(now float64) IO {
-	if l.under != 0 {
-		return IO{Wait: notesSync}
+	if l.ioSince != 0 {
+		return IO{Wait: completionSyncInterval}
 	}
-	l.note(now)
-	unsent := l.queue[l.sent:]
-	w := IO{Wait: notesSync, Segment: l.segment}
+	l.frameCompletionsAndGap(now)
+	unsent := l.queue[l.written:]
+	w := IO{Wait: completionSyncInterval, Segment: l.segment}
 	switch {
-	case now < l.again:
-		w.Wait = l.again - now
-	case len(unsent) == 0 && l.sent > 0 && l.sync && now-l.unsynced >= notesSync: // notes alone
+	case now < l.retryAt:
+		w.Wait = l.retryAt - now
+	case len(unsent) == 0 && l.written > 0 && l.sync && now-l.unsyncedSince >= completionSyncInterval: // notes alone
 		w.Sync = true
-	case len(unsent) == 0 && l.sent > 0 && l.sync:
-		w.Wait = notesSync - (now - l.unsynced)
+	case len(unsent) == 0 && l.written > 0 && l.sync:
+		w.Wait = completionSyncInterval - (now - l.unsyncedSince)
 	case len(unsent) == 0:
-	case l.entries(unsent) && now-unsent[0].at < l.group && l.unsentBytes() < l.groupMost:
-		w.Wait = l.group - (now - unsent[0].at)
-	case l.open && l.size >= l.segmentMost && l.sent > 0 && l.sync: // nothing stays behind unconfirmed
+	case l.containsEntry(unsent) && now-unsent[0].queuedAt < l.groupWait && l.unsentBytes() < l.maxWriteBytes:
+		w.Wait = l.groupWait - (now - unsent[0].queuedAt)
+	case l.segmentOpen && l.segmentBytes >= l.maxSegmentBytes && l.written > 0 && l.sync: // nothing stays behind unconfirmed
 		w.Sync = true
-	case l.open && l.size >= l.segmentMost:
-		l.open = false
+	case l.segmentOpen && l.segmentBytes >= l.maxSegmentBytes:
+		l.segmentOpen = false
 		return l.NextIO(now)
-	case !l.fits(unsent):
-		w.Wait = againMost
+	case !l.fitsBudget(unsent):
+		w.Wait = maxRetryPause
 	default:
-		if !l.open {
+		if !l.segmentOpen {
 			l.segment++
 			w.NewSegment, w.Segment = true, l.segment
-			head := Encode(KindHeader, SegmentHeader{Agent: l.agent, Incarnation: l.incarnation, Segment: l.segment,
-				From: unsent[0].n, Chain: unsent[0].before})
-			w.Bytes = AppendFrame(w.Bytes, unsent[0].n-1, unsent[0].before, head)
+			head := Encode(KindHeader, SegmentHeader{
+				Instance: l.instance, Incarnation: l.incarnation, Segment: l.segment,
+				From: unsent[0].ordinal, Chain: unsent[0].chainBefore,
+			})
+			w.Bytes = AppendFrame(w.Bytes, unsent[0].ordinal-1, unsent[0].chainBefore, head)
 		}
 		for _, f := range unsent {
-			if len(w.Bytes) >= l.groupMost {
+			if len(w.Bytes) >= l.maxWriteBytes {
 				break
 			}
 			w.Bytes = append(w.Bytes, f.bytes...)
 			w.frames++
 		}
-		w.Sync = l.sync && l.entries(unsent[:w.frames])
+		w.Sync = l.sync && l.containsEntry(unsent[:w.frames])
 	}
 	if !w.Idle() {
-		l.under, l.work = max(now, 1), w
-	} else if len(l.notes.Delivered)+len(l.notes.Undelivered) > 0 && now >= l.again {
-		w.Wait = min(w.Wait, max(notesWait-(now-l.notesAt), 0))
+		l.ioSince, l.inFlight = max(now, 1), w
+	} else if len(l.completions.Delivered)+len(l.completions.Undelivered) > 0 && now >= l.retryAt {
+		w.Wait = min(w.Wait, max(completionWait-(now-l.completionsSince), 0))
 	}
 	return w
 }
 
-// note frames what has ended and what was missed, as soon as that can be written.
-func (l *Ledger) note(now float64) {
-	if ends := len(l.notes.Delivered) + len(l.notes.Undelivered); ends > 0 && (now-l.notesAt >= notesWait || ends >= notesFrame ||
-		len(l.queue) > l.sent) {
-		for len(l.notes.Delivered)+len(l.notes.Undelivered) > 0 {
+// frameCompletionsAndGap frames what has ended and what was missed, as soon as that can be written.
+func (l *Ledger) frameCompletionsAndGap(now float64) {
+	if ends := len(l.completions.Delivered) + len(l.completions.Undelivered); ends > 0 && (now-l.completionsSince >= completionWait || ends >= maxCompletionsPerFrame ||
+		len(l.queue) > l.written) {
+		for len(l.completions.Delivered)+len(l.completions.Undelivered) > 0 {
 			var d Completions
-			d.Delivered, l.notes.Delivered = split(l.notes.Delivered, notesFrame)
-			d.Undelivered, l.notes.Undelivered = split(l.notes.Undelivered, notesFrame)
-			l.frame(now, KindCompletions, d)
+			d.Delivered, l.completions.Delivered = split(l.completions.Delivered, maxCompletionsPerFrame)
+			d.Undelivered, l.completions.Undelivered = split(l.completions.Undelivered, maxCompletionsPerFrame)
+			l.enqueue(now, KindCompletions, d)
 		}
 	}
-	if l.gapAt && l.failures == 0 && l.queued < l.room/2 {
-		l.gap.N, l.gapAt = l.next, false
-		l.frame(now, KindGap, l.gap)
+	if l.countingGap && l.failures == 0 && l.queuedBytes < l.maxQueuedBytes/2 {
+		l.gap.N, l.countingGap = l.nextOrdinal, false
+		l.enqueue(now, KindGap, l.gap)
 		l.counts.Gaps++
 	}
 }
@@ -227,7 +232,7 @@
 	return all[:n:n], all[n:]
 }
 
-func (l *Ledger) entries(frames []framed) bool {
+func (l *Ledger) containsEntry(frames []queuedFrame) bool {
 	for _, f := range frames {
 		if f.kind == KindEntry {
 			return true
@@ -237,42 +242,44 @@
 }
 
 func (l *Ledger) unsentBytes() (n int) {
-	for _, f := range l.queue[l.sent:] {
+	for _, f := range l.queue[l.written:] {
 		n += len(f.bytes)
 	}
 	return n
 }
 
-// fits tells that the budget allows what comes next. Notes have no part of their own: the entries that they end are
+// fitsBudget tells that the budget allows what comes next. Notes have no part of their own: the entries that they end are
 // milliseconds old and stand in the last segment, and it is the ones before it that make room.
-func (l *Ledger) fits(unsent []framed) bool { return l.used+int64(len(unsent[0].bytes)) <= l.budget }
+func (l *Ledger) fitsBudget(unsent []queuedFrame) bool {
+	return l.spoolBytes+int64(len(unsent[0].bytes)) <= l.maxSpoolBytes
+}
 
 // Completed tells how a work went: wrote is how many bytes the disk may now hold of it, whole or not.
 func (l *Ledger) Completed(now float64, wrote int, ok bool) {
-	w := l.work
-	l.under, l.work = 0, IO{}
-	l.used += int64(wrote)
-	l.size += int64(wrote)
+	w := l.inFlight
+	l.ioSince, l.inFlight = 0, IO{}
+	l.spoolBytes += int64(wrote)
+	l.segmentBytes += int64(wrote)
 	if w.NewSegment {
-		l.open, l.size, l.sent = true, int64(wrote), 0
-		l.counts.Turns++
+		l.segmentOpen, l.segmentBytes, l.written = true, int64(wrote), 0
+		l.counts.Segments++
 	}
 	if !ok {
 		// After a failed sync nothing that it should have confirmed may be taken as durable, nor after a short write what
 		// follows it: the segment is left, and all that is not confirmed is written anew.
 		l.counts.Failures++
-		l.open, l.sent = false, 0
-		l.again = now + min(againFirst*float64(uint64(1)<<min(l.failures, 10)), againMost)
+		l.segmentOpen, l.written = false, 0
+		l.retryAt = now + min(firstRetryPause*float64(uint64(1)<<min(l.failures, 10)), maxRetryPause)
 		l.failures++
 		return
 	}
 	l.failures = 0
 	if len(w.Bytes) > 0 {
 		l.counts.Writes++
-		if l.sent == 0 {
-			l.unsynced = now
+		if l.written == 0 {
+			l.unsyncedSince = now
 		}
-		l.sent += w.frames
+		l.written += w.frames
 	}
 	if w.Sync {
 		l.counts.Syncs++
@@ -283,12 +290,12 @@
 }
 
 func (l *Ledger) confirm() {
-	for _, f := range l.queue[:l.sent] {
-		l.queued -= len(f.bytes)
-		l.confirmed = f.n
+	for _, f := range l.queue[:l.written] {
+		l.queuedBytes -= len(f.bytes)
+		l.confirmed = f.ordinal
 	}
-	l.queue = append(l.queue[:0:0], l.queue[l.sent:]...)
-	l.sent = 0
+	l.queue = append(l.queue[:0:0], l.queue[l.written:]...)
+	l.written = 0
 }
 
 // Confirmed is the last ordinal that is durable, or written where nothing is synced.
@@ -296,25 +303,25 @@
 
 // Written is the last ordinal in the files.
 func (l *Ledger) Written() uint64 {
-	if l.sent > 0 {
-		return l.queue[l.sent-1].n
+	if l.written > 0 {
+		return l.queue[l.written-1].ordinal
 	}
 	return l.confirmed
 }
 
 // Pending tells that something is not confirmed yet, notes and gaps included.
 func (l *Ledger) Pending() bool {
-	return len(l.queue) > 0 || len(l.notes.Delivered)+len(l.notes.Undelivered) > 0 || l.gapAt
+	return len(l.queue) > 0 || len(l.completions.Delivered)+len(l.completions.Undelivered) > 0 || l.countingGap
 }
 
-// Queued is how many bytes wait in memory.
-func (l *Ledger) Queued() int { return l.queued }
+// QueuedBytes is how many bytes wait in memory.
+func (l *Ledger) QueuedBytes() int { return l.queuedBytes }
 
-// Used is how many bytes the spool holds.
-func (l *Ledger) Used() int64 { return l.used }
+// SpoolBytes is how many bytes the spool holds.
+func (l *Ledger) SpoolBytes() int64 { return l.spoolBytes }
 
-// Freed tells that files are gone from the spool.
-func (l *Ledger) Freed(bytes int64) { l.used = max(l.used-bytes, 0) }
+// ReleaseBytes tells that files are gone from the spool.
+func (l *Ledger) ReleaseBytes(bytes int64) { l.spoolBytes = max(l.spoolBytes-bytes, 0) }
 
 // Segment is the one that is appended to; it must stay.
 func (l *Ledger) Segment() uint64 { return l.segment }
@@ -327,9 +334,9 @@
 	switch {
 	case l.failures > 0:
 		return HealthFailing
-	case l.under != 0 && now-l.under > l.stall:
+	case l.ioSince != 0 && now-l.ioSince > l.stallAfter:
 		return HealthBehind
-	case len(l.queue) > l.sent && !l.fits(l.queue[l.sent:]):
+	case len(l.queue) > l.written && !l.fitsBudget(l.queue[l.written:]):
 		return HealthFull
 	}
 	return HealthGood
@@ -340,10 +347,10 @@
 	if !l.sync || l.Health(now) != HealthGood {
 		return 0
 	}
-	return l.patience
+	return l.commitDelay
 }
 
 // RejectsRequests tells that new txns are to be declined.
 func (l *Ledger) RejectsRequests(now float64) bool {
-	return l.full == RejectRequests && l.Health(now) != HealthGood
+	return l.fullPolicy == RejectRequests && l.Health(now) != HealthGood
 }
--- a/internal/record/ledger_test.go
+++ b/internal/record/ledger_test.go
@@ -77,8 +77,8 @@
 					t.Errorf("entry %d (ordinal %d): confirmed %v, %v, want %v", i, n, confirmed[n], got[n], want)
 				}
 			}
-			if l.Pending() || l.Queued() != 0 {
-				t.Errorf("pending %v, %d bytes queued", l.Pending(), l.Queued())
+			if l.Pending() || l.QueuedBytes() != 0 {
+				t.Errorf("pending %v, %d bytes queued", l.Pending(), l.QueuedBytes())
 			}
 		})
 	}
@@ -137,12 +137,16 @@
 		mend   func(*Ledger, *disk)
 		health Health
 	}{
-		{"budget", KeepServing, func(*Ledger, *disk) {}, func(l *Ledger, d *disk) { l.Freed(1 << 20) }, HealthFull},
-		{"budget, declining", RejectRequests, func(*Ledger, *disk) {}, func(l *Ledger, d *disk) { l.Freed(1 << 20) }, HealthFull},
-		{"failing", KeepServing, func(l *Ledger, d *disk) { d.fail = func(w IO) (int, bool) { return 0, false } },
-			func(l *Ledger, d *disk) { d.fail = nil; l.Freed(1 << 20) }, HealthFailing},
-		{"failing, declining", RejectRequests, func(l *Ledger, d *disk) { d.fail = func(w IO) (int, bool) { return 0, false } },
-			func(l *Ledger, d *disk) { d.fail = nil; l.Freed(1 << 20) }, HealthFailing},
+		{"budget", KeepServing, func(*Ledger, *disk) {}, func(l *Ledger, d *disk) { l.ReleaseBytes(1 << 20) }, HealthFull},
+		{"budget, declining", RejectRequests, func(*Ledger, *disk) {}, func(l *Ledger, d *disk) { l.ReleaseBytes(1 << 20) }, HealthFull},
+		{
+			"failing", KeepServing, func(l *Ledger, d *disk) { d.fail = func(w IO) (int, bool) { return 0, false } },
+			func(l *Ledger, d *disk) { d.fail = nil; l.ReleaseBytes(1 << 20) }, HealthFailing,
+		},
+		{
+			"failing, declining", RejectRequests, func(l *Ledger, d *disk) { d.fail = func(w IO) (int, bool) { return 0, false } },
+			func(l *Ledger, d *disk) { d.fail = nil; l.ReleaseBytes(1 << 20) }, HealthFailing,
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, d := ledger(true, 8192, 2048, c.full), &disk{}
@@ -160,8 +164,8 @@
 			if l.Health(now) != c.health || l.RejectsRequests(now) != (c.full == RejectRequests) || l.CommitDelay(now) != 0 {
 				t.Errorf("%v, refuses %v, patience %v", l.Health(now), l.RejectsRequests(now), l.CommitDelay(now))
 			}
-			if missed == 0 || l.Used() > 8192 {
-				t.Errorf("%d missed, %d bytes used", missed, l.Used())
+			if missed == 0 || l.SpoolBytes() > 8192 {
+				t.Errorf("%d missed, %d bytes used", missed, l.SpoolBytes())
 			}
 			c.mend(l, d)
 			for range 20 {
@@ -175,7 +179,7 @@
 			in, gaps := 0, 0
 			for _, r := range rows {
 				if r.Gap != nil {
-					gaps += int(r.Gap.All())
+					gaps += int(r.Gap.Total())
 					if r.Gap.From >= r.Gap.To || r.Gap.Cause != c.health.String() {
 						t.Errorf("gap %+v", r.Gap)
 					}
--- a/internal/record/postgres/postgres.go
+++ b/internal/record/postgres/postgres.go
@@ -21,7 +21,7 @@
 )
 
 // TLS modes: the same words as libpq's.
-var modes = map[string]bool{"disable": true, "require": true, "verify-ca": true, "verify-full": true}
+var tlsModes = map[string]bool{"disable": true, "require": true, "verify-ca": true, "verify-full": true}
 
 // Open prepares a store; it connects at the first use. The password is read from its file at each connection, so that a
 // new one needs no restart.
@@ -30,7 +30,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("address %q: %w", address, err)
 	}
-	if !modes[mode] {
+	if !tlsModes[mode] {
 		return nil, fmt.Errorf("tls %q: not one of disable, require, verify-ca, verify-full", mode)
 	}
 	// What the environment may add to it is overwritten below: what holds is what the settings show.
@@ -39,7 +39,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if c.TLSConfig, err = secure(host, mode, caFile); err != nil {
+	if c.TLSConfig, err = tlsConfig(host, mode, caFile); err != nil {
 		return nil, err
 	}
 	c.Fallbacks = nil
@@ -55,10 +55,12 @@
 // New is a store at a server that a configuration names.
 func New(c *pgconn.Config, password func() (string, error)) *sqlstore.Store {
 	kinds := map[string]string{"text": "text", "big": "bigint", "real": "double precision"}
-	return sqlstore.New(&database{config: c, password: password}, sqlstore.Dialect{Name: "postgres",
-		Rows:  "jsonb_array_elements($1::jsonb) v",
-		Field: func(name, kind string) string { return "(v->>'" + name + "')::" + kinds[kind] },
-		Big:   "bigint", Real: "double precision", Reply: reply})
+	return sqlstore.New(&database{config: c, password: password}, sqlstore.Dialect{
+		Name:       "postgres",
+		JSONRows:   "jsonb_array_elements($1::jsonb) v",
+		JSONField:  func(name, kind string) string { return "(v->>'" + name + "')::" + kinds[kind] },
+		BigIntType: "bigint", DoubleType: "double precision", Classify: classify,
+	})
 }
 
 // database is one connection, made when it is needed; calls wait for each other.
@@ -69,8 +71,8 @@
 	conn     *pgconn.PgConn
 }
 
-// up is the connection, opened anew where the last one broke. Under the lock.
-func (d *database) up(ctx context.Context) (*pgconn.PgConn, error) {
+// connect is the connection, opened anew where the last one broke. Under the lock.
+func (d *database) connect(ctx context.Context) (*pgconn.PgConn, error) {
 	if d.conn != nil && !d.conn.IsClosed() {
 		return d.conn, nil
 	}
@@ -86,7 +88,7 @@
 func (d *database) Exec(ctx context.Context, text string, args ...any) (n int64, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	c, err := d.up(ctx)
+	c, err := d.connect(ctx)
 	if err != nil {
 		return 0, err
 	}
@@ -96,7 +98,7 @@
 func (d *database) Query(ctx context.Context, text string, args []any, each func(func(...any) error) error) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	c, err := d.up(ctx)
+	c, err := d.connect(ctx)
 	if err != nil {
 		return err
 	}
@@ -105,7 +107,7 @@
 
 func (d *database) Begin(ctx context.Context) (sqlstore.Tx, error) {
 	d.mu.Lock() // until the transaction ends
-	c, err := d.up(ctx)
+	c, err := d.connect(ctx)
 	if err == nil {
 		_, err = exec(ctx, c, "begin", nil)
 	}
@@ -223,7 +225,7 @@
 	return "'" + strings.NewReplacer(`\`, `\\`, `'`, `\'`).Replace(s) + "'"
 }
 
-func secure(host, mode, caFile string) (*tls.Config, error) {
+func tlsConfig(host, mode, caFile string) (*tls.Config, error) {
 	if mode == "disable" {
 		return nil, nil
 	}
@@ -251,8 +253,8 @@
 	return c, nil
 }
 
-// reply reads an error by the SQLSTATE that the server published.
-func reply(err error) record.ExportResult {
+// classify reads an error by the SQLSTATE that the server published.
+func classify(err error) record.ExportResult {
 	var e *pgconn.PgError
 	if errors.As(err, &e) {
 		switch {
--- a/internal/record/postgres/postgres_test.go
+++ b/internal/record/postgres/postgres_test.go
@@ -27,8 +27,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: name}, DNSNames: []string{name},
-		NotBefore: time.Unix(0, 0), NotAfter: time.Date(2200, 1, 1, 0, 0, 0, 0, time.UTC), IsCA: true, BasicConstraintsValid: true}
+	c := &x509.Certificate{
+		SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: name}, DNSNames: []string{name},
+		NotBefore: time.Unix(0, 0), NotAfter: time.Date(2200, 1, 1, 0, 0, 0, 0, time.UTC), IsCA: true, BasicConstraintsValid: true,
+	}
 	der, err := x509.CreateCertificate(rand.Reader, c, c, &key.PublicKey, key)
 	if err != nil {
 		t.Fatal(err)
@@ -49,11 +51,16 @@
 		server     tls.Certificate
 		ok         bool
 	}{
-		{"require", "db.internal", ours, true}, {"require", "elsewhere", other, true},
-		{"verify-ca", "db.internal", ours, true}, {"verify-ca", "elsewhere", ours, true}, {"verify-ca", "db.internal", other, false},
-		{"verify-full", "db.internal", ours, true}, {"verify-full", "elsewhere", ours, false}, {"verify-full", "db.internal", other, false},
+		{"require", "db.internal", ours, true},
+		{"require", "elsewhere", other, true},
+		{"verify-ca", "db.internal", ours, true},
+		{"verify-ca", "elsewhere", ours, true},
+		{"verify-ca", "db.internal", other, false},
+		{"verify-full", "db.internal", ours, true},
+		{"verify-full", "elsewhere", ours, false},
+		{"verify-full", "db.internal", other, false},
 	} {
-		config, err := secure(c.host, c.mode, ca)
+		config, err := tlsConfig(c.host, c.mode, ca)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -69,16 +76,16 @@
 			}
 		})
 	}
-	if config, err := secure("h", "disable", ""); config != nil || err != nil {
+	if config, err := tlsConfig("h", "disable", ""); config != nil || err != nil {
 		t.Error(config, err)
 	}
 	os.WriteFile(filepath.Join(dir, "none"), []byte("no certificate"), 0o600)
 	for _, file := range []string{filepath.Join(dir, "none"), filepath.Join(dir, "missing")} {
-		if _, err := secure("h", "require", file); err == nil {
+		if _, err := tlsConfig("h", "require", file); err == nil {
 			t.Errorf("%s is taken", file)
 		}
 	}
-	config, _ := secure("h", "require", "")
+	config, _ := tlsConfig("h", "require", "")
 	c, err := pgconn.ParseConfig("host=h port=1 dbname=d user=u sslmode=disable")
 	if err != nil {
 		t.Fatal(err)
@@ -106,8 +113,12 @@
 }
 
 func TestOpen(t *testing.T) {
-	for _, c := range []struct{ address, mode, want string }{{"db", "require", "address"}, {"db:1", "prefer", "tls"}, {"db:x", "require", "port"},
-		{"db:1", "require", ""}} {
+	for _, c := range []struct{ address, mode, want string }{
+		{"db", "require", "address"},
+		{"db:1", "prefer", "tls"},
+		{"db:x", "require", "port"},
+		{"db:1", "require", ""},
+	} {
 		s, err := Open(c.address, "d'x\\", "u", "", c.mode, "", time.Second)
 		if c.want == "" {
 			if err != nil || s.Close() != nil {
--- a/internal/record/recorder/audit.go
+++ b/internal/record/recorder/audit.go
@@ -25,7 +25,7 @@
 	agents := []string{agent}
 	if agent == "" {
 		var err error
-		if agents, err = spool.Agents(spool.Disk{}, t.Directory); err != nil {
+		if agents, err = spool.Instances(spool.Disk{}, t.Directory); err != nil {
 			return err
 		}
 	}
@@ -40,7 +40,7 @@
 			sp = spool.View(spool.Disk{}, t.Directory, name)
 		}
 		for _, incarnation := range sp.Incarnations() {
-			if err := auditOne(ctx, sp.Read(incarnation, !running), name+"/"+incarnation, tell, func(n int) {
+			if err := auditIncarnation(ctx, sp.Read(incarnation, !running), name+"/"+incarnation, tell, func(n int) {
 				rows += n
 				progress(rows)
 			}); err != nil {
@@ -58,7 +58,7 @@
 	return auditStore(ctx, store, agent, tell)
 }
 
-func auditOne(ctx context.Context, r *spool.Reader, where string, tell func(Finding), progress func(rows int)) error {
+func auditIncarnation(ctx context.Context, r *spool.Reader, where string, tell func(Finding), progress func(rows int)) error {
 	defer r.Close()
 	for more := true; more && ctx.Err() == nil; {
 		var rows []record.Row
@@ -74,7 +74,7 @@
 		tell(Finding{true, where, d.String()})
 	}
 	tell(Finding{false, where, fmt.Sprintf("%d given, %d unheard, %d in doubt, %d open, %d gaps, %d written anew, %d torn bytes",
-		f.Counts[record.StateAnswered], f.Counts[record.StateUndelivered], f.Counts[record.StateInDoubt], f.OpenNow(), f.Gaps, f.Again, f.Torn)})
+		f.Counts[record.StateAnswered], f.Counts[record.StateUndelivered], f.Counts[record.StateInDoubt], f.OpenEntries(), f.Gaps, f.Rewritten, f.TornBytes)})
 	return ctx.Err()
 }
 
@@ -88,13 +88,13 @@
 	}
 	if err := store.Gaps(ctx, agent, func(g sqlstore.GapRow) error {
 		tell(Finding{g.Cause == "hole", "store", fmt.Sprintf("gap of %s/%s at %d: %d settled, %d declined, %d voided, "+
-			"%d unknown, %.0f to %.0f ms, %s", g.Agent, g.Incarnation, g.N, g.Served, g.Rejected, g.Failed, g.Unknown, g.From,
+			"%d unknown, %.0f to %.0f ms, %s", g.Instance, g.Incarnation, g.N, g.Served, g.Rejected, g.Failed, g.Unknown, g.From,
 			g.To, g.Cause)})
 		return nil
 	}); err != nil {
 		return err
 	}
-	return store.Count(ctx, sqlstore.Filter{Agent: agent}, func(agent, product, outcome, state string, n int64) error {
+	return store.Count(ctx, sqlstore.Filter{Instance: agent}, func(agent, product, outcome, state string, n int64) error {
 		tell(Finding{false, "store", fmt.Sprintf("%s %s %s %s: %d", agent, product, outcome, state, n)})
 		return nil
 	})
--- a/internal/record/recorder/recorder.go
+++ b/internal/record/recorder/recorder.go
@@ -22,22 +22,22 @@
 
 // Recorder keeps one agent's record.
 type Recorder struct {
-	table    Table
-	now      func() float64
-	products []string
-	spool    *spool.Spool
-	writer   *spool.Writer
-	digests  bool
+	table   Table
+	now     func() float64
+	classes []string
+	spool   *spool.Spool
+	writer  *spool.Writer
+	digests bool
 
 	mu        sync.Mutex
 	ledger    *record.Ledger
 	confirmed chan struct{} // closed and made anew with each confirmation or failure
-	bell      chan struct{}
+	wake      chan struct{}
 	health    record.Health
 	unsynced  uint64 // answers that went before they were durable
-	gone      uint64
+	canceled  uint64
 
-	ship *shipping
+	exporter *exporter
 }
 
 // New takes the spool and begins an incarnation; now is the agent's clock in ms.
@@ -52,25 +52,28 @@
 }
 
 func newOn(fs spool.FS, root string, t Table, agent string, products []string, now func() float64, seed uint64) (*Recorder,
-	error) {
-	k := &Recorder{table: t, now: now, products: products, confirmed: make(chan struct{}), bell: make(chan struct{}, 1)}
+	error,
+) {
+	k := &Recorder{table: t, now: now, classes: products, confirmed: make(chan struct{}), wake: make(chan struct{}, 1)}
 	var err error
 	if k.spool, err = spool.Open(fs, root, agent); err != nil {
 		return nil, fmt.Errorf("record: %w", err)
 	}
-	used := k.spool.Used()
+	used := k.spool.Bytes()
 	if k.writer, err = k.spool.Begin(); err != nil {
 		k.spool.Close()
 		return nil, fmt.Errorf("record: %w", err)
 	}
 	k.ledger = record.NewLedger(agent, k.writer.Incarnation, t.Mode == "spool" && t.Sync == "group", t.Group.Ms(),
-		int(t.GroupBytes), int64(t.Segment), int64(t.Budget), int(t.Room), t.Patience.Ms(), t.Stall.Ms(), t.full(), used)
-	if k.ship, err = newShipping(k, seed); err != nil {
+		int(t.GroupBytes), int64(t.Segment), int64(t.Budget), int(t.Room), t.Patience.Ms(), t.Stall.Ms(), t.fullPolicy(), used)
+	if k.exporter, err = newRecorderExporter(k, seed); err != nil {
 		k.spool.Close()
 		return nil, fmt.Errorf("record: %w", err)
 	}
-	logrus.WithFields(logrus.Fields{"incarnation": k.writer.Incarnation, "mode": t.Mode, "store": t.Store.Kind,
-		"spool_bytes": used, "earlier": len(k.spool.Incarnations()) - 1}).Info("record")
+	logrus.WithFields(logrus.Fields{
+		"incarnation": k.writer.Incarnation, "mode": t.Mode, "store": t.Store.Kind,
+		"spool_bytes": used, "earlier": len(k.spool.Incarnations()) - 1,
+	}).Info("record")
 	return k, nil
 }
 
@@ -84,24 +87,28 @@
 	return k.table.Reserve.Ms(), ""
 }
 
-var outcomes = map[core.ActionKind]record.Outcome{core.ActionServe: record.OutcomeServed, core.ActionReject: record.OutcomeRejected,
-	core.ActionFail: record.OutcomeFailed}
+var outcomes = map[core.ActionKind]record.Outcome{
+	core.ActionServe: record.OutcomeServed, core.ActionReject: record.OutcomeRejected,
+	core.ActionFail: record.OutcomeFailed,
+}
 
 // BeforeResponse holds an answer until its entry is durable, or until that is no longer to be expected in time.
 func (k *Recorder) BeforeResponse(e core.Completion, until float64) any {
 	product := ""
-	if e.Class >= 0 && e.Class < len(k.products) {
-		product = k.products[e.Class]
+	if e.Class >= 0 && e.Class < len(k.classes) {
+		product = k.classes[e.Class]
 	}
-	entry := record.Entry{RequestID: e.RequestID, Class: product, Outcome: outcomes[e.Kind], Reason: e.Reason, Release: int(e.Release),
+	entry := record.Entry{
+		RequestID: e.RequestID, Class: product, Outcome: outcomes[e.Kind], Reason: e.Reason, Release: int(e.Release),
 		Backend: e.Backend, Attempts: e.Attempts, ArrivedAt: e.ArrivedAt, AnsweredAt: e.Now,
-		BodyDigest: record.DigestOf(e.Body), KeyDigest: record.DigestOf([]byte(e.IdempotencyKey))}
+		BodyDigest: record.DigestOf(e.Body), KeyDigest: record.DigestOf([]byte(e.IdempotencyKey)),
+	}
 	k.mu.Lock()
 	n, ok := k.ledger.AddEntry(e.Now, entry)
 	patience := min(k.ledger.CommitDelay(e.Now), until-e.Now)
 	wait := k.confirmed
 	k.mu.Unlock()
-	k.ring()
+	k.wakeWriter()
 	if !ok {
 		return nil
 	}
@@ -152,19 +159,19 @@
 	k.mu.Lock()
 	k.ledger.AddCompletion(now, n, whole)
 	k.mu.Unlock()
-	k.ring()
+	k.wakeWriter()
 }
 
 // Closed counts a txn that ended without an answer.
 func (k *Recorder) Closed(float64) {
 	k.mu.Lock()
-	k.gone++
+	k.canceled++
 	k.mu.Unlock()
 }
 
-func (k *Recorder) ring() {
+func (k *Recorder) wakeWriter() {
 	select {
-	case k.bell <- struct{}{}:
+	case k.wake <- struct{}{}:
 	default:
 	}
 }
@@ -172,23 +179,23 @@
 // Run writes and ships until ctx ends, then writes what is left; no txn may follow.
 func (k *Recorder) Run(ctx context.Context) {
 	var all sync.WaitGroup
-	all.Go(func() { k.ship.run(ctx) })
+	all.Go(func() { k.exporter.run(ctx) })
 	k.write(ctx)
 	all.Wait()
-	if k.ship.store != nil {
+	if k.exporter.store != nil {
 		if k.table.Mode == "memory" { // what does not go now is lost
-			ctx, cancel := context.WithTimeout(context.Background(), lastWait)
-			k.ship.drain(ctx)
+			ctx, cancel := context.WithTimeout(context.Background(), shutdownWait)
+			k.exporter.drain(ctx)
 			cancel()
 		}
-		k.ship.store.Close()
+		k.exporter.store.Close()
 	}
 	k.writer.Close()
 	k.spool.Close()
 }
 
-// lastWait bounds the writing of what is left at the end.
-const lastWait = 500 * time.Millisecond
+// shutdownWait bounds the writing of what is left at the end.
+const shutdownWait = 500 * time.Millisecond
 
 func (k *Recorder) write(ctx context.Context) {
 	done := ctx.Done()
@@ -213,16 +220,16 @@
 			k.health = health
 			k.mu.Unlock()
 			if changed {
-				k.tell(health, err)
+				k.logHealth(health, err)
 			}
 			continue
 		}
-		if !last.IsZero() && (!pending || time.Since(last) > lastWait) {
+		if !last.IsZero() && (!pending || time.Since(last) > shutdownWait) {
 			return
 		}
 		timer := time.NewTimer(time.Duration(max(w.Wait, 0.2) * 1e6))
 		select {
-		case <-k.bell:
+		case <-k.wake:
 			if !timer.Stop() {
 				<-timer.C
 			}
@@ -239,7 +246,7 @@
 // linger lets notes gather that come one by one: they are written 2 ms after the first, or with the next entry.
 func (k *Recorder) linger() { time.Sleep(50 * time.Microsecond) }
 
-func (k *Recorder) tell(health record.Health, err error) {
+func (k *Recorder) logHealth(health record.Health, err error) {
 	line := logrus.WithFields(logrus.Fields{"spool": health.String(), "when_full": k.table.WhenFull}).WithError(err)
 	if health == record.HealthGood {
 		line.Info("record is written again")
@@ -251,21 +258,23 @@
 // Status is how the record stands.
 type Status struct {
 	record.Counts
-	Health           record.Health
-	Used             int64
-	Queued           int
-	Unsynced, Gone   uint64
-	Shipped, InDoubt uint64
-	Replies          [7]uint64
-	Oldest           float64 // ms since the oldest unshipped entry was answered; 0: none
+	Health             record.Health
+	Used               int64
+	Queued             int
+	Unsynced, Canceled uint64
+	Shipped, InDoubt   uint64
+	Results            [7]uint64
+	Oldest             float64 // ms since the oldest unshipped entry was answered; 0: none
 }
 
 // Status tells it.
 func (k *Recorder) Status() Status {
 	k.mu.Lock()
-	s := Status{Counts: k.ledger.Counts(), Health: k.ledger.Health(k.now()), Used: k.ledger.Used(),
-		Queued: k.ledger.Queued(), Unsynced: k.unsynced, Gone: k.gone}
+	s := Status{
+		Counts: k.ledger.Counts(), Health: k.ledger.Health(k.now()), Used: k.ledger.SpoolBytes(),
+		Queued: k.ledger.QueuedBytes(), Unsynced: k.unsynced, Canceled: k.canceled,
+	}
 	k.mu.Unlock()
-	k.ship.standing(&s)
+	k.exporter.addStatus(&s)
 	return s
 }
--- a/internal/record/recorder/recorder_test.go
+++ b/internal/record/recorder/recorder_test.go
@@ -278,20 +278,23 @@
 	if err := store.Migrate(ctx); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := store.Put(ctx, sqlstore.Batch{Agent: "n1", Incarnation: w.Incarnation, Place: "elsewhere"}); err != nil {
+	if _, err := store.Put(ctx, sqlstore.Batch{Instance: "n1", Incarnation: w.Incarnation, Place: "elsewhere"}); err != nil {
 		t.Fatal(err)
 	}
 	if err := Ship(ctx, table, "n1", func(uint64, uint64) {}); err == nil || !strings.Contains(err.Error(), "foreign") {
 		t.Errorf("shipped: %v", err)
 	}
-	if sp := spool.View(spool.Disk{}, table.Directory, "n1"); sp.Used() == 0 {
+	if sp := spool.View(spool.Disk{}, table.Directory, "n1"); sp.Bytes() == 0 {
 		t.Error("its files are gone")
 	}
 }
 
 func BenchmarkAnswer(b *testing.B) {
-	for _, c := range []struct{ name, mode, sync string }{{"memory", "memory", "none"}, {"spool", "spool", "none"},
-		{"spool and sync", "spool", "group"}} {
+	for _, c := range []struct{ name, mode, sync string }{
+		{"memory", "memory", "none"},
+		{"spool", "spool", "none"},
+		{"spool and sync", "spool", "group"},
+	} {
 		for _, txns := range []int{1, 64} {
 			b.Run(fmt.Sprintf("%s/%d at once", c.name, txns), func(b *testing.B) {
 				table := Default()
@@ -312,8 +315,10 @@
 					all.Go(func() {
 						for left.Add(-1) >= 0 {
 							now := k.now()
-							kept := k.BeforeResponse(core.Completion{RequestID: "0123456789abcdef", Kind: core.ActionServe, Reason: "answered",
-								Backend: "s-5be2a07c", Now: now, Body: body}, now+1e6)
+							kept := k.BeforeResponse(core.Completion{
+								RequestID: "0123456789abcdef", Kind: core.ActionServe, Reason: "answered",
+								Backend: "s-5be2a07c", Now: now, Body: body,
+							}, now+1e6)
 							k.AfterResponse(kept, k.now(), true)
 						}
 					})
--- a/internal/record/recorder/ship.go
+++ b/internal/record/recorder/ship.go
@@ -19,10 +19,10 @@
 	"onyxgate/internal/record/sqlstore"
 )
 
-// line is one incarnation on its way to the store.
-type line struct {
+// incarnationReader is one incarnation on its way to the store.
+type incarnationReader struct {
 	incarnation, place string
-	live               bool
+	running            bool
 	reader             *spool.Reader
 	rows               []record.Row // read and not stored, at most a batch and a chunk
 	through            uint64       // of what was read
@@ -31,16 +31,16 @@
 }
 
 // read fills rows up to a batch.
-func (l *line) read(batch int) error {
+func (l *incarnationReader) read(batch int) error {
 	for len(l.rows) < batch && !l.done {
 		rows, more, err := l.reader.Next()
 		if err != nil {
 			return err
 		}
 		l.rows = append(l.rows, rows...)
-		l.through = l.reader.Replay.Through()
+		l.through = l.reader.Replay.FinalThrough()
 		if !more {
-			l.done = !l.live
+			l.done = !l.running
 			return nil
 		}
 	}
@@ -48,41 +48,41 @@
 }
 
 // waiting tells that the store lacks something.
-func (l *line) waiting() bool { return !l.refused && (len(l.rows) > 0 || !l.live) }
+func (l *incarnationReader) waiting() bool { return !l.refused && (len(l.rows) > 0 || !l.running) }
 
-// shipping sends an agent's lines; k is nil where a command does it for agents that do not run.
-type shipping struct {
-	k       *Recorder
-	spool   *spool.Spool
-	agent   string
-	table   StoreTable
-	store   *sqlstore.Store
-	now     func() float64
-	freed   func(int64)
-	mu      sync.Mutex
-	pace    *record.ExportScheduler
-	live    *line
-	old     []*line
-	schema  bool
-	shipped uint64
-	doubt   uint64
-	oldest  float64
-	last    record.ExportResult
-	seen    map[string]int // defects of each line that were logged
+// exporter sends an agent's lines; k is nil where a command does it for agents that do not run.
+type exporter struct {
+	recorder      *Recorder
+	spool         *spool.Spool
+	instance      string
+	table         StoreTable
+	store         *sqlstore.Store
+	now           func() float64
+	onFreed       func(int64)
+	mu            sync.Mutex
+	scheduler     *record.ExportScheduler
+	running       *incarnationReader
+	earlier       []*incarnationReader
+	migrated      bool
+	exported      uint64
+	inDoubt       uint64
+	oldestWaiting float64
+	lastResult    record.ExportResult
+	loggedDefects map[string]int // defects of each line that were logged
 }
 
-func newShipping(k *Recorder, seed uint64) (*shipping, error) {
+func newRecorderExporter(k *Recorder, seed uint64) (*exporter, error) {
 	store, err := k.table.Store.Open()
 	if err != nil {
 		return nil, err
 	}
-	s := ships(k.spool, k.spool.Agent, k.table.Store, store, k.now, seed)
-	s.k = k
-	s.freed = func(bytes int64) {
+	s := newExporter(k.spool, k.spool.Instance, k.table.Store, store, k.now, seed)
+	s.recorder = k
+	s.onFreed = func(bytes int64) {
 		k.mu.Lock()
-		k.ledger.Freed(bytes)
+		k.ledger.ReleaseBytes(bytes)
 		k.mu.Unlock()
-		k.ring()
+		k.wakeWriter()
 	}
 	for _, name := range k.spool.Incarnations() {
 		s.add(name, name == k.writer.Incarnation)
@@ -90,28 +90,32 @@
 	return s, nil
 }
 
-func ships(sp *spool.Spool, agent string, t StoreTable, store *sqlstore.Store, now func() float64, seed uint64) *shipping {
-	return &shipping{spool: sp, agent: agent, table: t, store: store, now: now, freed: func(int64) {},
-		pace: record.NewExportScheduler(t.Batch, t.Every.Ms(), rand.New(rand.NewPCG(seed, 16))), seen: map[string]int{}}
+func newExporter(sp *spool.Spool, agent string, t StoreTable, store *sqlstore.Store, now func() float64, seed uint64) *exporter {
+	return &exporter{
+		spool: sp, instance: agent, table: t, store: store, now: now, onFreed: func(int64) {},
+		scheduler: record.NewExportScheduler(t.Batch, t.Every.Ms(), rand.New(rand.NewPCG(seed, 16))), loggedDefects: map[string]int{},
+	}
 }
 
-func (s *shipping) add(incarnation string, live bool) {
-	l := &line{incarnation: incarnation, place: s.spool.Place(incarnation), live: live,
-		reader: s.spool.Read(incarnation, !live)}
+func (s *exporter) add(incarnation string, live bool) {
+	l := &incarnationReader{
+		incarnation: incarnation, place: s.spool.Place(incarnation), running: live,
+		reader: s.spool.Read(incarnation, !live),
+	}
 	if live {
-		s.live = l
+		s.running = l
 	} else {
-		s.old = append(s.old, l)
+		s.earlier = append(s.earlier, l)
 	}
 }
 
 const (
-	lookAgain  = 50 * time.Millisecond
+	idlePause  = 50 * time.Millisecond
 	pruneEvery = 500 * time.Millisecond
 	checkEvery = 2 * time.Second
 )
 
-func (s *shipping) run(ctx context.Context) {
+func (s *exporter) run(ctx context.Context) {
 	if s.store == nil {
 		return
 	}
@@ -136,7 +140,7 @@
 }
 
 // drain sends what it can before ctx ends.
-func (s *shipping) drain(ctx context.Context) {
+func (s *exporter) drain(ctx context.Context) {
 	for left := true; left && ctx.Err() == nil; {
 		var wait time.Duration
 		if _, wait, left = s.step(ctx); left {
@@ -146,24 +150,24 @@
 }
 
 // step sends one batch, if it is time to; left tells that something still waits.
-func (s *shipping) step(ctx context.Context) (sent int64, wait time.Duration, left bool) {
+func (s *exporter) step(ctx context.Context) (sent int64, wait time.Duration, left bool) {
 	s.mu.Lock()
 	l := s.pick()
 	if l == nil {
 		s.mu.Unlock()
-		return 0, lookAgain, false
+		return 0, idlePause, false
 	}
 	waiting := len(l.rows)
 	if l.done && waiting == 0 { // its end is still to be told
 		waiting = 1
 	}
-	n, ms := s.pace.Next(s.now(), waiting)
+	n, ms := s.scheduler.Next(s.now(), waiting)
 	if n == 0 {
 		s.mu.Unlock()
-		return 0, max(min(time.Duration(ms*1e6), lookAgain), time.Millisecond), true
+		return 0, max(min(time.Duration(ms*1e6), idlePause), time.Millisecond), true
 	}
 	n = min(n, len(l.rows))
-	b := sqlstore.Batch{Agent: s.agent, Incarnation: l.incarnation, Place: l.place, Rows: l.rows[:n:n]}
+	b := sqlstore.Batch{Instance: s.instance, Incarnation: l.incarnation, Place: l.place, Rows: l.rows[:n:n]}
 	if n == len(l.rows) {
 		b.Through, b.Closed = l.through, l.done
 	}
@@ -172,39 +176,39 @@
 	err := s.put(ctx, b, &sent)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	reply := s.store.Reply(err)
+	reply := s.store.Classify(err)
 	if err != nil && ctx.Err() != nil {
-		return 0, lookAgain, true
+		return 0, idlePause, true
 	}
-	s.pace.Result(s.now(), reply)
+	s.scheduler.Result(s.now(), reply)
 	if reply != record.ExportStored {
-		s.failed(err, reply, l)
+		s.logFailure(err, reply, l)
 		return 0, time.Millisecond, true
 	}
-	if s.last != record.ExportStored {
+	if s.lastResult != record.ExportStored {
 		logrus.WithField("store", s.table.Kind).Info("record is shipped again")
-		s.last = record.ExportStored
+		s.lastResult = record.ExportStored
 	}
 	for _, r := range b.Rows {
-		if s.shipped++; r.State == record.StateInDoubt {
-			s.doubt++
+		if s.exported++; r.State == record.StateInDoubt {
+			s.inDoubt++
 		}
 	}
 	l.rows = append(l.rows[:0:0], l.rows[n:]...)
 	if b.Closed {
-		s.end(l)
+		s.finish(l)
 	}
 	return sent, time.Millisecond, true
 }
 
-func (s *shipping) put(ctx context.Context, b sqlstore.Batch, sent *int64) error {
+func (s *exporter) put(ctx context.Context, b sqlstore.Batch, sent *int64) error {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(s.table.Timeout))
 	defer cancel()
-	if !s.schema {
+	if !s.migrated {
 		if err := s.store.Migrate(ctx); err != nil {
 			return err
 		}
-		s.schema = true
+		s.migrated = true
 	}
 	n, err := s.store.Put(ctx, b)
 	*sent = int64(n)
@@ -212,75 +216,77 @@
 }
 
 // pick is the line whose turn it is, with rows read.
-func (s *shipping) pick() *line {
+func (s *exporter) pick() *incarnationReader {
 	live := false
-	if s.live != nil {
-		if err := s.live.read(s.table.Batch); err != nil { // it may be there the next time
-			s.failed(err, record.ExportUnreachable, nil)
+	if s.running != nil {
+		if err := s.running.read(s.table.Batch); err != nil { // it may be there the next time
+			s.logFailure(err, record.ExportUnreachable, nil)
 		}
-		s.defects(s.live)
-		live = s.live.waiting()
-		if s.oldest = 0; live && s.live.rows[0].Gap == nil {
-			s.oldest = s.live.rows[0].Entry.AnsweredAt
+		s.logDefects(s.running)
+		live = s.running.waiting()
+		if s.oldestWaiting = 0; live && s.running.rows[0].Gap == nil {
+			s.oldestWaiting = s.running.rows[0].Entry.AnsweredAt
 		}
 	}
-	for len(s.old) > 0 {
-		l := s.old[0]
+	for len(s.earlier) > 0 {
+		l := s.earlier[0]
 		if !l.refused {
-			if live && s.pace.Live(true, true) {
-				return s.live
+			if live && s.scheduler.TakesRunning(true, true) {
+				return s.running
 			}
 			err := l.read(s.table.Batch)
-			if s.defects(l); err == nil {
+			if s.logDefects(l); err == nil {
 				return l
 			}
 			logrus.WithField("incarnation", l.incarnation).WithError(err).Error("an earlier incarnation can't be read, " +
 				"its files stay: 'onyxgate record verify' shows what is wrong")
 		}
 		l.reader.Close()
-		s.old = s.old[1:]
+		s.earlier = s.earlier[1:]
 	}
 	if live {
-		return s.live
+		return s.running
 	}
 	return nil
 }
 
-// failed tells of a failure once, until another kind comes.
-func (s *shipping) failed(err error, reply record.ExportResult, l *line) {
+// logFailure tells of a failure once, until another kind comes.
+func (s *exporter) logFailure(err error, reply record.ExportResult, l *incarnationReader) {
 	if reply == record.ExportForeign && l != nil {
 		l.refused = true
 	}
-	if reply != s.last {
+	if reply != s.lastResult {
 		logrus.WithFields(logrus.Fields{"store": s.table.Kind, "reply": reply.String()}).WithError(err).
 			Warn("record can't be shipped")
-		s.last = reply
+		s.lastResult = reply
 	}
 }
 
-func (s *shipping) defects(l *line) {
+func (s *exporter) logDefects(l *incarnationReader) {
 	all := l.reader.Replay.Defects
-	for _, d := range all[min(s.seen[l.incarnation], len(all)):] {
+	for _, d := range all[min(s.loggedDefects[l.incarnation], len(all)):] {
 		logrus.WithFields(logrus.Fields{"incarnation": l.incarnation, "defect": d.String()}).Error("record is damaged")
 	}
-	s.seen[l.incarnation] = len(all)
+	s.loggedDefects[l.incarnation] = len(all)
 }
 
-// end removes an incarnation that is stored whole. One with defects stays for whoever looks into it, and is not read again
+// finish removes an incarnation that is stored whole. One with defects stays for whoever looks into it, and is not read again
 // until the next start.
-func (s *shipping) end(l *line) {
+func (s *exporter) finish(l *incarnationReader) {
 	l.reader.Close()
-	s.old = s.old[1:]
+	s.earlier = s.earlier[1:]
 	f := l.reader.Replay
-	entry := logrus.WithFields(logrus.Fields{"incarnation": l.incarnation, "given": f.Counts[record.StateAnswered],
-		"unheard": f.Counts[record.StateUndelivered], "in_doubt": f.Counts[record.StateInDoubt], "torn_bytes": f.Torn,
-		"defects": len(f.Defects)})
+	entry := logrus.WithFields(logrus.Fields{
+		"incarnation": l.incarnation, "given": f.Counts[record.StateAnswered],
+		"unheard": f.Counts[record.StateUndelivered], "in_doubt": f.Counts[record.StateInDoubt], "torn_bytes": f.TornBytes,
+		"defects": len(f.Defects),
+	})
 	if len(f.Defects) > 0 {
 		entry.Warn("an earlier incarnation is stored, its files stay: 'onyxgate record verify' shows what is wrong")
 		return
 	}
 	freed, err := s.spool.Drop(l.incarnation)
-	s.freed(freed)
+	s.onFreed(freed)
 	if err != nil { // it is shipped again at the next start, and dropped then
 		entry = entry.WithError(err)
 	}
@@ -288,36 +294,36 @@
 }
 
 // prune removes the segments in which everything is stored.
-func (s *shipping) prune() {
+func (s *exporter) prune() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	lines := s.old[:min(len(s.old), 1)]
-	if s.live != nil {
-		lines = append(lines[:len(lines):len(lines)], s.live)
+	lines := s.earlier[:min(len(s.earlier), 1)]
+	if s.running != nil {
+		lines = append(lines[:len(lines):len(lines)], s.running)
 	}
 	for _, l := range lines {
 		through, last := l.through, ^uint64(0)
 		for _, r := range l.rows { // read, and not stored yet
-			through = min(through, r.N()-1)
+			through = min(through, r.Ordinal()-1)
 		}
-		if l.live {
-			s.k.mu.Lock()
-			last = s.k.ledger.Segment()
-			s.k.mu.Unlock()
+		if l.running {
+			s.recorder.mu.Lock()
+			last = s.recorder.ledger.Segment()
+			s.recorder.mu.Unlock()
 		}
 		freed, err := s.spool.Prune(l.incarnation, min(last, l.reader.Segment()), through)
 		if err != nil {
 			logrus.WithError(err).Warn("record can't be pruned")
 		}
 		if freed > 0 {
-			s.freed(freed)
+			s.onFreed(freed)
 		}
 	}
 }
 
-func (s *shipping) checkpoint(ctx context.Context) {
+func (s *exporter) checkpoint(ctx context.Context) {
 	s.mu.Lock()
-	ready := s.schema && !s.pace.CircuitOpen()
+	ready := s.migrated && !s.scheduler.CircuitOpen()
 	s.mu.Unlock()
 	if !ready {
 		return
@@ -329,12 +335,12 @@
 	}
 }
 
-func (s *shipping) standing(to *Status) {
+func (s *exporter) addStatus(to *Status) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	to.Shipped, to.InDoubt, to.Replies = s.shipped, s.doubt, s.pace.Replies
-	if s.oldest > 0 {
-		to.Oldest = max(s.now()-s.oldest, 0)
+	to.Shipped, to.InDoubt, to.Results = s.exported, s.inDoubt, s.scheduler.Results
+	if s.oldestWaiting > 0 {
+		to.Oldest = max(s.now()-s.oldestWaiting, 0)
 	}
 }
 
@@ -354,15 +360,15 @@
 	}
 	defer store.Close()
 	from := time.Now()
-	s := ships(sp, agent, t.Store, store, func() float64 { return float64(time.Since(from))/1e6 + 1 }, uint64(from.UnixNano()))
+	s := newExporter(sp, agent, t.Store, store, func() float64 { return float64(time.Since(from))/1e6 + 1 }, uint64(from.UnixNano()))
 	for _, name := range sp.Incarnations() {
 		s.add(name, false)
 	}
-	for ctx.Err() == nil && len(s.old) > 0 {
+	for ctx.Err() == nil && len(s.earlier) > 0 {
 		_, wait, _ := s.step(ctx)
-		progress(s.shipped, s.doubt)
-		if s.last == record.ExportDenied || s.last == record.ExportForeign {
-			return fmt.Errorf("the store refuses: %v", s.last)
+		progress(s.exported, s.inDoubt)
+		if s.lastResult == record.ExportDenied || s.lastResult == record.ExportForeign {
+			return fmt.Errorf("the store refuses: %v", s.lastResult)
 		}
 		time.Sleep(wait)
 	}
--- a/internal/record/recorder/stored_test.go
+++ b/internal/record/recorder/stored_test.go
@@ -138,7 +138,7 @@
 			}
 			entry := row.Entry
 			rows = append(rows, sqlstore.Row{
-				Agent: agent, Incarnation: incarnation, N: entry.N, State: row.State.String(), RequestID: entry.RequestID,
+				Instance: agent, Incarnation: incarnation, N: entry.N, State: row.State.String(), RequestID: entry.RequestID,
 				Class: entry.Class, Outcome: entry.Outcome.String(), Reason: entry.Reason, Release: entry.Release,
 				Backend: entry.Backend, Attempts: entry.Attempts, ArrivedAt: entry.ArrivedAt, AnsweredAt: entry.AnsweredAt,
 			})
@@ -244,7 +244,7 @@
 
 func storedRows(t *testing.T, store *sqlstore.Store, agent string) (rows []sqlstore.Row) {
 	t.Helper()
-	if err := store.Select(t.Context(), sqlstore.Filter{Agent: agent}, func(r sqlstore.Row) error {
+	if err := store.Select(t.Context(), sqlstore.Filter{Instance: agent}, func(r sqlstore.Row) error {
 		rows = append(rows, r)
 		return nil
 	}); err != nil {
--- a/internal/record/recorder/table.go
+++ b/internal/record/recorder/table.go
@@ -50,11 +50,15 @@
 
 // Default is what holds where nothing is said.
 func Default() Table {
-	return Table{Mode: "off", Sync: "group", Group: 0, GroupBytes: 256 << 10, Segment: 4 << 20,
+	return Table{
+		Mode: "off", Sync: "group", Group: 0, GroupBytes: 256 << 10, Segment: 4 << 20,
 		Budget: 256 << 20, Room: 2 << 20, Patience: units.Span(250 * time.Millisecond),
 		Reserve: units.Span(40 * time.Millisecond), Stall: units.Span(200 * time.Millisecond), WhenFull: "keep-serving",
-		Store: StoreTable{Kind: "none", TLS: "verify-full", Batch: 500, Every: units.Span(200 * time.Millisecond),
-			Timeout: units.Span(5 * time.Second), Bytes: 4 << 20}}
+		Store: StoreTable{
+			Kind: "none", TLS: "verify-full", Batch: 500, Every: units.Span(200 * time.Millisecond),
+			Timeout: units.Span(5 * time.Second), Bytes: 4 << 20,
+		},
+	}
 }
 
 // On tells whether anything is recorded.
@@ -139,7 +143,7 @@
 	return nil, nil
 }
 
-func (t Table) full() record.FullPolicy {
+func (t Table) fullPolicy() record.FullPolicy {
 	if t.WhenFull == "decline" {
 		return record.RejectRequests
 	}
--- a/internal/record/replay_test.go
+++ b/internal/record/replay_test.go
@@ -72,18 +72,20 @@
 
 func TestFoldRefuses(t *testing.T) {
 	f := NewReplay()
-	if f.Frame(Frame{N: 3, Payload: []byte{0}}); len(f.Defects) == 0 {
+	if f.Apply(Frame{N: 3, Payload: []byte{0}}); len(f.Defects) == 0 {
 		t.Error("a frame before any head passes")
 	}
 	for _, c := range []struct {
 		second SegmentHeader
 		want   string
-	}{{SegmentHeader{Agent: "n", Incarnation: "j", Segment: 2, From: 1}, "two incarnations"},
-		{SegmentHeader{Agent: "m", Incarnation: "i", Segment: 2, From: 1}, "two incarnations"},
-		{SegmentHeader{Agent: "n", Incarnation: "i", Segment: 1, From: 1}, "comes after"}} {
+	}{
+		{SegmentHeader{Instance: "n", Incarnation: "j", Segment: 2, From: 1}, "two incarnations"},
+		{SegmentHeader{Instance: "m", Incarnation: "i", Segment: 2, From: 1}, "two incarnations"},
+		{SegmentHeader{Instance: "n", Incarnation: "i", Segment: 1, From: 1}, "comes after"},
+	} {
 		f := NewReplay()
-		f.Head(SegmentHeader{Agent: "n", Incarnation: "i", Segment: 1, From: 1})
-		if err := f.Head(c.second); err == nil || !strings.Contains(err.Error(), c.want) {
+		f.StartSegment(SegmentHeader{Instance: "n", Incarnation: "i", Segment: 1, From: 1})
+		if err := f.StartSegment(c.second); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%+v: %v", c.second, err)
 		}
 	}
@@ -107,14 +109,14 @@
 			for len(s) > 0 {
 				x, size, _ := ParseFrame(s)
 				if s = s[size:]; x.N > 0 {
-					f.Frame(x)
+					f.Apply(x)
 				} else {
-					f.Head(SegmentHeader{Agent: "n", Incarnation: "i", Segment: 1, From: 1})
+					f.StartSegment(SegmentHeader{Instance: "n", Incarnation: "i", Segment: 1, From: 1})
 				}
 			}
 		}
-		if f.Through() != c.through {
-			t.Errorf("after the end of %d: through %d, want %d", c.done, f.Through(), c.through)
+		if f.FinalThrough() != c.through {
+			t.Errorf("after the end of %d: through %d, want %d", c.done, f.FinalThrough(), c.through)
 		}
 	}
 }
@@ -148,7 +150,7 @@
 	f.Add([]byte{0x0f, 'o', 'x', 0xf1, 1, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		fold := NewReplay()
-		fold.Head(SegmentHeader{Agent: "n", Incarnation: "i", Segment: 1, From: 1})
+		fold.StartSegment(SegmentHeader{Instance: "n", Incarnation: "i", Segment: 1, From: 1})
 		for len(b) > 0 {
 			x, size, err := ParseFrame(b)
 			if err != nil {
@@ -158,13 +160,13 @@
 			if size <= FrameOverhead || size > len(b) {
 				t.Fatalf("a frame of %d bytes in %d", size, len(b))
 			}
-			fold.Frame(x)
-			if fold.Through() > fold.Read() {
-				t.Fatalf("through %d of %d", fold.Through(), fold.Read())
+			fold.Apply(x)
+			if fold.FinalThrough() > fold.LastRead() {
+				t.Fatalf("through %d of %d", fold.FinalThrough(), fold.LastRead())
 			}
 			b = b[size:]
 		}
-		fold.End()
+		fold.Finish()
 	})
 }
 
@@ -214,11 +216,11 @@
 	}
 	live := 0
 	for range 400 {
-		if s.Live(true, true) {
+		if s.TakesRunning(true, true) {
 			live++
 		}
 	}
-	if live != 300 || !s.Live(true, false) || s.Live(false, true) {
+	if live != 300 || !s.TakesRunning(true, false) || s.TakesRunning(false, true) {
 		t.Errorf("%d of 400 turns are the running one's", live)
 	}
 }
--- a/internal/record/ship.go
+++ b/internal/record/ship.go
@@ -26,86 +26,88 @@
 }
 
 // what a reply means: the first pause (ms), and whether the next batch is to be smaller.
-var meanings = [...]struct {
+var resultPauses = [...]struct {
 	pause float64
 	less  bool
-}{ExportStored: {}, ExportUnknown: {100, true}, ExportConflict: {5, true}, ExportBusy: {100, true}, ExportUnreachable: {100, false}, ExportDenied: {5000, false},
-	ExportForeign: {60000, false}}
+}{
+	ExportStored: {}, ExportUnknown: {100, true}, ExportConflict: {5, true}, ExportBusy: {100, true}, ExportUnreachable: {100, false}, ExportDenied: {5000, false},
+	ExportForeign: {60000, false},
+}
 
 const (
-	pauseMost = 5000.0 // ms
-	// breakAfter failures in a row the store counts as away: one row at a time asks whether it is back, so that a store that
+	maxPause = 5000.0 // ms
+	// circuitOpensAfter failures in a row the store counts as away: one row at a time asks whether it is back, so that a store that
 	// comes up under a backlog is not pushed down again.
-	breakAfter = 4
-	// liveTurns of a full round are the running incarnation's, so that what is caught up with never keeps it waiting.
-	liveTurns, allTurns = 3, 4
+	circuitOpensAfter = 4
+	// runningTurns of a full round are the running incarnation's, so that what is caught up with never keeps it waiting.
+	runningTurns, turnsPerRound = 3, 4
 )
 
 // ExportScheduler paces one agent's batches to the store.
 type ExportScheduler struct {
-	most     int
-	every    float64
-	chance   *rand.Rand
-	size     int
-	failures int
-	again    float64
-	firstAt  float64 // when the oldest row that waits was seen; 0: none waits
-	turn     int
-	Replies  [len(ExportResultNames)]uint64
+	maxRows      int
+	maxWait      float64
+	random       *rand.Rand
+	batchRows    int
+	failures     int
+	retryAt      float64
+	waitingSince float64 // when the oldest row that waits was seen; 0: none waits
+	turn         int
+	Results      [len(ExportResultNames)]uint64
 }
 
 // NewExportScheduler makes one for batches of at most `most` rows, at least every `every` ms where rows wait.
 func NewExportScheduler(most int, every float64, chance *rand.Rand) *ExportScheduler {
-	return &ExportScheduler{most: most, every: every, chance: chance, size: min(most, 64)}
+	return &ExportScheduler{maxRows: most, maxWait: every, random: chance, batchRows: min(most, 64)}
 }
 
 // Next says how many rows may go now, 0: none before wait (ms) is over. waiting is how many are ready.
 func (s *ExportScheduler) Next(now float64, waiting int) (rows int, wait float64) {
 	if waiting == 0 {
-		s.firstAt = 0
-		return 0, s.every
+		s.waitingSince = 0
+		return 0, s.maxWait
 	}
-	if s.firstAt == 0 {
-		s.firstAt = max(now, 1)
+	if s.waitingSince == 0 {
+		s.waitingSince = max(now, 1)
 	}
-	rows = s.size
+	rows = s.batchRows
 	if s.CircuitOpen() {
 		rows = 1
 	}
 	switch {
-	case now < s.again:
-		return 0, s.again - now
-	case waiting < rows && now-s.firstAt < s.every: // more may come
-		return 0, s.every - (now - s.firstAt)
+	case now < s.retryAt:
+		return 0, s.retryAt - now
+	case waiting < rows && now-s.waitingSince < s.maxWait: // more may come
+		return 0, s.maxWait - (now - s.waitingSince)
 	}
 	return min(rows, waiting), 0
 }
 
 // Result tells how a batch ended.
 func (s *ExportScheduler) Result(now float64, r ExportResult) {
-	s.Replies[r]++
+	s.Results[r]++
 	if r == ExportStored {
-		s.failures, s.again, s.firstAt = 0, 0, 0
-		s.size = min(s.size*2, s.most)
+		s.failures, s.retryAt, s.waitingSince = 0, 0, 0
+		s.batchRows = min(s.batchRows*2, s.maxRows)
 		return
 	}
-	m := meanings[r]
+	m := resultPauses[r]
 	if m.less {
-		s.size = max(s.size/2, 1)
+		s.batchRows = max(s.batchRows/2, 1)
 	}
-	pause := max(min(m.pause*float64(uint64(1)<<min(s.failures, 10)), pauseMost), m.pause)
-	s.again = now + pause*(0.5+s.chance.Float64())
+	pause := max(min(m.pause*float64(uint64(1)<<min(s.failures, 10)), maxPause), m.pause)
+	s.retryAt = now + pause*(0.5+s.random.Float64())
 	s.failures++
 }
 
 // CircuitOpen tells that the store counts as away.
-func (s *ExportScheduler) CircuitOpen() bool { return s.failures >= breakAfter }
+func (s *ExportScheduler) CircuitOpen() bool { return s.failures >= circuitOpensAfter }
 
-// Live tells whether it is the running incarnation's turn, or that of what is left of earlier ones.
-func (s *ExportScheduler) Live(live, old bool) bool {
+// TakesRunning tells whether it is the running incarnation's turn, or that of what is left of earlier ones.
+func (s *ExportScheduler) TakesRunning(live, old bool) bool {
 	if live && old {
-		s.turn = (s.turn + 1) % allTurns
-		return s.turn < liveTurns
+		s.turn = (s.turn + 1) % turnsPerRound
+		return s.turn < runningTurns
 	}
 	return live
 }
--- a/internal/record/spool/bench_test.go
+++ b/internal/record/spool/bench_test.go
@@ -24,9 +24,11 @@
 			}
 			l := record.NewLedger("n1", w.Incarnation, false, 0, 256<<10, 4<<20, 1<<40, 8<<20, 100, 50, record.KeepServing, 0)
 			for i := range n {
-				o, _ := l.AddEntry(float64(i), record.Entry{RequestID: fmt.Sprintf("%016x", i), Class: "page-preview",
+				o, _ := l.AddEntry(float64(i), record.Entry{
+					RequestID: fmt.Sprintf("%016x", i), Class: "page-preview",
 					Outcome: record.OutcomeServed, Reason: "answered", Release: 41, Backend: "s-5be2a07c", Attempts: 1,
-					ArrivedAt: 1.7e12 + float64(i), AnsweredAt: 1.7e12 + float64(i), BodyDigest: record.Digest{1}})
+					ArrivedAt: 1.7e12 + float64(i), AnsweredAt: 1.7e12 + float64(i), BodyDigest: record.Digest{1},
+				})
 				l.AddCompletion(float64(i), o, true)
 				if i%500 == 499 {
 					for x := l.NextIO(float64(i)); !x.Idle(); x = l.NextIO(float64(i)) {
@@ -48,7 +50,7 @@
 						b.Fatal(err)
 					}
 					rows += len(got)
-					most = max(most, r.Replay.OpenNow())
+					most = max(most, r.Replay.OpenEntries())
 					if k%64 == 0 {
 						var m runtime.MemStats
 						runtime.ReadMemStats(&m)
@@ -59,7 +61,7 @@
 					b.Fatal(rows, r.Replay.Defects)
 				}
 			}
-			b.ReportMetric(float64(s.Used())/float64(n), "bytes/entry")
+			b.ReportMetric(float64(s.Bytes())/float64(n), "bytes/entry")
 			b.ReportMetric(float64(peak)/(1<<20), "peak-MiB")
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(n), "ns/entry")
 		})
--- a/internal/record/spool/reader.go
+++ b/internal/record/spool/reader.go
@@ -14,24 +14,24 @@
 )
 
 const (
-	chunk = 256 << 10
-	first = 0x0f // byte of a frame
+	readChunk      = 256 << 10
+	frameFirstByte = 0x0f // byte of a frame
 )
 
 // Reader reads one incarnation.
 type Reader struct {
-	Replay   *record.Replay
-	fs       FS
-	dir      string
-	closed   bool // nobody writes it any more
-	file     ReadFile
-	segment  uint64
-	at       int64 // in the file, of buf's beginning
-	buf      []byte
-	limit    uint64 // first ordinal of the next segment, where there is one: from there on it is written anew
-	skipped  int64
-	skipFrom int64
-	ended    bool
+	Replay        *record.Replay
+	fs            FS
+	dir           string
+	closed        bool // nobody writes it any more
+	file          ReadFile
+	segment       uint64
+	offset        int64 // in the file, of buf's beginning
+	buffer        []byte
+	rewrittenFrom uint64 // first ordinal of the next segment, where there is one: from there on it is written anew
+	corruptBytes  int64
+	corruptFrom   int64
+	finished      bool
 }
 
 // Read starts reading an incarnation; closed tells that it will never be written again.
@@ -53,25 +53,25 @@
 // Next reads on and returns what became final; more is false where nothing is left to read now. Of a closed incarnation
 // the last rows are those in doubt.
 func (r *Reader) Next() (rows []record.Row, more bool, err error) {
-	if r.ended {
+	if r.finished {
 		return nil, false, nil
 	}
 	if r.file == nil {
-		if ok, err := r.open(); err != nil || !ok {
+		if ok, err := r.openNextSegment(); err != nil || !ok {
 			return nil, false, err
 		}
 	}
-	old := len(r.buf)
-	r.buf = append(r.buf, make([]byte, chunk)...)
-	n, err := r.file.ReadAt(r.buf[old:], r.at+int64(old))
-	r.buf = r.buf[:old+n]
+	old := len(r.buffer)
+	r.buffer = append(r.buffer, make([]byte, readChunk)...)
+	n, err := r.file.ReadAt(r.buffer[old:], r.offset+int64(old))
+	r.buffer = r.buffer[:old+n]
 	end := errors.Is(err, io.EOF)
 	if err != nil && !end {
 		return nil, false, fmt.Errorf("%s segment %d: %w", r.dir, r.segment, err)
 	}
 	last := false
 	if end { // only the end of the last segment may be torn; looked up after reading, for the writer may turn meanwhile
-		last = !r.bound()
+		last = !r.lookAhead()
 		if !last && n > 0 { // what was written before the turn has not all been read, perhaps
 			end = false
 		}
@@ -83,10 +83,10 @@
 	if last && !r.closed {
 		return rows, false, nil
 	}
-	r.leave(last)
+	r.closeSegment(last)
 	if last {
-		r.ended = true
-		return append(rows, r.Replay.End()...), false, nil
+		r.finished = true
+		return append(rows, r.Replay.Finish()...), false, nil
 	}
 	return rows, true, nil
 }
@@ -95,75 +95,75 @@
 func (r *Reader) parse(end, last bool) (rows []record.Row, err error) {
 	final := end && (!last || r.closed)
 	used := 0
-	for used < len(r.buf) {
-		f, size, err := record.ParseFrame(r.buf[used:])
+	for used < len(r.buffer) {
+		f, size, err := record.ParseFrame(r.buffer[used:])
 		if errors.Is(err, record.ErrShortFrame) && !final {
 			break
 		}
 		if err != nil { // look for the next
-			if r.skipped == 0 {
-				r.skipFrom = r.at + int64(used)
+			if r.corruptBytes == 0 {
+				r.corruptFrom = r.offset + int64(used)
 			}
-			step := bytes.IndexByte(r.buf[used+1:], first)
+			step := bytes.IndexByte(r.buffer[used+1:], frameFirstByte)
 			if step < 0 {
-				step = len(r.buf) - used - 1
+				step = len(r.buffer) - used - 1
 			}
-			r.skipped += int64(step + 1)
+			r.corruptBytes += int64(step + 1)
 			used += step + 1
 			continue
 		}
-		if r.skipped > 0 {
-			r.Replay.Spoilt(r.skipFrom, r.skipped)
-			r.skipped = 0
+		if r.corruptBytes > 0 {
+			r.Replay.AddCorruptBytes(r.corruptFrom, r.corruptBytes)
+			r.corruptBytes = 0
 		}
 		if record.Kind(f.Payload[0]) == record.KindHeader {
-			err = r.head(f)
-		} else if r.limit == 0 || f.N < r.limit {
-			rows = append(rows, r.Replay.Frame(f)...)
+			err = r.startSegment(f)
+		} else if r.rewrittenFrom == 0 || f.N < r.rewrittenFrom {
+			rows = append(rows, r.Replay.Apply(f)...)
 		}
 		if err != nil {
 			return rows, err
 		}
 		used += size
 	}
-	r.at += int64(used)
-	r.buf = append(r.buf[:0], r.buf[used:]...)
+	r.offset += int64(used)
+	r.buffer = append(r.buffer[:0], r.buffer[used:]...)
 	return rows, nil
 }
 
-func (r *Reader) head(f record.Frame) error {
+func (r *Reader) startSegment(f record.Frame) error {
 	v, err := record.Decode(f.Payload)
 	if err != nil {
 		return fmt.Errorf("%s segment %d: its head: %w", r.dir, r.segment, err)
 	}
-	return r.Replay.Head(*v.(*record.SegmentHeader))
+	return r.Replay.StartSegment(*v.(*record.SegmentHeader))
 }
 
-func (r *Reader) leave(last bool) {
-	if r.skipped > 0 && last {
-		r.Replay.Tail(r.skipped)
-	} else if r.skipped > 0 && (r.limit == 0 || r.Replay.Read()+1 < r.limit) {
-		r.Replay.Spoilt(r.skipFrom, r.skipped)
+func (r *Reader) closeSegment(last bool) {
+	if r.corruptBytes > 0 && last {
+		r.Replay.AddTornTail(r.corruptBytes)
+	} else if r.corruptBytes > 0 && (r.rewrittenFrom == 0 || r.Replay.LastRead()+1 < r.rewrittenFrom) {
+		r.Replay.AddCorruptBytes(r.corruptFrom, r.corruptBytes)
 	}
 	r.Close()
-	r.buf, r.at, r.skipped, r.limit = r.buf[:0], 0, 0, 0
+	r.buffer, r.offset, r.corruptBytes, r.rewrittenFrom = r.buffer[:0], 0, 0, 0
 }
 
-// bound notes where the next segment begins and tells whether there is one.
-func (r *Reader) bound() bool {
-	next, ok := r.after()
-	if ok && r.limit == 0 {
-		head, err := readHead(r.fs, join(r.dir, segmentName(next)))
+// lookAhead notes where the next segment begins and tells whether there is one.
+func (r *Reader) lookAhead() bool {
+	next, ok := r.nextSegment()
+	if ok && r.rewrittenFrom == 0 {
+		head, err := readHeader(r.fs, join(r.dir, segmentName(next)))
 		if err == nil {
-			r.limit = head.From
+			r.rewrittenFrom = head.From
 		}
 		return err == nil || r.closed // else it was made and its head is on the way
 	}
 	return ok
 }
 
-// after is the segment behind the present one.
-func (r *Reader) after() (uint64, bool) {
+// nextSegment is the segment behind the present one.
+func (r *Reader) nextSegment() (uint64, bool) {
 	numbers, _ := segments(r.fs, r.dir)
 	for _, n := range numbers {
 		if n > r.segment {
@@ -173,10 +173,10 @@
 	return 0, false
 }
 
-func (r *Reader) open() (bool, error) {
-	n, ok := r.after()
+func (r *Reader) openNextSegment() (bool, error) {
+	n, ok := r.nextSegment()
 	if !ok {
-		r.ended = r.closed
+		r.finished = r.closed
 		return false, nil
 	}
 	file, err := r.fs.Open(join(r.dir, segmentName(n)))
@@ -187,11 +187,11 @@
 		return false, err
 	}
 	r.file, r.segment = file, n
-	r.bound()
+	r.lookAhead()
 	return true, nil
 }
 
-func readHead(fs FS, name string) (h record.SegmentHeader, err error) {
+func readHeader(fs FS, name string) (h record.SegmentHeader, err error) {
 	f, err := fs.Open(name)
 	if err != nil {
 		return h, err
--- a/internal/record/spool/spool.go
+++ b/internal/record/spool/spool.go
@@ -21,29 +21,29 @@
 var ErrCopied = errors.New("copied from elsewhere")
 
 const (
-	suffix    = ".seg"
-	ownerName = "owner.json"
-	lockName  = "lock"
+	segmentSuffix = ".seg"
+	ownerName     = "owner.json"
+	lockName      = "lock"
 )
 
 // owner says whose an incarnation's directory is and where it was made.
 type owner struct {
-	Agent       string `json:"agent"`
+	Instance    string `json:"agent"`
 	Incarnation string `json:"incarnation"`
 	Place       string `json:"place"`
 }
 
 // Spool is one agent's directory under a root.
 type Spool struct {
-	fs    FS
-	dir   string
-	Agent string
-	lock  io.Closer
+	fs       FS
+	dir      string
+	Instance string
+	lock     io.Closer
 }
 
 // Open takes an agent's directory, alone. Errors wrap ErrLocked and ErrCopied.
 func Open(fs FS, root, agent string) (*Spool, error) {
-	s := &Spool{fs: fs, dir: join(root, url.PathEscape(agent)), Agent: agent}
+	s := &Spool{fs: fs, dir: join(root, url.PathEscape(agent)), Instance: agent}
 	if err := fs.MkdirAll(s.dir); err != nil {
 		return nil, err
 	}
@@ -53,7 +53,7 @@
 	}
 	s.lock = lock
 	for _, name := range s.Incarnations() {
-		if err := s.check(name); err != nil {
+		if err := s.checkOwner(name); err != nil {
 			lock.Close()
 			return nil, err
 		}
@@ -63,11 +63,11 @@
 
 // View looks at a directory without taking it.
 func View(fs FS, root, agent string) *Spool {
-	return &Spool{fs: fs, dir: join(root, url.PathEscape(agent)), Agent: agent}
+	return &Spool{fs: fs, dir: join(root, url.PathEscape(agent)), Instance: agent}
 }
 
-// Agents lists whose directories stand under a root.
-func Agents(fs FS, root string) (agents []string, err error) {
+// Instances lists whose directories stand under a root.
+func Instances(fs FS, root string) (agents []string, err error) {
 	names, _, err := fs.List(root)
 	for _, name := range names {
 		inside, _, _ := fs.List(join(root, name)) // what else stands there, as a store's file, is no agent's
@@ -100,29 +100,29 @@
 	return out
 }
 
-// check refuses a directory that was copied here: its original may still be written.
-func (s *Spool) check(incarnation string) error {
+// checkOwner refuses a directory that was copied here: its original may still be written.
+func (s *Spool) checkOwner(incarnation string) error {
 	dir := join(s.dir, incarnation)
 	place, err := s.fs.Place(dir)
 	if err != nil {
 		return err
 	}
 	segments, _ := s.segments(incarnation)
-	o, err := s.owner(incarnation)
+	o, err := s.readOwner(incarnation)
 	switch {
 	case err != nil && len(segments) == 0: // killed while it was made: nothing was ever written
 		s.Drop(incarnation)
 		return nil
 	case err != nil:
 		return fmt.Errorf("%s: %s can't be read: %w; if it is yours, run 'onyxgate record adopt'", dir, ownerName, err)
-	case o.Place != place || o.Agent != s.Agent || o.Incarnation != incarnation:
+	case o.Place != place || o.Instance != s.Instance || o.Incarnation != incarnation:
 		return fmt.Errorf("%s: %w: it was made as %s/%s at %s and stands at %s; if the original is gone for good, run "+
-			"'onyxgate record adopt'", dir, ErrCopied, o.Agent, o.Incarnation, o.Place, place)
+			"'onyxgate record adopt'", dir, ErrCopied, o.Instance, o.Incarnation, o.Place, place)
 	}
 	return nil
 }
 
-func (s *Spool) owner(incarnation string) (o owner, err error) {
+func (s *Spool) readOwner(incarnation string) (o owner, err error) {
 	f, err := s.fs.Open(join(s.dir, incarnation, ownerName))
 	if err != nil {
 		return o, err
@@ -137,7 +137,7 @@
 
 // Place is where an incarnation was made, as its owner file says.
 func (s *Spool) Place(incarnation string) string {
-	o, err := s.owner(incarnation)
+	o, err := s.readOwner(incarnation)
 	if err != nil {
 		return ""
 	}
@@ -153,11 +153,11 @@
 	}
 	defer lock.Close()
 	for _, name := range s.Incarnations() {
-		if s.check(name) == nil {
+		if s.checkOwner(name) == nil {
 			continue
 		}
 		s.fs.Remove(join(s.dir, name, ownerName))
-		if err := s.own(name); err != nil {
+		if err := s.writeOwner(name); err != nil {
 			return adopted, err
 		}
 		adopted = append(adopted, name)
@@ -165,13 +165,13 @@
 	return adopted, nil
 }
 
-func (s *Spool) own(incarnation string) error {
+func (s *Spool) writeOwner(incarnation string) error {
 	dir := join(s.dir, incarnation)
 	place, err := s.fs.Place(dir)
 	if err != nil {
 		return err
 	}
-	text, err := json.Marshal(owner{s.Agent, incarnation, place})
+	text, err := json.Marshal(owner{s.Instance, incarnation, place})
 	if err != nil {
 		return err
 	}
@@ -198,7 +198,7 @@
 	names, all, _ := fs.List(dir)
 	for i, name := range names {
 		var n uint64
-		if stem, ok := strings.CutSuffix(name, suffix); ok {
+		if stem, ok := strings.CutSuffix(name, segmentSuffix); ok {
 			if _, err := fmt.Sscanf(stem, "%d", &n); err == nil {
 				numbers, sizes = append(numbers, n), append(sizes, all[i])
 			}
@@ -207,10 +207,10 @@
 	return numbers, sizes
 }
 
-func segmentName(n uint64) string { return fmt.Sprintf("%010d%s", n, suffix) }
+func segmentName(n uint64) string { return fmt.Sprintf("%010d%s", n, segmentSuffix) }
 
-// Used is how many bytes all incarnations hold.
-func (s *Spool) Used() (bytes int64) {
+// Bytes is how many bytes all incarnations hold.
+func (s *Spool) Bytes() (bytes int64) {
 	for _, name := range s.Incarnations() {
 		_, sizes := s.segments(name)
 		for _, size := range sizes {
@@ -244,7 +244,7 @@
 	dir := join(s.dir, incarnation)
 	numbers, sizes := s.segments(incarnation)
 	for i := 0; i+1 < len(numbers) && numbers[i] < until; i++ {
-		head, err := readHead(s.fs, join(dir, segmentName(numbers[i+1])))
+		head, err := readHeader(s.fs, join(dir, segmentName(numbers[i+1])))
 		if err != nil || head.From == 0 || head.From-1 > through {
 			break
 		}
@@ -276,7 +276,7 @@
 		return nil, err
 	}
 	failpoint.At("spool.begin")
-	if err := s.own(w.Incarnation); err != nil {
+	if err := s.writeOwner(w.Incarnation); err != nil {
 		return nil, err
 	}
 	return w, s.fs.SyncDir(s.dir)
--- a/internal/record/spool/spool_test.go
+++ b/internal/record/spool/spool_test.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := record.NewLedger("n1", w.Incarnation, true, 0, 4096, 2048, 1<<20, 1<<18, 100, 50, record.KeepServing, s.Used())
+	l := record.NewLedger("n1", w.Incarnation, true, 0, 4096, 2048, 1<<20, 1<<18, 100, 50, record.KeepServing, s.Bytes())
 	durable = map[string]bool{}
 	now := 0.0
 	work := func() {
@@ -92,7 +92,7 @@
 			t.Run(fmt.Sprint(op, every), func(t *testing.T) {
 				m, k := NewMemory(), 0
 				m.Fail = func(o, name string, bytes int) (int, error) {
-					if o == op && strings.HasSuffix(name, suffix) || o == op && o == "syncdir" && strings.Count(name, "/") == 2 && k > 1 {
+					if o == op && strings.HasSuffix(name, segmentSuffix) || o == op && o == "syncdir" && strings.Count(name, "/") == 2 && k > 1 {
 						if k++; k%every == 0 {
 							return bytes / 2, errDisk
 						}
@@ -253,8 +253,8 @@
 		m.Edit(join("root", "n1", id, segmentName(numbers[len(numbers)-1])),
 			func(b []byte) []byte { return append(b, tail...) })
 		r, got := all(t, m, id)
-		if len(r.Replay.Defects) > 0 || r.Replay.Torn != int64(len(tail)) || len(got) != 5 {
-			t.Errorf("%q: %v, %d torn, %d entries", tail, r.Replay.Defects, r.Replay.Torn, len(got))
+		if len(r.Replay.Defects) > 0 || r.Replay.TornBytes != int64(len(tail)) || len(got) != 5 {
+			t.Errorf("%q: %v, %d torn, %d entries", tail, r.Replay.Defects, r.Replay.TornBytes, len(got))
 		}
 	}
 }
@@ -316,7 +316,7 @@
 					read++
 				}
 			}
-			n, err := s.Prune(w.Incarnation, min(l.Segment(), r.Segment()), r.Replay.Through())
+			n, err := s.Prune(w.Incarnation, min(l.Segment(), r.Segment()), r.Replay.FinalThrough())
 			if freed += n; err != nil {
 				t.Fatal(err)
 			}
@@ -344,12 +344,12 @@
 	l := record.NewLedger("a/b c", w.Incarnation, true, 0, 4096, 2048, 1<<20, 1<<18, 100, 50, record.KeepServing, 0)
 	l.AddEntry(1, record.Entry{RequestID: "x"})
 	x := l.NextIO(1)
-	if wrote, err := w.Do(x); err != nil || wrote != len(x.Bytes) || s.Used() != int64(wrote) {
-		t.Fatalf("%d of %d bytes, %d used, %v", wrote, len(x.Bytes), s.Used(), err)
+	if wrote, err := w.Do(x); err != nil || wrote != len(x.Bytes) || s.Bytes() != int64(wrote) {
+		t.Fatalf("%d of %d bytes, %d used, %v", wrote, len(x.Bytes), s.Bytes(), err)
 	}
 	w.Close()
 	s.Close()
-	if agents, err := Agents(Disk{}, root); err != nil || len(agents) != 1 || agents[0] != "a/b c" {
+	if agents, err := Instances(Disk{}, root); err != nil || len(agents) != 1 || agents[0] != "a/b c" {
 		t.Errorf("%v %v", agents, err)
 	}
 
@@ -423,8 +423,8 @@
 				t.Fatal("reading does not end")
 			}
 		}
-		if ends > len(one)+len(two) || r.Replay.OpenNow() > len(one)+len(two) {
-			t.Fatalf("%d ends and %d open in %d bytes", ends, r.Replay.OpenNow(), len(one)+len(two))
+		if ends > len(one)+len(two) || r.Replay.OpenEntries() > len(one)+len(two) {
+			t.Fatalf("%d ends and %d open in %d bytes", ends, r.Replay.OpenEntries(), len(one)+len(two))
 		}
 	})
 }
--- a/internal/record/sqlite/sqlite.go
+++ b/internal/record/sqlite/sqlite.go
@@ -17,17 +17,21 @@
 
 // Open opens or makes a store; a writer waits for others up to busy. Nothing is read before the first use.
 func Open(path string, busy time.Duration) (*sqlstore.Store, error) {
-	q := url.Values{"_pragma": {"journal_mode(WAL)", "synchronous(FULL)", "wal_autocheckpoint(0)", "cache_size(-1024)",
-		"journal_size_limit(16777216)", fmt.Sprintf("busy_timeout(%d)", busy.Milliseconds())}, "_txlock": {"immediate"}}
+	q := url.Values{"_pragma": {
+		"journal_mode(WAL)", "synchronous(FULL)", "wal_autocheckpoint(0)", "cache_size(-1024)",
+		"journal_size_limit(16777216)", fmt.Sprintf("busy_timeout(%d)", busy.Milliseconds()),
+	}, "_txlock": {"immediate"}}
 	db, err := sql.Open("sqlite", "file:"+(&url.URL{Path: path}).EscapedPath()+"?"+q.Encode())
 	if err != nil {
 		return nil, err
 	}
 	db.SetMaxOpenConns(2) // each has a cache of its own
 	db.SetMaxIdleConns(1)
-	return sqlstore.New(database{runner{db}, db}, sqlstore.Dialect{Name: "sqlite", Rows: "json_each($1) v",
-		Field: func(name, kind string) string { return "json_extract(v.value, '$." + name + "')" },
-		Big:   "integer", Real: "real", Reply: reply, Checkpoint: "pragma wal_checkpoint(truncate)"}), nil
+	return sqlstore.New(database{runner{db}, db}, sqlstore.Dialect{
+		Name: "sqlite", JSONRows: "json_each($1) v",
+		JSONField:  func(name, kind string) string { return "json_extract(v.value, '$." + name + "')" },
+		BigIntType: "integer", DoubleType: "real", Classify: classify, Checkpoint: "pragma wal_checkpoint(truncate)",
+	}), nil
 }
 
 // runner and those below carry database/sql over to what a store needs.
@@ -90,7 +94,7 @@
 		13, 14, 23, 26
 )
 
-func reply(err error) record.ExportResult {
+func classify(err error) record.ExportResult {
 	var e *sqlite.Error
 	if !errors.As(err, &e) {
 		return record.ExportUnknown
--- a/internal/record/sqlstore/sqlstore.go
+++ b/internal/record/sqlstore/sqlstore.go
@@ -18,13 +18,13 @@
 // Dialect is what differs between stores.
 type Dialect struct {
 	Name string
-	// Rows names the set of elements of the JSON array $1 as v; Field reads one of its fields as a type.
-	Rows  string
-	Field func(name, kind string) string
-	// Big, Real are the types of whole numbers and times.
-	Big, Real string
-	// Reply says what an error means.
-	Reply func(error) record.ExportResult
+	// JSONRows names the set of elements of the JSON array $1 as v; Field reads one of its fields as a type.
+	JSONRows  string
+	JSONField func(name, kind string) string
+	// BigIntType, Real are the types of whole numbers and times.
+	BigIntType, DoubleType string
+	// Classify says what an error means.
+	Classify func(error) record.ExportResult
 	// Checkpoint is run now and then; empty: nothing is.
 	Checkpoint string
 }
@@ -52,15 +52,15 @@
 
 // Store is one.
 type Store struct {
-	db DB
-	d  Dialect
+	db      DB
+	dialect Dialect
 }
 
 // New makes a store on an open database.
 func New(db DB, d Dialect) *Store { return &Store{db, d} }
 
-// one scans the only row of an answer and tells whether there is one.
-func one(ctx context.Context, r Runner, text string, args []any, to ...any) (found bool, err error) {
+// queryOne scans the only row of an answer and tells whether there is one.
+func queryOne(ctx context.Context, r Runner, text string, args []any, to ...any) (found bool, err error) {
 	err = r.Query(ctx, text, args, func(scan func(...any) error) error {
 		found = true
 		return scan(to...)
@@ -85,7 +85,7 @@
 
 // migrations are numbered from 1 and never changed once they have run anywhere.
 func (s *Store) migrations() [][]string {
-	big, real := s.d.Big, s.d.Real
+	big, real := s.dialect.BigIntType, s.dialect.DoubleType
 	key := `primary key (incarnation, n)`
 	if failpoint.Defect("no-dedupe") {
 		key = `check (n > 0)`
@@ -110,30 +110,30 @@
 	}
 }
 
-const versions = `create table if not exists onyxgate_schema (version integer primary key, applied_ms bigint not null)`
+const createVersionTable = `create table if not exists onyxgate_schema (version integer primary key, applied_ms bigint not null)`
 
 // Migrate brings the schema up to date, each step in a transaction of its own. A schema newer than the program is an error.
 func (s *Store) Migrate(ctx context.Context) error {
-	if _, err := s.db.Exec(ctx, NameMigrate+versions); err != nil {
+	if _, err := s.db.Exec(ctx, NameMigrate+createVersionTable); err != nil {
 		return fmt.Errorf("schema: %w", err)
 	}
 	steps := s.migrations()
 	for i := range steps {
-		if err := s.step(ctx, i+1, steps[i], len(steps)); err != nil {
+		if err := s.migrateTo(ctx, i+1, steps[i], len(steps)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s *Store) step(ctx context.Context, version int, statements []string, newest int) error {
+func (s *Store) migrateTo(ctx context.Context, version int, statements []string, newest int) error {
 	tx, err := s.db.Begin(ctx)
 	if err != nil {
 		return err
 	}
 	defer tx.Rollback()
 	var has int
-	if _, err := one(ctx, tx, NameVersion+"select coalesce(max(version), 0) from onyxgate_schema", nil, &has); err != nil {
+	if _, err := queryOne(ctx, tx, NameVersion+"select coalesce(max(version), 0) from onyxgate_schema", nil, &has); err != nil {
 		return err
 	}
 	switch {
@@ -157,7 +157,7 @@
 
 // Row is a row of the store: an entry with what it belongs to, or a gap.
 type Row struct {
-	Agent       string  `json:"agent"`
+	Instance    string  `json:"agent"`
 	Incarnation string  `json:"incarnation"`
 	N           uint64  `json:"n"`
 	State       string  `json:"state"`
@@ -176,7 +176,7 @@
 
 // GapRow is a gap as the store has it.
 type GapRow struct {
-	Agent       string  `json:"agent"`
+	Instance    string  `json:"agent"`
 	Incarnation string  `json:"incarnation"`
 	N           uint64  `json:"n"`
 	Served      uint64  `json:"settled"`
@@ -188,7 +188,7 @@
 	Cause       string  `json:"cause"`
 }
 
-func digest(d record.Digest) string {
+func hexDigest(d record.Digest) string {
 	if d == (record.Digest{}) {
 		return ""
 	}
@@ -197,33 +197,57 @@
 
 // Batch is what is stored at once.
 type Batch struct {
-	Agent, Incarnation, Place string
-	Rows                      []record.Row
-	Through                   uint64 // everything up to it has become final
-	Closed                    bool   // and nothing will follow
+	Instance, Incarnation, Place string
+	Rows                         []record.Row
+	Through                      uint64 // everything up to it has become final
+	Closed                       bool   // and nothing will follow
 }
 
 // ErrForeign: another place ships the same incarnation.
 var ErrForeign = errors.New("this incarnation is shipped from another place")
 
-var entryFields = [][2]string{{"incarnation", "text"}, {"n", "big"}, {"agent", "text"}, {"state", "text"}, {"txn", "text"},
-	{"product", "text"}, {"outcome", "text"}, {"reason", "text"}, {"build", "big"}, {"appliance", "text"},
-	{"submissions", "big"}, {"taken_ms", "real"}, {"answered_ms", "real"}, {"body", "text"}, {"mark", "text"}}
+var entryFields = [][2]string{
+	{"incarnation", "text"},
+	{"n", "big"},
+	{"agent", "text"},
+	{"state", "text"},
+	{"txn", "text"},
+	{"product", "text"},
+	{"outcome", "text"},
+	{"reason", "text"},
+	{"build", "big"},
+	{"appliance", "text"},
+	{"submissions", "big"},
+	{"taken_ms", "real"},
+	{"answered_ms", "real"},
+	{"body", "text"},
+	{"mark", "text"},
+}
 
-var gapFields = [][2]string{{"incarnation", "text"}, {"n", "big"}, {"agent", "text"}, {"settled", "big"},
-	{"declined", "big"}, {"voided", "big"}, {"unknown", "big"}, {"from_ms", "real"}, {"to_ms", "real"}, {"cause", "text"}}
+var gapFields = [][2]string{
+	{"incarnation", "text"},
+	{"n", "big"},
+	{"agent", "text"},
+	{"settled", "big"},
+	{"declined", "big"},
+	{"voided", "big"},
+	{"unknown", "big"},
+	{"from_ms", "real"},
+	{"to_ms", "real"},
+	{"cause", "text"},
+}
 
 func (s *Store) insert(name, table string, fields [][2]string) string {
 	var names, values []string
 	for _, f := range fields {
-		names, values = append(names, f[0]), append(values, s.d.Field(f[0], f[1]))
+		names, values = append(names, f[0]), append(values, s.dialect.JSONField(f[0], f[1]))
 	}
 	again := " on conflict do nothing"
 	if failpoint.Defect("no-dedupe") && table == "onyxgate_entry" {
 		again = ""
 	}
 	return name + "insert into " + table + " (" + strings.Join(names, ", ") + ") select " + strings.Join(values, ", ") +
-		" from " + s.d.Rows + " where true" + again
+		" from " + s.dialect.JSONRows + " where true" + again
 }
 
 // Put stores a batch whole or not at all, each row once however often it comes. It returns the bytes that went.
@@ -232,13 +256,17 @@
 	var gaps []GapRow
 	for _, r := range b.Rows {
 		if g := r.Gap; g != nil {
-			gaps = append(gaps, GapRow{b.Agent, b.Incarnation, g.N, g.Counts[record.OutcomeServed], g.Counts[record.OutcomeRejected],
-				g.Counts[record.OutcomeFailed], g.Counts[0], g.From, g.To, g.Cause})
+			gaps = append(gaps, GapRow{
+				b.Instance, b.Incarnation, g.N, g.Counts[record.OutcomeServed], g.Counts[record.OutcomeRejected],
+				g.Counts[record.OutcomeFailed], g.Counts[0], g.From, g.To, g.Cause,
+			})
 			continue
 		}
 		e := r.Entry
-		entries = append(entries, Row{b.Agent, b.Incarnation, e.N, r.State.String(), e.RequestID, e.Class, e.Outcome.String(),
-			e.Reason, e.Release, e.Backend, e.Attempts, e.ArrivedAt, e.AnsweredAt, digest(e.BodyDigest), digest(e.KeyDigest)})
+		entries = append(entries, Row{
+			b.Instance, b.Incarnation, e.N, r.State.String(), e.RequestID, e.Class, e.Outcome.String(),
+			e.Reason, e.Release, e.Backend, e.Attempts, e.ArrivedAt, e.AnsweredAt, hexDigest(e.BodyDigest), hexDigest(e.KeyDigest),
+		})
 	}
 	tx, err := s.db.Begin(ctx)
 	if err != nil {
@@ -248,7 +276,7 @@
 	failpoint.At("ship.begun")
 	// The claim locks the incarnation's row, so that of two shippers one waits.
 	if _, err := tx.Exec(ctx, NameClaim+`insert into onyxgate_incarnation (incarnation, agent, place, through, closed)
-		values ($1, $2, $3, 0, 0) on conflict do nothing`, b.Incarnation, b.Agent, b.Place); err != nil {
+		values ($1, $2, $3, 0, 0) on conflict do nothing`, b.Incarnation, b.Instance, b.Place); err != nil {
 		return 0, err
 	}
 	if _, err := tx.Exec(ctx, NameThrough+`update onyxgate_incarnation set
@@ -257,7 +285,7 @@
 		return 0, err
 	}
 	var place string
-	if _, err := one(ctx, tx, NameOwner+`select place from onyxgate_incarnation where incarnation = $1`,
+	if _, err := queryOne(ctx, tx, NameOwner+`select place from onyxgate_incarnation where incarnation = $1`,
 		[]any{b.Incarnation}, &place); err != nil {
 		return 0, err
 	}
@@ -269,8 +297,10 @@
 		fields      [][2]string
 		rows        any
 		n           int
-	}{{NamePut, "onyxgate_entry", entryFields, entries, len(entries)},
-		{NameGaps, "onyxgate_gap", gapFields, gaps, len(gaps)}} {
+	}{
+		{NamePut, "onyxgate_entry", entryFields, entries, len(entries)},
+		{NameGaps, "onyxgate_gap", gapFields, gaps, len(gaps)},
+	} {
 		if part.n == 0 {
 			continue
 		}
@@ -298,8 +328,8 @@
 	return 0
 }
 
-// Reply says what an error of Put means for the batches to come.
-func (s *Store) Reply(err error) record.ExportResult {
+// Classify says what an error of Put means for the batches to come.
+func (s *Store) Classify(err error) record.ExportResult {
 	switch {
 	case err == nil:
 		return record.ExportStored
@@ -308,22 +338,22 @@
 	case errors.Is(err, context.DeadlineExceeded), errors.Is(err, context.Canceled):
 		return record.ExportUnknown
 	}
-	return s.d.Reply(err)
+	return s.dialect.Classify(err)
 }
 
 // Through is how far an incarnation is stored, and whether it is closed.
 func (s *Store) Through(ctx context.Context, incarnation string) (through uint64, closed bool, err error) {
 	var t, c int64
-	_, err = one(ctx, s.db, NameOwner+`select through, closed from onyxgate_incarnation where incarnation = $1`,
+	_, err = queryOne(ctx, s.db, NameOwner+`select through, closed from onyxgate_incarnation where incarnation = $1`,
 		[]any{incarnation}, &t, &c)
 	return uint64(t), c != 0, err
 }
 
 // Filter selects rows; empty fields select all. Times are Unix ms, From included and To not.
 type Filter struct {
-	From, To                                float64
-	Agent, Class, Outcome, State, RequestID string
-	Limit                                   int
+	From, To                                   float64
+	Instance, Class, Outcome, State, RequestID string
+	Limit                                      int
 }
 
 func (f Filter) where() (text string, args []any) {
@@ -338,8 +368,13 @@
 	if f.To > 0 {
 		add("answered_ms < %s", f.To)
 	}
-	for _, c := range [][2]string{{"agent", f.Agent}, {"product", f.Class}, {"outcome", f.Outcome}, {"state", f.State},
-		{"txn", f.RequestID}} {
+	for _, c := range [][2]string{
+		{"agent", f.Instance},
+		{"product", f.Class},
+		{"outcome", f.Outcome},
+		{"state", f.State},
+		{"txn", f.RequestID},
+	} {
 		if c[1] != "" {
 			add(c[0]+" = %s", c[1])
 		}
@@ -358,7 +393,7 @@
 	return s.db.Query(ctx, text, args, func(scan func(...any) error) error {
 		var r Row
 		var n int64
-		if err := scan(&r.Agent, &r.Incarnation, &n, &r.State, &r.RequestID, &r.Class, &r.Outcome, &r.Reason, &r.Release,
+		if err := scan(&r.Instance, &r.Incarnation, &n, &r.State, &r.RequestID, &r.Class, &r.Outcome, &r.Reason, &r.Release,
 			&r.Backend, &r.Attempts, &r.ArrivedAt, &r.AnsweredAt, &r.BodyDigest, &r.KeyDigest); err != nil {
 			return err
 		}
@@ -377,7 +412,7 @@
 	return s.db.Query(ctx, text+" order by from_ms", args, func(scan func(...any) error) error {
 		var g GapRow
 		var n, settled, declined, voided, unknown int64
-		if err := scan(&g.Agent, &g.Incarnation, &n, &settled, &declined, &voided, &unknown, &g.From, &g.To,
+		if err := scan(&g.Instance, &g.Incarnation, &n, &settled, &declined, &voided, &unknown, &g.From, &g.To,
 			&g.Cause); err != nil {
 			return err
 		}
@@ -404,7 +439,7 @@
 
 // Repeats counts the ordinals that stand more than once: none, unless somebody took the key away.
 func (s *Store) Repeats(ctx context.Context) (n int64, err error) {
-	_, err = one(ctx, s.db, NameCount+`select count(*) from (select 1 from onyxgate_entry group by incarnation, n
+	_, err = queryOne(ctx, s.db, NameCount+`select count(*) from (select 1 from onyxgate_entry group by incarnation, n
 		having count(*) > 1) repeats`, nil, &n)
 	return n, err
 }
@@ -417,19 +452,19 @@
 
 // Checkpoint does the store's own upkeep, if it has any.
 func (s *Store) Checkpoint(ctx context.Context) error {
-	if s.d.Checkpoint == "" {
+	if s.dialect.Checkpoint == "" {
 		return nil
 	}
-	_, err := s.db.Exec(ctx, s.d.Checkpoint)
+	_, err := s.db.Exec(ctx, s.dialect.Checkpoint)
 	return err
 }
 
 // Close lets the store go.
 func (s *Store) Close() error { return s.db.Close() }
 
-// Hold keeps a transaction open while something runs, and rolls it back: with the store's write lock in it, others stand
+// HoldWriteLock keeps a transaction open while something runs, and rolls it back: with the store's write lock in it, others stand
 // still meanwhile.
-func (s *Store) Hold(ctx context.Context, while func()) error {
+func (s *Store) HoldWriteLock(ctx context.Context, while func()) error {
 	tx, err := s.db.Begin(ctx)
 	if err != nil {
 		return err
--- a/internal/record/sqlstore/sqlstore_test.go
+++ b/internal/record/sqlstore/sqlstore_test.go
@@ -60,11 +60,13 @@
 }
 
 func batch(from, to uint64, through uint64) sqlstore.Batch {
-	b := sqlstore.Batch{Agent: "n1", Incarnation: "i1", Place: "here", Through: through}
+	b := sqlstore.Batch{Instance: "n1", Incarnation: "i1", Place: "here", Through: through}
 	for n := from; n <= to; n++ {
-		b.Rows = append(b.Rows, record.Row{State: record.StateAnswered, Entry: record.Entry{N: n, RequestID: fmt.Sprint("t'\"\\", n),
+		b.Rows = append(b.Rows, record.Row{State: record.StateAnswered, Entry: record.Entry{
+			N: n, RequestID: fmt.Sprint("t'\"\\", n),
 			Class: "p", Outcome: record.OutcomeServed, Reason: "answered", Release: 2, Backend: "a", Attempts: 1, ArrivedAt: 1.25,
-			AnsweredAt: float64(n) + 0.5, BodyDigest: record.Digest{1}}})
+			AnsweredAt: float64(n) + 0.5, BodyDigest: record.Digest{1},
+		}})
 	}
 	return b
 }
@@ -94,7 +96,7 @@
 			}
 			other := batch(31, 32, 32)
 			other.Place = "elsewhere"
-			if _, err := s.Put(ctx, other); !errors.Is(err, sqlstore.ErrForeign) || s.Reply(err) != record.ExportForeign {
+			if _, err := s.Put(ctx, other); !errors.Is(err, sqlstore.ErrForeign) || s.Classify(err) != record.ExportForeign {
 				t.Errorf("from another place: %v", err)
 			}
 			closed := batch(31, 31, 31)
@@ -112,9 +114,11 @@
 			if err := s.Select(ctx, sqlstore.Filter{}, func(r sqlstore.Row) error { rows = append(rows, r); return nil }); err != nil {
 				t.Fatal(err)
 			}
-			want := sqlstore.Row{Agent: "n1", Incarnation: "i1", N: 7, State: "given", RequestID: "t'\"\\7", Class: "p",
+			want := sqlstore.Row{
+				Instance: "n1", Incarnation: "i1", N: 7, State: "given", RequestID: "t'\"\\7", Class: "p",
 				Outcome: "settled", Reason: "answered", Release: 2, Backend: "a", Attempts: 1, ArrivedAt: 1.25, AnsweredAt: 7.5,
-				BodyDigest: "01" + strings.Repeat("0", 30)}
+				BodyDigest: "01" + strings.Repeat("0", 30),
+			}
 			if len(rows) != 31 || !slices.Contains(rows, want) {
 				t.Errorf("%d rows, one of them %+v", len(rows), rows[min(6, len(rows)-1)])
 			}
@@ -136,8 +140,12 @@
 		for _, c := range []struct {
 			f    sqlstore.Filter
 			want int
-		}{{sqlstore.Filter{From: 10, To: 20}, 10}, {sqlstore.Filter{RequestID: "t'\"\\3"}, 1}, {sqlstore.Filter{Agent: "n2"}, 0},
-			{sqlstore.Filter{State: "given", Outcome: "settled", Class: "p", Limit: 7}, 7}} {
+		}{
+			{sqlstore.Filter{From: 10, To: 20}, 10},
+			{sqlstore.Filter{RequestID: "t'\"\\3"}, 1},
+			{sqlstore.Filter{Instance: "n2"}, 0},
+			{sqlstore.Filter{State: "given", Outcome: "settled", Class: "p", Limit: 7}, 7},
+		} {
 			n := 0
 			if err := lite.Select(ctx, c.f, func(sqlstore.Row) error { n++; return nil }); err != nil || n != c.want {
 				t.Errorf("%+v: %d rows, %v", c.f, n, err)
@@ -168,8 +176,15 @@
 		mode  string
 		reply record.ExportResult
 		in    int // rows after the failure
-	}{{"cut", record.ExportUnknown, 0}, {"lose", record.ExportUnknown, 20}, {"40001", record.ExportConflict, 0}, {"40P01", record.ExportConflict, 0},
-		{"53300", record.ExportBusy, 0}, {"57P01", record.ExportUnreachable, 0}, {"42501", record.ExportDenied, 0}} {
+	}{
+		{"cut", record.ExportUnknown, 0},
+		{"lose", record.ExportUnknown, 20},
+		{"40001", record.ExportConflict, 0},
+		{"40P01", record.ExportConflict, 0},
+		{"53300", record.ExportBusy, 0},
+		{"57P01", record.ExportUnreachable, 0},
+		{"42501", record.ExportDenied, 0},
+	} {
 		t.Run(c.mode, func(t *testing.T) {
 			file := filepath.Join(t.TempDir(), "pg")
 			s, server := onPipes(t, file, "right")
@@ -178,8 +193,8 @@
 			}
 			server.Fail(c.mode)
 			_, err := s.Put(ctx, batch(1, 20, 20))
-			if s.Reply(err) != c.reply {
-				t.Errorf("%v is taken for %v, not %v", err, s.Reply(err), c.reply)
+			if s.Classify(err) != c.reply {
+				t.Errorf("%v is taken for %v, not %v", err, s.Classify(err), c.reply)
 			}
 			if len(server.Entries) != c.in {
 				t.Errorf("%d rows after the failure", len(server.Entries))
@@ -204,15 +219,15 @@
 		server.Fail("stall")
 		short, cancel := context.WithCancel(ctx)
 		cancel()
-		if _, err := s.Put(short, batch(1, 2, 2)); s.Reply(err) != record.ExportUnknown {
+		if _, err := s.Put(short, batch(1, 2, 2)); s.Classify(err) != record.ExportUnknown {
 			t.Errorf("%v", err)
 		}
 		server.Fail("")
 	})
 	t.Run("a wrong password", func(t *testing.T) {
 		s, _ := onPipes(t, filepath.Join(t.TempDir(), "pg"), "wrong")
-		if err := s.Migrate(ctx); s.Reply(err) != record.ExportDenied {
-			t.Errorf("%v is taken for %v", err, s.Reply(err))
+		if err := s.Migrate(ctx); s.Classify(err) != record.ExportDenied {
+			t.Errorf("%v is taken for %v", err, s.Classify(err))
 		}
 	})
 }
@@ -230,17 +245,17 @@
 	if err := locked.Migrate(ctx); err != nil {
 		t.Fatal(err)
 	}
-	if err := locked.Hold(ctx, func() {
-		if _, err := other.Put(ctx, batch(1, 1, 1)); other.Reply(err) != record.ExportBusy {
-			t.Errorf("locked: %v, %v", err, other.Reply(err))
+	if err := locked.HoldWriteLock(ctx, func() {
+		if _, err := other.Put(ctx, batch(1, 1, 1)); other.Classify(err) != record.ExportBusy {
+			t.Errorf("locked: %v, %v", err, other.Classify(err))
 		}
 	}); err != nil {
 		t.Error(err)
 	}
 	away, _ := sqlite.Open(filepath.Join(dir, "no", "such", "x.db"), 0)
 	defer away.Close()
-	if err := away.Migrate(ctx); away.Reply(err) != record.ExportUnreachable {
-		t.Errorf("no directory: %v, %v", err, away.Reply(err))
+	if err := away.Migrate(ctx); away.Classify(err) != record.ExportUnreachable {
+		t.Errorf("no directory: %v, %v", err, away.Classify(err))
 	}
 	db, err := sql.Open("sqlite", filepath.Join(dir, "x.db"))
 	if err != nil {
