--- /dev/null
+++ b/internal/record/frame_test.go
@@ -0,0 +1,65 @@
+package record
+
+import (
+	"bytes"
+	"testing"
+)
+
+// findFrame is where the first whole frame begins in b, or -1.
+func findFrame(b []byte) int {
+	for at := range b {
+		if _, _, err := ParseFrame(b[at:]); err == nil {
+			return at
+		}
+	}
+	return -1
+}
+
+// Frames cut anywhere are short, changed anywhere spoilt; nothing else is ever read.
+func TestFrames(t *testing.T) {
+	whole := AppendFrame(nil, 7, Digest{1}, Encode(KindGap, Gap{N: 7, Cause: "x"}))
+	for i := range whole {
+		if _, _, err := ParseFrame(whole[:i]); err != ErrShortFrame {
+			t.Errorf("cut at %d: %v", i, err)
+		}
+		b := bytes.Clone(whole)
+		b[i] ^= 1 << (i % 8)
+		if _, _, err := ParseFrame(b); err == nil {
+			t.Errorf("bit of byte %d flipped: taken", i)
+		}
+	}
+	for _, bad := range [][]byte{nil, {0}, {1}, {2, 0xff}, {3, 0x9f}, {4, 0x80}} {
+		if v, err := Decode(bad); err == nil {
+			t.Errorf("%x decodes to %+v", bad, v)
+		}
+	}
+	if at := findFrame(append([]byte{0x0f, 'o', 'x', 0xf1, 0x0f}, whole...)); at != 5 {
+		t.Errorf("found at %d", at)
+	}
+}
+
+func FuzzFrames(f *testing.F) {
+	f.Add(AppendFrame(nil, 1, Digest{}, Encode(KindEntry, entry("x"))))
+	f.Add(AppendFrame(nil, 1, Digest{}, Encode(KindCompletions, Completions{Delivered: []uint64{1}})))
+	f.Add([]byte{0x0f, 'o', 'x', 0xf1, 1, 0, 0, 0})
+	f.Fuzz(func(t *testing.T, b []byte) {
+		fold := NewReplay()
+		fold.StartSegment(SegmentHeader{Instance: "n", Incarnation: "i", Segment: 1, From: 1})
+		for len(b) > 0 {
+			x, size, err := ParseFrame(b)
+			if err != nil {
+				b = b[1:]
+				continue
+			}
+			if size <= FrameOverhead || size > len(b) {
+				t.Fatalf("a frame of %d bytes in %d", size, len(b))
+			}
+			fold.Apply(x)
+			if fold.FinalThrough() > fold.LastRead() {
+				t.Fatalf("through %d of %d", fold.FinalThrough(), fold.LastRead())
+			}
+			b = b[size:]
+		}
+		fold.Finish()
+	})
+}
--- a/internal/record/helper_test.go
+++ b/internal/record/helper_test.go
@@ -62,10 +62,19 @@
 	return f, append(rows, f.Finish()...)
 }
 
-func ledger(sync bool, budget int64, room int, full FullPolicy) *Ledger {
-	return NewLedger("n", "i", sync, 0, 4096, 2048, budget, room, 100, 50, full, 0)
+// ledger makes one whose writes and segments are small.
+func ledger(options LedgerOptions) *Ledger {
+	options.Instance, options.Incarnation = "n", "i"
+	options.MaxWriteBytes, options.MaxSegmentBytes = 4096, 2048
+	options.CommitDelay, options.StallAfter = 100, 50
+	return NewLedger(options)
 }
 
-func entry(txn string) Entry {
-	return Entry{RequestID: txn, Class: "p", Outcome: OutcomeServed, Reason: "answered", Backend: "a", Attempts: 1}
+// roomy are the options of a ledger that is not to get full.
+func roomy() LedgerOptions {
+	return LedgerOptions{Sync: true, MaxSpoolBytes: 1 << 20, MaxQueuedBytes: 1 << 16}
+}
+
+func entry(request string) Entry {
+	return Entry{RequestID: request, Class: "p", Outcome: OutcomeServed, Reason: "answered", Backend: "a", Attempts: 1}
 }
--- a/internal/record/ledger_test.go
+++ b/internal/record/ledger_test.go
@@ -33,7 +33,7 @@
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			l, d, k := ledger(true, 1<<20, 1<<16, KeepServing), &disk{}, 0
+			l, d, k := ledger(roomy()), &disk{}, 0
 			d.fail = func(w IO) (int, bool) { k++; return c.fail(k, w) }
 			confirmed, now := map[uint64]bool{}, 0.0
 			var ns []uint64
@@ -86,7 +86,7 @@
 
 // Nothing is confirmed before its sync, and a group is one sync.
 func TestGroups(t *testing.T) {
-	l, d := ledger(true, 1<<20, 1<<16, KeepServing), &disk{}
+	l, d := ledger(roomy()), &disk{}
 	for range 5 {
 		l.AddEntry(1, entry("x"))
 	}
@@ -122,7 +122,9 @@
 		t.Errorf("%+v", w)
 	}
 	// A group wait holds the write back.
-	l = NewLedger("n", "i", true, 5, 4096, 2048, 1<<20, 1<<16, 100, 50, KeepServing, 0)
+	options := roomy()
+	options.GroupWait = 5
+	l = ledger(options)
 	if l.AddEntry(1, entry("x")); !l.NextIO(2).Idle() || l.NextIO(2).Wait != 4 || l.NextIO(6).Idle() {
 		t.Error("the group's wait is not kept")
 	}
@@ -149,7 +151,7 @@
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			l, d := ledger(true, 8192, 2048, c.full), &disk{}
+			l, d := ledger(LedgerOptions{Sync: true, MaxSpoolBytes: 8192, MaxQueuedBytes: 2048, FullPolicy: c.full}), &disk{}
 			c.break_(l, d)
 			now, kept, missed := 0.0, 0, 0
 			for i := range 200 {
@@ -192,7 +194,9 @@
 			}
 		})
 	}
-	l := ledger(true, 1<<20, 1<<16, RejectRequests)
+	options := roomy()
+	options.FullPolicy = RejectRequests
+	l := ledger(options)
 	l.AddEntry(1, entry("x"))
 	l.NextIO(1)
 	if l.RejectsRequests(50) || !l.RejectsRequests(52) || l.Health(52) != HealthBehind {
@@ -202,7 +206,9 @@
 
 // In memory what is written is confirmed, and nothing waits.
 func TestUnsynced(t *testing.T) {
-	l, d := ledger(false, 1<<20, 1<<16, KeepServing), &disk{}
+	options := roomy()
+	options.Sync = false
+	l, d := ledger(options), &disk{}
 	l.AddEntry(1, entry("x"))
 	if d.all(l, 1); l.Confirmed() != 1 || l.CommitDelay(1) != 0 || l.Counts().Syncs != 0 {
 		t.Errorf("confirmed %d, patience %v", l.Confirmed(), l.CommitDelay(1))
@@ -211,7 +217,7 @@
 
 // A clock that is set back neither hides an entry nor makes work wait for ever.
 func TestClock(t *testing.T) {
-	l, d := ledger(true, 1<<20, 1<<16, KeepServing), &disk{}
+	l, d := ledger(roomy()), &disk{}
 	n, _ := l.AddEntry(1e6, entry("x"))
 	d.all(l, 1e6)
 	l.AddCompletion(5, n, true)
--- a/internal/record/recorder/recorder.go
+++ b/internal/record/recorder/recorder.go
@@ -64,8 +64,7 @@
 		k.spool.Close()
 		return nil, fmt.Errorf("record: %w", err)
 	}
-	k.ledger = record.NewLedger(agent, k.writer.Incarnation, t.Mode == "spool" && t.Sync == "group", t.Group.Ms(),
-		int(t.GroupBytes), int64(t.Segment), int64(t.Budget), int(t.Room), t.Patience.Ms(), t.Stall.Ms(), t.fullPolicy(), used)
+	k.ledger = record.NewLedger(t.ledgerOptions(agent, k.writer.Incarnation, used))
 	if k.exporter, err = newRecorderExporter(k, seed); err != nil {
 		k.spool.Close()
 		return nil, fmt.Errorf("record: %w", err)
--- a/internal/record/recorder/recorder_test.go
+++ b/internal/record/recorder/recorder_test.go
@@ -261,7 +261,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := record.NewLedger("n1", w.Incarnation, true, 0, 4096, 1<<20, 1<<20, 1<<18, 100, 50, record.KeepServing, 0)
+	l := record.NewLedger(record.LedgerOptions{
+		Instance: "n1", Incarnation: w.Incarnation, Sync: true, MaxWriteBytes: 4096, MaxSegmentBytes: 1 << 20,
+		MaxSpoolBytes: 1 << 20, MaxQueuedBytes: 1 << 18, CommitDelay: 100, StallAfter: 50,
+	})
 	l.AddEntry(1, record.Entry{RequestID: "x"})
 	work := l.NextIO(1)
 	if _, err := w.Do(work); err != nil {
--- a/internal/record/recorder/table.go
+++ b/internal/record/recorder/table.go
@@ -143,9 +143,16 @@
 	return nil, nil
 }
 
-func (t Table) fullPolicy() record.FullPolicy {
+// ledgerOptions are what these settings say to the ledger of an incarnation, while the spool holds spoolBytes already.
+func (t Table) ledgerOptions(instance, incarnation string, spoolBytes int64) record.LedgerOptions {
+	policy := record.KeepServing
 	if t.WhenFull == "decline" {
-		return record.RejectRequests
+		policy = record.RejectRequests
+	}
+	return record.LedgerOptions{
+		Instance: instance, Incarnation: incarnation,
+		Sync: t.Mode == "spool" && t.Sync == "group", GroupWait: t.Group.Ms(), MaxWriteBytes: int(t.GroupBytes),
+		MaxSegmentBytes: int64(t.Segment), MaxSpoolBytes: int64(t.Budget), MaxQueuedBytes: int(t.Room),
+		CommitDelay: t.Patience.Ms(), StallAfter: t.Stall.Ms(), FullPolicy: policy, SpoolBytes: spoolBytes,
 	}
-	return record.KeepServing
 }
--- a/internal/record/replay.go
+++ b/internal/record/replay.go
@@ -1,7 +1,6 @@
 package record
 
-// This file owns what a reading of the spool concludes, frame by frame, for recovery, shipping and audits alike. It must
-// never hold more than the entries that are open, nor claim an answer whose end it has not read.
+// This file owns what a reading of the spool concludes, frame by frame, for recovery, exports and audits alike.
 
 import (
 	"fmt"
@@ -16,7 +15,7 @@
 	Gap   *Gap
 }
 
-// Ordinal is its ordinal.
+// Ordinal is the entry's, or the gap's.
 func (r Row) Ordinal() uint64 {
 	if r.Gap != nil {
 		return r.Gap.N
@@ -24,6 +23,16 @@
 	return r.Entry.N
 }
 
+// The kinds of defects, as audits show them.
+const (
+	defectHole       = "hole"
+	defectChain      = "chain"
+	defectSpoilt     = "spoilt"
+	defectOrder      = "order"
+	defectOrphan     = "orphan"
+	defectUnreadable = "unreadable"
+)
+
 // Defect is something that a spool must not hold.
 type Defect struct {
 	Kind     string // hole, chain, spoilt, order, orphan, unreadable
@@ -39,145 +48,158 @@
 const (
 	// maxDefects are kept one by one; a spool of noise has more.
 	maxDefects = 1000
-	// maxOpenEntries bounds memory against a spool that was made up: more txns than an agent ever holds.
+	// maxOpenEntries bounds memory against a spool that was made up: more requests than an instance ever has under way.
 	maxOpenEntries = 1 << 20
 )
 
-// Replay reads one incarnation from its first segment that is left.
+// Replay reads one incarnation from its first segment that is left. It must never hold more than the entries that are open,
+// nor claim an answer whose end it has not read.
 type Replay struct {
-	header    SegmentHeader
-	start     uint64 // ordinal at which reading began; ends of earlier entries are no news
-	next      uint64 // ordinal that is expected; 0: nothing read yet
-	chain     Digest
-	open      map[uint64]Entry
-	Defects   []Defect
-	TornBytes int64 // bytes cut off at the very end
+	header  SegmentHeader
+	start   uint64 // ordinal at which reading began; completions of earlier entries are left out
+	next    uint64 // ordinal that is expected; 0: nothing read yet
+	chain   Digest
+	open    map[uint64]Entry // read, without an end so far
+	Defects []Defect
+	// TornBytes were cut off at the very end.
+	TornBytes int64
+	// Rewritten frames came again, after a failure of the writer.
 	Rewritten uint64
-	Counts    [len(StateNames)]uint64
+	Counts    [len(stateNames)]uint64 // entries, by their final state
 	Gaps      uint64
 }
 
 // NewReplay starts a reading.
 func NewReplay() *Replay { return &Replay{open: map[uint64]Entry{}} }
 
-func (f *Replay) addDefect(kind string, from, to uint64, detail string) {
-	if len(f.Defects) < maxDefects {
-		f.Defects = append(f.Defects, Defect{kind, f.header.Segment, from, to, detail})
+func (p *Replay) addDefect(kind string, from, to uint64, detail string) {
+	if len(p.Defects) < maxDefects {
+		p.Defects = append(p.Defects, Defect{kind, p.header.Segment, from, to, detail})
 	}
 }
 
-// StartSegment opens a segment. An error says that it belongs to no reading of this incarnation.
-func (f *Replay) StartSegment(h SegmentHeader) error {
+// StartSegment takes a segment's header. An error says that it belongs to no reading of this incarnation.
+func (p *Replay) StartSegment(header SegmentHeader) error {
 	switch {
-	case f.next == 0:
-		f.start, f.next, f.chain = h.From, h.From, h.Chain
-	case h.Instance != f.header.Instance || h.Incarnation != f.header.Incarnation:
+	case p.next == 0:
+		p.start, p.next, p.chain = header.From, header.From, header.Chain
+	case header.Instance != p.header.Instance || header.Incarnation != p.header.Incarnation:
 		return fmt.Errorf("segment %d is of %s/%s, not of %s/%s: files of two incarnations stand in one directory",
-			h.Segment, h.Instance, h.Incarnation, f.header.Instance, f.header.Incarnation)
-	case h.Segment <= f.header.Segment:
-		return fmt.Errorf("segment %d comes after segment %d", h.Segment, f.header.Segment)
+			header.Segment, header.Instance, header.Incarnation, p.header.Instance, p.header.Incarnation)
+	case header.Segment <= p.header.Segment:
+		return fmt.Errorf("segment %d comes after segment %d", header.Segment, p.header.Segment)
 	}
-	f.header = h
+	p.header = header
 	return nil
 }
 
 // AddCorruptBytes notes bytes that are no frame; what they held shows as a hole.
-func (f *Replay) AddCorruptBytes(at int64, bytes int64) {
-	f.addDefect("spoilt", f.next, f.next, fmt.Sprintf("%d bytes from byte %d on are no frame", bytes, at))
+func (p *Replay) AddCorruptBytes(offset int64, bytes int64) {
+	p.addDefect(defectSpoilt, p.next, p.next, fmt.Sprintf("%d bytes from byte %d on are no frame", bytes, offset))
 }
 
-// AddTornTail notes bytes at the end of the last segment that are no whole frame: a kill in a write.
-func (f *Replay) AddTornTail(bytes int64) { f.TornBytes += bytes }
+// AddTornTail notes bytes at the end of the last segment that are no whole frame: a kill within a write.
+func (p *Replay) AddTornTail(bytes int64) { p.TornBytes += bytes }
 
 // Apply takes the next frame and returns what became final by it.
-func (f *Replay) Apply(x Frame) (rows []Row) {
+func (p *Replay) Apply(frame Frame) (rows []Row) {
 	switch {
-	case f.next == 0:
-		f.addDefect("order", x.N, x.N, "a frame before any head")
-		f.start, f.next = x.N, x.N
-	case x.N < f.next: // written anew after a failure
-		f.Rewritten++
+	case p.next == 0:
+		p.addDefect(defectOrder, frame.N, frame.N, "a frame before any head")
+		p.start, p.next = frame.N, frame.N
+	case frame.N < p.next: // written anew after a failure
+		p.Rewritten++
 		return nil
-	case x.N > f.next:
-		lost := x.N - f.next
-		f.addDefect("hole", f.next, x.N-1, fmt.Sprintf("%d frames are gone", lost))
-		g := Gap{N: f.next, Cause: "hole"}
-		g.Counts[0] = lost // of what kind is not known
-		f.Gaps++
-		rows = append(rows, Row{Gap: &g})
-	case NextChain(f.chain, x.Payload) != x.Chain:
-		f.addDefect("chain", x.N, x.N, "the hash chain breaks: this frame or the one before was edited")
+	case frame.N > p.next:
+		rows = append(rows, p.addHole(frame.N))
+	case NextChain(p.chain, frame.Payload) != frame.Chain:
+		p.addDefect(defectChain, frame.N, frame.N, "the hash chain breaks: this frame or the one before was edited")
 	}
-	f.next, f.chain = x.N+1, x.Chain
-	v, err := Decode(x.Payload)
+	p.next, p.chain = frame.N+1, frame.Chain
+	value, err := Decode(frame.Payload)
 	if err != nil {
-		f.addDefect("unreadable", x.N, x.N, err.Error())
+		p.addDefect(defectUnreadable, frame.N, frame.N, err.Error())
 		return rows
 	}
-	switch v := v.(type) {
+	switch value := value.(type) {
 	case *Entry:
-		switch {
-		case v.N != x.N:
-			f.addDefect("order", x.N, x.N, fmt.Sprintf("its entry says %d", v.N))
-		case len(f.open) >= maxOpenEntries:
-			f.addDefect("order", x.N, x.N, "too many entries without an end")
-		default:
-			f.open[v.N] = *v
-		}
+		p.addEntry(frame.N, *value)
 	case *Completions:
-		rows = f.complete(rows, v.Delivered, StateAnswered)
-		rows = f.complete(rows, v.Undelivered, StateUndelivered)
+		rows = p.complete(rows, value.Delivered, StateAnswered)
+		rows = p.complete(rows, value.Undelivered, StateUndelivered)
 	case *Gap:
-		f.Gaps++
-		v.N = x.N
-		rows = append(rows, Row{Gap: v})
+		p.Gaps++
+		value.N = frame.N
+		rows = append(rows, Row{Gap: value})
 	}
 	return rows
 }
 
-func (f *Replay) complete(rows []Row, ns []uint64, state State) []Row {
-	for _, n := range ns {
-		e, ok := f.open[n]
-		if !ok { // its entry fell into a hole, or stood in a segment that is shipped and gone
-			if n >= f.start {
-				f.addDefect("orphan", n, n, "an end without its entry")
+// addHole notes that the frames before ordinal are gone, as a defect and as a gap for the store.
+func (p *Replay) addHole(ordinal uint64) Row {
+	lost := ordinal - p.next
+	p.addDefect(defectHole, p.next, ordinal-1, fmt.Sprintf("%d frames are gone", lost))
+	gap := Gap{N: p.next, Cause: defectHole}
+	gap.Counts[0] = lost // with which outcome is not known
+	p.Gaps++
+	return Row{Gap: &gap}
+}
+
+func (p *Replay) addEntry(ordinal uint64, entry Entry) {
+	switch {
+	case entry.N != ordinal:
+		p.addDefect(defectOrder, ordinal, ordinal, fmt.Sprintf("its entry says %d", entry.N))
+	case len(p.open) >= maxOpenEntries:
+		p.addDefect(defectOrder, ordinal, ordinal, "too many entries without an end")
+	default:
+		p.open[entry.N] = entry
+	}
+}
+
+// complete gives open entries their final state.
+func (p *Replay) complete(rows []Row, ordinals []uint64, state State) []Row {
+	for _, ordinal := range ordinals {
+		entry, ok := p.open[ordinal]
+		if !ok { // its entry fell into a hole, or stood in a segment that is exported and gone
+			if ordinal >= p.start {
+				p.addDefect(defectOrphan, ordinal, ordinal, "an end without its entry")
 			}
 			continue
 		}
-		delete(f.open, n)
-		f.Counts[state]++
-		rows = append(rows, Row{Entry: e, State: state})
+		delete(p.open, ordinal)
+		p.Counts[state]++
+		rows = append(rows, Row{Entry: entry, State: state})
 	}
 	return rows
 }
 
 // Finish concludes an incarnation that will never write again: what is still open is in doubt.
-func (f *Replay) Finish() (rows []Row) {
-	for _, n := range slices.Sorted(maps.Keys(f.open)) {
-		f.Counts[StateInDoubt]++
-		rows = append(rows, Row{Entry: f.open[n], State: StateInDoubt})
+func (p *Replay) Finish() (rows []Row) {
+	for _, ordinal := range slices.Sorted(maps.Keys(p.open)) {
+		p.Counts[StateInDoubt]++
+		rows = append(rows, Row{Entry: p.open[ordinal], State: StateInDoubt})
 	}
-	clear(f.open)
+	clear(p.open)
 	return rows
 }
 
 // OpenEntries is how many entries have no end yet.
-func (f *Replay) OpenEntries() int { return len(f.open) }
+func (p *Replay) OpenEntries() int { return len(p.open) }
 
-// LastRead is the last ordinal that was read.
-func (f *Replay) LastRead() uint64 {
-	if f.next == 0 {
+// LastRead is the last ordinal that was read; 0: none.
+func (p *Replay) LastRead() uint64 {
+	if p.next == 0 {
 		return 0
 	}
-	return f.next - 1
+	return p.next - 1
 }
 
-// FinalThrough is the last ordinal up to which everything has become final: a segment that ends there is of no more use once
-// that is in the store.
-func (f *Replay) FinalThrough() uint64 {
-	through := f.LastRead()
-	for n := range f.open {
-		through = min(through, n-1)
+// FinalThrough is the last ordinal up to which everything has become final: a segment that ends there is of no more use
+// once that is in the store.
+func (p *Replay) FinalThrough() uint64 {
+	through := p.LastRead()
+	for ordinal := range p.open {
+		through = min(through, ordinal-1)
 	}
 	return through
 }
--- a/internal/record/spool/bench_test.go
+++ b/internal/record/spool/bench_test.go
@@ -22,7 +22,10 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			l := record.NewLedger("n1", w.Incarnation, false, 0, 256<<10, 4<<20, 1<<40, 8<<20, 100, 50, record.KeepServing, 0)
+			l := record.NewLedger(record.LedgerOptions{
+				Instance: "n1", Incarnation: w.Incarnation, MaxWriteBytes: 256 << 10, MaxSegmentBytes: 4 << 20,
+				MaxSpoolBytes: 1 << 40, MaxQueuedBytes: 8 << 20, CommitDelay: 100, StallAfter: 50,
+			})
 			for i := range n {
 				o, _ := l.AddEntry(float64(i), record.Entry{
 					RequestID: fmt.Sprintf("%016x", i), Class: "page-preview",
--- a/internal/record/spool/spool_test.go
+++ b/internal/record/spool/spool_test.go
@@ -11,6 +11,14 @@
 
 var errDisk = errors.New("no space left")
 
+// smallLedger are the options of a ledger that begins a new segment every few entries.
+func smallLedger(instance, incarnation string, spoolBytes int64) record.LedgerOptions {
+	return record.LedgerOptions{
+		Instance: instance, Incarnation: incarnation, Sync: true, MaxWriteBytes: 4096, MaxSegmentBytes: 2048,
+		MaxSpoolBytes: 1 << 20, MaxQueuedBytes: 1 << 18, CommitDelay: 100, StallAfter: 50, SpoolBytes: spoolBytes,
+	}
+}
+
 // life writes n entries, each with its end but the last, and leaves the spool as a kill would. It returns the ordinals
 // that were durable before their answer, by txn.
 func life(t *testing.T, m *Memory, name string, n int) (incarnation string, durable map[string]bool) {
@@ -23,7 +31,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := record.NewLedger("n1", w.Incarnation, true, 0, 4096, 2048, 1<<20, 1<<18, 100, 50, record.KeepServing, s.Bytes())
+	l := record.NewLedger(smallLedger("n1", w.Incarnation, s.Bytes()))
 	durable = map[string]bool{}
 	now := 0.0
 	work := func() {
@@ -292,7 +300,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := record.NewLedger("n1", w.Incarnation, true, 0, 4096, 2048, 1<<20, 1<<18, 100, 50, record.KeepServing, 0)
+	l := record.NewLedger(smallLedger("n1", w.Incarnation, 0))
 	r := s.Read(w.Incarnation, false)
 	now, read, freed := 0.0, 0, int64(0)
 	for i := range 200 {
@@ -341,7 +349,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := record.NewLedger("a/b c", w.Incarnation, true, 0, 4096, 2048, 1<<20, 1<<18, 100, 50, record.KeepServing, 0)
+	l := record.NewLedger(smallLedger("a/b c", w.Incarnation, 0))
 	l.AddEntry(1, record.Entry{RequestID: "x"})
 	x := l.NextIO(1)
 	if wrote, err := w.Do(x); err != nil || wrote != len(x.Bytes) || s.Bytes() != int64(wrote) {
@@ -393,7 +401,7 @@
 // Whatever stands in a segment, reading it ends, keeps to what is there and claims no end that it has not read.
 func FuzzReader(f *testing.F) {
 	m := NewMemory()
-	l := record.NewLedger("n1", "i", true, 0, 4096, 2048, 1<<20, 1<<18, 100, 50, record.KeepServing, 0)
+	l := record.NewLedger(smallLedger("n1", "i", 0))
 	n, _ := l.AddEntry(1, record.Entry{RequestID: "x"})
 	w := l.NextIO(1)
 	l.Completed(1, len(w.Bytes), true)
