--- a/internal/record/recorder/recorder_test.go
+++ b/internal/record/recorder/recorder_test.go
@@ -16,6 +16,7 @@
 	"github.com/sirupsen/logrus"
 
 	"onyxgate/internal/core"
+	"onyxgate/internal/fake/memfs"
 	"onyxgate/internal/record"
 	"onyxgate/internal/record/spool"
 	"onyxgate/internal/record/sqlstore"
@@ -51,7 +52,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				m := spool.NewMemory()
+				m := memfs.New()
 				var failing atomic.Bool
 				m.Fail = func(op, name string, bytes int) (int, error) {
 					if op == "sync" && strings.HasSuffix(name, ".seg") && failing.Load() {
@@ -104,7 +105,7 @@
 	for _, decline := range []bool{false, true} {
 		t.Run(fmt.Sprint("decline ", decline), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				m := spool.NewMemory()
+				m := memfs.New()
 				var failing atomic.Bool
 				m.Fail = func(op, name string, bytes int) (int, error) {
 					if op == "write" && failing.Load() {
--- a/internal/record/spool/bench_test.go
+++ b/internal/record/spool/bench_test.go
@@ -1,4 +1,4 @@
-package spool
+package spool_test
 
 import (
 	"fmt"
@@ -6,6 +6,7 @@
 	"testing"
 
 	"onyxgate/internal/record"
+	"onyxgate/internal/record/spool"
 )
 
 // BenchmarkRecover reads what a killed agent left: time and peak heap must be linear and flat. -benchtime 1x is enough.
@@ -13,7 +14,7 @@
 	for _, n := range []int{1e5, 1e6, 1e7} {
 		b.Run(fmt.Sprintf("%.0e entries", float64(n)), func(b *testing.B) {
 			root := b.TempDir()
-			s, err := Open(Disk{}, root, "n1")
+			s, err := spool.Open(spool.Disk{}, root, "n1")
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/record/spool/reader.go
+++ b/internal/record/spool/reader.go
@@ -1,7 +1,7 @@
 package spool
 
 // This file owns the reading of an incarnation's segments, from the first that is left, in bounded memory: while it is
-// written, or once it never will be again. What the bytes mean is Fold's.
+// written, or once it never will be again. What the bytes mean is record.Replay's.
 
 import (
 	"bytes"
@@ -14,24 +14,26 @@
 )
 
 const (
-	readChunk      = 256 << 10
-	frameFirstByte = 0x0f // byte of a frame
+	readChunk      = 256 << 10 // bytes
+	frameFirstByte = 0x0f
 )
 
-// Reader reads one incarnation.
+// Reader reads one incarnation. Calls must not overlap.
 type Reader struct {
-	Replay        *record.Replay
-	fs            FS
-	dir           string
-	closed        bool // nobody writes it any more
-	file          ReadFile
+	Replay   *record.Replay // what was read so far
+	fs       FS
+	dir      string
+	closed   bool // nobody writes it any more
+	finished bool // all was read, and nothing will follow
+
+	file          ReadFile // of the present segment; nil: none is open
 	segment       uint64
-	offset        int64 // in the file, of buf's beginning
+	offset        int64 // in the file, of the buffer's beginning
 	buffer        []byte
-	rewrittenFrom uint64 // first ordinal of the next segment, where there is one: from there on it is written anew
-	corruptBytes  int64
-	corruptFrom   int64
-	finished      bool
+	rewrittenFrom uint64 // first ordinal of the next segment: from there on the present one is written anew; 0: not known
+
+	corruptBytes int64 // skipped since the last frame
+	corruptFrom  int64 // their offset in the file
 }
 
 // Read starts reading an incarnation; closed tells that it will never be written again.
@@ -51,77 +53,69 @@
 }
 
 // Next reads on and returns what became final; more is false where nothing is left to read now. Of a closed incarnation
-// the last rows are those in doubt.
+// the last rows are those in doubt. After an error Next may be called again.
 func (r *Reader) Next() (rows []record.Row, more bool, err error) {
 	if r.finished {
 		return nil, false, nil
 	}
 	if r.file == nil {
-		if ok, err := r.openNextSegment(); err != nil || !ok {
+		if opened, err := r.openNextSegment(); err != nil || !opened {
 			return nil, false, err
 		}
 	}
-	old := len(r.buffer)
-	r.buffer = append(r.buffer, make([]byte, readChunk)...)
-	n, err := r.file.ReadAt(r.buffer[old:], r.offset+int64(old))
-	r.buffer = r.buffer[:old+n]
-	end := errors.Is(err, io.EOF)
-	if err != nil && !end {
-		return nil, false, fmt.Errorf("%s segment %d: %w", r.dir, r.segment, err)
-	}
-	last := false
-	if end { // only the end of the last segment may be torn; looked up after reading, for the writer may turn meanwhile
-		last = !r.lookAhead()
-		if !last && n > 0 { // what was written before the turn has not all been read, perhaps
-			end = false
+	read, atEnd, err := r.fill()
+	if err != nil {
+		return nil, false, err
+	}
+	isLast := false
+	if atEnd { // looked up after reading, for the writer may begin another segment meanwhile
+		isLast = !r.lookAhead()
+		if !isLast && read > 0 { // what was written before that has not all been read, perhaps
+			atEnd = false
 		}
 	}
-	rows, err = r.parse(end, last)
-	if err != nil || !end {
+	rows, err = r.parse(atEnd && (!isLast || r.closed))
+	switch {
+	case err != nil || !atEnd:
 		return rows, err == nil, err
-	}
-	if last && !r.closed {
+	case isLast && !r.closed:
 		return rows, false, nil
 	}
-	r.closeSegment(last)
-	if last {
+	r.closeSegment(isLast)
+	if isLast {
 		r.finished = true
 		return append(rows, r.Replay.Finish()...), false, nil
 	}
 	return rows, true, nil
 }
 
-// parse takes the frames out of buf; at the end of a file that grows no more, what is left is no frame.
-func (r *Reader) parse(end, last bool) (rows []record.Row, err error) {
-	final := end && (!last || r.closed)
+// fill reads a chunk behind what the buffer holds.
+func (r *Reader) fill() (read int, atEnd bool, err error) {
+	held := len(r.buffer)
+	r.buffer = append(r.buffer, make([]byte, readChunk)...)
+	read, err = r.file.ReadAt(r.buffer[held:], r.offset+int64(held))
+	r.buffer = r.buffer[:held+read]
+	atEnd = errors.Is(err, io.EOF)
+	if err != nil && !atEnd {
+		return read, false, fmt.Errorf("%s segment %d: %w", r.dir, r.segment, err)
+	}
+	return read, atEnd, nil
+}
+
+// parse takes the frames out of the buffer. Where the file grows no more (final), what is left at its end is no frame.
+func (r *Reader) parse(final bool) (rows []record.Row, err error) {
 	used := 0
 	for used < len(r.buffer) {
-		f, size, err := record.ParseFrame(r.buffer[used:])
+		frame, size, err := record.ParseFrame(r.buffer[used:])
 		if errors.Is(err, record.ErrShortFrame) && !final {
 			break
 		}
-		if err != nil { // look for the next
-			if r.corruptBytes == 0 {
-				r.corruptFrom = r.offset + int64(used)
-			}
-			step := bytes.IndexByte(r.buffer[used+1:], frameFirstByte)
-			if step < 0 {
-				step = len(r.buffer) - used - 1
-			}
-			r.corruptBytes += int64(step + 1)
-			used += step + 1
+		if err != nil {
+			used += r.skipCorrupt(used)
 			continue
 		}
-		if r.corruptBytes > 0 {
-			r.Replay.AddCorruptBytes(r.corruptFrom, r.corruptBytes)
-			r.corruptBytes = 0
-		}
-		if record.Kind(f.Payload[0]) == record.KindHeader {
-			err = r.startSegment(f)
-		} else if r.rewrittenFrom == 0 || f.N < r.rewrittenFrom {
-			rows = append(rows, r.Replay.Apply(f)...)
-		}
-		if err != nil {
+		r.endCorrupt()
+		if rows, err = r.take(rows, frame); err != nil {
 			return rows, err
 		}
 		used += size
@@ -131,18 +125,50 @@
 	return rows, nil
 }
 
-func (r *Reader) startSegment(f record.Frame) error {
-	v, err := record.Decode(f.Payload)
-	if err != nil {
-		return fmt.Errorf("%s segment %d: its head: %w", r.dir, r.segment, err)
+// skipCorrupt notes that what the buffer holds at an index is no frame, and returns how far the next may be away.
+func (r *Reader) skipCorrupt(index int) (skip int) {
+	if r.corruptBytes == 0 {
+		r.corruptFrom = r.offset + int64(index)
 	}
-	return r.Replay.StartSegment(*v.(*record.SegmentHeader))
+	rest := r.buffer[index+1:]
+	step := bytes.IndexByte(rest, frameFirstByte)
+	if step < 0 {
+		step = len(rest)
+	}
+	r.corruptBytes += int64(step + 1)
+	return step + 1
 }
 
-func (r *Reader) closeSegment(last bool) {
-	if r.corruptBytes > 0 && last {
+// endCorrupt tells of the corrupt bytes before a frame.
+func (r *Reader) endCorrupt() {
+	if r.corruptBytes > 0 {
+		r.Replay.AddCorruptBytes(r.corruptFrom, r.corruptBytes)
+		r.corruptBytes = 0
+	}
+}
+
+// take gives a frame to the replay and adds what became final by it.
+func (r *Reader) take(rows []record.Row, frame record.Frame) ([]record.Row, error) {
+	if record.Kind(frame.Payload[0]) == record.KindHeader {
+		value, err := record.Decode(frame.Payload)
+		if err != nil {
+			return rows, fmt.Errorf("%s segment %d: its head: %w", r.dir, r.segment, err)
+		}
+		return rows, r.Replay.StartSegment(*value.(*record.SegmentHeader))
+	}
+	if r.rewrittenFrom == 0 || frame.N < r.rewrittenFrom {
+		rows = append(rows, r.Replay.Apply(frame)...)
+	}
+	return rows, nil
+}
+
+// closeSegment ends the reading of the present segment: only the end of the last one may be torn.
+func (r *Reader) closeSegment(isLast bool) {
+	missesFrames := r.rewrittenFrom == 0 || r.Replay.LastRead()+1 < r.rewrittenFrom
+	switch {
+	case r.corruptBytes > 0 && isLast:
 		r.Replay.AddTornTail(r.corruptBytes)
-	} else if r.corruptBytes > 0 && (r.rewrittenFrom == 0 || r.Replay.LastRead()+1 < r.rewrittenFrom) {
+	case r.corruptBytes > 0 && missesFrames:
 		r.Replay.AddCorruptBytes(r.corruptFrom, r.corruptBytes)
 	}
 	r.Close()
@@ -153,65 +179,39 @@
 func (r *Reader) lookAhead() bool {
 	next, ok := r.nextSegment()
 	if ok && r.rewrittenFrom == 0 {
-		head, err := readHeader(r.fs, join(r.dir, segmentName(next)))
+		header, err := readHeader(r.fs, join(r.dir, segmentName(next)))
 		if err == nil {
-			r.rewrittenFrom = head.From
+			r.rewrittenFrom = header.From
 		}
-		return err == nil || r.closed // else it was made and its head is on the way
+		return err == nil || r.closed // else it was made and its header is on the way
 	}
 	return ok
 }
 
-// nextSegment is the segment behind the present one.
-func (r *Reader) nextSegment() (uint64, bool) {
-	numbers, _ := segments(r.fs, r.dir)
-	for _, n := range numbers {
-		if n > r.segment {
-			return n, true
+// nextSegment is the one behind the present.
+func (r *Reader) nextSegment() (number uint64, ok bool) {
+	for _, segment := range listSegments(r.fs, r.dir) {
+		if segment.number > r.segment {
+			return segment.number, true
 		}
 	}
 	return 0, false
 }
 
-func (r *Reader) openNextSegment() (bool, error) {
-	n, ok := r.nextSegment()
+func (r *Reader) openNextSegment() (opened bool, err error) {
+	number, ok := r.nextSegment()
 	if !ok {
 		r.finished = r.closed
 		return false, nil
 	}
-	file, err := r.fs.Open(join(r.dir, segmentName(n)))
+	file, err := r.fs.Open(join(r.dir, segmentName(number)))
 	if errors.Is(err, fs.ErrNotExist) {
 		return false, nil
 	}
 	if err != nil {
 		return false, err
 	}
-	r.file, r.segment = file, n
+	r.file, r.segment = file, number
 	r.lookAhead()
 	return true, nil
 }
-
-func readHeader(fs FS, name string) (h record.SegmentHeader, err error) {
-	f, err := fs.Open(name)
-	if err != nil {
-		return h, err
-	}
-	defer f.Close()
-	b := make([]byte, 2048)
-	n, err := f.ReadAt(b, 0)
-	if err != nil && !errors.Is(err, io.EOF) {
-		return h, err
-	}
-	frame, _, err := record.ParseFrame(b[:n])
-	if err != nil {
-		return h, err
-	}
-	v, err := record.Decode(frame.Payload)
-	if err != nil {
-		return h, err
-	}
-	if head, ok := v.(*record.SegmentHeader); ok {
-		return *head, nil
-	}
-	return h, record.ErrCorruptFrame
-}
--- a/internal/record/spool/spool_test.go
+++ b/internal/record/spool/spool_test.go
@@ -1,4 +1,4 @@
-package spool
+package spool_test
 
 import (
 	"errors"
@@ -6,7 +6,9 @@
 	"strings"
 	"testing"
 
+	"onyxgate/internal/fake/memfs"
 	"onyxgate/internal/record"
+	"onyxgate/internal/record/spool"
 )
 
 var errDisk = errors.New("no space left")
@@ -21,9 +23,9 @@
 
 // life writes n entries, each with its end but the last, and leaves the spool as a kill would. It returns the ordinals
 // that were durable before their answer, by txn.
-func life(t *testing.T, m *Memory, name string, n int) (incarnation string, durable map[string]bool) {
+func life(t *testing.T, m *memfs.FS, name string, n int) (incarnation string, durable map[string]bool) {
 	t.Helper()
-	s, err := Open(m, "root", "n1")
+	s, err := spool.Open(m, "root", "n1")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,9 +74,9 @@
 }
 
 // all reads an incarnation that nobody writes.
-func all(t *testing.T, m *Memory, incarnation string) (*Reader, map[string]record.State) {
+func all(t *testing.T, m *memfs.FS, incarnation string) (*spool.Reader, map[string]record.State) {
 	t.Helper()
-	r := View(m, "root", "n1").Read(incarnation, true)
+	r := spool.View(m, "root", "n1").Read(incarnation, true)
 	got := map[string]record.State{}
 	for more := true; more; {
 		var rows []record.Row
@@ -98,9 +100,9 @@
 	for _, op := range []string{"none", "create", "write", "sync", "syncdir"} {
 		for every := 2; every <= 5; every++ {
 			t.Run(fmt.Sprint(op, every), func(t *testing.T) {
-				m, k := NewMemory(), 0
+				m, k := memfs.New(), 0
 				m.Fail = func(o, name string, bytes int) (int, error) {
-					if o == op && strings.HasSuffix(name, segmentSuffix) || o == op && o == "syncdir" && strings.Count(name, "/") == 2 && k > 1 {
+					if o == op && strings.HasSuffix(name, spool.SegmentSuffix) || o == op && o == "syncdir" && strings.Count(name, "/") == 2 && k > 1 {
 						if k++; k%every == 0 {
 							return bytes / 2, errDisk
 						}
@@ -148,7 +150,7 @@
 		return false
 	}
 	for at := 0; ; at++ {
-		m, k := NewMemory(), 0
+		m, k := memfs.New(), 0
 		confirmed := map[string]bool{}
 		m.Fail = func(op, name string, bytes int) (int, error) {
 			if k++; k-1 == at {
@@ -164,7 +166,7 @@
 		})
 		m.Fail = nil
 		m.Crash(at % 50)
-		s, err := Open(m, "root", "n1")
+		s, err := spool.Open(m, "root", "n1")
 		if err != nil {
 			t.Fatalf("killed at operation %d: %v", at, err)
 		}
@@ -196,7 +198,7 @@
 			}
 		}
 		m.Crash(0)
-		if s, err = Open(m, "root", "n1"); err != nil {
+		if s, err = spool.Open(m, "root", "n1"); err != nil {
 			t.Fatalf("killed at operation %d and again: %v", at, err)
 		}
 		if _, err := s.Begin(); err != nil {
@@ -229,9 +231,9 @@
 		{"all gone", func(b []byte) []byte { return nil }, "hole", 20},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			m := NewMemory()
+			m := memfs.New()
 			id, _ := life(t, m, "x", 60)
-			if err := m.Edit(join("root", "n1", id, segmentName(2)), c.edit); err != nil {
+			if err := m.Edit(spool.Join("root", "n1", id, spool.SegmentName(2)), c.edit); err != nil {
 				t.Fatal(err)
 			}
 			r, got := all(t, m, id)
@@ -255,10 +257,10 @@
 // was durable.
 func TestTails(t *testing.T) {
 	for _, tail := range []string{"\x00\x00\x00\x00\x00\x00", "\x0fox\xf1", strings.Repeat("noise", 99), "\x0fox\xf1\x04\x00\x00\x00aaaa"} {
-		m := NewMemory()
+		m := memfs.New()
 		id, _ := life(t, m, "x", 5)
-		numbers, _ := segments(m, join("root", "n1", id))
-		m.Edit(join("root", "n1", id, segmentName(numbers[len(numbers)-1])),
+		numbers := spool.SegmentNumbers(m, spool.Join("root", "n1", id))
+		m.Edit(spool.Join("root", "n1", id, spool.SegmentName(numbers[len(numbers)-1])),
 			func(b []byte) []byte { return append(b, tail...) })
 		r, got := all(t, m, id)
 		if len(r.Replay.Defects) > 0 || r.Replay.TornBytes != int64(len(tail)) || len(got) != 5 {
@@ -269,10 +271,10 @@
 
 // Pages that reached the disk in another order than they were written: what is there is read, and what is not is told.
 func TestReordered(t *testing.T) {
-	m := NewMemory()
+	m := memfs.New()
 	id, _ := life(t, m, "x", 5)
-	numbers, _ := segments(m, join("root", "n1", id))
-	name := join("root", "n1", id, segmentName(numbers[len(numbers)-1]))
+	numbers := spool.SegmentNumbers(m, spool.Join("root", "n1", id))
+	name := spool.Join("root", "n1", id, spool.SegmentName(numbers[len(numbers)-1]))
 	var last, before int // where the last two frames begin
 	m.Edit(name, func(b []byte) []byte {
 		for at := 0; at < len(b); {
@@ -294,8 +296,8 @@
 
 // A reader that follows a writer gets each row once, over turns of segments and prunes.
 func TestFollow(t *testing.T) {
-	m := NewMemory()
-	s, _ := Open(m, "root", "n1")
+	m := memfs.New()
+	s, _ := spool.Open(m, "root", "n1")
 	w, err := s.Begin()
 	if err != nil {
 		t.Fatal(err)
@@ -338,11 +340,11 @@
 // On the machine's own file system: one process at a time, and a copied directory is refused until it is adopted.
 func TestDisk(t *testing.T) {
 	root := t.TempDir()
-	s, err := Open(Disk{}, root, "a/b c")
+	s, err := spool.Open(spool.Disk{}, root, "a/b c")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Open(Disk{}, root, "a/b c"); !errors.Is(err, ErrLocked) {
+	if _, err := spool.Open(spool.Disk{}, root, "a/b c"); !errors.Is(err, spool.ErrLocked) {
 		t.Errorf("a second process gets in: %v", err)
 	}
 	w, err := s.Begin()
@@ -357,33 +359,33 @@
 	}
 	w.Close()
 	s.Close()
-	if agents, err := Instances(Disk{}, root); err != nil || len(agents) != 1 || agents[0] != "a/b c" {
+	if agents, err := spool.Instances(spool.Disk{}, root); err != nil || len(agents) != 1 || agents[0] != "a/b c" {
 		t.Errorf("%v %v", agents, err)
 	}
 
 	copied := t.TempDir()
-	from, to := join(root, "a%2Fb%20c", w.Incarnation), join(copied, "a%2Fb%20c", w.Incarnation)
-	if err := (Disk{}).MkdirAll(to); err != nil {
+	from, to := spool.Join(root, "a%2Fb%20c", w.Incarnation), spool.Join(copied, "a%2Fb%20c", w.Incarnation)
+	if err := (spool.Disk{}).MkdirAll(to); err != nil {
 		t.Fatal(err)
 	}
-	for _, name := range []string{ownerName, segmentName(1)} {
-		in, _ := Disk{}.Open(join(from, name))
+	for _, name := range []string{spool.OwnerName, spool.SegmentName(1)} {
+		in, _ := spool.Disk{}.Open(spool.Join(from, name))
 		b := make([]byte, 4096)
 		n, _ := in.ReadAt(b, 0)
-		out, err := Disk{}.Create(join(to, name))
+		out, err := spool.Disk{}.Create(spool.Join(to, name))
 		if err != nil {
 			t.Fatal(err)
 		}
 		out.Write(b[:n])
 		out.Close()
 	}
-	if _, err := Open(Disk{}, copied, "a/b c"); !errors.Is(err, ErrCopied) || !strings.Contains(err.Error(), "adopt") {
+	if _, err := spool.Open(spool.Disk{}, copied, "a/b c"); !errors.Is(err, spool.ErrCopied) || !strings.Contains(err.Error(), "adopt") {
 		t.Errorf("a copied directory: %v", err)
 	}
-	if adopted, err := Adopt(Disk{}, copied, "a/b c"); err != nil || len(adopted) != 1 {
+	if adopted, err := spool.Adopt(spool.Disk{}, copied, "a/b c"); err != nil || len(adopted) != 1 {
 		t.Errorf("adopted %v, %v", adopted, err)
 	}
-	s, err = Open(Disk{}, copied, "a/b c")
+	s, err = spool.Open(spool.Disk{}, copied, "a/b c")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -400,7 +402,7 @@
 
 // Whatever stands in a segment, reading it ends, keeps to what is there and claims no end that it has not read.
 func FuzzReader(f *testing.F) {
-	m := NewMemory()
+	m := memfs.New()
 	l := record.NewLedger(smallLedger("n1", "i", 0))
 	n, _ := l.AddEntry(1, record.Entry{RequestID: "x"})
 	w := l.NextIO(1)
@@ -411,12 +413,12 @@
 	f.Add(whole[:len(whole)-5], []byte("\x0fox\xf1"))
 	f.Add([]byte{}, whole)
 	f.Fuzz(func(t *testing.T, one, two []byte) {
-		m = NewMemory()
+		m = memfs.New()
 		for i, b := range [][]byte{one, two} {
-			file, _ := m.Create(join("root", "n1", "i", segmentName(uint64(i+1))))
+			file, _ := m.Create(spool.Join("root", "n1", "i", spool.SegmentName(uint64(i+1))))
 			file.Write(b)
 		}
-		r, ends := View(m, "root", "n1").Read("i", true), 0
+		r, ends := spool.View(m, "root", "n1").Read("i", true), 0
 		for k := 0; ; k++ {
 			rows, more, err := r.Next()
 			for _, row := range rows {
