--- a/internal/record/spool/bench_test.go
+++ b/internal/record/spool/bench_test.go
@@ -9,65 +9,83 @@
 	"onyxgate/internal/record/spool"
 )
 
-// BenchmarkRecover reads what a killed agent left: time and peak heap must be linear and flat. -benchtime 1x is enough.
+// BenchmarkRecover reads what a killed instance left: time and peak heap must be linear and flat. -benchtime 1x is enough.
 func BenchmarkRecover(b *testing.B) {
 	for _, n := range []int{1e5, 1e6, 1e7} {
 		b.Run(fmt.Sprintf("%.0e entries", float64(n)), func(b *testing.B) {
-			root := b.TempDir()
-			s, err := spool.Open(spool.Disk{}, root, "n1")
+			opened, err := spool.Open(spool.Disk{}, b.TempDir(), "n1")
 			if err != nil {
 				b.Fatal(err)
 			}
-			defer s.Close()
-			w, err := s.Begin()
-			if err != nil {
-				b.Fatal(err)
-			}
-			l := record.NewLedger(record.LedgerOptions{
-				Instance: "n1", Incarnation: w.Incarnation, MaxWriteBytes: 256 << 10, MaxSegmentBytes: 4 << 20,
-				MaxSpoolBytes: 1 << 40, MaxQueuedBytes: 8 << 20, CommitDelay: 100, StallAfter: 50,
-			})
-			for i := range n {
-				o, _ := l.AddEntry(float64(i), record.Entry{
-					RequestID: fmt.Sprintf("%016x", i), Class: "page-preview",
-					Outcome: record.OutcomeServed, Reason: "answered", Release: 41, Backend: "s-5be2a07c", Attempts: 1,
-					ArrivedAt: 1.7e12 + float64(i), AnsweredAt: 1.7e12 + float64(i), BodyDigest: record.Digest{1},
-				})
-				l.AddCompletion(float64(i), o, true)
-				if i%500 == 499 {
-					for x := l.NextIO(float64(i)); !x.Idle(); x = l.NextIO(float64(i)) {
-						wrote, err := w.Do(x)
-						if l.Completed(float64(i), wrote, err == nil); err != nil {
-							b.Fatal(err)
-						}
-					}
-				}
-			}
-			w.Close()
+			defer opened.Close()
+			incarnation := writeEntries(b, opened, n)
 			b.ResetTimer()
-			peak, most := uint64(0), 0
+			peak := uint64(0)
 			for range b.N {
-				r, rows := s.Read(w.Incarnation, true), 0
-				for k, more := 0, true; more; k++ {
-					var got []record.Row
-					if got, more, err = r.Next(); err != nil {
-						b.Fatal(err)
-					}
-					rows += len(got)
-					most = max(most, r.Replay.OpenEntries())
-					if k%64 == 0 {
-						var m runtime.MemStats
-						runtime.ReadMemStats(&m)
-						peak = max(peak, m.HeapInuse)
-					}
-				}
-				if rows < n-1000 || len(r.Replay.Defects) > 0 {
-					b.Fatal(rows, r.Replay.Defects)
+				reader := opened.Read(incarnation, true)
+				rows, heap := readWithPeak(b, reader)
+				if rows < n-1000 || len(reader.Replay.Defects) > 0 {
+					b.Fatal(rows, reader.Replay.Defects)
 				}
+				peak = max(peak, heap)
 			}
-			b.ReportMetric(float64(s.Bytes())/float64(n), "bytes/entry")
+			b.ReportMetric(float64(opened.Bytes())/float64(n), "bytes/entry")
 			b.ReportMetric(float64(peak)/(1<<20), "peak-MiB")
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(n), "ns/entry")
 		})
 	}
 }
+
+// writeEntries writes n entries with their ends, 500 at a time.
+func writeEntries(b *testing.B, opened *spool.Spool, n int) (incarnation string) {
+	b.Helper()
+	writer, err := opened.Begin()
+	if err != nil {
+		b.Fatal(err)
+	}
+	ledger := record.NewLedger(record.LedgerOptions{
+		Instance: "n1", Incarnation: writer.Incarnation, MaxWriteBytes: 256 << 10, MaxSegmentBytes: 4 << 20,
+		MaxSpoolBytes: 1 << 40, MaxQueuedBytes: 8 << 20, CommitDelay: 100, StallAfter: 50,
+	})
+	for i := range n {
+		now := float64(i)
+		ordinal, _ := ledger.AddEntry(now, record.Entry{
+			RequestID: fmt.Sprintf("%016x", i), Class: "page-preview", Outcome: record.OutcomeServed, Reason: "answered",
+			Release: 41, Backend: "s-5be2a07c", Attempts: 1, ArrivedAt: 1.7e12 + now, AnsweredAt: 1.7e12 + now,
+			BodyDigest: record.Digest{1},
+		})
+		ledger.AddCompletion(now, ordinal, true)
+		if i%500 != 499 {
+			continue
+		}
+		for next := ledger.NextIO(now); !next.Idle(); next = ledger.NextIO(now) {
+			wrote, err := writer.Do(next)
+			if ledger.Completed(now, wrote, err == nil); err != nil {
+				b.Fatal(err)
+			}
+		}
+	}
+	if err := writer.Close(); err != nil {
+		b.Fatal(err)
+	}
+	return writer.Incarnation
+}
+
+// readWithPeak reads all and looks at the heap now and then.
+func readWithPeak(b *testing.B, reader *spool.Reader) (rows int, peak uint64) {
+	b.Helper()
+	for calls, more := 0, true; more; calls++ {
+		var read []record.Row
+		var err error
+		if read, more, err = reader.Next(); err != nil {
+			b.Fatal(err)
+		}
+		rows += len(read)
+		if calls%64 == 0 {
+			var memory runtime.MemStats
+			runtime.ReadMemStats(&memory)
+			peak = max(peak, memory.HeapInuse)
+		}
+	}
+	return rows, peak
+}
--- /dev/null
+++ b/internal/record/spool/damage_test.go
@@ -0,0 +1,121 @@
+package spool_test
+
+import (
+	"strings"
+	"testing"
+
+	"onyxgate/internal/fake/memfs"
+	"onyxgate/internal/record"
+	"onyxgate/internal/record/spool"
+)
+
+// Bytes that change in an old segment are told, and all else is read.
+func TestEdits(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		edit func([]byte) []byte
+		kind string
+		most int // entries lost
+	}{
+		{"a bit flipped", func(b []byte) []byte { b[len(b)/2] ^= 4; return b }, "spoilt", 1},
+		{"zeros in the middle", func(b []byte) []byte { clear(b[500:900]); return b }, "spoilt", 4},
+		{"bytes taken out", func(b []byte) []byte { return append(b[:600:600], b[640:]...) }, "spoilt", 2},
+		{"noise put in", func(b []byte) []byte {
+			return append(append(b[:600:600], "\x0fox\xf1\xff\xff\x00\x00 noise"...), b[600:]...)
+		}, "spoilt", 2},
+		{"the end cut off", func(b []byte) []byte { return b[:len(b)-300] }, "spoilt", 3},
+		{"all gone", func([]byte) []byte { return nil }, "hole", 20},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			files := memfs.New()
+			name, _ := life(t, files, 60)
+			edit(t, files, spool.Join("root", "n1", name, spool.SegmentName(2)), c.edit)
+			reader, states := readAll(t, files, name)
+			if len(reader.Replay.Defects) == 0 || reader.Replay.Defects[0].Kind != c.kind {
+				t.Errorf("%v, want %s first", reader.Replay.Defects, c.kind)
+			}
+			in := 0
+			for request := range states {
+				if request != "" {
+					in++
+				}
+			}
+			if in < 60-c.most || in == 60 && c.kind != "spoilt" {
+				t.Errorf("%d entries of 60", in)
+			}
+		})
+	}
+}
+
+// A tail of zeros, of noise, or of a later frame without the one before is cut and told as torn, not as a hole in what
+// was durable.
+func TestTails(t *testing.T) {
+	for _, tail := range []string{"\x00\x00\x00\x00\x00\x00", "\x0fox\xf1", strings.Repeat("noise", 99), "\x0fox\xf1\x04\x00\x00\x00aaaa"} {
+		files := memfs.New()
+		name, _ := life(t, files, 5)
+		edit(t, files, lastSegment(t, files, name), func(b []byte) []byte { return append(b, tail...) })
+		reader, states := readAll(t, files, name)
+		if len(reader.Replay.Defects) > 0 || reader.Replay.TornBytes != int64(len(tail)) || len(states) != 5 {
+			t.Errorf("%q: %v, %d torn, %d entries", tail, reader.Replay.Defects, reader.Replay.TornBytes, len(states))
+		}
+	}
+}
+
+// Pages that reached the disk in another order than they were written: what is there is read, and what is not is told.
+func TestReordered(t *testing.T) {
+	files := memfs.New()
+	name, _ := life(t, files, 5)
+	var last, before int // where the last two frames begin
+	edit(t, files, lastSegment(t, files, name), func(b []byte) []byte {
+		for at := 0; at < len(b); {
+			_, size, err := record.ParseFrame(b[at:])
+			if err != nil {
+				t.Fatal(err)
+			}
+			before, last = last, at
+			at += size
+		}
+		clear(b[before:last])
+		return b
+	})
+	reader, states := readAll(t, files, name)
+	if len(reader.Replay.Defects) != 2 || reader.Replay.Defects[0].Kind != "spoilt" || reader.Replay.Defects[1].Kind != "hole" || len(states) < 4 {
+		t.Errorf("%v, %d entries", reader.Replay.Defects, len(states))
+	}
+}
+
+// Whatever stands in a segment, reading it ends, keeps to what is there and claims no end that it has not read.
+func FuzzReader(f *testing.F) {
+	ledger := record.NewLedger(smallLedger("n1", "i", 0))
+	ordinal, _ := ledger.AddEntry(1, record.Entry{RequestID: "x"})
+	first := ledger.NextIO(1)
+	ledger.Completed(1, len(first.Bytes), true)
+	ledger.AddCompletion(2, ordinal, true)
+	whole := append(first.Bytes, ledger.NextIO(300).Bytes...)
+	f.Add(whole, whole[:20])
+	f.Add(whole[:len(whole)-5], []byte("\x0fox\xf1"))
+	f.Add([]byte{}, whole)
+	f.Fuzz(func(t *testing.T, one, two []byte) {
+		files := memfs.New()
+		for i, content := range [][]byte{one, two} {
+			writeFile(t, files, spool.Join("root", "n1", "i", spool.SegmentName(uint64(i+1))), content)
+		}
+		reader := spool.View(files, "root", "n1").Read("i", true)
+		ends := 0
+		for calls, more := 0, true; more; calls++ {
+			if calls > 100 {
+				t.Fatal("reading does not end")
+			}
+			rows, left, err := reader.Next()
+			for _, row := range rows {
+				if row.State == record.StateAnswered {
+					ends++
+				}
+			}
+			more = left && err == nil
+		}
+		if bytes := len(one) + len(two); ends > bytes || reader.Replay.OpenEntries() > bytes {
+			t.Fatalf("%d ends and %d open in %d bytes", ends, reader.Replay.OpenEntries(), bytes)
+		}
+	})
+}
