--- a/cmd/onyxgate/record.go
+++ b/cmd/onyxgate/record.go
@@ -144,8 +144,8 @@
 	w = table.NewWriter()
 	w.SetOutputMirror(os.Stdout)
 	w.AppendHeader(table.Row{"agent", "product", "outcome", "state", "entries"})
-	if err := store.Count(ctx, sqlstore.Filter{}, func(agent, product, outcome, state string, n int64) error {
-		w.AppendRow(table.Row{agent, product, outcome, state, n})
+	if err := store.Count(ctx, sqlstore.Filter{}, func(group sqlstore.GroupCount) error {
+		w.AppendRow(table.Row{group.Instance, group.Class, group.Outcome, group.State, group.Entries})
 		return nil
 	}); err != nil {
 		return err
--- a/internal/record/export.go
+++ b/internal/record/export.go
@@ -111,11 +111,60 @@
 // CircuitOpen tells that the store counts as away.
 func (s *ExportScheduler) CircuitOpen() bool { return s.failures >= circuitOpensAfter }
 
-// TakesRunning tells whether it is the running incarnation's turn, or that of what is left of earlier ones.
-func (s *ExportScheduler) TakesRunning(running, earlier bool) bool {
-	if running && earlier {
+// ExportSource is where the next batch comes from.
+type ExportSource uint8
+
+// The sources.
+const (
+	SourceNone    ExportSource = iota // nothing waits
+	SourceRunning                     // the running incarnation
+	SourceEarlier                     // the oldest of the earlier ones that is left
+)
+
+// NextSource says whose turn it is, among those of which something waits.
+func (s *ExportScheduler) NextSource(runningWaits, earlierWaits bool) ExportSource {
+	switch {
+	case runningWaits && earlierWaits:
 		s.turn = (s.turn + 1) % turnsPerRound
-		return s.turn < runningTurns
+		if s.turn < runningTurns {
+			return SourceRunning
+		}
+		return SourceEarlier
+	case runningWaits:
+		return SourceRunning
+	case earlierWaits:
+		return SourceEarlier
+	}
+	return SourceNone
+}
+
+// ReadFailure is what follows from a failure to read an incarnation in the spool.
+type ReadFailure uint8
+
+// The consequences.
+const (
+	// ReadAgain: the running incarnation is read again at the next turn, when what is missing may be there. Until then
+	// what was read before may go to the store.
+	ReadAgain ReadFailure = iota
+	// LeaveFiles: an earlier incarnation, which nobody writes any more, stays as it is for whoever looks into it, and is
+	// not read again before the next start.
+	LeaveFiles
+)
+
+// OnReadError says what follows from a failure to read the source.
+func (s ExportSource) OnReadError() ReadFailure {
+	if s == SourceRunning {
+		return ReadAgain
+	}
+	return LeaveFiles
+}
+
+// StoredThrough is the last ordinal up to which everything is in the store: of what a reading has found final so far
+// (finalThrough), rows wait to be stored.
+func StoredThrough(finalThrough uint64, waiting []Row) uint64 {
+	through := finalThrough
+	for _, row := range waiting {
+		through = min(through, row.Ordinal()-1)
 	}
-	return running
+	return through
 }
--- a/internal/record/export_test.go
+++ b/internal/record/export_test.go
@@ -49,13 +49,62 @@
 	if n, _ := s.Next(now, 1000); n < 2 || s.CircuitOpen() {
 		t.Errorf("it is back, and gets %d", n)
 	}
-	live := 0
+}
+
+func TestNextSource(t *testing.T) {
+	scheduler := NewExportScheduler(100, 50, rand.New(rand.NewPCG(1, 2)))
+	turns := map[ExportSource]int{}
 	for range 400 {
-		if s.TakesRunning(true, true) {
-			live++
-		}
+		turns[scheduler.NextSource(true, true)]++
 	}
-	if live != 300 || !s.TakesRunning(true, false) || s.TakesRunning(false, true) {
-		t.Errorf("%d of 400 turns are the running one's", live)
+	if turns[SourceRunning] != 300 || turns[SourceEarlier] != 100 {
+		t.Errorf("of 400 turns %d are the running incarnation's and %d the earlier ones'", turns[SourceRunning], turns[SourceEarlier])
+	}
+	for _, c := range []struct {
+		name             string
+		running, earlier bool
+		want             ExportSource
+	}{
+		{"the running one waits", true, false, SourceRunning},
+		{"an earlier one waits", false, true, SourceEarlier},
+		{"nothing waits", false, false, SourceNone},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			for range turnsPerRound {
+				if source := scheduler.NextSource(c.running, c.earlier); source != c.want {
+					t.Errorf("source %d, want %d", source, c.want)
+				}
+			}
+		})
+	}
+}
+
+func TestOnReadError(t *testing.T) {
+	if SourceRunning.OnReadError() != ReadAgain {
+		t.Error("the running incarnation is not read again")
+	}
+	if SourceEarlier.OnReadError() != LeaveFiles {
+		t.Error("the files of an earlier incarnation do not stay")
+	}
+}
+
+func TestStoredThrough(t *testing.T) {
+	for _, c := range []struct {
+		name         string
+		finalThrough uint64
+		waiting      []Row
+		want         uint64
+	}{
+		{"nothing waits", 7, nil, 7},
+		{"a later entry waits", 7, []Row{{Entry: Entry{N: 9}}}, 7},
+		{"an entry waits", 7, []Row{{Entry: Entry{N: 5}}, {Entry: Entry{N: 6}}}, 4},
+		{"a gap waits", 7, []Row{{Entry: Entry{N: 6}}, {Gap: &Gap{N: 3}}}, 2},
+		{"the first waits", 7, []Row{{Entry: Entry{N: 1}}}, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if through := StoredThrough(c.finalThrough, c.waiting); through != c.want {
+				t.Errorf("through %d, want %d", through, c.want)
+			}
+		})
 	}
 }
--- /dev/null
+++ b/internal/record/postgres/connection.go
@@ -0,0 +1,177 @@
+package postgres
+
+// This file owns the connection and its transactions.
+
+import (
+	"context"
+	"fmt"
+	"strconv"
+	"sync"
+	"time"
+
+	"github.com/jackc/pgx/v5/pgconn"
+
+	"onyxgate/internal/record/sqlstore"
+)
+
+// partingTimeout bounds what is said to the server when a transaction or the connection is given up.
+const partingTimeout = time.Second
+
+// database is one connection, made when it is needed; calls wait for each other.
+type database struct {
+	mu       sync.Mutex
+	config   *pgconn.Config
+	password func() (string, error)
+	conn     *pgconn.PgConn
+}
+
+// connect is the connection, opened anew where the last one broke. Under the lock.
+func (d *database) connect(ctx context.Context) (*pgconn.PgConn, error) {
+	if d.conn != nil && !d.conn.IsClosed() {
+		return d.conn, nil
+	}
+	config := d.config.Copy()
+	var err error
+	if config.Password, err = d.password(); err != nil {
+		return nil, fmt.Errorf("password: %w", err)
+	}
+	d.conn, err = pgconn.ConnectConfig(ctx, config)
+	return d.conn, err
+}
+
+func (d *database) Exec(ctx context.Context, text string, args ...any) (affected int64, err error) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	conn, err := d.connect(ctx)
+	if err != nil {
+		return 0, err
+	}
+	return exec(ctx, conn, text, args)
+}
+
+func (d *database) Query(ctx context.Context, text string, args []any, each func(func(...any) error) error) error {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	conn, err := d.connect(ctx)
+	if err != nil {
+		return err
+	}
+	return query(ctx, conn, text, args, each)
+}
+
+// Begin holds the lock until the transaction ends.
+func (d *database) Begin(ctx context.Context) (sqlstore.Tx, error) {
+	d.mu.Lock()
+	conn, err := d.connect(ctx)
+	if err == nil {
+		_, err = exec(ctx, conn, "begin", nil)
+	}
+	if err != nil {
+		d.mu.Unlock()
+		return nil, err
+	}
+	return &transaction{database: d, conn: conn}, nil
+}
+
+func (d *database) Close() error {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.conn == nil {
+		return nil
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), partingTimeout)
+	defer cancel()
+	return d.conn.Close(ctx)
+}
+
+type transaction struct {
+	database *database
+	conn     *pgconn.PgConn
+	ended    bool
+}
+
+func (t *transaction) Exec(ctx context.Context, text string, args ...any) (int64, error) {
+	return exec(ctx, t.conn, text, args)
+}
+
+func (t *transaction) Query(ctx context.Context, text string, args []any, each func(func(...any) error) error) error {
+	return query(ctx, t.conn, text, args, each)
+}
+
+func (t *transaction) Commit(ctx context.Context) error {
+	defer t.end()
+	result := t.conn.ExecParams(ctx, "commit", nil, nil, nil, nil).Read()
+	if result.Err == nil && result.CommandTag.String() != "COMMIT" { // a transaction that had failed is rolled back
+		return fmt.Errorf("commit: the server says %s", result.CommandTag)
+	}
+	return result.Err
+}
+
+func (t *transaction) Rollback() {
+	if t.ended {
+		return
+	}
+	defer t.end()
+	ctx, cancel := context.WithTimeout(context.Background(), partingTimeout)
+	defer cancel()
+	if _, err := exec(ctx, t.conn, "rollback", nil); err != nil {
+		_ = t.conn.Close(ctx) // whatever state it is in, it is not used again
+	}
+}
+
+func (t *transaction) end() {
+	t.ended = true
+	t.database.mu.Unlock()
+}
+
+// textValues are arguments as the protocol's text form has them; the server knows their types.
+func textValues(args []any) (values [][]byte) {
+	for _, arg := range args {
+		values = append(values, fmt.Append(nil, arg))
+	}
+	return values
+}
+
+func exec(ctx context.Context, conn *pgconn.PgConn, text string, args []any) (affected int64, err error) {
+	result := conn.ExecParams(ctx, text, textValues(args), nil, nil, nil).Read()
+	return result.CommandTag.RowsAffected(), result.Err
+}
+
+func query(ctx context.Context, conn *pgconn.PgConn, text string, args []any, each func(func(...any) error) error) error {
+	result := conn.ExecParams(ctx, text, textValues(args), nil, nil, nil)
+	var failed error
+	for failed == nil && result.NextRow() {
+		failed = each(func(to ...any) error { return scan(result.Values(), to) })
+	}
+	if failed != nil { // what is left unread may be millions of rows
+		conn.Conn().Close()
+		_, _ = result.Close() // it fails, for the connection is gone
+		return failed
+	}
+	_, err := result.Close()
+	return err
+}
+
+func scan(values [][]byte, to []any) (err error) {
+	if len(values) != len(to) {
+		return fmt.Errorf("%d columns, not %d", len(values), len(to))
+	}
+	for i, value := range values {
+		switch column := to[i].(type) {
+		case *string:
+			*column = string(value)
+		case *int:
+			*column, err = strconv.Atoi(string(value))
+		case *int64:
+			*column, err = strconv.ParseInt(string(value), 10, 64)
+		case *float64:
+			*column, err = strconv.ParseFloat(string(value), 64)
+		default:
+			err = fmt.Errorf("no way to scan into %T", column)
+		}
+		if err != nil {
+			return err
+		}
+	}
+	return nil
+}
--- a/internal/record/postgres/postgres_test.go
+++ b/internal/record/postgres/postgres_test.go
@@ -119,7 +119,7 @@
 		{"db:x", "require", "port"},
 		{"db:1", "require", ""},
 	} {
-		s, err := Open(c.address, "d'x\\", "u", "", c.mode, "", time.Second)
+		s, err := Open(Options{Address: c.address, Database: "d'x\\", User: "u", TLS: c.mode, ConnectTimeout: time.Second})
 		if c.want == "" {
 			if err != nil || s.Close() != nil {
 				t.Errorf("%+v: %v", c, err)
@@ -128,7 +128,10 @@
 			t.Errorf("%+v: %v", c, err)
 		}
 	}
-	s, _ := Open("127.0.0.1:1", "d", "u", "/no/such/password", "disable", "", time.Second)
+	s, _ := Open(Options{
+		Address: "127.0.0.1:1", Database: "d", User: "u", PasswordFile: "/no/such/password", TLS: "disable",
+		ConnectTimeout: time.Second,
+	})
 	if err := s.Migrate(context.Background()); err == nil || !strings.Contains(err.Error(), "password") {
 		t.Errorf("a password that is not there: %v", err)
 	}
--- a/internal/record/recorder/audit.go
+++ b/internal/record/recorder/audit.go
@@ -19,83 +19,100 @@
 	What   string `json:"what"`
 }
 
-// Audit reads an agent's spool, or every agent's, and the store where there is one. A spool that an agent works in is read
-// as far as it is written. progress is called with the rows read so far.
-func Audit(ctx context.Context, t Table, agent string, tell func(Finding), progress func(rows int)) error {
-	agents := []string{agent}
-	if agent == "" {
+// Audit reads an instance's spool, or every instance's where none is named, and the store where there is one. A spool that
+// an instance works in is read as far as it is written. found is called with each finding, progress with the rows read so
+// far. An error says that the audit is not complete.
+func Audit(ctx context.Context, table Table, instance string, found func(Finding), progress func(rows int)) error {
+	instances := []string{instance}
+	if instance == "" {
 		var err error
-		if agents, err = spool.Instances(spool.Disk{}, t.Directory); err != nil {
+		if instances, err = spool.Instances(spool.Disk{}, table.Directory); err != nil {
 			return err
 		}
 	}
 	rows := 0
-	for _, name := range agents {
-		sp, err := spool.Open(spool.Disk{}, t.Directory, name)
-		running := false
-		if err != nil {
-			if running = errors.Is(err, spool.ErrLocked); !running {
-				tell(Finding{true, name, err.Error()})
-			}
-			sp = spool.View(spool.Disk{}, t.Directory, name)
-		}
-		for _, incarnation := range sp.Incarnations() {
-			if err := auditIncarnation(ctx, sp.Read(incarnation, !running), name+"/"+incarnation, tell, func(n int) {
-				rows += n
-				progress(rows)
-			}); err != nil {
-				sp.Close()
-				return err
-			}
+	count := func(more int) {
+		rows += more
+		progress(rows)
+	}
+	for _, name := range instances {
+		if err := auditSpool(ctx, table.Directory, name, found, count); err != nil {
+			return err
 		}
-		sp.Close()
 	}
-	store, err := t.Store.Open()
+	store, err := table.Store.Open()
 	if err != nil || store == nil {
 		return err
 	}
 	defer store.Close()
-	return auditStore(ctx, store, agent, tell)
+	return auditStore(ctx, store, instance, found)
+}
+
+// auditSpool reads all of an instance's incarnations. A directory that can't be taken, for another reason than that its
+// instance runs, is a defect and is read all the same.
+func auditSpool(ctx context.Context, directory, instance string, found func(Finding), count func(rows int)) error {
+	opened, err := spool.Open(spool.Disk{}, directory, instance)
+	running := errors.Is(err, spool.ErrLocked)
+	if err != nil {
+		if !running {
+			found(Finding{true, instance, err.Error()})
+		}
+		opened = spool.View(spool.Disk{}, directory, instance)
+	}
+	defer opened.Close()
+	for _, incarnation := range opened.Incarnations() {
+		reader := opened.Read(incarnation, !running)
+		if err := auditIncarnation(ctx, reader, instance+"/"+incarnation, found, count); err != nil {
+			return err
+		}
+	}
+	return nil
 }
 
-func auditIncarnation(ctx context.Context, r *spool.Reader, where string, tell func(Finding), progress func(rows int)) error {
-	defer r.Close()
+func auditIncarnation(ctx context.Context, reader *spool.Reader, where string, found func(Finding),
+	count func(rows int),
+) error {
+	defer reader.Close()
 	for more := true; more && ctx.Err() == nil; {
 		var rows []record.Row
 		var err error
-		if rows, more, err = r.Next(); err != nil {
-			tell(Finding{true, where, err.Error()})
+		if rows, more, err = reader.Next(); err != nil {
+			found(Finding{true, where, err.Error()})
 			break
 		}
-		progress(len(rows))
+		count(len(rows))
 	}
-	f := r.Replay
-	for _, d := range f.Defects {
-		tell(Finding{true, where, d.String()})
+	replay := reader.Replay
+	for _, defect := range replay.Defects {
+		found(Finding{true, where, defect.String()})
 	}
-	tell(Finding{false, where, fmt.Sprintf("%d given, %d unheard, %d in doubt, %d open, %d gaps, %d written anew, %d torn bytes",
-		f.Counts[record.StateAnswered], f.Counts[record.StateUndelivered], f.Counts[record.StateInDoubt], f.OpenEntries(), f.Gaps, f.Rewritten, f.TornBytes)})
+	what := fmt.Sprintf("%d given, %d unheard, %d in doubt, %d open, %d gaps, %d written anew, %d torn bytes",
+		replay.Counts[record.StateAnswered], replay.Counts[record.StateUndelivered], replay.Counts[record.StateInDoubt],
+		replay.OpenEntries(), replay.Gaps, replay.Rewritten, replay.TornBytes)
+	found(Finding{false, where, what})
 	return ctx.Err()
 }
 
-func auditStore(ctx context.Context, store *sqlstore.Store, agent string, tell func(Finding)) error {
+func auditStore(ctx context.Context, store *sqlstore.Store, instance string, found func(Finding)) error {
 	repeats, err := store.Repeats(ctx)
 	if err != nil {
 		return err
 	}
 	if repeats > 0 {
-		tell(Finding{true, "store", fmt.Sprintf("%d ordinals stand more than once", repeats)})
+		found(Finding{true, "store", fmt.Sprintf("%d ordinals stand more than once", repeats)})
 	}
-	if err := store.Gaps(ctx, agent, func(g sqlstore.GapRow) error {
-		tell(Finding{g.Cause == "hole", "store", fmt.Sprintf("gap of %s/%s at %d: %d settled, %d declined, %d voided, "+
-			"%d unknown, %.0f to %.0f ms, %s", g.Instance, g.Incarnation, g.N, g.Served, g.Rejected, g.Failed, g.Unknown, g.From,
-			g.To, g.Cause)})
+	if err := store.Gaps(ctx, instance, func(gap sqlstore.GapRow) error {
+		what := fmt.Sprintf("gap of %s/%s at %d: %d settled, %d declined, %d voided, %d unknown, %.0f to %.0f ms, %s",
+			gap.Instance, gap.Incarnation, gap.N, gap.Served, gap.Rejected, gap.Failed, gap.Unknown, gap.From, gap.To,
+			gap.Cause)
+		found(Finding{gap.Cause == "hole", "store", what})
 		return nil
 	}); err != nil {
 		return err
 	}
-	return store.Count(ctx, sqlstore.Filter{Instance: agent}, func(agent, product, outcome, state string, n int64) error {
-		tell(Finding{false, "store", fmt.Sprintf("%s %s %s %s: %d", agent, product, outcome, state, n)})
+	return store.Count(ctx, sqlstore.Filter{Instance: instance}, func(group sqlstore.GroupCount) error {
+		what := fmt.Sprintf("%s %s %s %s: %d", group.Instance, group.Class, group.Outcome, group.State, group.Entries)
+		found(Finding{false, "store", what})
 		return nil
 	})
 }
--- /dev/null
+++ b/internal/record/recorder/check.go
@@ -0,0 +1,113 @@
+package recorder
+
+// This file owns which settings can't be, and which contradict each other.
+
+import (
+	"fmt"
+	"os"
+	"slices"
+)
+
+const (
+	minSegmentBytes   = 16 << 10
+	minGroupBytes     = 4 << 10
+	minRoomBytes      = 64 << 10
+	minBudgetSegments = 4
+	maxBatchRows      = 5000
+)
+
+// complaint is told of a setting that can't be: its key, its value, what it is and what would be right.
+type complaint = func(key string, value any, what, right string)
+
+// Check calls wrong for each field that can't be or that contradicts another: its key, its value, what it is and what
+// would be right.
+func (t Table) Check(wrong func(key string, value any, what, right string)) {
+	t.checkWords(wrong)
+	if !t.On() {
+		return
+	}
+	t.checkMode(wrong)
+	t.checkSizes(wrong)
+	t.checkTimes(wrong)
+	t.Store.check(wrong)
+}
+
+func (t Table) checkWords(wrong complaint) {
+	for _, field := range []struct {
+		key, value string
+		words      []string
+	}{
+		{"record.mode", t.Mode, []string{"spool", "memory", "off"}},
+		{"record.sync", t.Sync, []string{"group", "none"}},
+		{"record.when_full", t.WhenFull, []string{"keep-serving", "decline"}},
+		{"record.store.kind", t.Store.Kind, []string{"sqlite", "postgres", "none"}},
+		{"record.store.tls", t.Store.TLS, []string{"verify-full", "verify-ca", "require", "disable"}},
+	} {
+		if !slices.Contains(field.words, field.value) {
+			wrong(field.key, field.value, fmt.Sprintf("not one of %v", field.words), fmt.Sprintf("%q", field.words[0]))
+		}
+	}
+}
+
+func (t Table) checkMode(wrong complaint) {
+	if t.Mode == "spool" && t.Directory == "" {
+		wrong("record.directory", t.Directory, "needed by mode = \"spool\"", `"/var/lib/onyxgate/spool"`)
+	}
+	if t.Mode == "memory" && t.Store.Kind == "none" {
+		wrong("record.store.kind", t.Store.Kind, "mode = \"memory\" keeps nothing without a store", `"postgres"`)
+	}
+}
+
+func (t Table) checkSizes(wrong complaint) {
+	if t.Segment < minSegmentBytes {
+		wrong("record.segment", t.Segment, "too small for a write", `"4MiB"`)
+	}
+	if t.Budget < minBudgetSegments*t.Segment {
+		wrong("record.budget", t.Budget, fmt.Sprintf("less than four segments of %v", t.Segment),
+			fmt.Sprintf("%q", minBudgetSegments*t.Segment))
+	}
+	if t.GroupBytes < minGroupBytes || t.GroupBytes > t.Segment {
+		wrong("record.group_bytes", t.GroupBytes, "not between 4 KiB and a segment", `"256KiB"`)
+	}
+	if t.Room < minRoomBytes {
+		wrong("record.room", t.Room, "too small for the txns of a moment", `"2MiB"`)
+	}
+}
+
+func (t Table) checkTimes(wrong complaint) {
+	if t.syncs() && t.Patience.Ms() <= t.Group.Ms() {
+		wrong("record.patience", t.Patience, "no longer than group_wait, so nothing would be durable in time", `"250ms"`)
+	}
+	if t.Stall.Ms() <= 0 {
+		wrong("record.stall", t.Stall, "every write would count as a stall", `"200ms"`)
+	}
+}
+
+func (s StoreTable) check(wrong complaint) {
+	if s.Batch < 1 || s.Batch > maxBatchRows {
+		wrong("record.store.batch", s.Batch, "not between 1 and 5000", "500")
+	}
+	if s.Kind != "none" && (s.Timeout.Ms() <= 0 || s.Every.Ms() <= 0) {
+		wrong("record.store.timeout", s.Timeout, "neither timeout nor every may be zero", `"5s"`)
+	}
+	if s.Kind == "sqlite" && s.Path == "" {
+		wrong("record.store.path", s.Path, "needed by kind = \"sqlite\"", `"/var/lib/onyxgate/record.db"`)
+	}
+	if s.Kind == "postgres" {
+		s.checkPostgres(wrong)
+	}
+}
+
+func (s StoreTable) checkPostgres(wrong complaint) {
+	if _, err := s.Open(); err != nil {
+		wrong("record.store.address", s.Address, err.Error(), `"db.internal:5432"`)
+	}
+	if s.Database == "" || s.User == "" {
+		wrong("record.store.database", s.Database, "kind = \"postgres\" needs database and user", `"accounts"`)
+	}
+	if s.PasswordFile != "" {
+		if _, err := os.Stat(s.PasswordFile); err != nil {
+			wrong("record.store.password_file", s.PasswordFile, err.Error(), `"/etc/onyxgate/password"`)
+		}
+	}
+}
--- /dev/null
+++ b/internal/record/recorder/exporter.go
@@ -0,0 +1,295 @@
+package recorder
+
+// This file owns the way to the store: which rows go in a batch, and what became of it. Pace, turns and the meaning of
+// failures are record.ExportScheduler's.
+
+import (
+	"context"
+	"math/rand/v2"
+	"sync"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"onyxgate/internal/record"
+	"onyxgate/internal/record/spool"
+	"onyxgate/internal/record/sqlstore"
+)
+
+// schedulerStream tells the scheduler's random numbers from others of the same seed.
+const schedulerStream = 16
+
+const (
+	// idlePause is the longest time after which it is looked again whether something waits.
+	idlePause = 50 * time.Millisecond
+	// busyPause is the time between two batches.
+	busyPause = time.Millisecond
+)
+
+// exporter sends what an instance's incarnations hold to the store.
+type exporter struct {
+	spool    *spool.Spool
+	instance string
+	table    StoreTable
+	store    *sqlstore.Store // nil: there is none
+	now      func() float64  // ms
+	// segment is the one that the running incarnation is written to, which must stay; onFreed tells of files that are gone.
+	segment func() uint64
+	onFreed func(bytes int64)
+
+	mu            sync.Mutex
+	scheduler     *record.ExportScheduler
+	running       *incarnationReader   // nil: none runs
+	earlier       []*incarnationReader // the first is on its way
+	migrated      bool                 // the store's schema is up to date
+	exported      uint64               // rows
+	inDoubt       uint64               // rows of these
+	oldestWaiting float64              // when the oldest entry of the running incarnation that waits was answered; 0: none
+	lastResult    record.ExportResult  // as it was logged last
+}
+
+// newRecorderExporter makes the one of an instance that runs.
+func newRecorderExporter(r *Recorder, seed uint64) (*exporter, error) {
+	store, err := r.table.Store.Open()
+	if err != nil {
+		return nil, err
+	}
+	e := newExporter(r.spool, r.table.Store, store, r.now, seed)
+	e.segment = func() uint64 {
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		return r.ledger.Segment()
+	}
+	e.onFreed = func(bytes int64) {
+		r.mu.Lock()
+		r.ledger.ReleaseBytes(bytes)
+		r.mu.Unlock()
+		r.wakeWriter()
+	}
+	for _, incarnation := range r.spool.Incarnations() {
+		e.add(incarnation, incarnation == r.writer.Incarnation)
+	}
+	return e, nil
+}
+
+func newExporter(from *spool.Spool, table StoreTable, store *sqlstore.Store, now func() float64, seed uint64) *exporter {
+	random := rand.New(rand.NewPCG(seed, schedulerStream))
+	return &exporter{
+		spool: from, instance: from.Instance, table: table, store: store, now: now, onFreed: func(int64) {},
+		scheduler: record.NewExportScheduler(table.Batch, table.Every.Ms(), random),
+	}
+}
+
+func (e *exporter) add(incarnation string, running bool) {
+	added := &incarnationReader{
+		incarnation: incarnation, place: e.spool.Place(incarnation), running: running,
+		reader: e.spool.Read(incarnation, !running),
+	}
+	if running {
+		e.running = added
+	} else {
+		e.earlier = append(e.earlier, added)
+	}
+}
+
+// drain sends what it can before ctx ends.
+func (e *exporter) drain(ctx context.Context) {
+	for left := true; left && ctx.Err() == nil; {
+		var wait time.Duration
+		if _, wait, left = e.step(ctx); left {
+			time.Sleep(wait)
+		}
+	}
+}
+
+// step sends one batch, if it is time to. It returns the bytes that went and when to come again; left tells that something
+// still waits. Calls must not overlap.
+func (e *exporter) step(ctx context.Context) (sent int64, wait time.Duration, left bool) {
+	from, batch, wait := e.nextBatch()
+	if from == nil || wait > 0 {
+		return 0, wait, from != nil
+	}
+	sent, err := e.put(ctx, batch)
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if err != nil && ctx.Err() != nil {
+		return 0, idlePause, true
+	}
+	result := e.store.Classify(err)
+	e.scheduler.Result(e.now(), result)
+	if result != record.ExportStored {
+		from.refused = from.refused || result == record.ExportForeign
+		e.logFailure(err, result)
+		return 0, busyPause, true
+	}
+	e.onStored(from, batch)
+	return sent, busyPause, true
+}
+
+// nextBatch is what goes next, and of which incarnation: nil where nothing waits. Where wait is not 0 it may not go yet.
+func (e *exporter) nextBatch() (from *incarnationReader, batch sqlstore.Batch, wait time.Duration) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if from = e.pick(); from == nil {
+		return nil, batch, idlePause
+	}
+	n, ms := e.scheduler.Next(e.now(), from.waiting())
+	if n == 0 {
+		return from, batch, max(min(duration(ms), idlePause), busyPause)
+	}
+	n = min(n, len(from.rows))
+	batch = sqlstore.Batch{
+		Instance: e.instance, Incarnation: from.incarnation, Place: from.place, Rows: from.rows[:n:n],
+	}
+	if n == len(from.rows) {
+		batch.Through, batch.Closed = from.through, from.done
+	}
+	return from, batch, 0
+}
+
+func (e *exporter) put(ctx context.Context, batch sqlstore.Batch) (sent int64, err error) {
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(e.table.Timeout))
+	defer cancel()
+	if !e.migrated {
+		if err := e.store.Migrate(ctx); err != nil {
+			return 0, err
+		}
+		e.mu.Lock()
+		e.migrated = true
+		e.mu.Unlock()
+	}
+	bytes, err := e.store.Put(ctx, batch)
+	return int64(bytes), err
+}
+
+// onStored takes a batch off its incarnation. Under the lock.
+func (e *exporter) onStored(from *incarnationReader, batch sqlstore.Batch) {
+	if e.lastResult != record.ExportStored {
+		logrus.WithField("store", e.table.Kind).Info("record is shipped again")
+		e.lastResult = record.ExportStored
+	}
+	for _, row := range batch.Rows {
+		e.exported++
+		if row.State == record.StateInDoubt {
+			e.inDoubt++
+		}
+	}
+	from.rows = append(from.rows[:0:0], from.rows[len(batch.Rows):]...)
+	if batch.Closed {
+		e.finish(from)
+	}
+}
+
+// pick is the incarnation whose turn it is, with rows read; nil where nothing waits. Under the lock.
+func (e *exporter) pick() *incarnationReader {
+	runningWaits := e.readRunning()
+	for {
+		e.skipRefused()
+		switch e.scheduler.NextSource(runningWaits, len(e.earlier) > 0) {
+		case record.SourceRunning:
+			return e.running
+		case record.SourceEarlier:
+			if e.readEarlier() {
+				return e.earlier[0]
+			}
+		default:
+			return nil
+		}
+	}
+}
+
+// readRunning reads on in the running incarnation and tells whether the store lacks something of it.
+func (e *exporter) readRunning() (waits bool) {
+	if e.running == nil {
+		return false
+	}
+	err := e.running.read(e.table.Batch)
+	if err != nil && record.SourceRunning.OnReadError() == record.ReadAgain {
+		e.logFailure(err, record.ExportUnreachable)
+	}
+	logDefects(e.running)
+	waits = e.running.waits()
+	e.oldestWaiting = 0
+	if waits && e.running.rows[0].Gap == nil {
+		e.oldestWaiting = e.running.rows[0].Entry.AnsweredAt
+	}
+	return waits
+}
+
+// readEarlier reads on in the first of the earlier incarnations and tells whether it can be read.
+func (e *exporter) readEarlier() bool {
+	first := e.earlier[0]
+	err := first.read(e.table.Batch)
+	logDefects(first)
+	if err == nil {
+		return true
+	}
+	if record.SourceEarlier.OnReadError() == record.LeaveFiles {
+		logrus.WithField("incarnation", first.incarnation).WithError(err).Error("an earlier incarnation can't be read, " +
+			"its files stay: 'onyxgate record verify' shows what is wrong")
+		e.leaveFirst()
+	}
+	return false
+}
+
+func (e *exporter) skipRefused() {
+	for len(e.earlier) > 0 && e.earlier[0].refused {
+		e.leaveFirst()
+	}
+}
+
+// leaveFirst ends the reading of the first of the earlier incarnations.
+func (e *exporter) leaveFirst() {
+	e.earlier[0].reader.Close()
+	e.earlier = e.earlier[1:]
+}
+
+// finish removes an incarnation that is stored whole. One with defects stays for whoever looks into it, and is not read
+// again until the next start. Only the first of the earlier ones can be complete.
+func (e *exporter) finish(stored *incarnationReader) {
+	e.leaveFirst()
+	replay := stored.reader.Replay
+	line := logrus.WithFields(logrus.Fields{
+		"incarnation": stored.incarnation, "given": replay.Counts[record.StateAnswered],
+		"unheard": replay.Counts[record.StateUndelivered], "in_doubt": replay.Counts[record.StateInDoubt],
+		"torn_bytes": replay.TornBytes, "defects": len(replay.Defects),
+	})
+	if len(replay.Defects) > 0 {
+		line.Warn("an earlier incarnation is stored, its files stay: 'onyxgate record verify' shows what is wrong")
+		return
+	}
+	freed, err := e.spool.Drop(stored.incarnation)
+	e.onFreed(freed)
+	if err != nil { // it is exported again at the next start, and dropped then
+		line = line.WithError(err)
+	}
+	line.Info("an earlier incarnation is stored")
+}
+
+// logFailure tells of a failure once, until another kind comes.
+func (e *exporter) logFailure(err error, result record.ExportResult) {
+	if result != e.lastResult {
+		logrus.WithFields(logrus.Fields{"store": e.table.Kind, "reply": result.String()}).WithError(err).
+			Warn("record can't be shipped")
+		e.lastResult = result
+	}
+}
+
+// logDefects tells of each defect once.
+func logDefects(from *incarnationReader) {
+	all := from.reader.Replay.Defects
+	for _, defect := range all[min(from.loggedDefects, len(all)):] {
+		logrus.WithFields(logrus.Fields{"incarnation": from.incarnation, "defect": defect.String()}).
+			Error("record is damaged")
+	}
+	from.loggedDefects = len(all)
+}
+
+func (e *exporter) addStatus(status *Status) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	status.Shipped, status.InDoubt, status.Results = e.exported, e.inDoubt, e.scheduler.Results
+	if e.oldestWaiting > 0 {
+		status.Oldest = max(e.now()-e.oldestWaiting, 0)
+	}
+}
--- a/internal/record/recorder/recorder.go
+++ b/internal/record/recorder/recorder.go
@@ -1,12 +1,11 @@
-// Package recorder is the part of an agent that keeps the record: it joins the path of each txn, runs the ledger's writer
-// and ships to the store in the background. It must never choose what the ledger or the shipper chooses, nor let a txn
-// wait for the store.
+// Package recorder is the part of an instance that keeps the record: it intercepts each request before and after its
+// response, carries out what the ledger wants written, and exports to the store in the background. It must never choose
+// what the ledger or the export scheduler chooses, nor let a request wait for the store.
 package recorder
 
-// This file owns the txns' side and the writer.
+// This file owns the requests' side: what is recorded of a response, and how long the response waits for it.
 
 import (
-	"context"
 	"errors"
 	"fmt"
 	"sync"
@@ -20,260 +19,195 @@
 	"onyxgate/internal/record/spool"
 )
 
-// Recorder keeps one agent's record.
+// Recorder keeps one instance's record. It is a core.Interceptor; its methods may be called from any goroutine.
 type Recorder struct {
-	table   Table
-	now     func() float64
-	classes []string
-	spool   *spool.Spool
-	writer  *spool.Writer
-	digests bool
+	table    Table
+	now      func() float64 // ms
+	classes  []string       // names, by number
+	spool    *spool.Spool
+	writer   *spool.Writer
+	exporter *exporter
+
+	wake chan struct{} // tells the writer that there is something to do
 
 	mu        sync.Mutex
 	ledger    *record.Ledger
 	confirmed chan struct{} // closed and made anew with each confirmation or failure
-	wake      chan struct{}
-	health    record.Health
-	unsynced  uint64 // answers that went before they were durable
+	health    record.Health // as it was logged last
+	unsynced  uint64        // answers that went before they were durable
 	canceled  uint64
-
-	exporter *exporter
 }
 
-// New takes the spool and begins an incarnation; now is the agent's clock in ms.
-func New(t Table, agent string, products []string, now func() float64, seed uint64) (*Recorder, error) {
-	if agent == "" {
+// New takes the spool and begins an incarnation; now is the instance's clock in ms, classes are the names of request
+// classes by number. Errors wrap spool.ErrLocked and spool.ErrCopied.
+func New(table Table, instance string, classes []string, now func() float64, seed uint64) (*Recorder, error) {
+	if instance == "" {
 		return nil, errors.New("record: an agent without a name can't keep one: entries would be nobody's")
 	}
-	if t.Mode == "memory" {
-		return newOn(spool.NewMemory(), "memory", t, agent, products, now, seed)
+	if table.Mode == "memory" {
+		return newOn(spool.NewMemory(), "memory", table, instance, classes, now, seed)
 	}
-	return newOn(spool.Disk{}, t.Directory, t, agent, products, now, seed)
+	return newOn(spool.Disk{}, table.Directory, table, instance, classes, now, seed)
 }
 
-func newOn(fs spool.FS, root string, t Table, agent string, products []string, now func() float64, seed uint64) (*Recorder,
-	error,
-) {
-	k := &Recorder{table: t, now: now, classes: products, confirmed: make(chan struct{}), wake: make(chan struct{}, 1)}
-	var err error
-	if k.spool, err = spool.Open(fs, root, agent); err != nil {
+func newOn(files spool.FS, root string, table Table, instance string, classes []string, now func() float64,
+	seed uint64,
+) (*Recorder, error) {
+	opened, err := spool.Open(files, root, instance)
+	if err != nil {
 		return nil, fmt.Errorf("record: %w", err)
 	}
-	used := k.spool.Bytes()
-	if k.writer, err = k.spool.Begin(); err != nil {
-		k.spool.Close()
-		return nil, fmt.Errorf("record: %w", err)
+	r := &Recorder{
+		table: table, now: now, classes: classes, spool: opened,
+		wake: make(chan struct{}, 1), confirmed: make(chan struct{}),
 	}
-	k.ledger = record.NewLedger(t.ledgerOptions(agent, k.writer.Incarnation, used))
-	if k.exporter, err = newRecorderExporter(k, seed); err != nil {
-		k.spool.Close()
+	bytes := opened.Bytes()
+	if r.writer, err = opened.Begin(); err == nil {
+		r.ledger = record.NewLedger(table.ledgerOptions(instance, r.writer.Incarnation, bytes))
+		r.exporter, err = newRecorderExporter(r, seed)
+	}
+	if err != nil {
+		opened.Close()
 		return nil, fmt.Errorf("record: %w", err)
 	}
 	logrus.WithFields(logrus.Fields{
-		"incarnation": k.writer.Incarnation, "mode": t.Mode, "store": t.Store.Kind,
-		"spool_bytes": used, "earlier": len(k.spool.Incarnations()) - 1,
+		"incarnation": r.writer.Incarnation, "mode": table.Mode, "store": table.Store.Kind,
+		"spool_bytes": bytes, "earlier": len(opened.Incarnations()) - 1,
 	}).Info("record")
-	return k, nil
+	return r, nil
 }
 
-// Admit declines while the spool takes nothing, where that is what the settings say.
-func (k *Recorder) Admit(now float64) (reserve float64, why string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.ledger.RejectsRequests(now) {
+// Admit rejects while the spool takes nothing, where that is what the settings say. Of a request that is admitted, reserve
+// (ms) of its time is kept for the wait in BeforeResponse.
+func (r *Recorder) Admit(now float64) (reserve float64, reason string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.ledger.RejectsRequests(now) {
 		return 0, "unrecorded"
 	}
-	return k.table.Reserve.Ms(), ""
+	return r.table.Reserve.Ms(), ""
 }
 
 var outcomes = map[core.ActionKind]record.Outcome{
-	core.ActionServe: record.OutcomeServed, core.ActionReject: record.OutcomeRejected,
-	core.ActionFail: record.OutcomeFailed,
+	core.ActionServe:  record.OutcomeServed,
+	core.ActionReject: record.OutcomeRejected,
+	core.ActionFail:   record.OutcomeFailed,
 }
 
-// BeforeResponse holds an answer until its entry is durable, or until that is no longer to be expected in time.
-func (k *Recorder) BeforeResponse(e core.Completion, until float64) any {
-	product := ""
-	if e.Class >= 0 && e.Class < len(k.classes) {
-		product = k.classes[e.Class]
+func (r *Recorder) entryOf(completion core.Completion) record.Entry {
+	class := ""
+	if completion.Class >= 0 && completion.Class < len(r.classes) {
+		class = r.classes[completion.Class]
 	}
-	entry := record.Entry{
-		RequestID: e.RequestID, Class: product, Outcome: outcomes[e.Kind], Reason: e.Reason, Release: int(e.Release),
-		Backend: e.Backend, Attempts: e.Attempts, ArrivedAt: e.ArrivedAt, AnsweredAt: e.Now,
-		BodyDigest: record.DigestOf(e.Body), KeyDigest: record.DigestOf([]byte(e.IdempotencyKey)),
+	return record.Entry{
+		RequestID: completion.RequestID, Class: class, Outcome: outcomes[completion.Kind], Reason: completion.Reason,
+		Release: int(completion.Release), Backend: completion.Backend, Attempts: completion.Attempts,
+		ArrivedAt: completion.ArrivedAt, AnsweredAt: completion.Now, BodyDigest: record.DigestOf(completion.Body),
+		KeyDigest: record.DigestOf([]byte(completion.IdempotencyKey)),
 	}
-	k.mu.Lock()
-	n, ok := k.ledger.AddEntry(e.Now, entry)
-	patience := min(k.ledger.CommitDelay(e.Now), until-e.Now)
-	wait := k.confirmed
-	k.mu.Unlock()
-	k.wakeWriter()
-	if !ok {
+}
+
+// BeforeResponse holds an answer until its entry is durable, or until that is no longer to be expected in time, at the
+// latest until `until` (ms). It returns the entry's ordinal for AfterResponse, or nil where it is only counted in a gap.
+func (r *Recorder) BeforeResponse(completion core.Completion, until float64) any {
+	entry := r.entryOf(completion)
+	r.mu.Lock()
+	ordinal, recorded := r.ledger.AddEntry(completion.Now, entry)
+	delay := min(r.ledger.CommitDelay(completion.Now), until-completion.Now)
+	confirmed := r.confirmed
+	r.mu.Unlock()
+	r.wakeWriter()
+	if !recorded {
 		return nil
 	}
 	failpoint.At("record.queued")
 	if failpoint.Defect("answer-before-sync") {
-		return n
-	}
-	if patience > 0 {
-		timer := time.NewTimer(time.Duration(patience * 1e6))
-		defer timer.Stop()
-		for {
-			late := false
-			select {
-			case <-wait:
-			case <-timer.C:
-				late = true
-			}
-			k.mu.Lock()
-			durable, able := k.ledger.Confirmed() >= n, k.ledger.CommitDelay(k.now()) > 0
-			wait = k.confirmed
-			if !durable && (late || !able) {
-				k.unsynced++
-				k.mu.Unlock()
-				return n
-			}
-			k.mu.Unlock()
-			if durable {
-				failpoint.At("record.durable")
-				return n
-			}
-		}
+		return ordinal
 	}
-	k.mu.Lock()
-	if k.table.Mode == "spool" && k.table.Sync == "group" {
-		k.unsynced++
-	}
-	k.mu.Unlock()
-	return n
-}
-
-// AfterResponse notes the end of an answer.
-func (k *Recorder) AfterResponse(kept any, now float64, whole bool) {
-	n, ok := kept.(uint64)
-	if !ok { // it stands for itself in a gap
-		return
-	}
-	failpoint.At("record.answered")
-	k.mu.Lock()
-	k.ledger.AddCompletion(now, n, whole)
-	k.mu.Unlock()
-	k.wakeWriter()
-}
-
-// Closed counts a txn that ended without an answer.
-func (k *Recorder) Closed(float64) {
-	k.mu.Lock()
-	k.canceled++
-	k.mu.Unlock()
-}
-
-func (k *Recorder) wakeWriter() {
-	select {
-	case k.wake <- struct{}{}:
-	default:
+	if delay > 0 {
+		r.awaitDurable(ordinal, confirmed, delay)
+		return ordinal
 	}
-}
-
-// Run writes and ships until ctx ends, then writes what is left; no txn may follow.
-func (k *Recorder) Run(ctx context.Context) {
-	var all sync.WaitGroup
-	all.Go(func() { k.exporter.run(ctx) })
-	k.write(ctx)
-	all.Wait()
-	if k.exporter.store != nil {
-		if k.table.Mode == "memory" { // what does not go now is lost
-			ctx, cancel := context.WithTimeout(context.Background(), shutdownWait)
-			k.exporter.drain(ctx)
-			cancel()
-		}
-		k.exporter.store.Close()
+	if r.table.syncs() {
+		r.mu.Lock()
+		r.unsynced++
+		r.mu.Unlock()
 	}
-	k.writer.Close()
-	k.spool.Close()
+	return ordinal
 }
 
-// shutdownWait bounds the writing of what is left at the end.
-const shutdownWait = 500 * time.Millisecond
-
-func (k *Recorder) write(ctx context.Context) {
-	done := ctx.Done()
-	var last time.Time
+// awaitDurable returns once an entry is durable, after delay (ms), or when the spool fails meanwhile. confirmed is the
+// channel that was there when the entry was added.
+func (r *Recorder) awaitDurable(ordinal uint64, confirmed <-chan struct{}, delay float64) {
+	timer := time.NewTimer(duration(delay))
+	defer timer.Stop()
 	for {
-		k.mu.Lock()
-		now := k.now()
-		w := k.ledger.NextIO(now)
-		pending := k.ledger.Pending()
-		k.mu.Unlock()
-		if !w.Idle() {
-			if failpoint.Defect("answer-before-sync") {
-				time.Sleep(40 * time.Millisecond) // what a slow disk would take
-			}
-			wrote, err := k.writer.Do(w)
-			k.mu.Lock()
-			k.ledger.Completed(k.now(), wrote, err == nil)
-			health := k.ledger.Health(k.now())
-			close(k.confirmed)
-			k.confirmed = make(chan struct{})
-			changed := health != k.health
-			k.health = health
-			k.mu.Unlock()
-			if changed {
-				k.logHealth(health, err)
-			}
-			continue
-		}
-		if !last.IsZero() && (!pending || time.Since(last) > shutdownWait) {
-			return
-		}
-		timer := time.NewTimer(time.Duration(max(w.Wait, 0.2) * 1e6))
+		late := false
 		select {
-		case <-k.wake:
-			if !timer.Stop() {
-				<-timer.C
-			}
-			if pending {
-				k.linger()
-			}
+		case <-confirmed:
 		case <-timer.C:
-		case <-done:
-			done, last = nil, time.Now()
+			late = true
+		}
+		r.mu.Lock()
+		durable := r.ledger.Confirmed() >= ordinal
+		givenUp := !durable && (late || r.ledger.CommitDelay(r.now()) <= 0)
+		if givenUp {
+			r.unsynced++
+		}
+		confirmed = r.confirmed
+		r.mu.Unlock()
+		if durable {
+			failpoint.At("record.durable")
+		}
+		if durable || givenUp {
+			return
 		}
 	}
 }
 
-// linger lets notes gather that come one by one: they are written 2 ms after the first, or with the next entry.
-func (k *Recorder) linger() { time.Sleep(50 * time.Microsecond) }
-
-func (k *Recorder) logHealth(health record.Health, err error) {
-	line := logrus.WithFields(logrus.Fields{"spool": health.String(), "when_full": k.table.WhenFull}).WithError(err)
-	if health == record.HealthGood {
-		line.Info("record is written again")
-	} else {
-		line.Error("record can't be written")
+// AfterResponse notes the end of an answer: whether it was delivered whole. ordinal is what BeforeResponse returned.
+func (r *Recorder) AfterResponse(ordinal any, now float64, delivered bool) {
+	n, ok := ordinal.(uint64)
+	if !ok { // it is counted in a gap
+		return
 	}
+	failpoint.At("record.answered")
+	r.mu.Lock()
+	r.ledger.AddCompletion(now, n, delivered)
+	r.mu.Unlock()
+	r.wakeWriter()
+}
+
+// Closed counts a request that ended without an answer.
+func (r *Recorder) Closed(float64) {
+	r.mu.Lock()
+	r.canceled++
+	r.mu.Unlock()
 }
 
 // Status is how the record stands.
 type Status struct {
 	record.Counts
-	Health             record.Health
-	Used               int64
-	Queued             int
-	Unsynced, Canceled uint64
-	Shipped, InDoubt   uint64
-	Results            [7]uint64
-	Oldest             float64 // ms since the oldest unshipped entry was answered; 0: none
+	Health           record.Health
+	Used             int64 // bytes in the spool
+	Queued           int   // bytes that wait in memory
+	Unsynced         uint64
+	Canceled         uint64
+	Shipped, InDoubt uint64
+	Results          [7]uint64 // batches, by record.ExportResult
+	Oldest           float64   // ms since the oldest unshipped entry was answered; 0: none
 }
 
 // Status tells it.
-func (k *Recorder) Status() Status {
-	k.mu.Lock()
-	s := Status{
-		Counts: k.ledger.Counts(), Health: k.ledger.Health(k.now()), Used: k.ledger.SpoolBytes(),
-		Queued: k.ledger.QueuedBytes(), Unsynced: k.unsynced, Canceled: k.canceled,
-	}
-	k.mu.Unlock()
-	k.exporter.addStatus(&s)
-	return s
+func (r *Recorder) Status() Status {
+	r.mu.Lock()
+	status := Status{
+		Counts: r.ledger.Counts(), Health: r.ledger.Health(r.now()), Used: r.ledger.SpoolBytes(),
+		Queued: r.ledger.QueuedBytes(), Unsynced: r.unsynced, Canceled: r.canceled,
+	}
+	r.mu.Unlock()
+	r.exporter.addStatus(&status)
+	return status
 }
+
+func duration(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/record/recorder/table.go
+++ b/internal/record/recorder/table.go
@@ -1,11 +1,9 @@
 package recorder
 
 // This file owns the tables [record] and [record.store] of our settings: their fields, what holds unless they say
-// otherwise, and which of them contradict each other.
+// otherwise, and what they mean to ledger and store.
 
 import (
-	"fmt"
-	"os"
 	"time"
 
 	"onyxgate/internal/record"
@@ -64,81 +62,19 @@
 // On tells whether anything is recorded.
 func (t Table) On() bool { return t.Mode != "off" }
 
-// Check calls wrong for each field that can't be or that contradicts another: its key, its value, what it is and what
-// would be right.
-func (t Table) Check(wrong func(key string, value any, what, right string)) {
-	one := func(key, value string, of ...string) {
-		for _, o := range of {
-			if value == o {
-				return
-			}
-		}
-		wrong(key, value, fmt.Sprintf("not one of %v", of), fmt.Sprintf("%q", of[0]))
-	}
-	one("record.mode", t.Mode, "spool", "memory", "off")
-	one("record.sync", t.Sync, "group", "none")
-	one("record.when_full", t.WhenFull, "keep-serving", "decline")
-	one("record.store.kind", t.Store.Kind, "sqlite", "postgres", "none")
-	one("record.store.tls", t.Store.TLS, "verify-full", "verify-ca", "require", "disable")
-	if t.Mode == "off" {
-		return
-	}
-	if t.Mode == "spool" && t.Directory == "" {
-		wrong("record.directory", t.Directory, "needed by mode = \"spool\"", `"/var/lib/onyxgate/spool"`)
-	}
-	if t.Mode == "memory" && t.Store.Kind == "none" {
-		wrong("record.store.kind", t.Store.Kind, "mode = \"memory\" keeps nothing without a store", `"postgres"`)
-	}
-	if t.Segment < 16<<10 {
-		wrong("record.segment", t.Segment, "too small for a write", `"4MiB"`)
-	}
-	if t.Budget < 4*t.Segment {
-		wrong("record.budget", t.Budget, fmt.Sprintf("less than four segments of %v", t.Segment), fmt.Sprintf("%q", 4*t.Segment))
-	}
-	if t.GroupBytes < 4<<10 || t.GroupBytes > t.Segment {
-		wrong("record.group_bytes", t.GroupBytes, "not between 4 KiB and a segment", `"256KiB"`)
-	}
-	if t.Room < 64<<10 {
-		wrong("record.room", t.Room, "too small for the txns of a moment", `"2MiB"`)
-	}
-	if t.Mode == "spool" && t.Sync == "group" && t.Patience.Ms() <= t.Group.Ms() {
-		wrong("record.patience", t.Patience, "no longer than group_wait, so nothing would be durable in time", `"250ms"`)
-	}
-	if t.Stall.Ms() <= 0 {
-		wrong("record.stall", t.Stall, "every write would count as a stall", `"200ms"`)
-	}
-	s := t.Store
-	if s.Batch < 1 || s.Batch > 5000 {
-		wrong("record.store.batch", s.Batch, "not between 1 and 5000", "500")
-	}
-	if s.Kind != "none" && (s.Timeout.Ms() <= 0 || s.Every.Ms() <= 0) {
-		wrong("record.store.timeout", s.Timeout, "neither timeout nor every may be zero", `"5s"`)
-	}
-	if s.Kind == "sqlite" && s.Path == "" {
-		wrong("record.store.path", s.Path, "needed by kind = \"sqlite\"", `"/var/lib/onyxgate/record.db"`)
-	}
-	if s.Kind == "postgres" {
-		if _, err := s.Open(); err != nil {
-			wrong("record.store.address", s.Address, err.Error(), `"db.internal:5432"`)
-		}
-		if s.Database == "" || s.User == "" {
-			wrong("record.store.database", s.Database, "kind = \"postgres\" needs database and user", `"accounts"`)
-		}
-		if s.PasswordFile != "" {
-			if _, err := os.Stat(s.PasswordFile); err != nil {
-				wrong("record.store.password_file", s.PasswordFile, err.Error(), `"/etc/onyxgate/password"`)
-			}
-		}
-	}
-}
+// syncs tells whether an answer waits for its entry to be synced.
+func (t Table) syncs() bool { return t.Mode == "spool" && t.Sync == "group" }
 
-// Open opens the store that is named; nil where there is none.
+// Open opens the store that is named; nil where there is none. Nothing is connected or read before the first use.
 func (s StoreTable) Open() (*sqlstore.Store, error) {
 	switch s.Kind {
 	case "sqlite":
 		return sqlite.Open(s.Path, time.Duration(s.Timeout)/2)
 	case "postgres":
-		return postgres.Open(s.Address, s.Database, s.User, s.PasswordFile, s.TLS, s.CA, time.Duration(s.Timeout))
+		return postgres.Open(postgres.Options{
+			Address: s.Address, Database: s.Database, User: s.User, PasswordFile: s.PasswordFile, TLS: s.TLS, CAFile: s.CA,
+			ConnectTimeout: time.Duration(s.Timeout),
+		})
 	}
 	return nil, nil
 }
@@ -151,7 +87,7 @@
 	}
 	return record.LedgerOptions{
 		Instance: instance, Incarnation: incarnation,
-		Sync: t.Mode == "spool" && t.Sync == "group", GroupWait: t.Group.Ms(), MaxWriteBytes: int(t.GroupBytes),
+		Sync: t.syncs(), GroupWait: t.Group.Ms(), MaxWriteBytes: int(t.GroupBytes),
 		MaxSegmentBytes: int64(t.Segment), MaxSpoolBytes: int64(t.Budget), MaxQueuedBytes: int(t.Room),
 		CommitDelay: t.Patience.Ms(), StallAfter: t.Stall.Ms(), FullPolicy: policy, SpoolBytes: spoolBytes,
 	}
--- /dev/null
+++ b/internal/record/recorder/upkeep.go
@@ -0,0 +1,82 @@
+package recorder
+
+// This file owns the background work of an instance that runs: exporting, pruning of the spool, upkeep of the store.
+
+import (
+	"context"
+	"math"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"onyxgate/internal/jobs/runner"
+)
+
+const (
+	pruneInterval      = 500 * time.Millisecond
+	checkpointInterval = 2 * time.Second
+	// jobWorkers: a checkpoint may take long, and batches go on meanwhile.
+	jobWorkers = 2
+)
+
+// run exports until ctx ends; nothing of it runs any more when it returns.
+func (e *exporter) run(ctx context.Context) {
+	if e.store == nil {
+		return
+	}
+	jobs := runner.New()
+	pruneNow := func() {}
+	jobs.Add("ship", 0, 0, float64(e.table.Bytes), func(ctx context.Context) (int64, time.Duration) {
+		sent, wait, _ := e.step(ctx)
+		if sent > 0 {
+			pruneNow()
+		}
+		return sent, wait
+	})
+	pruneNow = jobs.Add("prune", 1, 200, 0, func(context.Context) (int64, time.Duration) {
+		e.prune()
+		return 0, pruneInterval
+	})
+	jobs.Add("checkpoint", 2, 100, 0, func(ctx context.Context) (int64, time.Duration) {
+		e.checkpoint(ctx)
+		return 0, checkpointInterval
+	})
+	jobs.Run(ctx, jobWorkers)
+}
+
+// prune removes the segments in which everything is stored.
+func (e *exporter) prune() {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if len(e.earlier) > 0 {
+		e.pruneIncarnation(e.earlier[0], math.MaxUint64)
+	}
+	if e.running != nil {
+		e.pruneIncarnation(e.running, e.segment())
+	}
+}
+
+// pruneIncarnation removes segments before number `until`.
+func (e *exporter) pruneIncarnation(from *incarnationReader, until uint64) {
+	freed, err := e.spool.Prune(from.incarnation, min(until, from.reader.Segment()), from.storedThrough())
+	if err != nil {
+		logrus.WithError(err).Warn("record can't be pruned")
+	}
+	if freed > 0 {
+		e.onFreed(freed)
+	}
+}
+
+func (e *exporter) checkpoint(ctx context.Context) {
+	e.mu.Lock()
+	ready := e.migrated && !e.scheduler.CircuitOpen()
+	e.mu.Unlock()
+	if !ready {
+		return
+	}
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(e.table.Timeout))
+	defer cancel()
+	if err := e.store.Checkpoint(ctx); err != nil {
+		logrus.WithError(err).Debug("no checkpoint")
+	}
+}
--- a/internal/record/sqlite/sqlite.go
+++ b/internal/record/sqlite/sqlite.go
@@ -1,4 +1,4 @@
-// Package sqlite opens the embedded store: one file in WAL mode, shared by the agents of a machine. It decides nothing.
+// Package sqlite opens the embedded store: one file in WAL mode, shared by the instances of a host. It decides nothing.
 package sqlite
 
 import (
@@ -15,26 +15,33 @@
 	"onyxgate/internal/record/sqlstore"
 )
 
-// Open opens or makes a store; a writer waits for others up to busy. Nothing is read before the first use.
-func Open(path string, busy time.Duration) (*sqlstore.Store, error) {
-	q := url.Values{"_pragma": {
-		"journal_mode(WAL)", "synchronous(FULL)", "wal_autocheckpoint(0)", "cache_size(-1024)",
-		"journal_size_limit(16777216)", fmt.Sprintf("busy_timeout(%d)", busy.Milliseconds()),
-	}, "_txlock": {"immediate"}}
-	db, err := sql.Open("sqlite", "file:"+(&url.URL{Path: path}).EscapedPath()+"?"+q.Encode())
+// Open opens or makes a store; a writer waits for others up to busyTimeout. Nothing is read before the first use.
+func Open(path string, busyTimeout time.Duration) (*sqlstore.Store, error) {
+	options := url.Values{
+		"_pragma": {
+			"journal_mode(WAL)", "synchronous(FULL)", "wal_autocheckpoint(0)", "cache_size(-1024)",
+			"journal_size_limit(16777216)", fmt.Sprintf("busy_timeout(%d)", busyTimeout.Milliseconds()),
+		},
+		"_txlock": {"immediate"},
+	}
+	db, err := sql.Open("sqlite", "file:"+(&url.URL{Path: path}).EscapedPath()+"?"+options.Encode())
 	if err != nil {
 		return nil, err
 	}
 	db.SetMaxOpenConns(2) // each has a cache of its own
 	db.SetMaxIdleConns(1)
 	return sqlstore.New(database{runner{db}, db}, sqlstore.Dialect{
-		Name: "sqlite", JSONRows: "json_each($1) v",
-		JSONField:  func(name, kind string) string { return "json_extract(v.value, '$." + name + "')" },
-		BigIntType: "integer", DoubleType: "real", Classify: classify, Checkpoint: "pragma wal_checkpoint(truncate)",
+		Name:       "sqlite",
+		JSONRows:   "json_each($1) v",
+		JSONField:  func(name string, _ sqlstore.ColumnKind) string { return "json_extract(v.value, '$." + name + "')" },
+		BigIntType: "integer",
+		DoubleType: "real",
+		Classify:   classify,
+		Checkpoint: "pragma wal_checkpoint(truncate)",
 	}), nil
 }
 
-// runner and those below carry database/sql over to what a store needs.
+// runner carries database/sql over to what a store needs; database and transaction add what they have besides.
 type runner struct {
 	on interface {
 		ExecContext(ctx context.Context, text string, args ...any) (sql.Result, error)
@@ -85,21 +92,35 @@
 }
 
 func (t transaction) Commit(context.Context) error { return t.tx.Commit() }
-func (t transaction) Rollback()                    { t.tx.Rollback() }
 
-// Primary result codes, as published.
+func (t transaction) Rollback() {
+	_ = t.tx.Rollback() // after Commit there is none; else the connection goes, and the transaction with it
+}
+
+// Primary result codes, as SQLite publishes them.
 const (
-	codeError                                                                                             = 1
-	codeBusy, codeLocked, codeReadOnly, codeIO, codeCorrupt, codeFull, codeCantOpen, codeAuth, codeNotADB = 5, 6, 8, 10, 11,
-		13, 14, 23, 26
+	codeError    = 1
+	codeBusy     = 5
+	codeLocked   = 6
+	codeReadOnly = 8
+	codeIO       = 10
+	codeCorrupt  = 11
+	codeFull     = 13
+	codeCantOpen = 14
+	codeAuth     = 23
+	codeNotADB   = 26
+
+	// primaryMask takes the primary code out of an extended one.
+	primaryMask = 0xff
 )
 
+// classify says what an error means for the next batch.
 func classify(err error) record.ExportResult {
 	var e *sqlite.Error
 	if !errors.As(err, &e) {
 		return record.ExportUnknown
 	}
-	switch e.Code() & 0xff {
+	switch e.Code() & primaryMask {
 	case codeBusy, codeLocked:
 		return record.ExportBusy
 	case codeReadOnly, codeAuth, codeNotADB, codeCorrupt, codeError:
--- /dev/null
+++ b/internal/record/sqlstore/put.go
@@ -0,0 +1,119 @@
+package sqlstore
+
+// This file owns the storing of a batch.
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"strings"
+
+	"onyxgate/internal/failpoint"
+	"onyxgate/internal/record"
+)
+
+// Batch is what is stored at once.
+type Batch struct {
+	Instance, Incarnation, Place string
+	Rows                         []record.Row
+	Through                      uint64 // everything up to it has become final
+	Closed                       bool   // and nothing will follow
+}
+
+// Put stores a batch whole or not at all, each row once however often it comes. It returns the bytes that went. Errors wrap
+// ErrForeign; after any other the batch may be stored or not: Classify says what that means.
+func (s *Store) Put(ctx context.Context, batch Batch) (bytes int, err error) {
+	tx, err := s.db.Begin(ctx)
+	if err != nil {
+		return 0, err
+	}
+	defer tx.Rollback()
+	failpoint.At("ship.begun")
+	if err := claim(ctx, tx, batch); err != nil {
+		return 0, err
+	}
+	if bytes, err = s.insertRows(ctx, tx, batch); err != nil {
+		return 0, err
+	}
+	failpoint.At("ship.commit")
+	if err := tx.Commit(ctx); err != nil {
+		return 0, err
+	}
+	failpoint.At("ship.committed")
+	return bytes, nil
+}
+
+// claim locks the incarnation's row, so that of two exporters one waits, notes how far it is stored, and refuses it where it
+// is another place's.
+func claim(ctx context.Context, tx Tx, batch Batch) error {
+	if _, err := tx.Exec(ctx, NameClaim+`insert into onyxgate_incarnation (incarnation, agent, place, through, closed)
+		values ($1, $2, $3, 0, 0) on conflict do nothing`, batch.Incarnation, batch.Instance, batch.Place); err != nil {
+		return err
+	}
+	through, closed := int64(batch.Through), int64(0)
+	if batch.Closed {
+		closed = 1
+	}
+	if _, err := tx.Exec(ctx, NameThrough+`update onyxgate_incarnation set
+		through = case when through < $1 then $2 else through end, closed = case when closed < $3 then $4 else closed end
+		where incarnation = $5`, through, through, closed, closed, batch.Incarnation); err != nil {
+		return err
+	}
+	var place string
+	if err := queryOne(ctx, tx, NameOwner+`select place from onyxgate_incarnation where incarnation = $1`,
+		[]any{batch.Incarnation}, &place); err != nil {
+		return err
+	}
+	if place != batch.Place {
+		return fmt.Errorf("%w: %s, not %s", ErrForeign, place, batch.Place)
+	}
+	return nil
+}
+
+func (s *Store) insertRows(ctx context.Context, tx Tx, batch Batch) (bytes int, err error) {
+	var entries []Row
+	var gaps []GapRow
+	for _, row := range batch.Rows {
+		if row.Gap != nil {
+			gaps = append(gaps, newGapRow(batch, *row.Gap))
+		} else {
+			entries = append(entries, newRow(batch, row))
+		}
+	}
+	if len(entries) > 0 {
+		if bytes, err = insert(ctx, tx, NamePut+s.insertText("onyxgate_entry", entryColumns), entries); err != nil {
+			return 0, err
+		}
+	}
+	if len(gaps) > 0 {
+		more, err := insert(ctx, tx, NameGaps+s.insertText("onyxgate_gap", gapColumns), gaps)
+		if err != nil {
+			return 0, err
+		}
+		bytes += more
+	}
+	return bytes, nil
+}
+
+// insert sends rows as one JSON array and returns its bytes.
+func insert(ctx context.Context, tx Tx, text string, rows any) (bytes int, err error) {
+	array, err := json.Marshal(rows)
+	if err != nil {
+		return 0, err
+	}
+	_, err = tx.Exec(ctx, text, string(array))
+	return len(array), err
+}
+
+func (s *Store) insertText(table string, columns []column) string {
+	var names, values []string
+	for _, column := range columns {
+		names, values = append(names, column.name), append(values, s.dialect.JSONField(column.name, column.kind))
+	}
+	again := " on conflict do nothing"
+	if failpoint.Defect("no-dedupe") && table == "onyxgate_entry" {
+		again = ""
+	}
+	return "insert into " + table + " (" + strings.Join(names, ", ") + ") select " + strings.Join(values, ", ") +
+		" from " + s.dialect.JSONRows + " where true" + again
+}
--- /dev/null
+++ b/internal/record/sqlstore/query.go
@@ -0,0 +1,119 @@
+package sqlstore
+
+// This file owns what is asked of the store, and the removing of old entries.
+
+import (
+	"context"
+	"fmt"
+)
+
+// Through is how far an incarnation is stored, and whether it is closed.
+func (s *Store) Through(ctx context.Context, incarnation string) (through uint64, closed bool, err error) {
+	var throughColumn, closedColumn int64
+	err = queryOne(ctx, s.db, NameOwner+`select through, closed from onyxgate_incarnation where incarnation = $1`,
+		[]any{incarnation}, &throughColumn, &closedColumn)
+	return uint64(throughColumn), closedColumn != 0, err
+}
+
+// Filter selects rows; empty fields select all. Times are Unix ms, From included and To not.
+type Filter struct {
+	From, To                                   float64
+	Instance, Class, Outcome, State, RequestID string
+	Limit                                      int // rows at most; 0: all
+}
+
+// where is the condition, and its arguments in the order of their numbers.
+func (f Filter) where() (text string, args []any) {
+	text = " where true"
+	add := func(condition string, value any) {
+		args = append(args, value)
+		text += fmt.Sprintf(" and %s $%d", condition, len(args))
+	}
+	if f.From > 0 {
+		add("answered_ms >=", f.From)
+	}
+	if f.To > 0 {
+		add("answered_ms <", f.To)
+	}
+	for _, equal := range []struct{ column, value string }{
+		{"agent", f.Instance},
+		{"product", f.Class},
+		{"outcome", f.Outcome},
+		{"state", f.State},
+		{"txn", f.RequestID},
+	} {
+		if equal.value != "" {
+			add(equal.column+" =", equal.value)
+		}
+	}
+	return text, args
+}
+
+// Select calls each with the rows that match, oldest first, one at a time; an error of each ends it.
+func (s *Store) Select(ctx context.Context, filter Filter, each func(Row) error) error {
+	where, args := filter.where()
+	text := NameSelect + `select agent, incarnation, n, state, txn, product, outcome, reason, build, appliance, submissions,
+		taken_ms, answered_ms, body, mark from onyxgate_entry` + where + ` order by answered_ms`
+	if filter.Limit > 0 {
+		text += fmt.Sprintf(" limit %d", filter.Limit)
+	}
+	return s.db.Query(ctx, text, args, func(scan func(...any) error) error {
+		var row Row
+		var n int64
+		if err := scan(&row.Instance, &row.Incarnation, &n, &row.State, &row.RequestID, &row.Class, &row.Outcome,
+			&row.Reason, &row.Release, &row.Backend, &row.Attempts, &row.ArrivedAt, &row.AnsweredAt, &row.BodyDigest,
+			&row.KeyDigest); err != nil {
+			return err
+		}
+		row.N = uint64(n)
+		return each(row)
+	})
+}
+
+// Gaps calls each with the gaps of an instance, or of all where none is named; an error of each ends it.
+func (s *Store) Gaps(ctx context.Context, instance string, each func(GapRow) error) error {
+	text, args := NameMissed+`select agent, incarnation, n, settled, declined, voided, unknown, from_ms, to_ms, cause
+		from onyxgate_gap`, []any{}
+	if instance != "" {
+		text, args = text+" where agent = $1", append(args, instance)
+	}
+	return s.db.Query(ctx, text+" order by from_ms", args, func(scan func(...any) error) error {
+		var gap GapRow
+		var n, served, rejected, failed, unknown int64
+		if err := scan(&gap.Instance, &gap.Incarnation, &n, &served, &rejected, &failed, &unknown, &gap.From, &gap.To,
+			&gap.Cause); err != nil {
+			return err
+		}
+		gap.N, gap.Unknown = uint64(n), uint64(unknown)
+		gap.Served, gap.Rejected, gap.Failed = uint64(served), uint64(rejected), uint64(failed)
+		return each(gap)
+	})
+}
+
+// Count calls each with how many of the entries that match have the same instance, class, outcome and state; an error of
+// each ends it.
+func (s *Store) Count(ctx context.Context, filter Filter, each func(GroupCount) error) error {
+	where, args := filter.where()
+	return s.db.Query(ctx, NameCount+`select agent, product, outcome, state, count(*) from onyxgate_entry`+where+
+		` group by agent, product, outcome, state order by agent, product, outcome, state`, args,
+		func(scan func(...any) error) error {
+			var group GroupCount
+			if err := scan(&group.Instance, &group.Class, &group.Outcome, &group.State, &group.Entries); err != nil {
+				return err
+			}
+			return each(group)
+		})
+}
+
+// Repeats counts the ordinals that stand more than once: none, unless somebody took the key away.
+func (s *Store) Repeats(ctx context.Context) (n int64, err error) {
+	err = queryOne(ctx, s.db, NameCount+`select count(*) from (select 1 from onyxgate_entry group by incarnation, n
+		having count(*) > 1) repeats`, nil, &n)
+	return n, err
+}
+
+// Prune removes entries answered before a time (ms), `most` at the most, and returns how many.
+func (s *Store) Prune(ctx context.Context, before float64, most int) (int64, error) {
+	return s.db.Exec(ctx, NamePrune+`delete from onyxgate_entry where (incarnation, n) in (select incarnation, n
+		from onyxgate_entry where answered_ms < $1 limit $2)`, before, most)
+}
--- a/internal/record/sqlstore/sqlstore_test.go
+++ b/internal/record/sqlstore/sqlstore_test.go
@@ -155,7 +155,7 @@
 			t.Errorf("%d pruned, %v", n, err)
 		}
 		counted := int64(0)
-		lite.Count(ctx, sqlstore.Filter{}, func(_, _, _, _ string, n int64) error { counted += n; return nil })
+		lite.Count(ctx, sqlstore.Filter{}, func(group sqlstore.GroupCount) error { counted += group.Entries; return nil })
 		if counted != 26 {
 			t.Errorf("%d left", counted)
 		}
