--- a/internal/record/sqlstore/sqlstore_test.go
+++ b/internal/record/sqlstore/sqlstore_test.go
@@ -21,23 +21,41 @@
 	"onyxgate/internal/record/sqlstore"
 )
 
-// pipes is a listener whose connections are made by dial.
-type pipes chan net.Conn
+// pipes is a listener whose connections are made by dial. A driver may still dial when the test is over, so the channel of
+// connections is never closed.
+type pipes struct {
+	connections chan net.Conn
+	closed      chan struct{}
+}
+
+func newPipes() *pipes {
+	return &pipes{connections: make(chan net.Conn), closed: make(chan struct{})}
+}
 
-func (p pipes) Accept() (net.Conn, error) {
-	c, ok := <-p
-	if !ok {
+func (p *pipes) Accept() (net.Conn, error) {
+	select {
+	case connection := <-p.connections:
+		return connection, nil
+	case <-p.closed:
 		return nil, net.ErrClosed
 	}
-	return c, nil
 }
-func (p pipes) Close() error   { close(p); return nil }
-func (p pipes) Addr() net.Addr { return &net.TCPAddr{} }
 
-func (p pipes) dial(context.Context, string, string) (net.Conn, error) {
+func (p *pipes) Close() error {
+	close(p.closed)
+	return nil
+}
+
+func (p *pipes) Addr() net.Addr { return &net.TCPAddr{} }
+
+func (p *pipes) dial(context.Context, string, string) (net.Conn, error) {
 	here, there := net.Pipe()
-	p <- there
-	return here, nil
+	select {
+	case p.connections <- there:
+		return here, nil
+	case <-p.closed:
+		return nil, net.ErrClosed
+	}
 }
 
 // onPipes is a store at a stand-in, with a password.
@@ -46,7 +64,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := make(pipes)
+	l := newPipes()
 	go server.Serve(l)
 	c, err := pgconn.ParseConfig("host=h port=1 dbname=d user=accounts sslmode=disable")
 	if err != nil {
