--- /dev/null
+++ b/cmd/onyxgate/record_write.go
@@ -0,0 +1,101 @@
+package main
+
+// This file owns the forms in which entries are written.
+
+import (
+	"encoding/csv"
+	"encoding/json"
+	"io"
+	"strconv"
+	"time"
+
+	"github.com/jedib0t/go-pretty/v6/table"
+
+	"onyxgate/internal/record/sqlstore"
+)
+
+// rows calls each with the entries that were asked for, one at a time.
+type rows func(each func(sqlstore.Row) error) error
+
+// write writes entries in a format: ndjson, csv or table. One is in memory at a time but for the table, which is bounded by
+// its limit.
+func write(line *recordLine, asked selection, limit int, format string, out io.Writer) error {
+	filter, err := asked.filter(limit)
+	if err != nil {
+		return err
+	}
+	store, err := line.store()
+	if err != nil {
+		return err
+	}
+	defer store.Close()
+	ctx, stop := interrupted()
+	defer stop()
+	shown := newProgress("entries")
+	defer shown.finish()
+	selected := func(each func(sqlstore.Row) error) error { return store.Select(ctx, filter, each) }
+	counted := func(each func(sqlstore.Row) error) error {
+		return selected(func(row sqlstore.Row) error {
+			shown.add(1)
+			return each(row)
+		})
+	}
+	switch format {
+	case "ndjson":
+		return writeNDJSON(counted, out)
+	case "csv":
+		return writeCSV(counted, out)
+	}
+	return writeTable(selected, out)
+}
+
+func writeNDJSON(selected rows, out io.Writer) error {
+	encoder := json.NewEncoder(out)
+	return selected(func(row sqlstore.Row) error { return encoder.Encode(row) })
+}
+
+func writeCSV(selected rows, out io.Writer) error {
+	writer := csv.NewWriter(out)
+	if err := writer.Write(csvHeader); err != nil {
+		return err
+	}
+	if err := selected(func(row sqlstore.Row) error { return writer.Write(csvCells(row)) }); err != nil {
+		return err
+	}
+	writer.Flush()
+	return writer.Error()
+}
+
+var csvHeader = []string{
+	"agent", "incarnation", "n", "state", "txn", "product", "outcome", "reason", "build", "appliance", "submissions",
+	"taken_ms", "answered_ms", "body", "mark",
+}
+
+func csvCells(row sqlstore.Row) []string {
+	ms := func(at float64) string { return strconv.FormatFloat(at, 'f', 3, 64) }
+	return []string{
+		row.Instance, row.Incarnation, strconv.FormatUint(row.N, 10), row.State, row.RequestID, row.Class, row.Outcome,
+		row.Reason, strconv.Itoa(row.Release), row.Backend, strconv.Itoa(row.Attempts), ms(row.ArrivedAt),
+		ms(row.AnsweredAt), row.BodyDigest, row.KeyDigest,
+	}
+}
+
+func writeTable(selected rows, out io.Writer) error {
+	writer := table.NewWriter()
+	writer.SetOutputMirror(out)
+	writer.AppendHeader(table.Row{
+		"answered", "agent", "txn", "product", "outcome", "state", "reason", "build", "appliance", "submissions", "ms",
+	})
+	if err := selected(func(row sqlstore.Row) error {
+		answered := time.UnixMilli(int64(row.AnsweredAt)).UTC().Format("2006-01-02 15:04:05.000")
+		writer.AppendRow(table.Row{
+			answered, row.Instance, row.RequestID, row.Class, row.Outcome, row.State, row.Reason, row.Release, row.Backend,
+			row.Attempts, int(row.AnsweredAt - row.ArrivedAt),
+		})
+		return nil
+	}); err != nil {
+		return err
+	}
+	writer.Render()
+	return nil
+}
--- a/internal/ci/clock_test.go
+++ b/internal/ci/clock_test.go
@@ -20,8 +20,9 @@
 	"internal/sources/dns/dns.go: SetDeadline(time.Unix(1, 0))":     "the same",
 	"internal/record/sqlstore/schema.go: time.Now().UnixMilli()":    "a time that is stored for people",
 	"internal/record/recorder/ship.go: uint64(from.UnixNano())":     "a seed",
-	"cmd/onyxgate/record.go: UnixMilli":                             "times that operators give and read",
-	"cmd/onyxgate/record.go: t.UnixNano()":                          "the same",
+	"cmd/onyxgate/record.go: Add(-span).UnixMilli()":                "times that operators give and read",
+	"cmd/onyxgate/record.go: at.UnixNano()":                         "the same",
+	"cmd/onyxgate/record_write.go: time.UnixMilli(":                 "the same",
 	"cmd/onyxgate/sources.go: Unix":                                 "a time that operators read, and a seed",
 }
 
