--- /dev/null
+++ b/internal/record/recorder/bench_test.go
@@ -0,0 +1,55 @@
+package recorder
+
+import (
+	"fmt"
+	"sync"
+	"sync/atomic"
+	"testing"
+
+	"onyxgate/internal/core"
+)
+
+func BenchmarkAnswer(b *testing.B) {
+	for _, c := range []struct{ name, mode, sync string }{
+		{"memory", "memory", "none"},
+		{"spool", "spool", "none"},
+		{"spool and sync", "spool", "group"},
+	} {
+		for _, atOnce := range []int{1, 64} {
+			b.Run(fmt.Sprintf("%s/%d at once", c.name, atOnce), func(b *testing.B) {
+				table := Default()
+				table.Mode, table.Sync, table.Directory, table.Budget = c.mode, c.sync, b.TempDir(), 64<<30
+				benchmarkAnswer(b, table, atOnce)
+			})
+		}
+	}
+}
+
+func benchmarkAnswer(b *testing.B, table Table, atOnce int) {
+	b.Helper()
+	r, err := New(table, "n1", []string{"p"}, clock(), 1)
+	if err != nil {
+		b.Fatal(err)
+	}
+	stop := start(r)
+	body := make([]byte, 2000)
+	b.ResetTimer()
+	var left atomic.Int64
+	left.Store(int64(b.N))
+	var all sync.WaitGroup
+	for range atOnce {
+		all.Go(func() {
+			for left.Add(-1) >= 0 {
+				now := r.now()
+				ordinal := r.BeforeResponse(core.Completion{
+					RequestID: "0123456789abcdef", Kind: core.ActionServe, Reason: "answered", Backend: "s-5be2a07c",
+					Now: now, Body: body,
+				}, now+1e6)
+				r.AfterResponse(ordinal, r.now(), true)
+			}
+		})
+	}
+	all.Wait()
+	b.StopTimer()
+	stop()
+}
--- /dev/null
+++ b/internal/record/recorder/ship_test.go
@@ -0,0 +1,188 @@
+package recorder
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+
+	"onyxgate/internal/core"
+	"onyxgate/internal/record"
+	"onyxgate/internal/record/spool"
+	"onyxgate/internal/record/sqlstore"
+)
+
+// answersOfLife is how many answers a life in TestShip gives: of every hundred the end of one is not noted, and of the
+// others half are delivered.
+const answersOfLife = 300
+
+// live runs an instance without a store and leaves its spool.
+func live(t *testing.T, table Table, life int) {
+	t.Helper()
+	table.Store.Kind = "none"
+	r, err := New(table, "n1", []string{"p"}, clock(), 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	stop := start(r)
+	defer stop()
+	var answers sync.WaitGroup
+	for i := range answersOfLife {
+		answers.Go(func() {
+			completion := core.Completion{RequestID: fmt.Sprint(life, "-", i), Kind: core.ActionFail, Now: r.now()}
+			ordinal := r.BeforeResponse(completion, r.now()+1e6)
+			if i%100 != 0 { // else as if killed in between
+				r.AfterResponse(ordinal, r.now(), i%2 == 0)
+			}
+		})
+	}
+	answers.Wait()
+}
+
+// What earlier lives left goes to the store once, however many exporters come and wherever they were killed.
+func TestShip(t *testing.T) {
+	dir := t.TempDir()
+	table := Default()
+	table.Mode, table.Directory, table.Segment, table.GroupBytes = "spool", filepath.Join(dir, "spool"), 64<<10, 4<<10
+	table.Store.Kind, table.Store.Path, table.Store.Batch = "sqlite", filepath.Join(dir, "r.db"), 70
+	const lives = 3
+	for life := range lives {
+		live(t, table, life)
+	}
+	store := openStore(t, table)
+	for round, c := range []struct {
+		name    string
+		stopsAt int // batches
+	}{{"stopped after its first batches", 4}, {"to the end", 0}, {"with nothing left", 0}} {
+		t.Run(c.name, func(t *testing.T) {
+			ctx, stop := context.WithCancel(t.Context())
+			defer stop()
+			batches := 0
+			err := Ship(ctx, table, "n1", func(uint64, uint64) {
+				if batches++; batches == c.stopsAt {
+					stop()
+				}
+			})
+			if (err != nil) != (c.stopsAt > 0) || round == 2 && batches > 0 {
+				t.Errorf("%v after %d batches", err, batches)
+			}
+		})
+	}
+	seen, states := map[string]bool{}, map[string]int{}
+	if err := store.Select(t.Context(), sqlstore.Filter{}, func(row sqlstore.Row) error {
+		if seen[row.RequestID] {
+			t.Errorf("%s twice", row.RequestID)
+		}
+		seen[row.RequestID] = true
+		states[row.State]++
+		return nil
+	}); err != nil {
+		t.Fatal(err)
+	}
+	if len(seen) != lives*answersOfLife {
+		t.Errorf("%d of %d in the store", len(seen), lives*answersOfLife)
+	}
+	if states["in doubt"] != lives*3 || states["given"] != lives*147 || states["unheard"] != lives*150 {
+		t.Errorf("states %v", states)
+	}
+	for _, finding := range audit(t, table, "") {
+		if finding.Defect {
+			t.Errorf("a defect: %+v", finding)
+		}
+	}
+}
+
+// An incarnation that another place exports is refused by the store, and its files stay.
+func TestForeign(t *testing.T) {
+	dir := t.TempDir()
+	table := Default()
+	table.Mode, table.Directory = "spool", filepath.Join(dir, "spool")
+	table.Store.Kind, table.Store.Path = "sqlite", filepath.Join(dir, "r.db")
+	incarnation := oneEntry(t, table.Directory)
+	store := openStore(t, table)
+	if err := store.Migrate(t.Context()); err != nil {
+		t.Fatal(err)
+	}
+	elsewhere := sqlstore.Batch{Instance: "n1", Incarnation: incarnation, Place: "elsewhere"}
+	if _, err := store.Put(t.Context(), elsewhere); err != nil {
+		t.Fatal(err)
+	}
+	err := Ship(t.Context(), table, "n1", func(uint64, uint64) {})
+	var refused *RefusedError
+	if !errors.As(err, &refused) || refused.Result != record.ExportForeign || !strings.Contains(err.Error(), "foreign") {
+		t.Errorf("shipped: %v", err)
+	}
+	if left := spool.View(spool.Disk{}, table.Directory, "n1"); left.Bytes() == 0 {
+		t.Error("its files are gone")
+	}
+}
+
+// oneEntry leaves a spool with one entry.
+func oneEntry(t *testing.T, directory string) (incarnation string) {
+	t.Helper()
+	opened, err := spool.Open(spool.Disk{}, directory, "n1")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer opened.Close()
+	writer, err := opened.Begin()
+	if err != nil {
+		t.Fatal(err)
+	}
+	ledger := record.NewLedger(record.LedgerOptions{
+		Instance: "n1", Incarnation: writer.Incarnation, Sync: true, MaxWriteBytes: 4096, MaxSegmentBytes: 1 << 20,
+		MaxSpoolBytes: 1 << 20, MaxQueuedBytes: 1 << 18, CommitDelay: 100, StallAfter: 50,
+	})
+	ledger.AddEntry(1, record.Entry{RequestID: "x"})
+	if _, err := writer.Do(ledger.NextIO(1)); err != nil {
+		t.Fatal(err)
+	}
+	if err := writer.Close(); err != nil {
+		t.Fatal(err)
+	}
+	return writer.Incarnation
+}
+
+// Where there is nothing to send to, that is said.
+func TestShipWithoutStore(t *testing.T) {
+	table := Default()
+	table.Mode, table.Directory = "spool", t.TempDir()
+	if err := Ship(t.Context(), table, "n1", func(uint64, uint64) {}); !errors.Is(err, ErrNoStore) {
+		t.Errorf("without a store: %v", err)
+	}
+}
+
+// An earlier incarnation that can't be read stays as it is, and those after it go to the store.
+func TestShipUnreadable(t *testing.T) {
+	dir := t.TempDir()
+	table := Default()
+	table.Mode, table.Directory = "spool", filepath.Join(dir, "spool")
+	table.Store.Kind, table.Store.Path = "sqlite", filepath.Join(dir, "r.db")
+	whole, mixed := oneEntry(t, table.Directory), oneEntry(t, table.Directory)
+	segment := func(incarnation, name string) string {
+		return filepath.Join(table.Directory, "n1", incarnation, name)
+	}
+	text, err := os.ReadFile(segment(whole, "0000000001.seg"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(segment(mixed, "0000000002.seg"), text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if err := Ship(t.Context(), table, "n1", func(uint64, uint64) {}); err != nil {
+		t.Fatal(err)
+	}
+	for _, row := range storedRows(t, openStore(t, table), "n1") {
+		if row.Incarnation != whole {
+			t.Errorf("a row of the unreadable incarnation is in the store: %+v", row)
+		}
+	}
+	if left := spool.View(spool.Disk{}, table.Directory, "n1").Incarnations(); !slices.Equal(left, []string{mixed}) {
+		t.Errorf("incarnations %v left, want %v", left, mixed)
+	}
+}
--- a/internal/record/recorder/stored_test.go
+++ b/internal/record/recorder/stored_test.go
@@ -148,20 +148,6 @@
 	return rows, gaps
 }
 
-func rowsOfIncarnation(t *testing.T, reader *spool.Reader) (rows []record.Row) {
-	t.Helper()
-	defer reader.Close()
-	for more := true; more; {
-		var read []record.Row
-		var err error
-		if read, more, err = reader.Next(); err != nil {
-			t.Fatal(err)
-		}
-		rows = append(rows, read...)
-	}
-	return rows
-}
-
 // TestStoredDataShip: shipped to a new store and onto the one that the old program left half filled, the rows are those
 // that the old program shipped, each once.
 func TestStoredDataShip(t *testing.T) {
@@ -199,20 +185,6 @@
 	}
 }
 
-func openStore(t *testing.T, table Table) *sqlstore.Store {
-	t.Helper()
-	store, err := table.Store.Open()
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() {
-		if err := store.Close(); err != nil {
-			t.Error(err)
-		}
-	})
-	return store
-}
-
 // TestStoredDataAudit: the findings are the old program's, in the spool before it is shipped and in the store afterwards.
 func TestStoredDataAudit(t *testing.T) {
 	table := copyStoredData(t)
