--- a/internal/record/export_test.go
+++ b/internal/record/export_test.go
@@ -5,7 +5,9 @@
 	"testing"
 )
 
-func TestShipper(t *testing.T) {
+// Batches grow while they are stored, pauses grow and scatter while they fail, and a store that may be back is asked with
+// one row.
+func TestExportScheduler(t *testing.T) {
 	s := NewExportScheduler(100, 50, rand.New(rand.NewPCG(1, 2)))
 	now := 1000.0
 	if n, _ := s.Next(now, 0); n != 0 {
--- a/internal/record/frame_test.go
+++ b/internal/record/frame_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"testing"
 )
 
@@ -19,7 +20,7 @@
 func TestFrames(t *testing.T) {
 	whole := AppendFrame(nil, 7, Digest{1}, Encode(KindGap, Gap{N: 7, Cause: "x"}))
 	for i := range whole {
-		if _, _, err := ParseFrame(whole[:i]); err != ErrShortFrame {
+		if _, _, err := ParseFrame(whole[:i]); !errors.Is(err, ErrShortFrame) {
 			t.Errorf("cut at %d: %v", i, err)
 		}
 		b := bytes.Clone(whole)
@@ -43,8 +44,7 @@
 	f.Add(AppendFrame(nil, 1, Digest{}, Encode(KindCompletions, Completions{Delivered: []uint64{1}})))
 	f.Add([]byte{0x0f, 'o', 'x', 0xf1, 1, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		fold := NewReplay()
-		fold.StartSegment(SegmentHeader{Instance: "n", Incarnation: "i", Segment: 1, From: 1})
+		replay := startedReplay(t)
 		for len(b) > 0 {
 			x, size, err := ParseFrame(b)
 			if err != nil {
@@ -54,12 +54,12 @@
 			if size <= FrameOverhead || size > len(b) {
 				t.Fatalf("a frame of %d bytes in %d", size, len(b))
 			}
-			fold.Apply(x)
-			if fold.FinalThrough() > fold.LastRead() {
-				t.Fatalf("through %d of %d", fold.FinalThrough(), fold.LastRead())
+			replay.Apply(x)
+			if replay.FinalThrough() > replay.LastRead() {
+				t.Fatalf("through %d of %d", replay.FinalThrough(), replay.LastRead())
 			}
 			b = b[size:]
 		}
-		fold.Finish()
+		replay.Finish()
 	})
 }
--- a/internal/record/helper_test.go
+++ b/internal/record/helper_test.go
@@ -1,13 +1,13 @@
 package record
 
-// disk is what a ledger's works leave behind, with failures by script, and what a reading of it finds.
+// disk is what a ledger's steps leave behind, with failures by script, and what a reading of it finds.
 type disk struct {
 	segments [][]byte
 	synced   []int
 	fail     func(w IO) (wrote int, ok bool) // nil: all goes well
 }
 
-// do carries out one work.
+// do carries out one step; it tells whether there was one.
 func (d *disk) do(l *Ledger, now float64) bool {
 	w := l.NextIO(now)
 	if w.Idle() {
@@ -29,37 +29,45 @@
 	return true
 }
 
-// all works until nothing is left to do now.
+// all does all that is to be done now.
 func (d *disk) all(l *Ledger, now float64) {
 	for d.do(l, now) {
 	}
 }
 
-// read folds what is there; synced: only that.
+// read replays what is there; synced: only that.
 func (d *disk) read(synced bool) (*Replay, []Row) {
-	f, rows := NewReplay(), []Row(nil)
-	for i, s := range d.segments {
+	replay, rows := NewReplay(), []Row(nil)
+	for i, segment := range d.segments {
 		if synced {
-			s = s[:d.synced[i]]
+			segment = segment[:d.synced[i]]
 		}
-		for len(s) > 0 {
-			x, size, err := ParseFrame(s)
-			if err != nil {
-				f.AddTornTail(int64(len(s)))
-				break
-			}
-			s = s[size:]
-			if Kind(x.Payload[0]) == KindHeader {
-				v, _ := Decode(x.Payload)
-				if err := f.StartSegment(*v.(*SegmentHeader)); err != nil {
-					panic(err)
-				}
-				continue
-			}
-			rows = append(rows, f.Apply(x)...)
+		rows = append(rows, replaySegment(replay, segment)...)
+	}
+	return replay, append(rows, replay.Finish()...)
+}
+
+func replaySegment(replay *Replay, segment []byte) (rows []Row) {
+	for len(segment) > 0 {
+		frame, size, err := ParseFrame(segment)
+		if err != nil {
+			replay.AddTornTail(int64(len(segment)))
+			return rows
+		}
+		segment = segment[size:]
+		if Kind(frame.Payload[0]) != KindHeader {
+			rows = append(rows, replay.Apply(frame)...)
+			continue
+		}
+		header, err := Decode(frame.Payload)
+		if err == nil {
+			err = replay.StartSegment(*header.(*SegmentHeader))
+		}
+		if err != nil { // no test writes such a header
+			panic(err)
 		}
 	}
-	return f, append(rows, f.Finish()...)
+	return rows
 }
 
 // ledger makes one whose writes and segments are small.
--- a/internal/record/ledger_test.go
+++ b/internal/record/ledger_test.go
@@ -9,7 +9,7 @@
 func TestFailures(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		fail func(k int, w IO) (int, bool) // k counts the works
+		fail func(k int, w IO) (int, bool) // k counts the steps
 	}{
 		{"nothing", func(_ int, w IO) (int, bool) { return len(w.Bytes), true }},
 		{"every third write is short", func(k int, w IO) (int, bool) {
@@ -33,57 +33,78 @@
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			l, d, k := ledger(roomy()), &disk{}, 0
-			d.fail = func(w IO) (int, bool) { k++; return c.fail(k, w) }
-			confirmed, now := map[uint64]bool{}, 0.0
-			var ns []uint64
-			for i := range 60 {
-				n, ok := l.AddEntry(now, entry(fmt.Sprint(i)))
-				if !ok {
-					t.Fatalf("entry %d finds no room", i)
-				}
-				ns = append(ns, n)
-				for range 20 {
-					now += 100
-					d.all(l, now)
-				}
-				for _, n := range ns {
-					if l.Confirmed() >= n {
-						confirmed[n] = true
-					}
-				}
-				if i%2 == 0 {
-					l.AddCompletion(now, n, i%4 == 0)
-				}
-			}
-			for range 50 {
-				now += 300
-				d.all(l, now)
-			}
-			f, rows := d.read(true)
-			if len(f.Defects) > 0 {
-				t.Fatal(f.Defects)
-			}
-			got := map[uint64]State{}
-			for _, r := range rows {
-				if _, twice := got[r.Entry.N]; twice {
-					t.Errorf("entry %d twice", r.Entry.N)
-				}
-				got[r.Entry.N] = r.State
-			}
-			for i, n := range ns {
-				want := []State{StateAnswered, StateInDoubt, StateUndelivered, StateInDoubt}[i%4]
-				if !confirmed[n] || got[n] != want {
-					t.Errorf("entry %d (ordinal %d): confirmed %v, %v, want %v", i, n, confirmed[n], got[n], want)
-				}
-			}
-			if l.Pending() || l.QueuedBytes() != 0 {
-				t.Errorf("pending %v, %d bytes queued", l.Pending(), l.QueuedBytes())
-			}
+			k := 0
+			checkSixty(t, &disk{fail: func(w IO) (int, bool) { k++; return c.fail(k, w) }})
 		})
 	}
 }
 
+// checkSixty writes entries to a disk that may fail, and reads what was synced.
+func checkSixty(t *testing.T, d *disk) {
+	t.Helper()
+	l := ledger(roomy())
+	ordinals, confirmed := writeSixty(t, l, d)
+	replay, rows := d.read(true)
+	if len(replay.Defects) > 0 {
+		t.Fatal(replay.Defects)
+	}
+	states := statesOnce(t, rows)
+	for i, n := range ordinals {
+		want := []State{StateAnswered, StateInDoubt, StateUndelivered, StateInDoubt}[i%4]
+		if !confirmed[n] || states[n] != want {
+			t.Errorf("entry %d (ordinal %d): confirmed %v, %v, want %v", i, n, confirmed[n], states[n], want)
+		}
+	}
+	if l.Pending() || l.QueuedBytes() != 0 {
+		t.Errorf("pending %v, %d bytes queued", l.Pending(), l.QueuedBytes())
+	}
+}
+
+// writeSixty writes entries: of four the first is delivered, the third is not, and the others have no end. It returns their
+// ordinals and which were confirmed while more followed.
+func writeSixty(t *testing.T, l *Ledger, d *disk) (ordinals []uint64, confirmed map[uint64]bool) {
+	t.Helper()
+	confirmed = map[uint64]bool{}
+	now := 0.0
+	for i := range 60 {
+		ordinal, ok := l.AddEntry(now, entry(fmt.Sprint(i)))
+		if !ok {
+			t.Fatalf("entry %d finds no room", i)
+		}
+		ordinals = append(ordinals, ordinal)
+		for range 20 {
+			now += 100
+			d.all(l, now)
+		}
+		for _, n := range ordinals {
+			if l.Confirmed() >= n {
+				confirmed[n] = true
+			}
+		}
+		if i%2 == 0 {
+			l.AddCompletion(now, ordinal, i%4 == 0)
+		}
+	}
+	for range 50 {
+		now += 300
+		d.all(l, now)
+	}
+	return ordinals, confirmed
+}
+
+// statesOnce is the state of each entry, which must be there once.
+func statesOnce(t *testing.T, rows []Row) map[uint64]State {
+	t.Helper()
+	states := map[uint64]State{}
+	for _, row := range rows {
+		if _, twice := states[row.Entry.N]; twice {
+			t.Errorf("entry %d twice", row.Entry.N)
+		}
+		states[row.Entry.N] = row.State
+	}
+	return states
+}
+
 // Nothing is confirmed before its sync, and a group is one sync.
 func TestGroups(t *testing.T) {
 	l, d := ledger(roomy()), &disk{}
@@ -132,75 +153,83 @@
 
 // A spool at its limit, a disk that stalls and one that fails: what holds is what was set, and everything is counted.
 func TestFull(t *testing.T) {
+	fails := func(IO) (int, bool) { return 0, false }
 	for _, c := range []struct {
 		name   string
-		full   FullPolicy
-		break_ func(*Ledger, *disk)
-		mend   func(*Ledger, *disk)
+		policy FullPolicy
+		fail   func(IO) (int, bool)
 		health Health
 	}{
-		{"budget", KeepServing, func(*Ledger, *disk) {}, func(l *Ledger, d *disk) { l.ReleaseBytes(1 << 20) }, HealthFull},
-		{"budget, declining", RejectRequests, func(*Ledger, *disk) {}, func(l *Ledger, d *disk) { l.ReleaseBytes(1 << 20) }, HealthFull},
-		{
-			"failing", KeepServing, func(l *Ledger, d *disk) { d.fail = func(w IO) (int, bool) { return 0, false } },
-			func(l *Ledger, d *disk) { d.fail = nil; l.ReleaseBytes(1 << 20) }, HealthFailing,
-		},
-		{
-			"failing, declining", RejectRequests, func(l *Ledger, d *disk) { d.fail = func(w IO) (int, bool) { return 0, false } },
-			func(l *Ledger, d *disk) { d.fail = nil; l.ReleaseBytes(1 << 20) }, HealthFailing,
-		},
+		{"budget", KeepServing, nil, HealthFull},
+		{"budget, rejecting", RejectRequests, nil, HealthFull},
+		{"failing", KeepServing, fails, HealthFailing},
+		{"failing, rejecting", RejectRequests, fails, HealthFailing},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			l, d := ledger(LedgerOptions{Sync: true, MaxSpoolBytes: 8192, MaxQueuedBytes: 2048, FullPolicy: c.full}), &disk{}
-			c.break_(l, d)
-			now, kept, missed := 0.0, 0, 0
-			for i := range 200 {
-				now += 10
-				if _, ok := l.AddEntry(now, entry(fmt.Sprint(i))); ok {
-					kept++
-				} else {
-					missed++
-				}
-				d.all(l, now)
-			}
-			if l.Health(now) != c.health || l.RejectsRequests(now) != (c.full == RejectRequests) || l.CommitDelay(now) != 0 {
-				t.Errorf("%v, refuses %v, patience %v", l.Health(now), l.RejectsRequests(now), l.CommitDelay(now))
-			}
-			if missed == 0 || l.SpoolBytes() > 8192 {
-				t.Errorf("%d missed, %d bytes used", missed, l.SpoolBytes())
-			}
-			c.mend(l, d)
-			for range 20 {
-				now += 1000
-				d.all(l, now)
-			}
-			if l.Health(now) != HealthGood || l.RejectsRequests(now) || l.CommitDelay(now) != 100 {
-				t.Errorf("mended: %v", l.Health(now))
-			}
-			_, rows := d.read(true)
-			in, gaps := 0, 0
-			for _, r := range rows {
-				if r.Gap != nil {
-					gaps += int(r.Gap.Total())
-					if r.Gap.From >= r.Gap.To || r.Gap.Cause != c.health.String() {
-						t.Errorf("gap %+v", r.Gap)
-					}
-				} else {
-					in++
-				}
-			}
-			if in != kept || gaps != missed {
-				t.Errorf("%d entries of %d, gaps stand for %d of %d", in, kept, gaps, missed)
-			}
+			l := ledger(LedgerOptions{Sync: true, MaxSpoolBytes: 8192, MaxQueuedBytes: 2048, FullPolicy: c.policy})
+			checkFull(t, l, &disk{fail: c.fail}, c.health, c.policy == RejectRequests)
 		})
 	}
-	options := roomy()
-	options.FullPolicy = RejectRequests
-	l := ledger(options)
-	l.AddEntry(1, entry("x"))
-	l.NextIO(1)
-	if l.RejectsRequests(50) || !l.RejectsRequests(52) || l.Health(52) != HealthBehind {
-		t.Error("a write that takes longer than the stall is not seen")
+	t.Run("a write that takes longer than the stall", func(t *testing.T) {
+		options := roomy()
+		options.FullPolicy = RejectRequests
+		l := ledger(options)
+		l.AddEntry(1, entry("x"))
+		l.NextIO(1)
+		if l.RejectsRequests(50) || !l.RejectsRequests(52) || l.Health(52) != HealthBehind {
+			t.Error("it is not seen")
+		}
+	})
+}
+
+// checkFull answers 200 requests while a spool gets into a state and then lets it recover.
+func checkFull(t *testing.T, l *Ledger, d *disk, health Health, rejects bool) {
+	t.Helper()
+	now, recorded, unrecorded := 0.0, 0, 0
+	for i := range 200 {
+		now += 10
+		if _, ok := l.AddEntry(now, entry(fmt.Sprint(i))); ok {
+			recorded++
+		} else {
+			unrecorded++
+		}
+		d.all(l, now)
+	}
+	if l.Health(now) != health || l.RejectsRequests(now) != rejects || l.CommitDelay(now) != 0 {
+		t.Errorf("%v, rejects %v, commit delay %v", l.Health(now), l.RejectsRequests(now), l.CommitDelay(now))
+	}
+	if unrecorded == 0 || l.SpoolBytes() > 8192 {
+		t.Errorf("%d unrecorded, %d bytes used", unrecorded, l.SpoolBytes())
+	}
+	d.fail = nil
+	l.ReleaseBytes(1 << 20)
+	for range 20 {
+		now += 1000
+		d.all(l, now)
+	}
+	if l.Health(now) != HealthGood || l.RejectsRequests(now) || l.CommitDelay(now) != 100 {
+		t.Errorf("mended: %v", l.Health(now))
+	}
+	_, rows := d.read(true)
+	expectAllCounted(t, rows, recorded, unrecorded, health)
+}
+
+// expectAllCounted: each answer is an entry, or counted in a gap with the cause.
+func expectAllCounted(t *testing.T, rows []Row, recorded, unrecorded int, cause Health) {
+	t.Helper()
+	entries, inGaps := 0, 0
+	for _, row := range rows {
+		if row.Gap == nil {
+			entries++
+			continue
+		}
+		inGaps += int(row.Gap.Total())
+		if row.Gap.From >= row.Gap.To || row.Gap.Cause != cause.String() {
+			t.Errorf("gap %+v", row.Gap)
+		}
+	}
+	if entries != recorded || inGaps != unrecorded {
+		t.Errorf("%d entries of %d, gaps stand for %d of %d", entries, recorded, inGaps, unrecorded)
 	}
 }
 
--- a/internal/record/replay_test.go
+++ b/internal/record/replay_test.go
@@ -71,28 +71,43 @@
 	}
 }
 
-func TestFoldRefuses(t *testing.T) {
-	f := NewReplay()
-	if f.Apply(Frame{N: 3, Payload: []byte{0}}); len(f.Defects) == 0 {
-		t.Error("a frame before any head passes")
-	}
+// A frame without a header is a defect, and a segment of another incarnation, or of an earlier number, an error.
+func TestReplayRefuses(t *testing.T) {
+	t.Run("a frame before any header", func(t *testing.T) {
+		replay := NewReplay()
+		if replay.Apply(Frame{N: 3, Payload: []byte{0}}); len(replay.Defects) == 0 {
+			t.Error("it passes")
+		}
+	})
 	for _, c := range []struct {
+		name   string
 		second SegmentHeader
 		want   string
 	}{
-		{SegmentHeader{Instance: "n", Incarnation: "j", Segment: 2, From: 1}, "two incarnations"},
-		{SegmentHeader{Instance: "m", Incarnation: "i", Segment: 2, From: 1}, "two incarnations"},
-		{SegmentHeader{Instance: "n", Incarnation: "i", Segment: 1, From: 1}, "comes after"},
+		{"another incarnation", SegmentHeader{Instance: "n", Incarnation: "j", Segment: 2, From: 1}, "two incarnations"},
+		{"another instance", SegmentHeader{Instance: "m", Incarnation: "i", Segment: 2, From: 1}, "two incarnations"},
+		{"the same segment", SegmentHeader{Instance: "n", Incarnation: "i", Segment: 1, From: 1}, "comes after"},
 	} {
-		f := NewReplay()
-		f.StartSegment(SegmentHeader{Instance: "n", Incarnation: "i", Segment: 1, From: 1})
-		if err := f.StartSegment(c.second); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%+v: %v", c.second, err)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			replay := startedReplay(t)
+			if err := replay.StartSegment(c.second); err == nil || !strings.Contains(err.Error(), c.want) {
+				t.Errorf("%+v: %v", c.second, err)
+			}
+		})
+	}
+}
+
+// startedReplay has read the header of the first segment.
+func startedReplay(t *testing.T) *Replay {
+	t.Helper()
+	replay := NewReplay()
+	if err := replay.StartSegment(SegmentHeader{Instance: "n", Incarnation: "i", Segment: 1, From: 1}); err != nil {
+		t.Fatal(err)
 	}
+	return replay
 }
 
-// Through never passes an entry whose end is not read, whatever the order of ends.
+// FinalThrough never passes an entry whose end is not read, whatever the order of ends.
 func TestThrough(t *testing.T) {
 	l, d := ledger(roomy()), &disk{}
 	for i := range 4 {
@@ -105,19 +120,26 @@
 	}{{3, 0}, {1, 1}, {4, 1}, {2, 8}} {
 		l.AddCompletion(float64(10*k+10), c.done, true)
 		d.all(l, float64(10*k+15))
-		f := NewReplay()
-		for _, s := range d.segments {
-			for len(s) > 0 {
-				x, size, _ := ParseFrame(s)
-				if s = s[size:]; x.N > 0 {
-					f.Apply(x)
-				} else {
-					f.StartSegment(SegmentHeader{Instance: "n", Incarnation: "i", Segment: 1, From: 1})
-				}
-			}
+		replay := startedReplay(t)
+		for _, segment := range d.segments {
+			applyFrames(t, replay, segment)
+		}
+		if replay.FinalThrough() != c.through {
+			t.Errorf("after the end of %d: through %d, want %d", c.done, replay.FinalThrough(), c.through)
+		}
+	}
+}
+
+// applyFrames applies all of a segment but its header.
+func applyFrames(t *testing.T, replay *Replay, segment []byte) {
+	t.Helper()
+	for len(segment) > 0 {
+		frame, size, err := ParseFrame(segment)
+		if err != nil {
+			t.Fatal(err)
 		}
-		if f.FinalThrough() != c.through {
-			t.Errorf("after the end of %d: through %d, want %d", c.done, f.FinalThrough(), c.through)
+		if segment = segment[size:]; Kind(frame.Payload[0]) != KindHeader {
+			replay.Apply(frame)
 		}
 	}
 }
