--- a/cmd/e2e/record_figures.go
+++ b/cmd/e2e/record_figures.go
@@ -144,7 +144,7 @@
 		body = hex.EncodeToString(response.Body[:])
 	}
 	return response.Outcome == entry.Outcome && response.Class == entry.Class && body == entry.BodyDigest &&
-		instanceName(response.Instance) == entry.Agent
+		instanceName(response.Instance) == entry.Instance
 }
 
 // death is when an instance died, as seen from outside.
--- a/cmd/e2e/store_sqlite.go
+++ b/cmd/e2e/store_sqlite.go
@@ -77,7 +77,7 @@
 	if err := store.Migrate(ctx); err != nil {
 		return err
 	}
-	return store.Hold(ctx, func() {
+	return store.HoldWriteLock(ctx, func() {
 		fmt.Println("locked")
 		_, _ = io.Copy(io.Discard, os.Stdin) // its end is what is waited for, by error or not
 	})
--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -119,21 +119,47 @@
 	dial := (&net.Dialer{KeepAlive: -1}).DialContext
 	tcp := func(ctx context.Context, address string) (net.Conn, error) { return dial(ctx, "tcp", address) }
 	zones, kinds := siteconfig.ZonesAndHardware(s)
-	a.discovery = httpwire.NewDiscovery(a.core, tcp, a.told(o.Discovery, "discovery"), zones, kinds, siteconfig.OnDemandDiscovery(s), seed)
-	a.platform = httpwire.NewPlatform(a.core, tcp, config.Get("pipeline.address").Str, siteconfig.VoteTimeout(s), seed+1)
+	a.discovery = httpwire.NewDiscovery(httpwire.DiscoveryConfig{
+		Core:            a.core,
+		Dial:            tcp,
+		Address:         a.told(o.Discovery, "discovery"),
+		Zones:           zones,
+		HardwareClasses: kinds,
+		OnDemand:        siteconfig.OnDemandDiscovery(s),
+		Seed:            seed,
+	})
+	a.platform = httpwire.NewPlatform(httpwire.PlatformConfig{
+		Core:        a.core,
+		Dial:        tcp,
+		Address:     config.Get("pipeline.address").Str,
+		VoteTimeout: duration(siteconfig.VoteTimeout(s)),
+		Seed:        seed + 1,
+	})
 	up, idle := siteconfig.ConnectionTimes(s)
 	onAnswers, onProbes := siteconfig.LoadReports(s)
 	address := a.discovery.Address
 	if o.Tables.Sources.On() {
 		address = func(id string) string { return a.sources.Address(id) }
 	}
-	a.upstream = httpwire.NewUpstream(a.core, tcp, address, a.budget, up, idle, onAnswers, onProbes)
+	a.upstream = httpwire.NewUpstream(httpwire.UpstreamConfig{
+		Core:               a.core,
+		Dial:               tcp,
+		Sockets:            a.budget,
+		Address:            address,
+		ConnectTimeout:     duration(up),
+		BackendIdleTimeout: duration(idle),
+		LoadOnResponses:    onAnswers,
+		LoadOnProbes:       onProbes,
+	})
 	a.discovery.OnRemove(a.upstream.CloseAddress)
 	room := int64(1 << 30)
 	if memoryMB > 0 {
 		room = int64(memoryMB) << 20 / 4
 	}
-	a.front = httpwire.NewFront(a.core, a.upstream, a.budget, names, products, siteconfig.CancelAllowed(s), siteconfig.MaxOpenRequests(s), room)
+	a.front = httpwire.NewFront(httpwire.FrontConfig{
+		Core: a.core, Upstream: a.upstream, Sockets: a.budget, ClassNames: names, Classes: products,
+		CancelAllowed: siteconfig.CancelAllowed(s), MaxOpenRequests: siteconfig.MaxOpenRequests(s), MaxBodyBytes: room,
+	})
 
 	logrus.WithFields(logrus.Fields{"version": o.Version, "name": a.told(o.Name, "name"),
 		"listen": a.listener.Addr().String(), "cpus": runtime.NumCPU(), "cores": runtime.GOMAXPROCS(0), "sockets": sockets,
@@ -151,12 +177,15 @@
 		return nil, fmt.Errorf("known: %w", err)
 	}
 	news := config.Get("pipeline.news")
-	if err := a.platform.Apply(func(name string) string { return news.Get(name).String() }, policy.NotAVote); err != nil {
+	if err := a.platform.Apply(httpwire.ReadReleaseFields(func(name string) string { return news.Get(name).String() })); err != nil {
 		return nil, fmt.Errorf("pipeline.news: %w", err)
 	}
 	return a, nil
 }
 
+// duration converts milliseconds as the settings have them.
+func duration(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+
 const (
 	// The process before this one may hold the address for a moment more.
 	listenMost  = 10 * time.Second
@@ -274,7 +303,7 @@
 	case <-wait.C:
 		logrus.Warn("discovery has told nothing yet: ready with the list of the configuration")
 	}
-	a.front.Ready()
+	a.front.SetReady()
 	logrus.Info("ready")
 }
 
@@ -337,7 +366,7 @@
 	syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	cpu := usage.Utime.Nano()/1e6 + usage.Stime.Nano()/1e6
 	logrus.WithFields(logrus.Fields{"cpu_ms": cpu, "taken": n.Accepted, "settled": n.Served, "declined": n.Rejected,
-		"voided": n.Failed, "gone": n.ClientGone, "bad_input": a.front.Refused.Load(), "open": n.OpenRequests, "out": n.OpenAttempts,
+		"voided": n.Failed, "gone": n.ClientGone, "bad_input": a.front.InvalidRequests(), "open": n.OpenRequests, "out": n.OpenAttempts,
 		"ends":    fmt.Sprint(n.AttemptsByStatus[policy.StatusServed:]),
 		"sockets": all, "clients": clients, "clients_idle": resting, "opened": opened, "idle": idle, "unsent": unsent,
 		"list": version, "listed": listed, "timers": n.Timers, "broken": invariant.Violations(), "withdrawn": n.AttemptsWithheld}).Info("counts")
@@ -353,10 +382,10 @@
 	}
 	if a.keeper != nil {
 		s := a.keeper.Status()
-		logrus.WithFields(logrus.Fields{"spool": s.Health.String(), "entries": s.Entries, "notes": s.Notes, "gaps": s.Gaps,
-			"missed": s.Missed, "syncs": s.Syncs, "failures": s.Failures, "unsynced": s.Unsynced, "spool_bytes": s.Used,
+		logrus.WithFields(logrus.Fields{"spool": s.Health.String(), "entries": s.Entries, "notes": s.Completions, "gaps": s.Gaps,
+			"missed": s.Unrecorded, "syncs": s.Syncs, "failures": s.Failures, "unsynced": s.Unsynced, "spool_bytes": s.Used,
 			"queued_bytes": s.Queued, "shipped": s.Shipped, "in_doubt": s.InDoubt, "oldest_ms": int(s.Oldest),
-			"replies": fmt.Sprint(s.Replies)}).Info("record")
+			"replies": fmt.Sprint(s.Results)}).Info("record")
 	}
 }
 
@@ -427,7 +456,7 @@
 	standing("onyxgate_record_syncs_total", func(s recorder.Status) float64 { return float64(s.Syncs) })
 	standing("onyxgate_record_failures_total", func(s recorder.Status) float64 { return float64(s.Failures) })
 	standing("onyxgate_record_unsynced_total", func(s recorder.Status) float64 { return float64(s.Unsynced) })
-	standing("onyxgate_record_missed_total", func(s recorder.Status) float64 { return float64(s.Missed) })
+	standing("onyxgate_record_missed_total", func(s recorder.Status) float64 { return float64(s.Unrecorded) })
 	standing("onyxgate_record_gaps_total", func(s recorder.Status) float64 { return float64(s.Gaps) })
 	standing("onyxgate_record_shipped_total", func(s recorder.Status) float64 { return float64(s.Shipped) })
 	standing("onyxgate_record_in_doubt_total", func(s recorder.Status) float64 { return float64(s.InDoubt) })
--- a/internal/fake/postgres/statements.go
+++ b/internal/fake/postgres/statements.go
@@ -192,7 +192,7 @@
 		"appliance", "submissions big", "taken_ms real", "answered_ms real", "body", "mark")
 	for _, entry := range s.server.Entries {
 		s.rows = append(s.rows, []string{
-			entry.Agent, entry.Incarnation, fmt.Sprint(entry.N), entry.State, entry.RequestID, entry.Class, entry.Outcome,
+			entry.Instance, entry.Incarnation, fmt.Sprint(entry.N), entry.State, entry.RequestID, entry.Class, entry.Outcome,
 			entry.Reason, fmt.Sprint(entry.Release), entry.Backend, fmt.Sprint(entry.Attempts), fmt.Sprint(entry.ArrivedAt),
 			fmt.Sprint(entry.AnsweredAt), entry.BodyDigest, entry.KeyDigest,
 		})
@@ -204,7 +204,7 @@
 		"from_ms real", "to_ms real", "cause")
 	for _, gap := range s.server.Gaps {
 		s.rows = append(s.rows, []string{
-			gap.Agent, gap.Incarnation, fmt.Sprint(gap.N), fmt.Sprint(gap.Served), fmt.Sprint(gap.Rejected),
+			gap.Instance, gap.Incarnation, fmt.Sprint(gap.N), fmt.Sprint(gap.Served), fmt.Sprint(gap.Rejected),
 			fmt.Sprint(gap.Failed), fmt.Sprint(gap.Unknown), fmt.Sprint(gap.From), fmt.Sprint(gap.To), gap.Cause,
 		})
 	}
@@ -218,7 +218,7 @@
 	}
 	s.columns = columnsOf("agent", "product", "outcome", "state", "n big")
 	for _, entry := range s.server.Entries {
-		s.rows = append(s.rows, []string{entry.Agent, entry.Class, entry.Outcome, entry.State, "1"})
+		s.rows = append(s.rows, []string{entry.Instance, entry.Class, entry.Outcome, entry.State, "1"})
 	}
 }
 
--- /dev/null
+++ b/internal/httpwire/helpers_test.go
@@ -0,0 +1,206 @@
+package httpwire
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+
+	"onyxgate/internal/core"
+	"onyxgate/policy"
+)
+
+// nopTransport drops every action of the decisions that belongs to no request.
+type nopTransport struct{}
+
+func (nopTransport) SendVote(policy.ReleaseID, policy.Verdict, int) {}
+func (nopTransport) SendProbe(string)                               {}
+func (nopTransport) WatchEndpoints()                                {}
+func (nopTransport) FetchEndpoints()                                {}
+
+// network dials in-memory pipes: the peer's side of a connection is served by the function at its address.
+type network map[string]func(net.Conn)
+
+func (n network) dial(_ context.Context, address string) (net.Conn, error) {
+	peer := n[address]
+	if peer == nil {
+		return nil, errors.New("refused")
+	}
+	here, there := net.Pipe()
+	go func() {
+		defer there.Close()
+		peer(there)
+	}()
+	return here, nil
+}
+
+// testInstance is a whole instance on a network: the classes look (safe), save (idempotent) and pay (non-idempotent), and one
+// backend s at the address app:1.
+type testInstance struct {
+	core      *core.Core
+	upstream  *Upstream
+	front     *Front
+	discovery *Discovery
+}
+
+func newTestInstance(n network, sockets *Sockets) *testInstance {
+	a := &testInstance{core: core.New(nopTransport{})}
+	classes := []policy.RequestClass{{Semantics: policy.Safe}, {Semantics: policy.Idempotent}, {Semantics: policy.NonIdempotent}}
+	for k := range classes {
+		classes[k].LatencyObjective, classes[k].Timeout, classes[k].Value, classes[k].DedupWindow = 1000, 4000, 1, 9000
+	}
+	a.core.Start(func(port policy.Port) *policy.Instance {
+		return policy.New(port, policy.Config{
+			Seed: 7, Instances: 1, Classes: classes, MaxAttempts: 1, CancelAllowed: true,
+			Exposure: policy.ExposureConfig{FreeAttempts: 2, Caps: []float64{1}},
+		})
+	})
+	a.discovery = NewDiscovery(DiscoveryConfig{
+		Core: a.core, Dial: n.dial, Address: "list", Zones: []string{"z"}, HardwareClasses: []string{"k"}, Seed: 1,
+	})
+	a.upstream = NewUpstream(UpstreamConfig{
+		Core: a.core, Dial: n.dial, Sockets: sockets, Address: a.discovery.Address,
+		ConnectTimeout: 250 * time.Millisecond, BackendIdleTimeout: 30 * time.Second,
+		LoadOnResponses: true, LoadOnProbes: true,
+	})
+	a.discovery.OnRemove(a.upstream.CloseAddress)
+	a.front = NewFront(FrontConfig{
+		Core: a.core, Upstream: a.upstream, Sockets: sockets, ClassNames: []string{"look", "save", "pay"}, Classes: classes,
+		CancelAllowed: true, MaxBodyBytes: 1 << 20,
+	})
+	list := listJSON(1, true, `{"id":"s","addr":"app:1","state":"Ready","weight":1,"version_no":1}`)
+	if err := a.discovery.Apply([]byte(list), FromConfiguration, func() {}); err != nil {
+		panic(err) // the list above is wrong
+	}
+	return a
+}
+
+// newPlatform is the instance's side towards a platform at the address "control".
+func (a *testInstance) newPlatform(n network) *Platform {
+	return NewPlatform(PlatformConfig{Core: a.core, Dial: n.dial, Address: "control", VoteTimeout: 800 * time.Millisecond, Seed: 1})
+}
+
+// listJSON is an endpoint list as discovery sends it.
+func listJSON(version int, full bool, entries string) string {
+	return fmt.Sprintf(`{"version":%d,"full":%v,"servers":[%s]}`, version, full, entries)
+}
+
+// close ends what an instance keeps, so that a synctest bubble ends only if no other goroutine was left.
+func (a *testInstance) close() {
+	ctx, cancel := context.WithCancel(context.Background())
+	cancel()
+	a.upstream.Sweep(ctx)
+	time.Sleep(time.Minute) // the last timers of the decisions
+}
+
+// answerOnce serves one connection: it reads one request whole, writes the given answer and closes.
+func answerOnce(answer string) func(net.Conn) {
+	return func(conn net.Conn) {
+		request, err := http.ReadRequest(bufio.NewReader(conn))
+		if err != nil {
+			return
+		}
+		drain(request.Body)
+		send(conn, answer)
+	}
+}
+
+// answerAndHold does the same and leaves the connection open until the other side closes it.
+func answerAndHold(answer string) func(net.Conn) {
+	return func(conn net.Conn) {
+		answerOnce(answer)(conn)
+		drain(conn)
+	}
+}
+
+// holdSilent serves one connection: it reads whatever comes and says nothing.
+func holdSilent(conn net.Conn) { drain(conn) }
+
+// send writes text. Where the other side has closed first an error is expected, and what is read next shows it.
+func send(conn io.Writer, text string) { _, _ = io.WriteString(conn, text) }
+
+// drain reads to the end, whatever that is: end of file or a connection that breaks.
+func drain(from io.Reader) { _, _ = io.Copy(io.Discard, from) }
+
+// pipeListener is a listener that accepts the connections sent on the channel.
+type pipeListener chan net.Conn
+
+func (p pipeListener) Accept() (net.Conn, error) {
+	conn, ok := <-p
+	if !ok {
+		return nil, net.ErrClosed
+	}
+	return conn, nil
+}
+func (p pipeListener) Close() error   { close(p); return nil }
+func (p pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
+
+// frontServer is an instance's front that serves in-memory connections.
+type frontServer struct {
+	listener pipeListener
+	server   *http.Server
+	ended    chan struct{} // closed once the server's goroutine has
+}
+
+// serve starts the front's server; its goroutine runs until close.
+func (a *testInstance) serve() *frontServer {
+	s := &frontServer{make(pipeListener, 1), a.front.Server(), make(chan struct{})}
+	go func() {
+		defer close(s.ended)
+		_ = s.server.Serve(Listener{s.listener, a.front.sockets}) // always fails, with ErrServerClosed
+	}()
+	return s
+}
+
+// dial opens a client connection to the front.
+func (s *frontServer) dial() *peerConn {
+	client, conn := net.Pipe()
+	s.listener <- conn
+	return &peerConn{client, bufio.NewReader(client)}
+}
+
+func (s *frontServer) close() {
+	s.server.Close()
+	<-s.ended
+}
+
+// clientAnswer is what a client gets from the front, less its body.
+type clientAnswer struct {
+	StatusCode int
+	Header     http.Header
+	Close      bool // the front ends the connection with it
+}
+
+// readAnswer reads one answer with its body.
+func readAnswer(from *bufio.Reader) (answer clientAnswer, body string, err error) {
+	response, err := http.ReadResponse(from, nil)
+	if err != nil {
+		return clientAnswer{}, "", err
+	}
+	defer response.Body.Close()
+	text, err := io.ReadAll(response.Body)
+	return clientAnswer{response.StatusCode, response.Header, response.Close}, string(text), err
+}
+
+// roundTrip sends text to the front on a new connection and returns the answer and its body.
+func (a *testInstance) roundTrip(t *testing.T, text string) (clientAnswer, string) {
+	t.Helper()
+	server := a.serve()
+	defer server.close()
+	client := server.dial()
+	defer client.Close()
+	go send(client, text) // ends with the connection
+	answer, body, err := readAnswer(client.in)
+	if err != nil {
+		t.Error(err)
+	}
+	return answer, body
+}
+
+// validRequest is a request of class look with nothing wrong in it.
+const validRequest = "GET /look/k1?q=1 HTTP/1.1\r\nHost: h\r\nReq-Id: r1\r\nReq-Deadline: 2000m\r\nX-Other: o\r\n\r\n"
