--- a/cmd/onyxgate/sources.go
+++ b/cmd/onyxgate/sources.go
@@ -30,10 +30,10 @@
 	if err != nil {
 		return s, err
 	}
-	if tables.Sources.State == "" {
+	if tables.Sources.StateFile == "" {
 		return s, fmt.Errorf("%s: sources.state names no file, so agents write none", l.Settings)
 	}
-	text, err := os.ReadFile(tables.Sources.State)
+	text, err := os.ReadFile(tables.Sources.StateFile)
 	if err == nil {
 		err = json.Unmarshal(text, &s)
 	}
@@ -47,18 +47,20 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("written %v ago; doubts of discovery: %q, of SRV: %q\n", age(s.At, float64(time.Now().UnixMilli())), s.Doubt[0], s.Doubt[1])
+	fmt.Printf("written %v ago; doubts of discovery: %q, of SRV: %q\n", age(s.WrittenAt, float64(time.Now().UnixMilli())), s.Doubt[0], s.Doubt[1])
 	w := table.NewWriter()
 	w.SetOutputMirror(os.Stdout)
 	w.AppendHeader(table.Row{"id", "address", "state", "build", "rating", "rule", "source", "says", "age"})
-	for _, a := range s.Appliances {
-		for i, word := range a.Words {
+	for _, a := range s.Backends {
+		for i, word := range a.Statements {
 			if i > 0 {
-				w.AppendRow(table.Row{"", "", "", "", "", "", word.Source, word.Says, age(word.At, s.At)})
+				w.AppendRow(table.Row{"", "", "", "", "", "", word.Source, word.Says, age(word.At, s.WrittenAt)})
 				continue
 			}
-			w.AppendRow(table.Row{a.ID, a.Address, a.State, a.Release, fmt.Sprintf("%.2f", a.Rating), a.Rule, word.Source,
-				word.Says, age(word.At, s.At)})
+			w.AppendRow(table.Row{
+				a.ID, a.Address, a.State, a.Release, fmt.Sprintf("%.2f", a.Weight), a.Rule, word.Source,
+				word.Says, age(word.At, s.WrittenAt),
+			})
 		}
 	}
 	w.Render()
@@ -78,19 +80,19 @@
 	if err != nil {
 		return err
 	}
-	for _, a := range s.Appliances {
+	for _, a := range s.Backends {
 		if a.ID != c.ID && a.Address != c.ID {
 			continue
 		}
-		fmt.Printf("%s at %s: %s, build %d, rating %.2f, by the rule %q\n", a.ID, a.Address, a.State, a.Release, a.Rating, a.Rule)
-		for _, word := range a.Words {
-			fmt.Printf("  %s, %v ago: %s\n", word.Source, age(word.At, s.At), word.Says)
+		fmt.Printf("%s at %s: %s, build %d, rating %.2f, by the rule %q\n", a.ID, a.Address, a.State, a.Release, a.Weight, a.Rule)
+		for _, word := range a.Statements {
+			fmt.Printf("  %s, %v ago: %s\n", word.Source, age(word.At, s.WrittenAt), word.Says)
 		}
 		return nil
 	}
 	if at, ok := s.Memory.Ended[c.ID]; ok {
 		fmt.Printf("nobody in the fleet at %s: who was there drained or went %v ago by discovery's word, and SRV can't undo that\n",
-			c.ID, age(at, s.At))
+			c.ID, age(at, s.WrittenAt))
 		return nil
 	}
 	return fmt.Errorf("no source told of %s", c.ID)
@@ -113,8 +115,8 @@
 	if c.Server != "" {
 		t.Servers = []string{c.Server}
 	}
-	r := dns.New((&net.Dialer{}).DialContext, rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), 1)), time.Duration(t.Wait))
-	r.Tell = func(step string) { fmt.Println(" ", step) }
+	r := dns.New((&net.Dialer{}).DialContext, rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), 1)), time.Duration(t.Timeout))
+	r.Trace = func(step string) { fmt.Println(" ", step) }
 	failed := fmt.Errorf("no server is named")
 	for _, server := range t.Servers {
 		fmt.Println(t.Name, "at", server)
--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -124,7 +124,7 @@
 	up, idle := siteconfig.ConnectionTimes(s)
 	onAnswers, onProbes := siteconfig.LoadReports(s)
 	address := a.discovery.Address
-	if o.Tables.Sources.On() {
+	if o.Tables.Sources.Enabled() {
 		address = func(id string) string { return a.sources.Address(id) }
 	}
 	a.upstream = httpwire.NewUpstream(a.core, tcp, address, a.budget, up, idle, onAnswers, onProbes)
@@ -135,17 +135,19 @@
 	}
 	a.front = httpwire.NewFront(a.core, a.upstream, a.budget, names, products, siteconfig.CancelAllowed(s), siteconfig.MaxOpenRequests(s), room)
 
-	logrus.WithFields(logrus.Fields{"version": o.Version, "name": a.told(o.Name, "name"),
+	logrus.WithFields(logrus.Fields{
+		"version": o.Version, "name": a.told(o.Name, "name"),
 		"listen": a.listener.Addr().String(), "cpus": runtime.NumCPU(), "cores": runtime.GOMAXPROCS(0), "sockets": sockets,
 		"memory_mb": memoryMB, "agents": s.Get("balancers").Int(), "products": len(names),
-		"appliances": len(config.Get("known.servers").Array())}).Info("start")
+		"appliances": len(config.Get("known.servers").Array()),
+	}).Info("start")
 	a.core.Start(func(p policy.Port) *policy.Instance {
 		return policy.New(p, siteconfig.InstanceConfig(s, seed, a.budget.ClientLimit()))
 	})
-	if o.Tables.Sources.On() { // after the module: what is remembered goes to it at once
+	if o.Tables.Sources.Enabled() { // after the module: what is remembered goes to it at once
 		a.sources = host.New(o.Tables.Sources, a.core, a.upstream.CloseAddress, int(s.Get("me").Int()),
 			int(s.Get("balancers").Int()), seed+3)
-		a.discovery.OnUpdate(a.sources.OnDiscovery, a.sources.Silent)
+		a.discovery.OnUpdate(a.sources.OnDiscovery, a.sources.OnDiscoveryLost)
 	}
 	if err := a.discovery.Apply([]byte(config.Get("known").Raw), httpwire.FromConfiguration, func() {}); err != nil {
 		return nil, fmt.Errorf("known: %w", err)
@@ -336,27 +338,35 @@
 	var usage syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	cpu := usage.Utime.Nano()/1e6 + usage.Stime.Nano()/1e6
-	logrus.WithFields(logrus.Fields{"cpu_ms": cpu, "taken": n.Accepted, "settled": n.Served, "declined": n.Rejected,
+	logrus.WithFields(logrus.Fields{
+		"cpu_ms": cpu, "taken": n.Accepted, "settled": n.Served, "declined": n.Rejected,
 		"voided": n.Failed, "gone": n.ClientGone, "bad_input": a.front.Refused.Load(), "open": n.OpenRequests, "out": n.OpenAttempts,
 		"ends":    fmt.Sprint(n.AttemptsByStatus[policy.StatusServed:]),
 		"sockets": all, "clients": clients, "clients_idle": resting, "opened": opened, "idle": idle, "unsent": unsent,
-		"list": version, "listed": listed, "timers": n.Timers, "broken": invariant.Violations(), "withdrawn": n.AttemptsWithheld}).Info("counts")
+		"list": version, "listed": listed, "timers": n.Timers, "broken": invariant.Violations(), "withdrawn": n.AttemptsWithheld,
+	}).Info("counts")
 	r := n.Releases
-	logrus.WithFields(logrus.Fields{"newest": r.Newest.Release, "phase": r.Newest.Phase.String(), "stage": r.Newest.Stage,
+	logrus.WithFields(logrus.Fields{
+		"newest": r.Newest.Release, "phase": r.Newest.Phase.String(), "stage": r.Newest.Stage,
 		"cap": r.Newest.Cap, "trial": r.RollingOut, "keys": r.Keys, "withheld_closed": r.Skipped.Closed,
-		"withheld_cap": r.Skipped.CapReached, "withheld_affinity": r.Skipped.Affinity}).Info("releases")
+		"withheld_cap": r.Skipped.CapReached, "withheld_affinity": r.Skipped.Affinity,
+	}).Info("releases")
 	if a.sources != nil {
 		n := a.sources.Counts()
-		logrus.WithFields(logrus.Fields{"lookups": n.Lookups, "questions": n.Questions, "failures": n.Failures,
-			"negative": n.Negative, "changes": n.Changes, "running": n.Running, "known": n.Known, "doubt_discovery": n.Doubt[0],
-			"doubt_srv": n.Doubt[1]}).Info("sources")
+		logrus.WithFields(logrus.Fields{
+			"lookups": n.Lookups, "questions": n.Questions, "failures": n.FailedLookups,
+			"negative": n.NegativeAnswers, "changes": n.Changes, "running": n.Running, "known": n.Known, "doubt_discovery": n.Doubt[0],
+			"doubt_srv": n.Doubt[1],
+		}).Info("sources")
 	}
 	if a.keeper != nil {
 		s := a.keeper.Status()
-		logrus.WithFields(logrus.Fields{"spool": s.Health.String(), "entries": s.Entries, "notes": s.Notes, "gaps": s.Gaps,
+		logrus.WithFields(logrus.Fields{
+			"spool": s.Health.String(), "entries": s.Entries, "notes": s.Notes, "gaps": s.Gaps,
 			"missed": s.Missed, "syncs": s.Syncs, "failures": s.Failures, "unsynced": s.Unsynced, "spool_bytes": s.Used,
 			"queued_bytes": s.Queued, "shipped": s.Shipped, "in_doubt": s.InDoubt, "oldest_ms": int(s.Oldest),
-			"replies": fmt.Sprint(s.Replies)}).Info("record")
+			"replies": fmt.Sprint(s.Replies),
+		}).Info("record")
 	}
 }
 
@@ -375,13 +385,13 @@
 	}
 	count("onyxgate_sources_lookups_total", func(n host.Counts) float64 { return float64(n.Lookups) })
 	count("onyxgate_sources_questions_total", func(n host.Counts) float64 { return float64(n.Questions) })
-	count("onyxgate_sources_failures_total", func(n host.Counts) float64 { return float64(n.Failures) })
-	count("onyxgate_sources_negative_total", func(n host.Counts) float64 { return float64(n.Negative) })
+	count("onyxgate_sources_failures_total", func(n host.Counts) float64 { return float64(n.FailedLookups) })
+	count("onyxgate_sources_negative_total", func(n host.Counts) float64 { return float64(n.NegativeAnswers) })
 	count("onyxgate_sources_changes_total", func(n host.Counts) float64 { return float64(n.Changes) })
 	count("onyxgate_sources_running", func(n host.Counts) float64 { return float64(n.Running) })
 	for i, rule := range sources.Rules() {
 		count(fmt.Sprintf("onyxgate_sources_changes_by_rule_total{rule=%q}", rule),
-			func(n host.Counts) float64 { return float64(n.ByRule[i]) })
+			func(n host.Counts) float64 { return float64(n.ChangesByRule[i]) })
 	}
 	count(`onyxgate_sources_doubted{source="discovery"}`, doubt(0))
 	count(`onyxgate_sources_doubted{source="srv"}`, doubt(1))
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -23,13 +23,13 @@
 // Tables are all that there are.
 type Tables struct {
 	Record  recorder.Table `toml:"record"`
-	Sources host.Table     `toml:"sources"`
+	Sources host.Config    `toml:"sources"`
 	Metrics metrics.Table  `toml:"metrics"`
 }
 
 // Default is what holds without a file.
 func Default() Tables {
-	return Tables{Record: recorder.Default(), Sources: host.Default(), Metrics: metrics.Default()}
+	return Tables{Record: recorder.Default(), Sources: host.DefaultConfig(), Metrics: metrics.Default()}
 }
 
 // Read reads a file; no name means what holds without one.
@@ -72,7 +72,7 @@
 		wrong = append(wrong, fmt.Errorf("%s: %s = %q: %s; write %s = %s", place, key, fmt.Sprint(value), what, last, right))
 	}
 	t.Record.Check(tell)
-	t.Sources.Check(tell)
+	t.Sources.Validate(tell)
 	t.Metrics.Check(tell)
 	return t, errors.Join(wrong...)
 }
--- a/internal/sources/dns/dns_test.go
+++ b/internal/sources/dns/dns_test.go
@@ -75,8 +75,11 @@
 	srv := records(t, name+" 30 IN SRV 1 10 80 a.example.org.", name+" 20 IN SRV 2 5 81 B.example.org.")
 	hosts := records(t, "a.example.org. 40 IN A 10.0.0.1", "b.example.org. 10 IN A 10.0.0.2", "b.example.org. 50 IN AAAA fd00::2")
 	soa := records(t, "fleet.example.org. 50 IN SOA n. m. 1 2 3 4 7")
-	both := []sources.Observation{{Address: "10.0.0.1:80", Priority: 1, Weight: 10}, {Address: "10.0.0.2:81", Priority: 2, Weight: 5},
-		{Address: "[fd00::2]:81", Priority: 2, Weight: 5}}
+	both := []sources.Observation{
+		{Address: "10.0.0.1:80", Priority: 1, Weight: 10},
+		{Address: "10.0.0.2:81", Priority: 2, Weight: 5},
+		{Address: "[fd00::2]:81", Priority: 2, Weight: 5},
+	}
 	one := func(f func(network string, q *dns.Msg) *dns.Msg) server {
 		return func(network string, q *dns.Msg) []*dns.Msg { return []*dns.Msg{f(network, q)} }
 	}
@@ -124,7 +127,7 @@
 			return m
 		}), nil, 2000, 30 * time.Second, false, nil, 0},
 		{"no such name", one(func(_ string, q *dns.Msg) *dns.Msg { return reply(q, dns.RcodeNameError, nil, nil, soa) }), nil, 0, 7 * time.Second, true, nil, 0},
-		{"no such records", one(func(_ string, q *dns.Msg) *dns.Msg { return reply(q, 0, nil, nil, nil) }), nil, 0, negativeTTL, true, nil, 0},
+		{"no such records", one(func(_ string, q *dns.Msg) *dns.Msg { return reply(q, 0, nil, nil, nil) }), nil, 0, defaultNegativeTTL, true, nil, 0},
 		{"target .", one(func(_ string, q *dns.Msg) *dns.Msg {
 			return reply(q, 0, records(t, name+" 30 IN SRV 0 0 0 ."), nil, soa)
 		}), nil, 0, 7 * time.Second, true, nil, 0},
--- a/internal/sources/host/host.go
+++ b/internal/sources/host/host.go
@@ -23,41 +23,41 @@
 	"onyxgate/policy"
 )
 
-// Table is [sources].
-type Table struct {
-	State  string      `toml:"state" comment:"a file in which 'onyxgate sources show' reads, and a restart what had ended; empty: none"`
-	DNS    DNSTable    `toml:"dns"`
-	Subset SubsetTable `toml:"subset"`
+// Config is [sources].
+type Config struct {
+	StateFile string       `toml:"state" comment:"a file in which 'onyxgate sources show' reads, and a restart what had ended; empty: none"`
+	DNS       DNSConfig    `toml:"dns"`
+	Subset    SubsetConfig `toml:"subset"`
 }
 
-// SubsetTable is [sources.subset].
-type SubsetTable struct {
-	Size  int `toml:"size" comment:"appliances that this agent works with; 0: all"`
-	Least int `toml:"least" comment:"of each build and zone, however small"`
+// SubsetConfig is [sources.subset].
+type SubsetConfig struct {
+	Size          int `toml:"size" comment:"appliances that this agent works with; 0: all"`
+	LeastPerGroup int `toml:"least" comment:"of each build and zone, however small"`
 }
 
-// DNSTable is [sources.dns].
-type DNSTable struct {
-	Name    string     `toml:"name" comment:"of the service, as _render._tcp.fleet.example.org; empty: off"`
-	Servers []string   `toml:"servers" comment:"host:port, asked in turn as they fail"`
-	Wait    units.Span `toml:"wait" comment:"for one answer over UDP"`
-	Rate    float64    `toml:"lookups_a_second" comment:"at most, whatever lifetimes say"`
+// DNSConfig is [sources.dns].
+type DNSConfig struct {
+	Name                string     `toml:"name" comment:"of the service, as _render._tcp.fleet.example.org; empty: off"`
+	Servers             []string   `toml:"servers" comment:"host:port, asked in turn as they fail"`
+	Timeout             units.Span `toml:"wait" comment:"for one answer over UDP"`
+	MaxLookupsPerSecond float64    `toml:"lookups_a_second" comment:"at most, whatever lifetimes say"`
 }
 
-// Default is off.
-func Default() Table {
-	return Table{DNS: DNSTable{Servers: []string{}, Wait: units.Span(500 * time.Millisecond), Rate: 2}, Subset: SubsetTable{Least: 3}}
+// DefaultConfig is off.
+func DefaultConfig() Config {
+	return Config{DNS: DNSConfig{Servers: []string{}, Timeout: units.Span(500 * time.Millisecond), MaxLookupsPerSecond: 2}, Subset: SubsetConfig{LeastPerGroup: 3}}
 }
 
-// On tells whether anything beside discovery is a source.
-func (t Table) On() bool { return t.DNS.Name != "" || t.Subset.Size > 0 }
+// Enabled tells whether anything beside discovery is a source.
+func (t Config) Enabled() bool { return t.DNS.Name != "" || t.Subset.Size > 0 }
 
-// Check looks for what can't be.
-func (t Table) Check(wrong func(key string, value any, what, right string)) {
-	if !t.On() {
+// Validate looks for what can't be.
+func (t Config) Validate(wrong func(key string, value any, what, right string)) {
+	if !t.Enabled() {
 		return
 	}
-	if t.Subset.Size < 0 || t.Subset.Least < 0 || t.Subset.Size > 0 && t.Subset.Size < t.Subset.Least {
+	if t.Subset.Size < 0 || t.Subset.LeastPerGroup < 0 || t.Subset.Size > 0 && t.Subset.Size < t.Subset.LeastPerGroup {
 		wrong("sources.subset.size", t.Subset.Size, "below zero, or below least", "50")
 	}
 	if t.DNS.Name == "" {
@@ -71,11 +71,11 @@
 			wrong("sources.dns.servers", s, err.Error(), `["10.0.0.53:53"]`)
 		}
 	}
-	if t.DNS.Wait.Ms() < 10 {
-		wrong("sources.dns.wait", t.DNS.Wait, "too short for any answer", `"500ms"`)
+	if t.DNS.Timeout.Ms() < 10 {
+		wrong("sources.dns.wait", t.DNS.Timeout, "too short for any answer", `"500ms"`)
 	}
-	if t.DNS.Rate < 0.01 || t.DNS.Rate > 100 {
-		wrong("sources.dns.lookups_a_second", t.DNS.Rate, "not between 0.01 and 100", "2.0")
+	if t.DNS.MaxLookupsPerSecond < 0.01 || t.DNS.MaxLookupsPerSecond > 100 {
+		wrong("sources.dns.lookups_a_second", t.DNS.MaxLookupsPerSecond, "not between 0.01 and 100", "2.0")
 	}
 }
 
@@ -87,42 +87,44 @@
 
 // Counts are what has been since the start.
 type Counts struct {
-	Lookups, Failures, Negative, Questions, Changes uint64
-	Running, Known                                  int
-	ByRule                                          [8]uint64 // changes, in the order of sources.Rules
-	Doubt                                           [2]string
+	Lookups, FailedLookups, NegativeAnswers, Questions, Changes uint64
+	Running, Known                                              int
+	ChangesByRule                                               [8]uint64 // changes, in the order of sources.Rules
+	Doubt                                                       [2]string
 }
 
 // Host is one agent's.
 type Host struct {
-	table  Table
-	fleet  Fleet
-	forget func(address string)
-	mu     sync.Mutex
-	merge  *sources.Merge
-	view   atomic.Pointer[sources.View]
-	lookup *sources.Lookup
-	dns    *dns.Resolver
-	counts Counts
-	dirty  bool
-	me     int
-	agents int
-	chosen map[string]bool // with a subset: whom the core knows
+	config        Config
+	fleet         Fleet
+	onAddressLeft func(address string)
+	mu            sync.Mutex
+	merger        *sources.Merger
+	view          atomic.Pointer[sources.View]
+	pacer         *sources.LookupPacer
+	resolver      *dns.Resolver
+	counts        Counts
+	unsaved       bool
+	me            int
+	agents        int
+	chosen        map[string]bool // with a subset: whom the core knows
 }
 
 // New makes one and recalls what an earlier life wrote down.
-func New(t Table, fleet Fleet, forget func(string), me, agents int, seed uint64) *Host {
+func New(t Config, fleet Fleet, forget func(string), me, agents int, seed uint64) *Host {
 	chance := rand.New(rand.NewPCG(seed, 17))
 	dial := (&net.Dialer{}).DialContext
-	h := &Host{table: t, fleet: fleet, forget: forget, me: me, agents: agents, chosen: map[string]bool{}, merge: sources.New(),
-		lookup: sources.NewLookup(len(t.DNS.Servers), t.DNS.Rate, chance), dns: dns.New(dial, chance, time.Duration(t.DNS.Wait))}
-	h.show()
-	if text, err := os.ReadFile(t.State); err == nil {
+	h := &Host{
+		config: t, fleet: fleet, onAddressLeft: forget, me: me, agents: agents, chosen: map[string]bool{}, merger: sources.New(),
+		pacer: sources.NewLookupPacer(len(t.DNS.Servers), t.DNS.MaxLookupsPerSecond, chance), resolver: dns.New(dial, chance, time.Duration(t.DNS.Timeout)),
+	}
+	h.publishView()
+	if text, err := os.ReadFile(t.StateFile); err == nil {
 		var file State
 		if err := json.Unmarshal(text, &file); err != nil {
 			logrus.WithError(err).Warn("the state of sources can't be read, it starts anew")
 		} else if !failpoint.Defect("forget-drains") {
-			h.apply(h.merge.Recall(fleet.Now(), file.Memory), true, false)
+			h.apply(h.merger.Restore(fleet.Now(), file.Memory), true, false)
 		}
 	}
 	return h
@@ -130,8 +132,8 @@
 
 var ruleNames = sources.Rules()
 
-func (h *Host) show() {
-	v := h.merge.Fleet()
+func (h *Host) publishView() {
+	v := h.merger.Fleet()
 	h.view.Store(&v)
 }
 
@@ -143,7 +145,7 @@
 
 // apply tells the core of changes. Under the lock, so that their order holds.
 func (h *Host) apply(changes []sources.Entry, old, always bool) {
-	if h.table.Subset.Size > 0 {
+	if h.config.Subset.Size > 0 {
 		changes = h.choose(changes)
 	}
 	var left []string
@@ -153,24 +155,24 @@
 			left = append(left, was.Address)
 		}
 		entries = append(entries, e.Endpoint)
-		h.counts.ByRule[slices.Index(ruleNames, e.Rule)]++
+		h.counts.ChangesByRule[slices.Index(ruleNames, e.Rule)]++
 	}
 	h.counts.Changes += uint64(len(changes))
-	h.show() // before the core: what it sends at once needs the address
+	h.publishView() // before the core: what it sends at once needs the address
 	if len(entries) > 0 || always {
-		h.dirty = h.dirty || len(entries) > 0
+		h.unsaved = h.unsaved || len(entries) > 0
 		h.fleet.UpdateEndpoints(policy.EndpointUpdate{Endpoints: entries, Cached: old})
 	}
 	for _, address := range left {
-		h.forget(address)
+		h.onAddressLeft(address)
 	}
 }
 
 // choose turns changes of the fleet into changes of the part that this agent works with.
 func (h *Host) choose(changes []sources.Entry) (out []sources.Entry) {
 	var all []sources.Entry
-	h.merge.Fleet().Each(func(_ string, e sources.Entry) { all = append(all, e) })
-	in := sources.Subset(h.me, h.agents, h.table.Subset.Size, h.table.Subset.Least, all)
+	h.merger.Fleet().Each(func(_ string, e sources.Entry) { all = append(all, e) })
+	in := sources.Subset(h.me, h.agents, h.config.Subset.Size, h.config.Subset.LeastPerGroup, all)
 	changed := make(map[string]bool, len(changes))
 	for _, e := range changes {
 		changed[e.ID] = true
@@ -200,27 +202,27 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.apply(h.merge.List(h.fleet.Now(), told, update.Snapshot), update.Cached, true)
+	h.apply(h.merger.UpdateDiscovered(h.fleet.Now(), told, update.Snapshot), update.Cached, true)
 }
 
-// Silent notes that discovery's stream broke.
-func (h *Host) Silent() {
+// OnDiscoveryLost notes that discovery's stream broke.
+func (h *Host) OnDiscoveryLost() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.merge.Fail(sources.Discovery, "silent")
+	h.merger.MarkDoubtful(sources.Discovery, "silent")
 }
 
-const ageEvery = 5 * time.Second
+const expireInterval = 5 * time.Second
 
 // Run looks names up until ctx ends.
 func (h *Host) Run(ctx context.Context) {
-	if h.table.DNS.Name == "" {
+	if h.config.DNS.Name == "" {
 		return
 	}
 	aged := time.Now()
 	for ctx.Err() == nil {
 		h.mu.Lock()
-		server, wait := h.lookup.Next(h.fleet.Now())
+		server, wait := h.pacer.Next(h.fleet.Now())
 		h.mu.Unlock()
 		if server < 0 {
 			timer := time.NewTimer(min(time.Duration(wait*1e6), time.Second))
@@ -230,52 +232,52 @@
 			}
 			timer.Stop()
 		} else {
-			h.ask(ctx, server)
+			h.lookUp(ctx, server)
 		}
 		h.mu.Lock()
-		if time.Since(aged) > ageEvery {
+		if time.Since(aged) > expireInterval {
 			aged = time.Now()
-			h.apply(h.merge.Age(h.fleet.Now()), false, false)
+			h.apply(h.merger.Expire(h.fleet.Now()), false, false)
 		}
-		dirty := h.dirty
-		h.dirty = false
+		dirty := h.unsaved
+		h.unsaved = false
 		h.mu.Unlock()
 		if dirty {
-			h.write()
+			h.writeState()
 		}
 	}
-	h.write()
+	h.writeState()
 }
 
-func (h *Host) ask(ctx context.Context, server int) {
-	at := h.table.DNS.Servers[server]
-	a, err := h.dns.Lookup(ctx, at, h.table.DNS.Name)
+func (h *Host) lookUp(ctx context.Context, server int) {
+	at := h.config.DNS.Servers[server]
+	a, err := h.resolver.Lookup(ctx, at, h.config.DNS.Name)
 	if ctx.Err() != nil {
 		return
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	now, doubt := h.fleet.Now(), h.merge.Doubt[sources.SRV]
+	now, doubt := h.fleet.Now(), h.merger.Doubt[sources.SRV]
 	h.counts.Lookups++
-	h.counts.Questions = h.dns.Asked
+	h.counts.Questions = h.resolver.QuestionsSent
 	switch {
 	case err != nil:
-		h.counts.Failures++
-		h.lookup.Failed(now, server)
-		h.merge.Fail(sources.SRV, err.Error())
+		h.counts.FailedLookups++
+		h.pacer.OnFailure(now, server)
+		h.merger.MarkDoubtful(sources.SRV, err.Error())
 	case a.Negative:
-		h.counts.Negative++
-		h.lookup.Answered(now, server, float64(a.TTL)/1e6, true)
-		h.merge.Fail(sources.SRV, "the service does not exist")
+		h.counts.NegativeAnswers++
+		h.pacer.OnAnswer(now, server, float64(a.TTL)/1e6, true)
+		h.merger.MarkDoubtful(sources.SRV, "the service does not exist")
 	default:
-		h.lookup.Answered(now, server, float64(a.TTL)/1e6, false)
+		h.pacer.OnAnswer(now, server, float64(a.TTL)/1e6, false)
 		if failpoint.Defect("undrain") {
-			h.merge.Forgive(a.Observations)
+			h.merger.ReopenRetired(a.Observations)
 		}
-		h.apply(h.merge.Answer(now, a.Observations), false, false)
-		h.dirty = true // when it was last named
+		h.apply(h.merger.UpdateResolved(now, a.Observations), false, false)
+		h.unsaved = true // when it was last named
 	}
-	if is := h.merge.Doubt[sources.SRV]; (is == "") != (doubt == "") {
+	if is := h.merger.Doubt[sources.SRV]; (is == "") != (doubt == "") {
 		logrus.WithFields(logrus.Fields{"source": "srv", "server": at, "doubt": is, "claims": len(a.Observations)}).Info("source")
 	}
 }
@@ -285,47 +287,49 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := h.counts
-	n.Doubt = h.merge.Doubt
-	n.Running, n.Known = h.merge.Fleet().Running, h.merge.Fleet().Len()
+	n.Doubt = h.merger.Doubt
+	n.Running, n.Known = h.merger.Fleet().Running, h.merger.Fleet().Len()
 	return n
 }
 
 // State is what the state file holds.
 type State struct {
-	At         float64        `json:"at_ms"`
-	Doubt      [2]string      `json:"doubt"` // of discovery, of SRV; empty: none
-	Appliances []Shown        `json:"appliances"`
-	Memory     sources.Memory `json:"memory"`
+	WrittenAt float64        `json:"at_ms"`
+	Doubt     [2]string      `json:"doubt"` // of discovery, of SRV; empty: none
+	Backends  []BackendState `json:"appliances"`
+	Memory    sources.Memory `json:"memory"`
 }
 
-// Shown is one appliance with all that was told of it.
-type Shown struct {
-	ID      string         `json:"id"`
-	Address string         `json:"address"`
-	State   string         `json:"state"`
-	Release int            `json:"build"`
-	Rating  float64        `json:"rating"`
-	Rule    string         `json:"rule"`
-	Words   []sources.Word `json:"words"`
+// BackendState is one appliance with all that was told of it.
+type BackendState struct {
+	ID         string              `json:"id"`
+	Address    string              `json:"address"`
+	State      string              `json:"state"`
+	Release    int                 `json:"build"`
+	Weight     float64             `json:"rating"`
+	Rule       string              `json:"rule"`
+	Statements []sources.Statement `json:"words"`
 }
 
-// write puts the state file in place whole.
-func (h *Host) write() {
-	if h.table.State == "" {
+// writeState puts the state file in place whole.
+func (h *Host) writeState() {
+	if h.config.StateFile == "" {
 		return
 	}
 	h.mu.Lock()
-	s := State{At: h.fleet.Now(), Doubt: h.merge.Doubt, Memory: h.merge.Remember()}
-	h.merge.Fleet().Each(func(id string, e sources.Entry) {
-		s.Appliances = append(s.Appliances, Shown{id, e.Address, [...]string{"running", "draining", "gone"}[e.State], int(e.Release),
-			e.Weight, e.Rule, h.merge.Explain(id, e.Address)})
+	s := State{WrittenAt: h.fleet.Now(), Doubt: h.merger.Doubt, Memory: h.merger.Snapshot()}
+	h.merger.Fleet().Each(func(id string, e sources.Entry) {
+		s.Backends = append(s.Backends, BackendState{
+			id, e.Address, [...]string{"running", "draining", "gone"}[e.State], int(e.Release),
+			e.Weight, e.Rule, h.merger.Explain(id, e.Address),
+		})
 	})
 	h.mu.Unlock()
-	slices.SortFunc(s.Appliances, func(a, b Shown) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(s.Backends, func(a, b BackendState) int { return cmp.Compare(a.ID, b.ID) })
 	text, err := json.Marshal(s)
 	if err == nil {
-		if err = os.WriteFile(h.table.State+".new", text, 0o600); err == nil {
-			err = os.Rename(h.table.State+".new", h.table.State)
+		if err = os.WriteFile(h.config.StateFile+".new", text, 0o600); err == nil {
+			err = os.Rename(h.config.StateFile+".new", h.config.StateFile)
 		}
 	}
 	if err != nil {
--- a/internal/sources/host/host_test.go
+++ b/internal/sources/host/host_test.go
@@ -75,11 +75,15 @@
 			}
 			m.SetReply(q)
 			for _, p := range named {
-				m.Answer = append(m.Answer, &mdns.SRV{Hdr: mdns.RR_Header{Name: q.Question[0].Name, Rrtype: mdns.TypeSRV,
-					Class: mdns.ClassINET, Ttl: 1}, Port: uint16(p), Weight: 1, Target: "h."})
+				m.Answer = append(m.Answer, &mdns.SRV{Hdr: mdns.RR_Header{
+					Name: q.Question[0].Name, Rrtype: mdns.TypeSRV,
+					Class: mdns.ClassINET, Ttl: 1,
+				}, Port: uint16(p), Weight: 1, Target: "h."})
 			}
-			m.Extra = []mdns.RR{&mdns.A{Hdr: mdns.RR_Header{Name: "h.", Rrtype: mdns.TypeA, Class: mdns.ClassINET, Ttl: 1},
-				A: net.IPv4(10, 0, 0, 1)}}
+			m.Extra = []mdns.RR{&mdns.A{
+				Hdr: mdns.RR_Header{Name: "h.", Rrtype: mdns.TypeA, Class: mdns.ClassINET, Ttl: 1},
+				A:   net.IPv4(10, 0, 0, 1),
+			}}
 			packed, _ := m.Pack()
 			there.Write(packed)
 		}()
@@ -91,15 +95,15 @@
 // restart with every source dead.
 func TestFlapAndRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		table := Default()
-		table.State = filepath.Join(t.TempDir(), "state")
-		table.DNS.Name, table.DNS.Servers, table.DNS.Wait = "_r._tcp.x", []string{"s:1"}, units.Span(100*time.Millisecond)
+		table := DefaultConfig()
+		table.StateFile = filepath.Join(t.TempDir(), "state")
+		table.DNS.Name, table.DNS.Servers, table.DNS.Timeout = "_r._tcp.x", []string{"s:1"}, units.Span(100*time.Millisecond)
 		f := newFleet()
 		var named atomic.Pointer[[]int]
 		name := func(ports ...int) { named.Store(&ports) }
 		name(1, 2, 3, 9)
 		h := New(table, f, func(string) {}, 0, 1, 1)
-		h.dns = dns.New(answering(func() []int { return *named.Load() }), rand.New(rand.NewPCG(1, 1)), 100*time.Millisecond)
+		h.resolver = dns.New(answering(func() []int { return *named.Load() }), rand.New(rand.NewPCG(1, 1)), 100*time.Millisecond)
 		known, addresses := listed(0, 3, policy.EndpointRunning)
 		h.OnDiscovery(policy.EndpointUpdate{Endpoints: known, Snapshot: true, Cached: true}, addresses)
 		ctx, stop := context.WithCancel(context.Background())
@@ -145,23 +149,23 @@
 			t.Errorf("with the known list: %+v", f.has)
 		}
 		// And one whose state can't be read, or is not there.
-		os.WriteFile(table.State, []byte("{"), 0o600)
+		os.WriteFile(table.StateFile, []byte("{"), 0o600)
 		for range 2 {
 			f = newFleet()
 			if h = New(table, f, func(string) {}, 0, 1, 3); len(f.has) != 0 {
 				t.Errorf("%+v", f.has)
 			}
-			os.Remove(table.State)
+			os.Remove(table.StateFile)
 		}
 		dead := h
-		dead.dns = dns.New(answering(func() []int { return nil }), rand.New(rand.NewPCG(1, 1)), 100*time.Millisecond)
+		dead.resolver = dns.New(answering(func() []int { return nil }), rand.New(rand.NewPCG(1, 1)), 100*time.Millisecond)
 		dead.OnDiscovery(policy.EndpointUpdate{Endpoints: e, Snapshot: true, Cached: true}, a)
 		ctx, stop = context.WithCancel(context.Background())
 		ended = make(chan bool)
 		go func() { dead.Run(ctx); close(ended) }()
 		time.Sleep(2 * time.Hour) // longer than every lifetime
 		synctest.Wait()
-		if n := dead.Counts(); len(f.has) != 3 || n.Failures == 0 || n.Failures > 1000 || n.Doubt[1] == "" {
+		if n := dead.Counts(); len(f.has) != 3 || n.FailedLookups == 0 || n.FailedLookups > 1000 || n.Doubt[1] == "" {
 			t.Errorf("after two hours without SRV %+v, %+v", f.has, n)
 		}
 		stop()
@@ -171,8 +175,8 @@
 
 // With a subset the core knows that part and no more, through changes, renames of all at once and drains.
 func TestSubset(t *testing.T) {
-	table := Default()
-	table.Subset = SubsetTable{Size: 20, Least: 2}
+	table := DefaultConfig()
+	table.Subset = SubsetConfig{Size: 20, LeastPerGroup: 2}
 	f := newFleet()
 	left := 0
 	h := New(table, f, func(string) { left++ }, 3, 10, 1)
--- a/internal/sources/lookup_test.go
+++ b/internal/sources/lookup_test.go
@@ -11,15 +11,20 @@
 		ttl       float64
 		negative  bool
 		low, high float64
-	}{{0, false, 600, 900}, {30_000, false, 18_000, 27_000}, {1 << 41, false, 180_000, 270_000}, {5_000, true, 3_000, 4_500},
-		{1e9, true, 36_000, 54_000}} {
+	}{
+		{0, false, 600, 900},
+		{30_000, false, 18_000, 27_000},
+		{1 << 41, false, 180_000, 270_000},
+		{5_000, true, 3_000, 4_500},
+		{1e9, true, 36_000, 54_000},
+	} {
 		seen := map[float64]bool{}
 		for seed := range uint64(50) {
-			l := NewLookup(1, 10, rand.New(rand.NewPCG(seed, 1)))
+			l := NewLookupPacer(1, 10, rand.New(rand.NewPCG(seed, 1)))
 			if s, _ := l.Next(1); s != 0 {
 				t.Fatal("nothing is asked at the start")
 			}
-			l.Answered(1, 0, c.ttl, c.negative)
+			l.OnAnswer(1, 0, c.ttl, c.negative)
 			s, wait := l.Next(1)
 			if s != -1 || wait < c.low || wait > c.high {
 				t.Errorf("lifetime %v: again after %v, not %v to %v", c.ttl, wait, c.low, c.high)
@@ -30,7 +35,7 @@
 			t.Errorf("50 agents ask at %d times", len(seen))
 		}
 	}
-	l := NewLookup(3, 1000, rand.New(rand.NewPCG(1, 1)))
+	l := NewLookupPacer(3, 1000, rand.New(rand.NewPCG(1, 1)))
 	now, asked := 1.0, [3]int{}
 	for range 300 { // 1 is dead
 		s, wait := l.Next(now)
@@ -39,32 +44,32 @@
 			continue
 		}
 		if asked[s]++; s == 1 || s == 0 && now < 5_000 {
-			l.Failed(now, s)
+			l.OnFailure(now, s)
 		} else {
-			l.Answered(now, s, 0, false)
+			l.OnAnswer(now, s, 0, false)
 		}
 	}
 	if asked[1] > asked[2]/5 || asked[1] < 1 || asked[0]+asked[2] < 100 {
 		t.Errorf("asked %v", asked)
 	}
-	l, now = NewLookup(2, 1000, rand.New(rand.NewPCG(1, 1))), 1
+	l, now = NewLookupPacer(2, 1000, rand.New(rand.NewPCG(1, 1))), 1
 	last, asks := 0.0, 0
 	for now < 100_000 { // all are dead: pauses grow to a bound
 		if s, wait := l.Next(now); s >= 0 {
-			l.Failed(now, s)
+			l.OnFailure(now, s)
 			asks++
 		} else {
 			now += wait
 			last = wait
 		}
 	}
-	if asks > 60 || last < againMost/2 || last > againMost*1.5 {
+	if asks > 60 || last < maxBackoffMs/2 || last > maxBackoffMs*1.5 {
 		t.Errorf("%d questions in 100 s, the last pause %v", asks, last)
 	}
-	l, now, asks = NewLookup(1, 2, rand.New(rand.NewPCG(1, 1))), 1, 0
+	l, now, asks = NewLookupPacer(1, 2, rand.New(rand.NewPCG(1, 1))), 1, 0
 	for now < 10_000 { // the budget binds whatever the lifetimes say
 		if s, wait := l.Next(now); s >= 0 {
-			l.due = 0
+			l.nextAt = 0
 			asks++
 		} else {
 			now += wait
