--- a/cmd/onyxgate/main.go
+++ b/cmd/onyxgate/main.go
@@ -93,14 +93,18 @@
 		return err
 	}
 	logrus.SetLevel(level)
-	logrus.SetFormatter(&logrus.TextFormatter{DisableColors: true, FullTimestamp: true,
-		TimestampFormat: "15:04:05.000"})
+	logrus.SetFormatter(&logrus.TextFormatter{
+		DisableColors: true, FullTimestamp: true,
+		TimestampFormat: "15:04:05.000",
+	})
 	tables, err := config.Read(s.Settings)
 	if err != nil {
 		return err
 	}
-	agent, err := assembly.New(assembly.Options{Version: version, ConfigPath: s.Configuration, Name: s.Name, Listen: s.Listen,
-		Discovery: s.Discovery, Tables: tables, ReportInterval: s.Every})
+	agent, err := assembly.New(assembly.Options{
+		Version: version, ConfigPath: s.Configuration, Name: s.Name, Listen: s.Listen,
+		Discovery: s.Discovery, Tables: tables, ReportInterval: s.Every,
+	})
 	if err != nil {
 		return err
 	}
--- a/cmd/onyxgate/sources.go
+++ b/cmd/onyxgate/sources.go
@@ -4,7 +4,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
 	"math/rand/v2"
 	"net"
@@ -33,11 +32,7 @@
 	if tables.Sources.StateFile == "" {
 		return s, fmt.Errorf("%s: sources.state names no file, so agents write none", l.Settings)
 	}
-	text, err := os.ReadFile(tables.Sources.StateFile)
-	if err == nil {
-		err = json.Unmarshal(text, &s)
-	}
-	return s, err
+	return host.ReadState(tables.Sources.StateFile)
 }
 
 type sourcesShow struct{}
@@ -90,7 +85,7 @@
 		}
 		return nil
 	}
-	if at, ok := s.Memory.Ended[c.ID]; ok {
+	if at, ok := s.Memory.Retired[c.ID]; ok {
 		fmt.Printf("nobody in the fleet at %s: who was there drained or went %v ago by discovery's word, and SRV can't undo that\n",
 			c.ID, age(at, s.WrittenAt))
 		return nil
--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -145,8 +145,10 @@
 		return policy.New(p, siteconfig.InstanceConfig(s, seed, a.budget.ClientLimit()))
 	})
 	if o.Tables.Sources.Enabled() { // after the module: what is remembered goes to it at once
-		a.sources = host.New(o.Tables.Sources, a.core, a.upstream.CloseAddress, int(s.Get("me").Int()),
-			int(s.Get("balancers").Int()), seed+3)
+		a.sources = host.New(host.Options{
+			Config: o.Tables.Sources, Fleet: a.core, OnLeft: a.upstream.CloseAddress, Seed: seed + 3,
+			Instance: int(s.Get("me").Int()), Instances: int(s.Get("balancers").Int()),
+		})
 		a.discovery.OnUpdate(a.sources.OnDiscovery, a.sources.OnDiscoveryLost)
 	}
 	if err := a.discovery.Apply([]byte(config.Get("known").Raw), httpwire.FromConfiguration, func() {}); err != nil {
--- /dev/null
+++ b/internal/sources/explain.go
@@ -0,0 +1,28 @@
+package sources
+
+// This file owns what operators are told of one backend.
+
+import "fmt"
+
+// Statement is what one source says of a backend.
+type Statement struct {
+	Source string  `json:"source"` // discovery or srv
+	Says   string  `json:"says"`
+	At     float64 `json:"at_ms"` // when it said so
+}
+
+// Explain returns what each source says of a backend that the fleet has, or had.
+func (m *Merger) Explain(id, address string) (statements []Statement) {
+	if endpoint, ok := m.discovered.Get(id); ok {
+		says := fmt.Sprintf("%s, build %d", StateName(endpoint.State), endpoint.Release)
+		statements = append(statements, Statement{"discovery", says, endpoint.toldAt})
+	}
+	if at, ok := m.retired.Get(address); ok {
+		statements = append(statements, Statement{"discovery", "drained or gone at this address", at})
+	}
+	if endpoint, ok := m.resolved.Get(address); ok {
+		says := fmt.Sprintf("named, priority %d, weight %d, missed %d times", endpoint.Priority, endpoint.Weight, endpoint.missedAnswers)
+		statements = append(statements, Statement{"srv", says, endpoint.lastSeen})
+	}
+	return statements
+}
--- /dev/null
+++ b/internal/sources/host/config.go
@@ -0,0 +1,77 @@
+package host
+
+import (
+	"net"
+	"time"
+
+	"onyxgate/internal/units"
+)
+
+// Config is the table [sources] of our settings.
+type Config struct {
+	StateFile string       `toml:"state" comment:"a file in which 'onyxgate sources show' reads, and a restart what had ended; empty: none"`
+	DNS       DNSConfig    `toml:"dns"`
+	Subset    SubsetConfig `toml:"subset"`
+}
+
+// SubsetConfig is [sources.subset].
+type SubsetConfig struct {
+	Size          int `toml:"size" comment:"appliances that this agent works with; 0: all"`
+	LeastPerGroup int `toml:"least" comment:"of each build and zone, however small"`
+}
+
+// DNSConfig is [sources.dns].
+type DNSConfig struct {
+	Name                string     `toml:"name" comment:"of the service, as _render._tcp.fleet.example.org; empty: off"`
+	Servers             []string   `toml:"servers" comment:"host:port, asked in turn as they fail"`
+	Timeout             units.Span `toml:"wait" comment:"for one answer over UDP"`
+	MaxLookupsPerSecond float64    `toml:"lookups_a_second" comment:"at most, whatever lifetimes say"`
+}
+
+// The bounds of [sources.dns].
+const (
+	minTimeoutMs                         = 10
+	minLookupsPerSecond, maxLookupsLimit = 0.01, 100
+)
+
+// DefaultConfig returns what holds without settings: discovery alone.
+func DefaultConfig() Config {
+	return Config{
+		DNS:    DNSConfig{Servers: []string{}, Timeout: units.Span(500 * time.Millisecond), MaxLookupsPerSecond: 2},
+		Subset: SubsetConfig{LeastPerGroup: 3},
+	}
+}
+
+// Enabled tells whether anything beside discovery is to be done.
+func (c Config) Enabled() bool { return c.DNS.Name != "" || c.Subset.Size > 0 }
+
+// Validate reports each value that can't be: its key, what is wrong and a right example.
+func (c Config) Validate(report func(key string, value any, what, right string)) {
+	if !c.Enabled() {
+		return
+	}
+	negative := c.Subset.Size < 0 || c.Subset.LeastPerGroup < 0
+	if negative || c.Subset.Size > 0 && c.Subset.Size < c.Subset.LeastPerGroup {
+		report("sources.subset.size", c.Subset.Size, "below zero, or below least", "50")
+	}
+	if c.DNS.Name != "" {
+		c.DNS.validate(report)
+	}
+}
+
+func (c DNSConfig) validate(report func(key string, value any, what, right string)) {
+	if len(c.Servers) == 0 {
+		report("sources.dns.servers", c.Servers, "needed by a name", `["10.0.0.53:53"]`)
+	}
+	for _, server := range c.Servers {
+		if _, _, err := net.SplitHostPort(server); err != nil {
+			report("sources.dns.servers", server, err.Error(), `["10.0.0.53:53"]`)
+		}
+	}
+	if c.Timeout.Ms() < minTimeoutMs {
+		report("sources.dns.wait", c.Timeout, "too short for any answer", `"500ms"`)
+	}
+	if c.MaxLookupsPerSecond < minLookupsPerSecond || c.MaxLookupsPerSecond > maxLookupsLimit {
+		report("sources.dns.lookups_a_second", c.MaxLookupsPerSecond, "not between 0.01 and 100", "2.0")
+	}
+}
--- a/internal/sources/host/host_test.go
+++ b/internal/sources/host/host_test.go
@@ -102,7 +102,7 @@
 		var named atomic.Pointer[[]int]
 		name := func(ports ...int) { named.Store(&ports) }
 		name(1, 2, 3, 9)
-		h := New(table, f, func(string) {}, 0, 1, 1)
+		h := New(Options{Config: table, Fleet: f, OnLeft: func(string) {}, Instances: 1, Seed: 1})
 		h.resolver = dns.New(answering(func() []int { return *named.Load() }), rand.New(rand.NewPCG(1, 1)), 100*time.Millisecond)
 		known, addresses := listed(0, 3, policy.EndpointRunning)
 		h.OnDiscovery(policy.EndpointUpdate{Endpoints: known, Snapshot: true, Cached: true}, addresses)
@@ -140,7 +140,7 @@
 
 		// A new life; every source is dead, but for what was written down.
 		f = newFleet()
-		h = New(table, f, func(string) {}, 0, 1, 2)
+		h = New(Options{Config: table, Fleet: f, OnLeft: func(string) {}, Instances: 1, Seed: 2})
 		if len(f.has) != 3 || h.Address("srv:10.0.0.1:2") != "" || h.Address("srv:10.0.0.1:3") == "" {
 			t.Errorf("remembered: %+v", f.has)
 		}
@@ -152,7 +152,7 @@
 		os.WriteFile(table.StateFile, []byte("{"), 0o600)
 		for range 2 {
 			f = newFleet()
-			if h = New(table, f, func(string) {}, 0, 1, 3); len(f.has) != 0 {
+			if h = New(Options{Config: table, Fleet: f, OnLeft: func(string) {}, Instances: 1, Seed: 3}); len(f.has) != 0 {
 				t.Errorf("%+v", f.has)
 			}
 			os.Remove(table.StateFile)
@@ -179,7 +179,7 @@
 	table.Subset = SubsetConfig{Size: 20, LeastPerGroup: 2}
 	f := newFleet()
 	left := 0
-	h := New(table, f, func(string) { left++ }, 3, 10, 1)
+	h := New(Options{Config: table, Fleet: f, OnLeft: func(string) { left++ }, Instance: 3, Instances: 10, Seed: 1})
 	list := func(from, to int, state policy.EndpointState, whole bool) {
 		e, a := listed(from, to, state)
 		h.OnDiscovery(policy.EndpointUpdate{Endpoints: e, Snapshot: whole}, a)
--- /dev/null
+++ b/internal/sources/model_test.go
@@ -0,0 +1,200 @@
+package sources
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"onyxgate/policy"
+)
+
+// modelState is a merge with what a reader of the changes has, and what discovery has told to end.
+type modelState struct {
+	m      Merger
+	reader map[string]Entry
+	closed map[string]bool // addresses that drained or went, and were not listed as running since
+}
+
+// step applies one event and looks at what must hold whatever came before.
+func (w modelState) step(event func(m *Merger, closed map[string]bool) []Entry, failure bool) (modelState, error) {
+	n := modelState{m: w.m, reader: maps.Clone(w.reader), closed: maps.Clone(w.closed)}
+	before := n.m.fleet.Running
+	for _, e := range event(&n.m, n.closed) {
+		if e.State == policy.EndpointRemoved {
+			delete(n.reader, e.ID)
+		} else {
+			n.reader[e.ID] = e
+		}
+	}
+	running, err := n.checkFleet()
+	switch {
+	case err != nil:
+	case running != n.m.fleet.Running || len(n.reader) != n.m.fleet.Len():
+		err = fmt.Errorf("%d run, %d are counted; a reader has %d of %d", running, n.m.fleet.Running, len(n.reader), n.m.fleet.Len())
+	case failure && running < before:
+		err = fmt.Errorf("a failure took %d of %d away", before-running, before)
+	}
+	return n, err
+}
+
+// checkFleet compares the fleet with what a reader of the changes has, and looks for two that run at one address and for one
+// that runs where discovery has told its end. It returns how many run.
+func (w *modelState) checkFleet() (running int, err error) {
+	at := map[string]string{}
+	for id, e := range w.m.fleet.All() {
+		if w.reader[id] != e {
+			err = fmt.Errorf("a reader of the changes has %+v, the fleet %+v", w.reader[id], e)
+		}
+		if e.State != policy.EndpointRunning {
+			continue
+		}
+		running++
+		if other, twice := at[e.Address]; twice {
+			err = fmt.Errorf("%s and %s both run at %s", other, id, e.Address)
+		}
+		at[e.Address] = id
+		if w.closed[e.Address] {
+			err = fmt.Errorf("%s runs at %s, which drained or went", id, e.Address)
+		}
+	}
+	return running, err
+}
+
+// key is all that the future depends on.
+func (w modelState) key() string {
+	var b strings.Builder
+	b.WriteString(shown(&w.m))
+	var all []string
+	for id, e := range allOf(w.m.discovered) {
+		all = append(all, fmt.Sprint("l", id, e.Address, e.State))
+	}
+	for a := range allOf(w.m.retired) {
+		all = append(all, "e"+a)
+	}
+	for a, c := range allOf(w.m.resolved) {
+		all = append(all, fmt.Sprint("s", a, c.missedAnswers))
+	}
+	slices.Sort(all)
+	return fmt.Sprint(b.String(), all, w.m.lastKept, min(w.m.shrunkenInRow[0], shrinkConfirmations), min(w.m.shrunkenInRow[1], shrinkConfirmations), len(w.closed))
+}
+
+type event struct {
+	name    string
+	failure bool
+	do      func(m *Merger, closed map[string]bool) []Entry
+}
+
+// events are all that can happen to n backends at as many addresses.
+func events(n int) (all []event) {
+	for i := range n {
+		for _, state := range []policy.EndpointState{policy.EndpointRunning, policy.EndpointDraining, policy.EndpointRemoved} {
+			all = append(all, event{fmt.Sprint("discovery ", i, " ", state), false, func(m *Merger, closed map[string]bool) []Entry {
+				if state == policy.EndpointRunning {
+					delete(closed, address(i))
+				} else {
+					closed[address(i)] = true
+				}
+				return m.UpdateDiscovered(1, []Entry{entry(i, i, state)}, false)
+			}})
+		}
+	}
+	for set := range 1 << n {
+		var which []int
+		var list []Entry
+		for i := range n {
+			if set>>i&1 == 1 {
+				which = append(which, i)
+				list = append(list, entry(i, i, policy.EndpointRunning))
+			}
+		}
+		all = append(all, event{fmt.Sprint("srv ", which), set == 0, func(m *Merger, _ map[string]bool) []Entry {
+			return m.UpdateResolved(1, observations(which...))
+		}}, event{fmt.Sprint("whole ", which), set == 0, func(m *Merger, closed map[string]bool) []Entry {
+			for _, i := range which {
+				delete(closed, address(i))
+			}
+			return m.UpdateDiscovered(1, list, true)
+		}})
+	}
+	for source := range numSources {
+		all = append(all, event{fmt.Sprint("fail ", source), true, func(m *Merger, _ map[string]bool) []Entry {
+			m.MarkDoubtful(source, "told to")
+			return nil
+		}})
+	}
+	return all
+}
+
+// Every state that some backends and two sources can come to, by every order of events: nothing that must hold breaks,
+// and a drain and an answer of SRV end in the same fleet in either order. Two backends are explored whole; of three, as many
+// states as a test has time for (docs/results.md has a longer run).
+func TestModel(t *testing.T) {
+	for _, c := range []struct{ backends, most int }{{2, 1 << 30}, {3, 1500}} {
+		all := events(c.backends)
+		first := modelState{*New(), map[string]Entry{}, map[string]bool{}}
+		seen, queue := map[string]bool{first.key(): true}, []modelState{first}
+		steps, pairs := 0, 0
+		for len(queue) > 0 && len(seen) < c.most {
+			w := queue[0]
+			queue = queue[1:]
+			for _, e := range all {
+				next, err := w.step(e.do, e.failure)
+				steps++
+				if err != nil {
+					t.Fatalf("%s after %s: %v", e.name, w.key(), err)
+				}
+				if k := next.key(); !seen[k] {
+					seen[k] = true
+					queue = append(queue, next)
+				}
+			}
+			pairs += bothOrders(t, w, all, c.backends)
+		}
+		t.Logf("%d backends: %d states, %d steps, %d pairs in both orders, %d states left", c.backends, len(seen), steps,
+			pairs, len(queue))
+		if len(seen) < 100 {
+			t.Errorf("only %d states", len(seen))
+		}
+	}
+}
+
+// bothOrders compares a drain and an answer in either order, for each pair of them.
+func bothOrders(t *testing.T, w modelState, all []event, backends int) (pairs int) {
+	for i := range backends {
+		drain := all[3*i+1]
+		for _, e := range all {
+			if !strings.HasPrefix(e.name, "srv") || e.failure {
+				continue
+			}
+			pairs++
+			a, _ := w.step(drain.do, false)
+			a, _ = a.step(e.do, false)
+			b, _ := w.step(e.do, false)
+			b, _ = b.step(drain.do, false)
+			// But for one: the last that runs is kept when it is not named, and a drain of the others makes it the last.
+			if a.m.lastKept == "" && b.m.lastKept == "" && shown(&a.m) != shown(&b.m) {
+				t.Fatalf("%s and %s after %s: %s, and in the other order %s", drain.name, e.name, w.key(), shown(&a.m),
+					shown(&b.m))
+			}
+		}
+	}
+	return pairs
+}
+
+// Long runs over more backends, by chance and shrunk where they fail.
+func TestProperties(t *testing.T) {
+	all := events(5)
+	rapid.Check(t, func(t *rapid.T) {
+		w := modelState{*New(), map[string]Entry{}, map[string]bool{}}
+		for _, k := range rapid.SliceOfN(rapid.IntRange(0, len(all)-1), 1, 60).Draw(t, "events") {
+			var err error
+			if w, err = w.step(all[k].do, all[k].failure); err != nil {
+				t.Fatalf("%s: %v", all[k].name, err)
+			}
+		}
+	})
+}
--- /dev/null
+++ b/internal/sources/spares.go
@@ -0,0 +1,22 @@
+package sources
+
+// This file owns the backends whose place depends on whether others run: SRV's spares, and the last one that was kept.
+
+// reconcileSpares is called after every change: spares come in once nobody else runs and go out once somebody does, and the
+// last backend that was kept without a name goes once it is not the last.
+func (m *Merger) reconcileSpares(changes []Entry) []Entry {
+	if hasPrimaries := m.primaries > 0; hasPrimaries != m.hadPrimaries {
+		m.hadPrimaries = hasPrimaries
+		for address, endpoint := range allOf(m.resolved) {
+			if endpoint.Priority > m.bestPriority {
+				changes = m.decide(changes, resolvedAt(address))
+			}
+		}
+	}
+	if m.lastKept != "" && m.fleet.Running > 1 {
+		address := m.lastKept
+		m.lastKept = ""
+		changes = m.decide(changes, resolvedAt(address))
+	}
+	return changes
+}
--- a/internal/sources/subset.go
+++ b/internal/sources/subset.go
@@ -1,6 +1,6 @@
 package sources
 
-// This file owns which part of a large fleet one agent works with: a window on a ring, the same for whoever computes it.
+// This file owns which part of a large fleet one instance works with: a window on a ring, the same for whoever computes it.
 
 import (
 	"cmp"
@@ -11,65 +11,118 @@
 	"onyxgate/policy"
 )
 
-// Subset is the part of the fleet for agent `me` of `agents`: `size` appliances, and at least `least` of each build and zone
-// that is there. Appliances stand on a ring by the hash of their id; agents begin at even distances and take what follows.
-// So each appliance has as many agents as any other but for one, an appliance that comes or goes moves each window by one
-// place at most, and an agent more moves them by a part of the distance between two. Whatever drains stays in, so that no
-// drain is missed. Nothing is left out where size is 0 or the fleet is no larger.
-func Subset(me, agents, size, least int, fleet []Entry) map[string]bool {
-	in := make(map[string]bool, size)
-	if size <= 0 || size >= len(fleet) || agents <= 0 {
-		for _, e := range fleet {
-			in[e.ID] = true
-		}
-		return in
-	}
-	type group struct {
-		release policy.ReleaseID
-		zone    int
+// SubsetOptions say which part of the fleet an instance works with.
+type SubsetOptions struct {
+	Instance      int // its number, from 0
+	Instances     int // in the fleet
+	Size          int // backends in the subset; 0: all
+	LeastPerGroup int // of each release and zone that is there, however small Size is
+}
+
+// Subset returns the ids of an instance's part of the fleet. Backends stand on a ring by the hash of their id; instances begin
+// at even distances and take what follows. So each backend has as many instances as any other but for one, a backend that
+// comes or goes moves each window by one place at most, and one instance more moves them by a part of the distance between
+// two. Whatever drains stays in, so that no drain is missed. Nothing is left out where Size is 0 or the fleet is no larger.
+func Subset(o SubsetOptions, fleet []Entry) map[string]bool {
+	if o.Size <= 0 || o.Size >= len(fleet) || o.Instances <= 0 {
+		return idsOf(fleet)
 	}
-	ring := make([]place, 0, len(fleet))
-	groups := map[group][]place{}
-	var order []group
+	chosen := make(map[string]bool, o.Size)
+	ring := make([]ringPoint, 0, len(fleet))
+	byGroup := map[subsetGroup][]ringPoint{}
 	for _, e := range fleet {
 		if e.State != policy.EndpointRunning {
-			in[e.ID] = true
+			chosen[e.ID] = true
 			continue
 		}
-		p := place{xxhash.Sum64String(e.ID), e.ID}
-		ring = append(ring, p)
-		g := group{e.Release, e.Zone}
-		if groups[g] == nil {
-			order = append(order, g)
-		}
-		groups[g] = append(groups[g], p)
+		point := ringPoint{xxhash.Sum64String(e.ID), e.ID}
+		ring = append(ring, point)
+		group := subsetGroup{e.Release, e.Zone}
+		byGroup[group] = append(byGroup[group], point)
 	}
-	window(in, ring, me, agents, size)
-	slices.SortFunc(order, func(a, b group) int { return cmp.Or(cmp.Compare(a.release, b.release), cmp.Compare(a.zone, b.zone)) })
-	for _, g := range order {
-		n := 0
-		for _, p := range groups[g] {
-			if in[p.id] {
-				n++
-			}
-		}
-		if n < least {
-			window(in, groups[g], me, agents, least)
+	o.chooseWindow(chosen, ring, o.Size)
+	for _, group := range byGroup { // in any order: each adds only its own backends
+		if countChosen(chosen, group) < o.LeastPerGroup {
+			o.chooseWindow(chosen, group, o.LeastPerGroup)
 		}
 	}
-	return in
+	return chosen
+}
+
+// subsetGroup is what a subset must have some of, however small it is.
+type subsetGroup struct {
+	release policy.ReleaseID
+	zone    int
 }
 
-type place struct {
-	at uint64
-	id string
+// ringPoint is where a backend stands on the ring.
+type ringPoint struct {
+	hash uint64
+	id   string
 }
 
-// window takes n places of a ring from the agent's own on.
-func window(in map[string]bool, ring []place, me, agents, n int) {
-	slices.SortFunc(ring, func(a, b place) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.id, b.id)) })
-	from := me % agents * len(ring) / agents
+// chooseWindow adds n backends of a ring, from the instance's own place on.
+func (o SubsetOptions) chooseWindow(chosen map[string]bool, ring []ringPoint, n int) {
+	slices.SortFunc(ring, func(a, b ringPoint) int { return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.id, b.id)) })
+	first := o.Instance % o.Instances * len(ring) / o.Instances
 	for k := range min(n, len(ring)) {
-		in[ring[(from+k)%len(ring)].id] = true
+		chosen[ring[(first+k)%len(ring)].id] = true
+	}
+}
+
+func countChosen(chosen map[string]bool, points []ringPoint) (n int) {
+	for _, p := range points {
+		if chosen[p.id] {
+			n++
+		}
+	}
+	return n
+}
+
+func idsOf(entries []Entry) map[string]bool {
+	ids := make(map[string]bool, len(entries))
+	for _, e := range entries {
+		ids[e.ID] = true
+	}
+	return ids
+}
+
+// SubsetFilter turns changes of the fleet into changes of the part that one instance works with. It is used by one goroutine
+// at a time.
+type SubsetFilter struct {
+	options SubsetOptions
+	chosen  map[string]bool // whom the instance works with
+}
+
+// NewSubsetFilter returns a filter of which nothing was chosen yet.
+func NewSubsetFilter(o SubsetOptions) *SubsetFilter {
+	return &SubsetFilter{options: o, chosen: map[string]bool{}}
+}
+
+// Apply chooses anew from the fleet after some changes, and returns what the instance is to be told, in the order of ids.
+func (f *SubsetFilter) Apply(fleet View, changes []Entry) (told []Entry) {
+	all := make([]Entry, 0, fleet.Len())
+	for _, e := range fleet.All() {
+		all = append(all, e)
+	}
+	chosen := Subset(f.options, all)
+	for _, e := range changes {
+		if chosen[e.ID] || f.chosen[e.ID] {
+			told = append(told, e)
+		}
+	}
+	changed := idsOf(changes)
+	for _, e := range all {
+		entered := chosen[e.ID] && !f.chosen[e.ID]
+		if entered && !changed[e.ID] {
+			told = append(told, e)
+		}
+		if !chosen[e.ID] && f.chosen[e.ID] { // it runs on, for others
+			e.State = policy.EndpointRemoved
+			told = append(told, e)
+		}
 	}
+	f.chosen = chosen
+	slices.SortStableFunc(told, func(a, b Entry) int { return cmp.Compare(a.ID, b.ID) })
+	return told
 }
--- a/internal/sources/subset_test.go
+++ b/internal/sources/subset_test.go
@@ -29,7 +29,7 @@
 	fleet[7].State = policy.EndpointDraining
 	load, before := map[string]int{}, make([]map[string]bool, agents)
 	for me := range agents {
-		in := Subset(me, agents, size, least, fleet)
+		in := Subset(SubsetOptions{me, agents, size, least}, fleet)
 		before[me] = in
 		trial := 0
 		for _, e := range fleet {
@@ -54,12 +54,14 @@
 		agents int
 		fleet  []Entry
 		most   float64 // of a subset that changes
-	}{{"an appliance goes", agents, append(slices.Clone(fleet[:500]), fleet[501:]...), 0.05},
+	}{
+		{"an appliance goes", agents, append(slices.Clone(fleet[:500]), fleet[501:]...), 0.05},
 		{"ten come", agents, append(slices.Clone(fleet), fleetOf(1010)[1000:]...), 0.2},
-		{"an agent comes", agents + 1, fleet, 0.5}} {
+		{"an agent comes", agents + 1, fleet, 0.5},
+	} {
 		moved, all := 0, 0
 		for me := range agents {
-			for id := range Subset(me, c.agents, size, least, c.fleet) {
+			for id := range Subset(SubsetOptions{me, c.agents, size, least}, c.fleet) {
 				if all++; !before[me][id] {
 					moved++
 				}
@@ -70,7 +72,7 @@
 		}
 	}
 	for _, size := range []int{0, 1000, 2000} {
-		if in := Subset(1, agents, size, least, fleet); len(in) != 1000 {
+		if in := Subset(SubsetOptions{1, agents, size, least}, fleet); len(in) != 1000 {
 			t.Errorf("size %d: %d", size, len(in))
 		}
 	}
@@ -85,7 +87,7 @@
 		name string
 		pick func(me, agents int) map[string]bool
 	}{
-		{"ring", func(me, agents int) map[string]bool { return Subset(me, agents, size, 0, fleet) }},
+		{"ring", func(me, agents int) map[string]bool { return Subset(SubsetOptions{me, agents, size, 0}, fleet) }},
 		{"random", func(me, _ int) map[string]bool {
 			in, r := map[string]bool{}, rand.New(rand.NewPCG(uint64(me), 1))
 			for len(in) < size {
