--- a/internal/ci/clock_test.go
+++ b/internal/ci/clock_test.go
@@ -18,7 +18,7 @@
 	"internal/httpwire/upstream.go: SetDeadline(time.Unix(1, 0))":  "a deadline long past, by any clock",
 	"internal/httpwire/front.go: SetReadDeadline(time.Unix(1, 0))": "the same",
 	"internal/httpwire/discovery.go: SetDeadline(time.Unix(1, 0))": "the same",
-	"internal/sources/dns/dns.go: SetDeadline(time.Unix(1, 0))":    "the same",
+	"internal/sources/dns/transport.go: SetDeadline(time.Unix(1, 0))":    "the same",
 	"internal/record/sqlstore/sqlstore.go: time.Now().UnixMilli()": "a time that is stored for people",
 	"internal/record/recorder/ship.go: uint64(from.UnixNano())":    "a seed",
 	"cmd/onyxgate/record.go: UnixMilli":                            "times that operators give and read",
