--- a/internal/sources/host/host_test.go
+++ b/internal/sources/host/host_test.go
@@ -49,6 +49,17 @@
 	}
 }
 
+// running counts the backends in that state.
+func (f *fleet) running() (n int) {
+	for _, e := range f.has {
+		if e.State == policy.EndpointRunning {
+			n++
+		}
+	}
+	return n
+}
+
+// listed are the backends from one number to another, with their addresses.
 func listed(from, to int, state policy.EndpointState) (entries []policy.Endpoint, addresses []string) {
 	for i := from; i < to; i++ {
 		entries = append(entries, policy.Endpoint{ID: fmt.Sprint("a", i), Release: 1, State: state, Weight: 1})
@@ -85,129 +96,169 @@
 				A:   net.IPv4(10, 0, 0, 1),
 			}}
 			packed, _ := m.Pack()
-			there.Write(packed)
+			_, _ = there.Write(packed) // the other side may have gone
 		}()
 		return here, nil
 	}
 }
 
+// service is what the tests' name server names; it changes while a host runs.
+type service struct{ ports atomic.Pointer[[]int] }
+
+func (s *service) set(ports ...int) { s.ports.Store(&ports) }
+
+// testHost is a host with the core and the name server that it talks to.
+type testHost struct {
+	*Host
+	fleet   *fleet
+	service service
+	stop    func() // ends Run and waits for it
+}
+
+// startHost makes a host with a state file and a name that is looked up, as a process would at its start.
+func startHost(stateFile string, seed uint64) *testHost {
+	config := DefaultConfig()
+	config.StateFile = stateFile
+	config.DNS.Name, config.DNS.Servers, config.DNS.Timeout = "_r._tcp.x", []string{"s:1"}, units.Span(100*time.Millisecond)
+	h := &testHost{fleet: newFleet()}
+	h.Host = New(Options{Config: config, Fleet: h.fleet, OnLeft: func(string) {}, Instances: 1, Seed: seed})
+	return h
+}
+
+// run looks up at a name server that names the service's ports.
+func (h *testHost) run(ports ...int) {
+	h.service.set(ports...)
+	answer := answering(func() []int { return *h.service.ports.Load() })
+	h.resolver = dns.New(answer, rand.New(rand.NewPCG(1, 1)), 100*time.Millisecond)
+	ctx, cancel := context.WithCancel(context.Background())
+	ended := make(chan bool)
+	go func() { h.Run(ctx); close(ended) }()
+	h.stop = func() { cancel(); <-ended }
+}
+
+// discover tells of the backends from one number to another.
+func (h *testHost) discover(from, to int, state policy.EndpointState) {
+	endpoints, addresses := listed(from, to, state)
+	h.OnDiscovery(policy.EndpointUpdate{Endpoints: endpoints}, addresses)
+}
+
+// discoverKnown tells the list of the configuration.
+func (h *testHost) discoverKnown(from, to int) {
+	endpoints, addresses := listed(from, to, policy.EndpointRunning)
+	h.OnDiscovery(policy.EndpointUpdate{Endpoints: endpoints, Snapshot: true, Cached: true}, addresses)
+}
+
 // Sources that flap against each other every 100 ms: no storm at the core, nothing lost, and what ended stays ended over a
 // restart with every source dead.
 func TestFlapAndRestart(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		table := DefaultConfig()
-		table.StateFile = filepath.Join(t.TempDir(), "state")
-		table.DNS.Name, table.DNS.Servers, table.DNS.Timeout = "_r._tcp.x", []string{"s:1"}, units.Span(100*time.Millisecond)
-		f := newFleet()
-		var named atomic.Pointer[[]int]
-		name := func(ports ...int) { named.Store(&ports) }
-		name(1, 2, 3, 9)
-		h := New(Options{Config: table, Fleet: f, OnLeft: func(string) {}, Instances: 1, Seed: 1})
-		h.resolver = dns.New(answering(func() []int { return *named.Load() }), rand.New(rand.NewPCG(1, 1)), 100*time.Millisecond)
-		known, addresses := listed(0, 3, policy.EndpointRunning)
-		h.OnDiscovery(policy.EndpointUpdate{Endpoints: known, Snapshot: true, Cached: true}, addresses)
-		ctx, stop := context.WithCancel(context.Background())
-		ended := make(chan bool)
-		go func() { h.Run(ctx); close(ended) }()
-		for k := range 300 { // 30 s
-			time.Sleep(100 * time.Millisecond)
-			state := policy.EndpointState(k % 2)
-			e, a := listed(1, 2, state)
-			h.OnDiscovery(policy.EndpointUpdate{Endpoints: e}, a)
-			if k%2 == 0 {
-				name(1, 3, 9)
-			} else {
-				name(1, 2, 3, 9)
-			}
-		}
-		synctest.Wait()
-		if f.calls > 300+70 {
-			t.Errorf("%d calls to the core in 30 s", f.calls)
-		}
-		if len(f.has) != 4 || f.has["a1"].State != policy.EndpointDraining || h.Address("srv:10.0.0.1:9") != "10.0.0.1:9" {
-			t.Errorf("%+v", f.has)
-		}
-		e, a := listed(1, 2, policy.EndpointRemoved)
-		h.OnDiscovery(policy.EndpointUpdate{Endpoints: e}, a)
-		name(1, 2, 3, 9)
-		time.Sleep(5 * time.Second)
-		synctest.Wait()
-		if _, back := f.has["a1"]; back || len(f.has) != 3 {
-			t.Errorf("one that is gone is back: %+v", f.has)
-		}
-		stop()
-		<-ended
-
-		// A new life; every source is dead, but for what was written down.
-		f = newFleet()
-		h = New(Options{Config: table, Fleet: f, OnLeft: func(string) {}, Instances: 1, Seed: 2})
-		if len(f.has) != 3 || h.Address("srv:10.0.0.1:2") != "" || h.Address("srv:10.0.0.1:3") == "" {
-			t.Errorf("remembered: %+v", f.has)
-		}
-		e, a = listed(0, 3, policy.EndpointRunning)
-		if h.OnDiscovery(policy.EndpointUpdate{Endpoints: e[:1], Snapshot: true, Cached: true}, a[:1]); f.has["a0"].ID == "" || len(f.has) != 3 {
-			t.Errorf("with the known list: %+v", f.has)
+	stateFile := filepath.Join(t.TempDir(), "state")
+	for _, step := range []struct {
+		name string
+		run  func(t *testing.T, stateFile string)
+	}{ // in this order: each starts from the state file that the one before left
+		{"flapping sources", flap},
+		{"a restart, every source dead", restartFromState},
+		{"a restart without a state that can be read", restartWithoutState},
+		{"two hours without SRV", outliveService},
+	} {
+		t.Run(step.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) { step.run(t, stateFile) })
+		})
+	}
+}
+
+func flap(t *testing.T, stateFile string) {
+	h := startHost(stateFile, 1)
+	h.discoverKnown(0, 3)
+	h.run(1, 2, 3, 9)
+	for k := range 300 { // 30 s
+		time.Sleep(100 * time.Millisecond)
+		h.discover(1, 2, policy.EndpointState(k%2))
+		if k%2 == 0 {
+			h.service.set(1, 3, 9)
+		} else {
+			h.service.set(1, 2, 3, 9)
 		}
-		// And one whose state can't be read, or is not there.
-		os.WriteFile(table.StateFile, []byte("{"), 0o600)
-		for range 2 {
-			f = newFleet()
-			if h = New(Options{Config: table, Fleet: f, OnLeft: func(string) {}, Instances: 1, Seed: 3}); len(f.has) != 0 {
-				t.Errorf("%+v", f.has)
-			}
-			os.Remove(table.StateFile)
+	}
+	synctest.Wait()
+	if h.fleet.calls > 300+70 {
+		t.Errorf("%d calls to the core in 30 s", h.fleet.calls)
+	}
+	if len(h.fleet.has) != 4 || h.fleet.has["a1"].State != policy.EndpointDraining || h.Address("srv:10.0.0.1:9") != "10.0.0.1:9" {
+		t.Errorf("%+v", h.fleet.has)
+	}
+	h.discover(1, 2, policy.EndpointRemoved)
+	h.service.set(1, 2, 3, 9)
+	time.Sleep(5 * time.Second)
+	synctest.Wait()
+	if _, back := h.fleet.has["a1"]; back || len(h.fleet.has) != 3 {
+		t.Errorf("one that is gone is back: %+v", h.fleet.has)
+	}
+	h.stop()
+}
+
+func restartFromState(t *testing.T, stateFile string) {
+	h := startHost(stateFile, 2)
+	if len(h.fleet.has) != 3 || h.Address("srv:10.0.0.1:2") != "" || h.Address("srv:10.0.0.1:3") == "" {
+		t.Errorf("remembered: %+v", h.fleet.has)
+	}
+	if h.discoverKnown(0, 1); h.fleet.has["a0"].ID == "" || len(h.fleet.has) != 3 {
+		t.Errorf("with the known list: %+v", h.fleet.has)
+	}
+}
+
+func restartWithoutState(t *testing.T, stateFile string) {
+	if err := os.WriteFile(stateFile, []byte("{"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	for range 2 { // damaged, then not there
+		if h := startHost(stateFile, 3); len(h.fleet.has) != 0 {
+			t.Errorf("%+v", h.fleet.has)
 		}
-		dead := h
-		dead.resolver = dns.New(answering(func() []int { return nil }), rand.New(rand.NewPCG(1, 1)), 100*time.Millisecond)
-		dead.OnDiscovery(policy.EndpointUpdate{Endpoints: e, Snapshot: true, Cached: true}, a)
-		ctx, stop = context.WithCancel(context.Background())
-		ended = make(chan bool)
-		go func() { dead.Run(ctx); close(ended) }()
-		time.Sleep(2 * time.Hour) // longer than every lifetime
-		synctest.Wait()
-		if n := dead.Counts(); len(f.has) != 3 || n.FailedLookups == 0 || n.FailedLookups > 1000 || n.Doubt[1] == "" {
-			t.Errorf("after two hours without SRV %+v, %+v", f.has, n)
+		if err := os.RemoveAll(stateFile); err != nil {
+			t.Fatal(err)
 		}
-		stop()
-		<-ended
-	})
+	}
+}
+
+func outliveService(t *testing.T, stateFile string) {
+	h := startHost(stateFile, 3)
+	h.discoverKnown(0, 3)
+	h.run()                   // names nothing: nobody answers
+	time.Sleep(2 * time.Hour) // longer than every lifetime
+	synctest.Wait()
+	if n := h.Counts(); len(h.fleet.has) != 3 || n.FailedLookups == 0 || n.FailedLookups > 1000 || n.Doubt[1] == "" {
+		t.Errorf("after two hours without SRV %+v, %+v", h.fleet.has, n)
+	}
+	h.stop()
 }
 
 // With a subset the core knows that part and no more, through changes, renames of all at once and drains.
 func TestSubset(t *testing.T) {
-	table := DefaultConfig()
-	table.Subset = SubsetConfig{Size: 20, LeastPerGroup: 2}
-	f := newFleet()
+	config := DefaultConfig()
+	config.Subset = SubsetConfig{Size: 20, LeastPerGroup: 2}
 	left := 0
-	h := New(Options{Config: table, Fleet: f, OnLeft: func(string) { left++ }, Instance: 3, Instances: 10, Seed: 1})
-	list := func(from, to int, state policy.EndpointState, whole bool) {
-		e, a := listed(from, to, state)
-		h.OnDiscovery(policy.EndpointUpdate{Endpoints: e, Snapshot: whole}, a)
-	}
-	list(0, 500, policy.EndpointRunning, true)
-	if len(f.has) < 20 || len(f.has) > 24 {
-		t.Errorf("%d of 500", len(f.has))
+	h := &testHost{fleet: newFleet()}
+	h.Host = New(Options{Config: config, Fleet: h.fleet, OnLeft: func(string) { left++ }, Instance: 3, Instances: 10, Seed: 1})
+	checkSize := func(when string) {
+		t.Helper()
+		if len(h.fleet.has) < 20 || len(h.fleet.has) > 24 {
+			t.Errorf("%d of 500 %s", len(h.fleet.has), when)
+		}
 	}
+	endpoints, addresses := listed(0, 500, policy.EndpointRunning)
+	h.OnDiscovery(policy.EndpointUpdate{Endpoints: endpoints, Snapshot: true}, addresses)
+	checkSize("at the start")
 	for i := range 500 {
-		list(i, i+1, policy.EndpointDraining, false)
-		if i == 250 {
-			running := 0
-			for _, e := range f.has {
-				if e.State == policy.EndpointRunning {
-					running++
-				}
-			}
-			if running < 20 {
-				t.Errorf("%d run in the subset when half of the fleet drains", running)
-			}
+		h.discover(i, i+1, policy.EndpointDraining)
+		if running := h.fleet.running(); i == 250 && running < 20 {
+			t.Errorf("%d run in the subset when half of the fleet drains", running)
 		}
-		list(i, i+1, policy.EndpointRemoved, false)
-	}
-	list(500, 1000, policy.EndpointRunning, false) // all renamed
-	if len(f.has) < 20 || len(f.has) > 24 {
-		t.Errorf("%d of 500 after all were renamed", len(f.has))
+		h.discover(i, i+1, policy.EndpointRemoved)
 	}
-	for id := range f.has {
+	h.discover(500, 1000, policy.EndpointRunning) // all renamed
+	checkSize("after all were renamed")
+	for id := range h.fleet.has {
 		if h.Address(id) == "" {
 			t.Errorf("%s has no address", id)
 		}
--- a/internal/sources/lookup_test.go
+++ b/internal/sources/lookup_test.go
@@ -1,16 +1,21 @@
 package sources
 
 import (
+	"fmt"
 	"math/rand/v2"
 	"testing"
 )
 
-// Lifetimes hold within their bounds, agents do not ask in step, a server that fails is passed over and tried again.
+func newPacer(servers int, rate float64, seed uint64) *LookupPacer {
+	return NewLookupPacer(servers, rate, rand.New(rand.NewPCG(seed, 1)))
+}
+
+// Lifetimes hold within their bounds, instances do not ask in step, a server that fails is passed over and tried again.
 func TestLookup(t *testing.T) {
 	for _, c := range []struct {
 		ttl       float64
 		negative  bool
-		low, high float64
+		low, high float64 // wait until the next look-up
 	}{
 		{0, false, 600, 900},
 		{30_000, false, 18_000, 27_000},
@@ -18,64 +23,85 @@
 		{5_000, true, 3_000, 4_500},
 		{1e9, true, 36_000, 54_000},
 	} {
-		seen := map[float64]bool{}
-		for seed := range uint64(50) {
-			l := NewLookupPacer(1, 10, rand.New(rand.NewPCG(seed, 1)))
-			if s, _ := l.Next(1); s != 0 {
-				t.Fatal("nothing is asked at the start")
-			}
-			l.OnAnswer(1, 0, c.ttl, c.negative)
-			s, wait := l.Next(1)
-			if s != -1 || wait < c.low || wait > c.high {
-				t.Errorf("lifetime %v: again after %v, not %v to %v", c.ttl, wait, c.low, c.high)
-			}
-			seen[wait] = true
+		t.Run(fmt.Sprintf("lifetime %v ms, negative %v", c.ttl, c.negative), func(t *testing.T) {
+			checkRefresh(t, c.ttl, c.negative, c.low, c.high)
+		})
+	}
+	t.Run("a dead server", passesOverDeadServer)
+	t.Run("all servers dead", backsOff)
+	t.Run("rate limit", keepsRate)
+}
+
+func checkRefresh(t *testing.T, ttl float64, negative bool, low, high float64) {
+	waits := map[float64]bool{}
+	for seed := range uint64(50) {
+		pacer := newPacer(1, 10, seed)
+		if server, _ := pacer.Next(1); server != 0 {
+			t.Fatal("nothing is asked at the start")
 		}
-		if len(seen) < 45 {
-			t.Errorf("50 agents ask at %d times", len(seen))
+		pacer.OnAnswer(1, 0, ttl, negative)
+		server, wait := pacer.Next(1)
+		if server != -1 || wait < low || wait > high {
+			t.Errorf("lifetime %v: again after %v, not %v to %v", ttl, wait, low, high)
 		}
+		waits[wait] = true
+	}
+	if len(waits) < 45 {
+		t.Errorf("50 instances ask at %d times", len(waits))
 	}
-	l := NewLookupPacer(3, 1000, rand.New(rand.NewPCG(1, 1)))
-	now, asked := 1.0, [3]int{}
-	for range 300 { // 1 is dead
-		s, wait := l.Next(now)
-		if s < 0 {
+}
+
+func passesOverDeadServer(t *testing.T) {
+	pacer, now, asked := newPacer(3, 1000, 1), 1.0, [3]int{}
+	for range 300 { // 1 is dead, 0 for five seconds
+		server, wait := pacer.Next(now)
+		if server < 0 {
 			now += wait
 			continue
 		}
-		if asked[s]++; s == 1 || s == 0 && now < 5_000 {
-			l.OnFailure(now, s)
+		asked[server]++
+		dead := server == 1 || server == 0 && now < 5_000
+		if dead {
+			pacer.OnFailure(now, server)
 		} else {
-			l.OnAnswer(now, s, 0, false)
+			pacer.OnAnswer(now, server, 0, false)
 		}
 	}
 	if asked[1] > asked[2]/5 || asked[1] < 1 || asked[0]+asked[2] < 100 {
 		t.Errorf("asked %v", asked)
 	}
-	l, now = NewLookupPacer(2, 1000, rand.New(rand.NewPCG(1, 1))), 1
-	last, asks := 0.0, 0
-	for now < 100_000 { // all are dead: pauses grow to a bound
-		if s, wait := l.Next(now); s >= 0 {
-			l.OnFailure(now, s)
-			asks++
+}
+
+// Pauses grow to a bound.
+func backsOff(t *testing.T) {
+	pacer, now := newPacer(2, 1000, 1), 1.0
+	lastWait, questions := 0.0, 0
+	for now < 100_000 {
+		if server, wait := pacer.Next(now); server >= 0 {
+			pacer.OnFailure(now, server)
+			questions++
 		} else {
 			now += wait
-			last = wait
+			lastWait = wait
 		}
 	}
-	if asks > 60 || last < maxBackoffMs/2 || last > maxBackoffMs*1.5 {
-		t.Errorf("%d questions in 100 s, the last pause %v", asks, last)
+	if questions > 60 || lastWait < maxBackoffMs/2 || lastWait > maxBackoffMs*1.5 {
+		t.Errorf("%d questions in 100 s, the last pause %v", questions, lastWait)
 	}
-	l, now, asks = NewLookupPacer(1, 2, rand.New(rand.NewPCG(1, 1))), 1, 0
-	for now < 10_000 { // the budget binds whatever the lifetimes say
-		if s, wait := l.Next(now); s >= 0 {
-			l.nextAt = 0
-			asks++
+}
+
+// The rate binds whatever the lifetimes say.
+func keepsRate(t *testing.T) {
+	pacer, now, questions := newPacer(1, 2, 1), 1.0, 0
+	for now < 10_000 {
+		if server, wait := pacer.Next(now); server >= 0 {
+			pacer.nextAt = 0
+			questions++
 		} else {
 			now += wait
 		}
 	}
-	if asks > 23 {
-		t.Errorf("%d questions in 10 s at 2 a second", asks)
+	if questions > 23 {
+		t.Errorf("%d questions in 10 s at 2 a second", questions)
 	}
 }
--- a/internal/sources/model_test.go
+++ b/internal/sources/model_test.go
@@ -19,6 +19,8 @@
 	closed map[string]bool // addresses that drained or went, and were not listed as running since
 }
 
+func newModelState() modelState { return modelState{*New(), map[string]Entry{}, map[string]bool{}} }
+
 // step applies one event and looks at what must hold whatever came before.
 func (w modelState) step(event func(m *Merger, closed map[string]bool) []Entry, failure bool) (modelState, error) {
 	n := modelState{m: w.m, reader: maps.Clone(w.reader), closed: maps.Clone(w.closed)}
@@ -82,6 +84,7 @@
 	return fmt.Sprint(b.String(), all, w.m.lastKept, min(w.m.shrunkenInRow[0], shrinkConfirmations), min(w.m.shrunkenInRow[1], shrinkConfirmations), len(w.closed))
 }
 
+// event is something that can happen to a merge; a failure must take no backend away.
 type event struct {
 	name    string
 	failure bool
@@ -133,53 +136,65 @@
 // and a drain and an answer of SRV end in the same fleet in either order. Two backends are explored whole; of three, as many
 // states as a test has time for (docs/results.md has a longer run).
 func TestModel(t *testing.T) {
-	for _, c := range []struct{ backends, most int }{{2, 1 << 30}, {3, 1500}} {
-		all := events(c.backends)
-		first := modelState{*New(), map[string]Entry{}, map[string]bool{}}
-		seen, queue := map[string]bool{first.key(): true}, []modelState{first}
-		steps, pairs := 0, 0
-		for len(queue) > 0 && len(seen) < c.most {
-			w := queue[0]
-			queue = queue[1:]
-			for _, e := range all {
-				next, err := w.step(e.do, e.failure)
-				steps++
-				if err != nil {
-					t.Fatalf("%s after %s: %v", e.name, w.key(), err)
-				}
-				if k := next.key(); !seen[k] {
-					seen[k] = true
-					queue = append(queue, next)
-				}
+	for _, c := range []struct{ backends, maxStates int }{{2, 1 << 30}, {3, 1500}} {
+		t.Run(fmt.Sprint(c.backends, " backends"), func(t *testing.T) { exploreStates(t, c.backends, c.maxStates) })
+	}
+}
+
+func exploreStates(t *testing.T, backends, maxStates int) {
+	all := events(backends)
+	first := newModelState()
+	seen, queue := map[string]bool{first.key(): true}, []modelState{first}
+	steps, pairs := 0, 0
+	for len(queue) > 0 && len(seen) < maxStates {
+		state := queue[0]
+		queue = queue[1:]
+		for _, e := range all {
+			next, err := state.step(e.do, e.failure)
+			steps++
+			if err != nil {
+				t.Fatalf("%s after %s: %v", e.name, state.key(), err)
+			}
+			if key := next.key(); !seen[key] {
+				seen[key] = true
+				queue = append(queue, next)
 			}
-			pairs += bothOrders(t, w, all, c.backends)
 		}
-		t.Logf("%d backends: %d states, %d steps, %d pairs in both orders, %d states left", c.backends, len(seen), steps,
-			pairs, len(queue))
-		if len(seen) < 100 {
-			t.Errorf("only %d states", len(seen))
+		for _, drain := range drains(all, backends) {
+			pairs += checkBothOrders(t, state, drain, all)
 		}
 	}
+	t.Logf("%d backends: %d states, %d steps, %d pairs in both orders, %d states left", backends, len(seen), steps, pairs, len(queue))
+	if len(seen) < 100 {
+		t.Errorf("only %d states", len(seen))
+	}
 }
 
-// bothOrders compares a drain and an answer in either order, for each pair of them.
-func bothOrders(t *testing.T, w modelState, all []event, backends int) (pairs int) {
+// drains are the events by which discovery tells a drain.
+func drains(all []event, backends int) (some []event) {
 	for i := range backends {
-		drain := all[3*i+1]
-		for _, e := range all {
-			if !strings.HasPrefix(e.name, "srv") || e.failure {
-				continue
-			}
-			pairs++
-			a, _ := w.step(drain.do, false)
-			a, _ = a.step(e.do, false)
-			b, _ := w.step(e.do, false)
-			b, _ = b.step(drain.do, false)
-			// But for one: the last that runs is kept when it is not named, and a drain of the others makes it the last.
-			if a.m.lastKept == "" && b.m.lastKept == "" && shown(&a.m) != shown(&b.m) {
-				t.Fatalf("%s and %s after %s: %s, and in the other order %s", drain.name, e.name, w.key(), shown(&a.m),
-					shown(&b.m))
-			}
+		some = append(some, all[3*i+1])
+	}
+	return some
+}
+
+// checkBothOrders compares a drain and an answer in either order, for each answer that names somebody.
+func checkBothOrders(t *testing.T, state modelState, drain event, all []event) (pairs int) {
+	t.Helper()
+	for _, answer := range all {
+		if !strings.HasPrefix(answer.name, "srv") || answer.failure {
+			continue
+		}
+		pairs++
+		a, _ := state.step(drain.do, false) // what must hold in each step is checked by exploreStates
+		a, _ = a.step(answer.do, false)
+		b, _ := state.step(answer.do, false)
+		b, _ = b.step(drain.do, false)
+		// But for one: the last that runs is kept when it is not named, and a drain of the others makes it the last.
+		keptNone := a.m.lastKept == "" && b.m.lastKept == ""
+		if keptNone && shown(&a.m) != shown(&b.m) {
+			t.Fatalf("%s and %s after %s: %s, and in the other order %s", drain.name, answer.name, state.key(), shown(&a.m),
+				shown(&b.m))
 		}
 	}
 	return pairs
@@ -189,7 +204,7 @@
 func TestProperties(t *testing.T) {
 	all := events(5)
 	rapid.Check(t, func(t *rapid.T) {
-		w := modelState{*New(), map[string]Entry{}, map[string]bool{}}
+		w := newModelState()
 		for _, k := range rapid.SliceOfN(rapid.IntRange(0, len(all)-1), 1, 60).Draw(t, "events") {
 			var err error
 			if w, err = w.step(all[k].do, all[k].failure); err != nil {
