--- /dev/null
+++ b/internal/assembly/settings_test.go
@@ -0,0 +1,96 @@
+package assembly
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+)
+
+// Two settings side by side.
+
+// Two deployments in one process, side by side and one after the other, each by its own settings alone.
+func TestTwoSettings(t *testing.T) {
+	glance, merge := "GET /glance/7", "POST /merge/7"
+	t.Run("side by side", func(t *testing.T) {
+		x, y := newWorld(t), newWorld(t)
+		a, b := startIn(t, x, short, few), startIn(t, y, long, many)
+		for k := range 3 {
+			a.serves(t, fmt.Sprint("a", k), glance, merge)
+			b.serves(t, fmt.Sprint("b", k), merge, glance)
+		}
+		a.checkCounts(t, 3)
+		b.checkCounts(t, 3)
+		if len(x.runs()) != 3 || len(y.runs()) != 3 {
+			t.Errorf("ran %v and %v", x.runs(), y.runs())
+		}
+		a.stop()
+		b.stop()
+	})
+	t.Run("one after the other", func(t *testing.T) {
+		x, y := newWorld(t), newWorld(t)
+		a := startIn(t, x, short, few)
+		a.serves(t, "a", glance, merge)
+		a.stop()
+		b := startIn(t, y, long, many)
+		b.serves(t, "b", merge, glance)
+		b.checkCounts(t, 1)
+		b.stop()
+	})
+	t.Run("the other way round", func(t *testing.T) {
+		x, y := newWorld(t), newWorld(t)
+		b := startIn(t, y, long, many)
+		b.serves(t, "b", merge, glance)
+		b.stop()
+		a := startIn(t, x, short, few)
+		a.serves(t, "a", glance, merge)
+		a.checkCounts(t, 1)
+		a.stop()
+	})
+}
+
+// deployment is an instance with its own settings, in a world of its own.
+type deployment struct {
+	*running
+	world *world
+}
+
+// startIn starts an instance of these settings, and lets discovery tell it of the world's backend.
+func startIn(t *testing.T, w *world, grades, limits string) deployment {
+	t.Helper()
+	r := start(t, configuration(w.address(), w.list(1), grades, limits))
+	<-w.watched
+	w.tell <- w.list(2)
+	return deployment{r, w}
+}
+
+// serves asks for a class of the deployment's own, which its backend runs, and for one of another's, which it does not know.
+func (d deployment) serves(t *testing.T, id, own, others string) {
+	t.Helper()
+	c := d.connect(t)
+	for k, call := range []struct {
+		path   string
+		status int
+	}{{own, 200}, {others, 404}} {
+		method, path, _ := strings.Cut(call.path, " ")
+		c.send(method, path, fmt.Sprint(id, k))
+		if status, _ := c.answer(t); status != call.status {
+			t.Errorf("%s: %d", call.path, status)
+		}
+	}
+	ran := d.world.runs()
+	if last := ran[len(ran)-1]; !strings.HasPrefix(last, strings.Fields(own)[1]+" ") {
+		t.Errorf("ran %q", last)
+	}
+}
+
+// checkCounts looks for so many requests of its own, as many of the other's, and one backend.
+func (d deployment) checkCounts(t *testing.T, requests int) {
+	t.Helper()
+	n, refused := d.core.Counts(), d.front.Refused.Load()
+	if n.Accepted != requests || n.Served != requests || refused != int64(requests) {
+		t.Errorf("%d accepted, %d served, %d refused; %d wanted of each", n.Accepted, n.Served, refused, requests)
+	}
+	if _, listed := d.discovery.Version(); listed != 1 {
+		t.Errorf("%d backends listed", listed)
+	}
+}
