--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -145,9 +145,9 @@
 
 func (s *Server) logStart() {
 	logrus.WithFields(logrus.Fields{
-		"version": s.options.Version, "name": s.site.name, "listen": s.listener.Addr().String(),
+		"version": s.options.Version, "instance": s.site.name, "listen": s.listener.Addr().String(),
 		"cpus": runtime.NumCPU(), "cores": runtime.GOMAXPROCS(0), "sockets": s.site.sockets, "memory_mb": s.site.memoryMB,
-		"agents": s.site.instances(), "products": len(s.site.classNames), "appliances": s.site.knownBackends(),
+		"instances": s.site.instances(), "classes": len(s.site.classNames), "backends": s.site.knownBackends(),
 	}).Info("start")
 }
 
--- a/internal/assembly/harness_test.go
+++ b/internal/assembly/harness_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -155,10 +156,13 @@
 }
 
 // stop ends an instance by two signals, the second at once.
-func (r *running) stop() {
+func (r *running) stop(t *testing.T) {
+	t.Helper()
 	r.signals <- syscall.SIGTERM
 	r.signals <- syscall.SIGTERM
-	_ = <-r.end // errKilled, or nil where all was answered in between
+	if err := <-r.end; err != nil && !errors.Is(err, errKilled) { // none where all was answered in between
+		t.Errorf("ended with %v", err)
+	}
 }
 
 // client is a connection of a client.
--- a/internal/assembly/reload.go
+++ b/internal/assembly/reload.go
@@ -52,7 +52,7 @@
 func (r *reloader) load() error {
 	configuration, err := Read(r.path)
 	if err != nil {
-		logrus.WithError(err).Error("configuration not taken, the running one stays")
+		logrus.WithError(err).Error("configuration rejected, the running one stays")
 		return err
 	}
 	moved := logrus.Fields{}
@@ -64,6 +64,6 @@
 		}
 	}
 	r.running = configuration
-	logrus.WithFields(moved).Info("configuration reread")
+	logrus.WithFields(moved).Info("configuration reloaded")
 	return nil
 }
--- a/internal/assembly/reload_test.go
+++ b/internal/assembly/reload_test.go
@@ -90,7 +90,7 @@
 			t.Fatal("read for ever")
 		}
 	}
-	r.stop()
+	r.stop(t)
 }
 
 // SIGHUP while the first list is awaited: the new address is asked at once, and its list makes the instance ready. A second
@@ -113,5 +113,5 @@
 	if status, _ := c.answer(t); status != 200 || len(f.runs()) != 1 {
 		t.Errorf("answered %d, ran %v", status, f.runs())
 	}
-	r.stop()
+	r.stop(t)
 }
--- a/internal/assembly/report.go
+++ b/internal/assembly/report.go
@@ -49,14 +49,14 @@
 	all, clients, idleClients := s.sockets.Used()
 	version, listed := s.discovery.Version()
 	logrus.WithFields(logrus.Fields{
-		"cpu_ms": cpuMs(),
-		"taken":  n.Accepted, "settled": n.Served, "declined": n.Rejected, "voided": n.Failed, "gone": n.ClientGone,
-		"bad_input": s.front.Refused.Load(), "open": n.OpenRequests,
-		"out": n.OpenAttempts, "ends": fmt.Sprint(n.AttemptsByStatus[policy.StatusServed:]), "withdrawn": n.AttemptsWithheld,
-		"sockets": all, "clients": clients, "clients_idle": idleClients,
-		"opened": opened, "idle": idle, "unsent": unsent,
-		"list": version, "listed": listed,
-		"timers": n.Timers, "broken": invariant.Violations(),
+		"cpu_ms":   cpuMs(),
+		"accepted": n.Accepted, "served": n.Served, "rejected": n.Rejected, "failed": n.Failed, "client_gone": n.ClientGone,
+		"invalid_requests": s.front.Refused.Load(), "requests_open": n.OpenRequests,
+		"attempts_open": n.OpenAttempts, "attempts_ended": fmt.Sprint(n.AttemptsByStatus[policy.StatusServed:]), "attempts_withheld": n.AttemptsWithheld,
+		"sockets": all, "client_connections": clients, "client_connections_idle": idleClients,
+		"backend_connections_opened": opened, "backend_connections_idle": idle, "attempts_without_socket": unsent,
+		"list_version": version, "backends": listed,
+		"timers": n.Timers, "invariant_violations": invariant.Violations(),
 	}).Info("counts")
 }
 
@@ -72,17 +72,17 @@
 func (s *Server) logReleases() {
 	r := s.core.Counts().Releases
 	logrus.WithFields(logrus.Fields{
-		"newest": r.Newest.Release, "phase": r.Newest.Phase.String(), "stage": r.Newest.Stage, "cap": r.Newest.Cap,
-		"trial": r.RollingOut, "keys": r.Keys,
-		"withheld_closed": r.Skipped.Closed, "withheld_cap": r.Skipped.CapReached, "withheld_affinity": r.Skipped.Affinity,
+		"release": r.Newest.Release, "phase": r.Newest.Phase.String(), "stage": r.Newest.Stage, "cap": r.Newest.Cap,
+		"rolling_out": r.RollingOut, "affinity_keys": r.Keys,
+		"skipped_closed": r.Skipped.Closed, "skipped_cap": r.Skipped.CapReached, "skipped_affinity": r.Skipped.Affinity,
 	}).Info("releases")
 }
 
 func (s *Server) logSources() {
 	n := s.sources.Counts()
 	logrus.WithFields(logrus.Fields{
-		"lookups": n.Lookups, "questions": n.Questions, "failures": n.FailedLookups, "negative": n.NegativeAnswers,
-		"changes": n.Changes, "running": n.Running, "known": n.Known,
+		"lookups": n.Lookups, "questions": n.Questions, "failed_lookups": n.FailedLookups, "negative_answers": n.NegativeAnswers,
+		"changes": n.Changes, "backends_running": n.Running, "backends": n.Known,
 		"doubt_discovery": n.Doubt[0], "doubt_srv": n.Doubt[1],
 	}).Info("sources")
 }
@@ -90,9 +90,9 @@
 func (s *Server) logRecord() {
 	status := s.recorder.Status()
 	logrus.WithFields(logrus.Fields{
-		"spool": status.Health.String(), "entries": status.Entries, "notes": status.Notes, "gaps": status.Gaps,
-		"missed": status.Missed, "syncs": status.Syncs, "failures": status.Failures, "unsynced": status.Unsynced,
-		"spool_bytes": status.Used, "queued_bytes": status.Queued, "shipped": status.Shipped, "in_doubt": status.InDoubt,
-		"oldest_ms": int(status.Oldest), "replies": fmt.Sprint(status.Replies),
+		"spool_state": status.Health.String(), "entries": status.Entries, "completions": status.Notes, "gaps": status.Gaps,
+		"unrecorded": status.Missed, "syncs": status.Syncs, "spool_failures": status.Failures, "unsynced": status.Unsynced,
+		"spool_bytes": status.Used, "queued_bytes": status.Queued, "exported": status.Shipped, "in_doubt": status.InDoubt,
+		"oldest_unexported_ms": int(status.Oldest), "store_results": fmt.Sprint(status.Replies),
 	}).Info("record")
 }
--- a/internal/assembly/run.go
+++ b/internal/assembly/run.go
@@ -94,7 +94,7 @@
 	case <-shuttingDown:
 	case <-s.discovery.FirstUpdate():
 	case <-wait.C:
-		logrus.Warn("discovery has told nothing yet: ready with the list of the configuration")
+		logrus.Warn("no endpoint list from discovery yet, ready with the configuration's")
 	}
 	s.front.Ready()
 	logrus.Info("ready")
@@ -111,7 +111,7 @@
 		case <-r.shutDown:
 			r.stopRecorder()
 			r.logCounts()
-			logrus.Info("left")
+			logrus.Info("shutdown complete")
 			return nil
 		case <-r.reloadAgain:
 			r.reloadAgain = r.reloader.retry()
@@ -147,7 +147,7 @@
 
 // startShutdown stops taking connections, and closes shutDown once everything taken is answered.
 func (r *run) startShutdown() {
-	logrus.Info("leaving")
+	logrus.Info("shutting down")
 	close(r.shuttingDown)
 	go func() {
 		r.front.Shutdown(r.ctx, r.listener)
--- a/internal/assembly/settings_test.go
+++ b/internal/assembly/settings_test.go
@@ -23,28 +23,28 @@
 		if len(x.runs()) != 3 || len(y.runs()) != 3 {
 			t.Errorf("ran %v and %v", x.runs(), y.runs())
 		}
-		a.stop()
-		b.stop()
+		a.stop(t)
+		b.stop(t)
 	})
 	t.Run("one after the other", func(t *testing.T) {
 		x, y := newWorld(t), newWorld(t)
 		a := startIn(t, x, short, few)
 		a.serves(t, "a", glance, merge)
-		a.stop()
+		a.stop(t)
 		b := startIn(t, y, long, many)
 		b.serves(t, "b", merge, glance)
 		b.checkCounts(t, 1)
-		b.stop()
+		b.stop(t)
 	})
 	t.Run("the other way round", func(t *testing.T) {
 		x, y := newWorld(t), newWorld(t)
 		b := startIn(t, y, long, many)
 		b.serves(t, "b", merge, glance)
-		b.stop()
+		b.stop(t)
 		a := startIn(t, x, short, few)
 		a.serves(t, "a", glance, merge)
 		a.checkCounts(t, 1)
-		a.stop()
+		a.stop(t)
 	})
 }
 
--- a/internal/assembly/start_test.go
+++ b/internal/assembly/start_test.go
@@ -29,7 +29,7 @@
 	if len(old.runs()) != 0 || len(now.runs()) != 1 {
 		t.Errorf("ran %v at what had left, %v at what runs", old.runs(), now.runs())
 	}
-	r.stop()
+	r.stop(t)
 }
 
 // Ready: once discovery has told its list, after a while where it tells none, and at once where the instance is to shut down.
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -46,10 +46,11 @@
 	}
 	l, err := net.Listen("tcp", t.Listen)
 	if err != nil {
-		logrus.WithError(err).Error("metrics can't be offered")
+		logrus.WithError(err).Error("metrics listener failed")
 		return
 	}
-	server := &http.Server{ReadHeaderTimeout: time.Second, IdleTimeout: 30 * time.Second,
+	server := &http.Server{
+		ReadHeaderTimeout: time.Second, IdleTimeout: 30 * time.Second,
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path != "/metrics" || r.Method != http.MethodGet {
 				http.NotFound(w, r)
@@ -58,8 +59,9 @@
 			w.Header().Set("Content-Type", "text/plain; version=0.0.4")
 			m.set.WritePrometheus(w)
 			metrics.WriteProcessMetrics(w)
-		})}
+		}),
+	}
 	context.AfterFunc(ctx, func() { server.Close() })
-	logrus.WithField("listen", l.Addr().String()).Info("metrics")
+	logrus.WithField("listen", l.Addr().String()).Info("metrics listening")
 	server.Serve(l)
 }
--- a/internal/sources/host/lookup.go
+++ b/internal/sources/host/lookup.go
@@ -92,8 +92,8 @@
 	}
 	if doubt := h.merger.Doubt[sources.SRV]; (doubt == "") != (doubtBefore == "") {
 		logrus.WithFields(logrus.Fields{
-			"source": "srv", "server": address, "doubt": doubt, "claims": len(answer.Observations),
-		}).Info("source")
+			"source": "srv", "server": address, "doubt": doubt, "observations": len(answer.Observations),
+		}).Info("source doubt changed")
 	}
 }
 
--- a/internal/sources/host/statefile.go
+++ b/internal/sources/host/statefile.go
@@ -51,7 +51,7 @@
 	}
 	var saved State
 	if err := json.Unmarshal(text, &saved); err != nil {
-		logrus.WithError(err).Warn("the state of sources can't be read, it starts anew")
+		logrus.WithError(err).Warn("sources state file unreadable, starting without it")
 		return
 	}
 	if !failpoint.Defect("forget-drains") {
@@ -69,7 +69,7 @@
 		err = replaceFile(h.config.StateFile, text)
 	}
 	if err != nil {
-		logrus.WithError(err).Warn("the state of sources can't be written")
+		logrus.WithError(err).Warn("sources state file not written")
 	}
 }
 
