--- a/internal/jobs/queue.go
+++ b/internal/jobs/queue.go
@@ -1,95 +1,118 @@
 // Package jobs decides which background job runs next: by priority, within each job's budget of time and bytes, and so
-// that none waits for ever. It must never run anything, read a clock or hold a goroutine; internal/jobs/runner does.
+// that none waits for ever. It runs nothing, reads no clock and holds no goroutine; internal/jobs/runner does.
 package jobs
 
-// ageing (ms): a job that has been due for so long goes ahead of those one priority above it.
-const ageing = 1000.0
-
-// burst (ms): what a job has not used of its budget is kept for so long.
-const burst = 1000.0
-
-// Queue holds the jobs under a dense index.
-type Queue struct {
-	name     []string
-	priority []int     // lower goes first
-	msRate   []float64 // ms of work a second; 0: any
-	byteRate []float64 // bytes a second; 0: any
-	msLeft   []float64
-	left     []float64
-	filled   []float64 // when the budgets were last filled
-	due      []float64
-	running  []bool
-	Runs     []uint64
+const (
+	// ageingMs: a job that has been due for so long goes ahead of those one priority above it.
+	ageingMs = 1000.0
+	// burstMs: what a job has not used of its budget is kept for so long.
+	burstMs = 1000.0
+)
+
+// Options say how a job may run.
+type Options struct {
+	Name              string
+	Priority          int     // lower goes first
+	MaxMsPerSecond    float64 // ms of work in each second; 0: any
+	MaxBytesPerSecond float64 // 0: any
+}
+
+// budget is what is left to a job of what it may use.
+type budget struct {
+	perSecond float64 // 0: any
+	left      float64 // below zero after a run that used more than there was
+}
+
+func newBudget(perSecond float64) budget { return budget{perSecond, perSecond * burstMs / 1000} }
+
+// refill adds what a time (ms) brings, up to the burst.
+func (b *budget) refill(passed float64) {
+	b.left = min(b.left+passed*b.perSecond/1000, b.perSecond*burstMs/1000)
+}
+
+// wait returns how long (ms) it takes until nothing is owed.
+func (b *budget) wait() float64 {
+	if b.perSecond <= 0 || b.left >= 0 {
+		return 0
+	}
+	return -b.left / b.perSecond * 1000
+}
+
+// job is one job with its state. Times are in ms of the callers' clock.
+type job struct {
+	Options
+	work, bytes budget
+	refilledAt  float64 // 0: never
+	dueAt       float64
+	running     bool
+	runs        uint64
 }
 
+// allowedAt refills the budgets and returns when they allow the job to run.
+func (j *job) allowedAt(now float64) float64 {
+	passed := 0.0
+	if j.refilledAt != 0 {
+		passed = max(now-j.refilledAt, 0)
+	}
+	j.refilledAt = now
+	j.work.refill(passed)
+	j.bytes.refill(passed)
+	return now + max(j.work.wait(), j.bytes.wait())
+}
+
+// Queue holds the jobs, each under the index that Add returned. It is used by one goroutine at a time; the zero value is
+// empty.
+type Queue struct{ jobs []job }
+
 // Add makes a job, due at once.
-func (q *Queue) Add(name string, priority int, msRate, byteRate float64) (job int) {
-	q.name, q.priority = append(q.name, name), append(q.priority, priority)
-	q.msRate, q.byteRate = append(q.msRate, msRate), append(q.byteRate, byteRate)
-	q.msLeft, q.left = append(q.msLeft, msRate*burst/1000), append(q.left, byteRate*burst/1000)
-	q.filled, q.due = append(q.filled, 0), append(q.due, 0)
-	q.running, q.Runs = append(q.running, false), append(q.Runs, 0)
-	return len(q.name) - 1
+func (q *Queue) Add(o Options) (index int) {
+	q.jobs = append(q.jobs, job{Options: o, work: newBudget(o.MaxMsPerSecond), bytes: newBudget(o.MaxBytesPerSecond)})
+	return len(q.jobs) - 1
 }
 
-// Name is a job's.
-func (q *Queue) Name(job int) string { return q.name[job] }
+// Name returns a job's name.
+func (q *Queue) Name(index int) string { return q.jobs[index].Name }
+
+// Runs returns how often a job has ended.
+func (q *Queue) Runs(index int) uint64 { return q.jobs[index].runs }
 
-// Due asks for a job to run from `at` (ms) on, if it would not sooner.
-func (q *Queue) Due(job int, at float64) { q.due[job] = min(q.due[job], at) }
+// Schedule makes a job due at a time (ms), if it would not be sooner.
+func (q *Queue) Schedule(index int, at float64) { q.jobs[index].dueAt = min(q.jobs[index].dueAt, at) }
 
-// Next is the job to run now, which then counts as running; -1: none before wait (ms) is over.
-func (q *Queue) Next(now float64) (job int, wait float64) {
-	job, wait = -1, burst
-	best := 0.0
-	for i := range q.name {
-		if q.running[i] {
+// Next returns the job to run now, which then counts as running; -1: none before wait (ms) is over.
+func (q *Queue) Next(now float64) (index int, wait float64) {
+	index, wait = -1, burstMs
+	bestRank := 0.0
+	for i := range q.jobs {
+		j := &q.jobs[i]
+		if j.running {
 			continue
 		}
-		if at := max(q.due[i], q.paid(now, i)); at > now {
+		if at := max(j.dueAt, j.allowedAt(now)); at > now {
 			wait = min(wait, at-now)
 			continue
 		}
-		rank := float64(q.priority[i]) - (now-q.due[i])/ageing
-		if job < 0 || rank < best {
-			job, best = i, rank
+		rank := float64(j.Priority) - (now-j.dueAt)/ageingMs
+		if index < 0 || rank < bestRank {
+			index, bestRank = i, rank
 		}
 	}
-	if job >= 0 {
-		q.running[job] = true
-		return job, 0
+	if index < 0 {
+		return -1, wait
 	}
-	return -1, wait
+	q.jobs[index].running = true
+	return index, 0
 }
 
-// paid fills a job's budgets and tells when they allow it to run.
-func (q *Queue) paid(now float64, job int) float64 {
-	passed := max(now-q.filled[job], 0)
-	if q.filled[job] == 0 {
-		passed = 0
-	}
-	q.filled[job] = now
-	at := now
-	for _, b := range []struct {
-		left *float64
-		rate float64
-	}{{&q.msLeft[job], q.msRate[job]}, {&q.left[job], q.byteRate[job]}} {
-		if b.rate <= 0 {
-			continue
-		}
-		*b.left = min(*b.left+passed*b.rate/1000, b.rate*burst/1000)
-		if *b.left < 0 {
-			at = max(at, now-*b.left/b.rate*1000)
-		}
-	}
-	return at
-}
+// Usage is what a run used.
+type Usage struct{ Ms, Bytes float64 }
 
-// Ran tells that a job ended: what it used, and when (ms from now) it wants to run again.
-func (q *Queue) Ran(now float64, job int, tookMs, bytes, again float64) {
-	q.running[job] = false
-	q.Runs[job]++
-	q.msLeft[job] -= tookMs
-	q.left[job] -= bytes
-	q.due[job] = now + again
+// Completed notes that a job's run ended: what it used, and in how long (ms) it wants to run again.
+func (q *Queue) Completed(now float64, index int, used Usage, again float64) {
+	j := &q.jobs[index]
+	j.running = false
+	j.runs++
+	j.work.left -= used.Ms
+	j.bytes.left -= used.Bytes
+	j.dueAt = now + again
 }
--- a/internal/jobs/queue_test.go
+++ b/internal/jobs/queue_test.go
@@ -2,62 +2,71 @@
 
 import "testing"
 
+// queueTest is what three jobs use, and how often each of them runs in ten seconds.
+type queueTest struct {
+	name     string
+	took     [3]float64 // ms of each job's run
+	msRate   [3]float64
+	byteRate [3]float64
+	bytes    float64
+	low, top [3]int
+}
+
 // Priorities hold, budgets bind, and nothing waits for ever.
 func TestQueue(t *testing.T) {
-	for _, c := range []struct {
-		name     string
-		took     [3]float64 // ms of each job's run
-		msRate   [3]float64
-		byteRate [3]float64
-		bytes    float64
-		low, top [3]int // runs in ten seconds
-	}{
+	for _, c := range []queueTest{
 		{"all idle enough", [3]float64{1, 1, 1}, [3]float64{}, [3]float64{}, 0, [3]int{900, 900, 900}, [3]int{1001, 1001, 1001}},
 		{"the first wants all", [3]float64{20, 1, 1}, [3]float64{}, [3]float64{}, 0, [3]int{400, 4, 2}, [3]int{500, 100, 100}},
 		{"the first within 100 ms a second", [3]float64{20, 1, 1}, [3]float64{100, 0, 0}, [3]float64{}, 0, [3]int{48, 700, 700}, [3]int{60, 1001, 1001}},
 		{"the second within 1000 bytes a second", [3]float64{1, 1, 1}, [3]float64{}, [3]float64{0, 1000, 0}, 500, [3]int{900, 18, 900}, [3]int{1001, 24, 1001}},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			var q Queue
-			for i := range 3 {
-				q.Add(string(rune('a'+i)), i, c.msRate[i], c.byteRate[i])
-			}
-			for now := 1.0; now < 10_000; {
-				job, wait := q.Next(now)
-				if job < 0 {
-					if wait <= 0 {
-						t.Fatalf("at %v nothing runs and nothing is waited for", now)
-					}
-					now += wait
-					continue
-				}
-				now += c.took[job]
-				again := 9.0
-				if c.took[job] > again { // it wants to run on
-					again = 0
-				}
-				q.Ran(now, job, c.took[job], c.bytes, again)
-			}
-			for i := range 3 {
-				if n := int(q.Runs[i]); n < c.low[i] || n > c.top[i] {
-					t.Errorf("%s ran %d times, not %d to %d", q.Name(i), n, c.low[i], c.top[i])
-				}
+		t.Run(c.name, c.run)
+	}
+	t.Run("one job", testOneJob)
+}
+
+func (c queueTest) run(t *testing.T) {
+	var q Queue
+	for i := range 3 {
+		q.Add(Options{string(rune('a' + i)), i, c.msRate[i], c.byteRate[i]})
+	}
+	for now := 1.0; now < 10_000; {
+		index, wait := q.Next(now)
+		if index < 0 {
+			if wait <= 0 {
+				t.Fatalf("at %v nothing runs and nothing is waited for", now)
 			}
-		})
+			now += wait
+			continue
+		}
+		now += c.took[index]
+		again := 9.0
+		if c.took[index] > again { // it wants to run on
+			again = 0
+		}
+		q.Completed(now, index, Usage{c.took[index], c.bytes}, again)
 	}
+	for i := range 3 {
+		if n := int(q.Runs(i)); n < c.low[i] || n > c.top[i] {
+			t.Errorf("%s ran %d times, not %d to %d", q.Name(i), n, c.low[i], c.top[i])
+		}
+	}
+}
+
+func testOneJob(t *testing.T) {
 	var q Queue
-	job := q.Add("x", 0, 0, 0)
-	if got, _ := q.Next(1); got != job {
+	index := q.Add(Options{Name: "x"})
+	if got, _ := q.Next(1); got != index {
 		t.Error("it is not due at once")
 	}
 	if got, _ := q.Next(1); got != -1 {
 		t.Error("it runs beside itself")
 	}
-	q.Ran(1, job, 0, 0, 500)
+	q.Completed(1, index, Usage{}, 500)
 	if got, wait := q.Next(2); got != -1 || wait != 499 {
 		t.Errorf("it runs too soon: %d, %v", got, wait)
 	}
-	if q.Due(job, 2); q.due[job] != 2 {
+	if q.Schedule(index, 2); q.jobs[index].dueAt != 2 {
 		t.Error("it can't be asked for")
 	}
 }
--- a/internal/record/recorder/ship.go
+++ b/internal/record/recorder/ship.go
@@ -13,6 +13,7 @@
 
 	"github.com/sirupsen/logrus"
 
+	"onyxgate/internal/jobs"
 	"onyxgate/internal/jobs/runner"
 	"onyxgate/internal/record"
 	"onyxgate/internal/record/spool"
@@ -115,24 +116,24 @@
 	if s.store == nil {
 		return
 	}
-	jobs := runner.New()
+	background := runner.New()
 	prune := func() {}
-	jobs.Add("ship", 0, 0, float64(s.table.Bytes), func(ctx context.Context) (int64, time.Duration) {
+	background.Add(jobs.Options{Name: "ship", MaxBytesPerSecond: float64(s.table.Bytes)}, func(ctx context.Context) (int64, time.Duration) {
 		sent, wait, _ := s.step(ctx)
 		if sent > 0 {
 			prune()
 		}
 		return sent, wait
 	})
-	prune = jobs.Add("prune", 1, 200, 0, func(context.Context) (int64, time.Duration) {
+	prune = background.Add(jobs.Options{Name: "prune", Priority: 1, MaxMsPerSecond: 200}, func(context.Context) (int64, time.Duration) {
 		s.prune()
 		return 0, pruneEvery
 	})
-	jobs.Add("checkpoint", 2, 100, 0, func(ctx context.Context) (int64, time.Duration) {
+	background.Add(jobs.Options{Name: "checkpoint", Priority: 2, MaxMsPerSecond: 100}, func(ctx context.Context) (int64, time.Duration) {
 		s.checkpoint(ctx)
 		return 0, checkEvery
 	})
-	jobs.Run(ctx, 2)
+	background.Run(ctx, 2)
 }
 
 // drain sends what it can before ctx ends.
