--- a/cmd/onyxgate/main.go
+++ b/cmd/onyxgate/main.go
@@ -66,7 +66,7 @@
 		if err != nil {
 			return err
 		}
-		text, err := config.Show(tables)
+		text, err := config.Format(tables)
 		if err != nil {
 			return err
 		}
@@ -103,7 +103,7 @@
 	}
 	agent, err := assembly.New(assembly.Options{
 		Version: version, ConfigPath: s.Configuration, Name: s.Name, Listen: s.Listen,
-		Discovery: s.Discovery, Tables: tables, ReportInterval: s.Every,
+		Discovery: s.Discovery, Settings: tables, ReportInterval: s.Every,
 	})
 	if err != nil {
 		return err
--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -33,7 +33,7 @@
 	ConfigPath string // of the configuration
 	// These stand in place of the configuration's where they are not empty.
 	Name, Listen, Discovery string
-	Tables                  config.Tables
+	Settings                config.Settings
 	ReportInterval          time.Duration // between two log lines of counts
 }
 
@@ -99,7 +99,7 @@
 
 // openRecorder takes the spool, if a record is kept.
 func (s *Server) openRecorder() (err error) {
-	table := s.options.Tables.Record
+	table := s.options.Settings.Record
 	if !table.On() {
 		return nil
 	}
@@ -128,7 +128,7 @@
 // makeUpstream makes the client of the backends, whose addresses come from the sources where there are several.
 func (s *Server) makeUpstream() {
 	address := s.discovery.Address
-	if s.options.Tables.Sources.Enabled() {
+	if s.options.Settings.Sources.Enabled() {
 		address = func(id string) string { return s.sources.Address(id) } // s.sources is made after the upstream
 	}
 	connect, idle := siteconfig.ConnectionTimes(s.site.settings)
@@ -156,11 +156,11 @@
 	s.core.Start(func(p policy.Port) *policy.Instance {
 		return policy.New(p, siteconfig.InstanceConfig(s.site.settings, s.site.seed, s.sockets.ClientLimit()))
 	})
-	if !s.options.Tables.Sources.Enabled() {
+	if !s.options.Settings.Sources.Enabled() {
 		return
 	}
 	s.sources = host.New(host.Options{
-		Config: s.options.Tables.Sources, Fleet: s.core, OnLeft: s.upstream.CloseAddress, Seed: s.site.seed + sourcesSeed,
+		Config: s.options.Settings.Sources, Fleet: s.core, OnLeft: s.upstream.CloseAddress, Seed: s.site.seed + sourcesSeed,
 		Instance: int(s.site.settings.Get("me").Int()), Instances: s.site.instances(),
 	})
 	s.discovery.OnUpdate(s.sources.OnDiscovery, s.sources.OnDiscoveryLost)
--- a/internal/assembly/harness_test.go
+++ b/internal/assembly/harness_test.go
@@ -146,7 +146,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := New(Options{ConfigPath: file, ReportInterval: time.Hour, Tables: tables})
+	s, err := New(Options{ConfigPath: file, ReportInterval: time.Hour, Settings: tables})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/assembly/metrics.go
+++ b/internal/assembly/metrics.go
@@ -95,7 +95,7 @@
 
 // serveMetrics offers the metrics to whoever scrapes them, where the settings name a listener.
 func (s *Server) serveMetrics(ctx context.Context) {
-	table := s.options.Tables.Metrics
+	table := s.options.Settings.Metrics
 	if table.Listen == "" {
 		return
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -1,6 +1,8 @@
 package config
 
 import (
+	"errors"
+	"io/fs"
 	"os"
 	"reflect"
 	"strings"
@@ -44,28 +46,50 @@
 	}
 }
 
+// A problem can be taken from the error with its place.
+func TestProblem(t *testing.T) {
+	_, err := Parse("f.toml", []byte("[record]\n\npatience = \"soon\"\n"))
+	var problem *Problem
+	if !errors.As(err, &problem) || problem.Path != "f.toml" || problem.Line != 3 || problem.Column != 12 {
+		t.Errorf("%v: %+v", err, problem)
+	}
+}
+
 // What is shown is what holds, and reads back as the same.
 func TestShow(t *testing.T) {
-	for _, text := range []string{"", "[record]\nmode = \"spool\"\ndirectory = \"d\"\nbudget = \"64MiB\"\npatience = \"1.5s\"\n"} {
-		tables, err := Parse("f.toml", []byte(text))
-		if err != nil {
-			t.Fatal(err)
-		}
-		shown, err := Show(tables)
-		if err != nil {
-			t.Fatal(err)
+	for _, c := range []struct{ name, text string }{
+		{"defaults", ""},
+		{"some settings", "[record]\nmode = \"spool\"\ndirectory = \"d\"\nbudget = \"64MiB\"\npatience = \"1.5s\"\n"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			settings, err := Parse("f.toml", []byte(c.text))
+			if err != nil {
+				t.Fatal(err)
+			}
+			shown, err := Format(settings)
+			if err != nil {
+				t.Fatal(err)
+			}
+			again, err := Parse("g.toml", []byte(shown))
+			if err != nil || !reflect.DeepEqual(again, settings) {
+				t.Errorf("%v: %+v, not %+v", err, again, settings)
+			}
+		})
+	}
+}
+
+func TestRead(t *testing.T) {
+	t.Run("without a file", func(t *testing.T) {
+		settings, err := Read("")
+		if err != nil || settings.Record.On() || settings.Metrics.Listen != "" {
+			t.Errorf("without a file %+v, %v", settings, err)
 		}
-		again, err := Parse("g.toml", []byte(shown))
-		if err != nil || !reflect.DeepEqual(again, tables) {
-			t.Errorf("%v: %+v, not %+v", err, again, tables)
+	})
+	t.Run("a file that is not there", func(t *testing.T) {
+		if _, err := Read("/no/such/file"); !errors.Is(err, fs.ErrNotExist) {
+			t.Errorf("a file that is not there is read: %v", err)
 		}
-	}
-	if tables, err := Read(""); err != nil || tables.Record.On() || tables.Metrics.Listen != "" {
-		t.Errorf("without a file %+v, %v", tables, err)
-	}
-	if _, err := Read("/no/such/file"); err == nil {
-		t.Error("a file that is not there is read")
-	}
+	})
 }
 
 // The file that is delivered holds every key, with what holds anyway.
@@ -74,26 +98,27 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	tables, err := Parse("onyxgate.toml", text)
-	if err != nil || !reflect.DeepEqual(tables, Default()) {
-		t.Errorf("%+v, %v", tables, err)
+	settings, err := Parse("onyxgate.toml", text)
+	if err != nil || !reflect.DeepEqual(settings, Default()) {
+		t.Errorf("%+v, %v", settings, err)
 	}
-	for _, key := range keys() {
-		if last := key[strings.LastIndexByte(key, '.')+1:]; !strings.Contains(string(text), last+" = ") {
+	for _, key := range allKeys() {
+		if last := lastPart(key); !strings.Contains(string(text), last+" = ") {
 			t.Errorf("%s is missing", key)
 		}
 	}
 }
 
+// Whatever a file holds, it is read or refused, and what is read can be shown.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("[record]\nmode = \"spool\"\nbudget = \"1MiB\"\n"))
 	f.Add([]byte("record.store = { kind = \"sqlite\" }\n"))
 	f.Add([]byte("[[record]]\nx = [1, {a = 2}]\n"))
 	f.Add([]byte("\"\" = 1\n[\"a.b\"]\n'' = 2"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		tables, err := Parse("f.toml", text)
+		settings, err := Parse("f.toml", text)
 		if err == nil {
-			if _, err := Show(tables); err != nil {
+			if _, err := Format(settings); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,9 +1,10 @@
-// Package metrics offers the agent's counters and gauges to whoever scrapes them, by a metrics library. It must never
-// label by txn, key or client, nor decide anything.
+// Package metrics offers an instance's counters and gauges to whoever scrapes them, by a metrics library. It never labels by
+// request, key or client, and decides nothing.
 package metrics
 
 import (
 	"context"
+	"errors"
 	"net"
 	"net/http"
 	"time"
@@ -12,56 +13,65 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Table is [metrics].
-type Table struct {
+// Config is the table [metrics] of our settings.
+type Config struct {
 	Listen string `toml:"listen" comment:"where they are scraped, at /metrics; empty: nowhere"`
 }
 
-// Default is off.
-func Default() Table { return Table{} }
+// DefaultConfig returns what holds without settings: no listener.
+func DefaultConfig() Config { return Config{} }
 
-// Check looks for what can't be.
-func (t Table) Check(wrong func(key string, value any, what, right string)) {
-	if t.Listen == "" {
+// Validate reports an address that can't be: its key, what is wrong and a right example.
+func (c Config) Validate(report func(key string, value any, what, right string)) {
+	if c.Listen == "" {
 		return
 	}
-	if _, _, err := net.SplitHostPort(t.Listen); err != nil {
-		wrong("metrics.listen", t.Listen, err.Error(), `"127.0.0.1:9464"`)
+	if _, _, err := net.SplitHostPort(c.Listen); err != nil {
+		report("metrics.listen", c.Listen, err.Error(), `"127.0.0.1:9464"`)
 	}
 }
 
-// Meter holds an agent's metrics.
+// Meter holds an instance's metrics.
 type Meter struct{ set *metrics.Set }
 
-// New makes one without metrics.
+// New returns a meter without metrics.
 func New() *Meter { return &Meter{metrics.NewSet()} }
 
-// Gauge and Count add a metric that is asked for at each scrape; what only grows is a count, its name ends in _total.
-func (m *Meter) Gauge(name string, now func() float64) { m.set.NewGauge(name, now) }
+// Gauge adds a metric, its name with its labels, whose value is asked for at each scrape, by any goroutine. The name of what
+// only grows ends in _total. A name that is there already panics.
+func (m *Meter) Gauge(name string, value func() float64) { m.set.NewGauge(name, value) }
 
-// Serve listens until ctx ends. A listener that can't be had is logged: no agent fails for want of being seen.
-func (m *Meter) Serve(ctx context.Context, t Table) {
-	if t.Listen == "" {
+const (
+	headerTimeout = time.Second
+	idleTimeout   = 30 * time.Second
+)
+
+// Serve offers the metrics until the context ends; it returns at once where no listener is configured. A listener that can't be
+// had is logged: no instance fails for want of being seen.
+func (m *Meter) Serve(ctx context.Context, c Config) {
+	if c.Listen == "" {
 		return
 	}
-	l, err := net.Listen("tcp", t.Listen)
+	var config net.ListenConfig
+	listener, err := config.Listen(ctx, "tcp", c.Listen)
 	if err != nil {
 		logrus.WithError(err).Error("metrics listener failed")
 		return
 	}
-	server := &http.Server{
-		ReadHeaderTimeout: time.Second, IdleTimeout: 30 * time.Second,
-		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			if r.URL.Path != "/metrics" || r.Method != http.MethodGet {
-				http.NotFound(w, r)
-				return
-			}
-			w.Header().Set("Content-Type", "text/plain; version=0.0.4")
-			m.set.WritePrometheus(w)
-			metrics.WriteProcessMetrics(w)
-		}),
-	}
+	server := &http.Server{ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, Handler: http.HandlerFunc(m.handle)}
 	context.AfterFunc(ctx, func() { server.Close() })
-	logrus.WithField("listen", l.Addr().String()).Info("metrics listening")
-	server.Serve(l)
+	logrus.WithField("listen", listener.Addr().String()).Info("metrics listening")
+	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+		logrus.WithError(err).Error("metrics listener failed")
+	}
+}
+
+func (m *Meter) handle(w http.ResponseWriter, r *http.Request) {
+	if r.URL.Path != "/metrics" || r.Method != http.MethodGet {
+		http.NotFound(w, r)
+		return
+	}
+	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
+	m.set.WritePrometheus(w)
+	metrics.WriteProcessMetrics(w)
 }
