--- /dev/null
+++ b/cmd/onyxgate/sources_resolve.go
@@ -0,0 +1,56 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"time"
+
+	"onyxgate/internal/config"
+	"onyxgate/internal/sources/dns"
+)
+
+// sourcesResolve makes one look-up and prints its steps.
+type sourcesResolve struct {
+	Name   string `arg:"" optional:"" help:"In place of the settings' name."`
+	Server string `help:"In place of the settings' servers."`
+}
+
+func (r sourcesResolve) Run(c *sourcesCommands) error {
+	settings, err := config.Read(c.Settings)
+	if err != nil {
+		return err
+	}
+	target := settings.Sources.DNS
+	if r.Name != "" {
+		target.Name = r.Name
+	}
+	if r.Server != "" {
+		target.Servers = []string{r.Server}
+	}
+	random := rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), 1))
+	resolver := dns.New((&net.Dialer{}).DialContext, random, time.Duration(target.Timeout))
+	resolver.Trace = func(step string) { fmt.Println(" ", step) }
+	failure := errors.New("no server is named")
+	for _, server := range target.Servers { // the first that answers
+		fmt.Println(target.Name, "at", server)
+		var answer dns.Answer
+		if answer, failure = resolver.Lookup(context.Background(), server, target.Name); failure == nil {
+			printAnswer(answer)
+			return nil
+		}
+		fmt.Println("  failed:", failure)
+	}
+	return failure
+}
+
+func printAnswer(answer dns.Answer) {
+	if answer.Negative {
+		fmt.Println("  no such service, for", answer.TTL)
+	}
+	for _, o := range answer.Observations {
+		fmt.Printf("  %s priority %d weight %d\n", o.Address, o.Priority, o.Weight)
+	}
+}
--- /dev/null
+++ b/cmd/onyxgate/version.go
@@ -0,0 +1,13 @@
+package main
+
+import "fmt"
+
+const version = "0.12"
+
+// versionCommand prints the version.
+type versionCommand struct{}
+
+func (versionCommand) Run() error {
+	fmt.Println("onyxgate", version)
+	return nil
+}
