--- a/internal/assembly/report.go
+++ b/internal/assembly/report.go
@@ -25,6 +25,7 @@
 		case line := <-s.core.LogLines():
 			logrus.Info(line)
 		case <-tick.C:
+			s.core.CheckClock() // about once a second, as its comment asks: options with a longer interval see a step later
 			s.logCounts()
 		}
 	}
@@ -32,7 +33,6 @@
 
 // logCounts logs one line for each part that counts.
 func (s *Server) logCounts() {
-	s.core.CheckClock() // once a second, as its comment asks
 	s.logTraffic()
 	s.logReleases()
 	if s.sources != nil {
