--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -120,9 +120,22 @@
 func (s *Server) makeStreams() {
 	settings := s.site.settings
 	zones, hardware := siteconfig.ZonesAndHardware(settings)
-	s.discovery = httpwire.NewDiscovery(s.core, dial, s.site.discovery, zones, hardware, siteconfig.OnDemandDiscovery(settings),
-		s.site.seed+discoverySeed)
-	s.platform = httpwire.NewPlatform(s.core, dial, s.site.platform(), siteconfig.VoteTimeout(settings), s.site.seed+platformSeed)
+	s.discovery = httpwire.NewDiscovery(httpwire.DiscoveryConfig{
+		Core:            s.core,
+		Dial:            dial,
+		Address:         s.site.discovery,
+		Zones:           zones,
+		HardwareClasses: hardware,
+		OnDemand:        siteconfig.OnDemandDiscovery(settings),
+		Seed:            s.site.seed + discoverySeed,
+	})
+	s.platform = httpwire.NewPlatform(httpwire.PlatformConfig{
+		Core:        s.core,
+		Dial:        dial,
+		Address:     s.site.platform(),
+		VoteTimeout: milliseconds(siteconfig.VoteTimeout(settings)),
+		Seed:        s.site.seed + platformSeed,
+	})
 }
 
 // makeUpstream makes the client of the backends, whose addresses come from the sources where there are several.
@@ -133,14 +146,33 @@
 	}
 	connect, idle := siteconfig.ConnectionTimes(s.site.settings)
 	onAnswers, onProbes := siteconfig.LoadReports(s.site.settings)
-	s.upstream = httpwire.NewUpstream(s.core, dial, address, s.sockets, connect, idle, onAnswers, onProbes)
+	s.upstream = httpwire.NewUpstream(httpwire.UpstreamConfig{
+		Core:               s.core,
+		Dial:               dial,
+		Sockets:            s.sockets,
+		Address:            address,
+		ConnectTimeout:     milliseconds(connect),
+		BackendIdleTimeout: milliseconds(idle),
+		LoadOnResponses:    onAnswers,
+		LoadOnProbes:       onProbes,
+	})
 	s.discovery.OnRemove(s.upstream.CloseAddress)
 }
 
+// milliseconds is a duration that the configuration's settings give in ms.
+func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+
 func (s *Server) makeFront() {
-	settings := s.site.settings
-	s.front = httpwire.NewFront(s.core, s.upstream, s.sockets, s.site.classNames, s.site.classes, siteconfig.CancelAllowed(settings),
-		siteconfig.MaxOpenRequests(settings), s.site.bodyBytes())
+	s.front = httpwire.NewFront(httpwire.FrontConfig{
+		Core:            s.core,
+		Upstream:        s.upstream,
+		Sockets:         s.sockets,
+		ClassNames:      s.site.classNames,
+		Classes:         s.site.classes,
+		CancelAllowed:   siteconfig.CancelAllowed(s.site.settings),
+		MaxOpenRequests: siteconfig.MaxOpenRequests(s.site.settings),
+		MaxBodyBytes:    s.site.bodyBytes(),
+	})
 }
 
 func (s *Server) logStart() {
@@ -174,7 +206,7 @@
 	}
 	release := s.site.configuration.Get("pipeline.news")
 	field := func(name string) string { return release.Get(name).String() }
-	if err := s.platform.Apply(field, policy.NotAVote); err != nil {
+	if err := s.platform.Apply(httpwire.ReadReleaseFields(field)); err != nil {
 		return fmt.Errorf("pipeline.news: %w", err)
 	}
 	return nil
--- a/internal/assembly/report.go
+++ b/internal/assembly/report.go
@@ -51,7 +51,7 @@
 	logrus.WithFields(logrus.Fields{
 		"cpu_ms":   cpuMs(),
 		"accepted": n.Accepted, "served": n.Served, "rejected": n.Rejected, "failed": n.Failed, "client_gone": n.ClientGone,
-		"invalid_requests": s.front.Refused.Load(), "requests_open": n.OpenRequests,
+		"invalid_requests": s.front.InvalidRequests(), "requests_open": n.OpenRequests,
 		"attempts_open": n.OpenAttempts, "attempts_ended": fmt.Sprint(n.AttemptsByStatus[policy.StatusServed:]), "attempts_withheld": n.AttemptsWithheld,
 		"sockets": all, "client_connections": clients, "client_connections_idle": idleClients,
 		"backend_connections_opened": opened, "backend_connections_idle": idle, "attempts_without_socket": unsent,
--- a/internal/assembly/run.go
+++ b/internal/assembly/run.go
@@ -96,7 +96,7 @@
 	case <-wait.C:
 		logrus.Warn("no endpoint list from discovery yet, ready with the configuration's")
 	}
-	s.front.Ready()
+	s.front.SetReady()
 	logrus.Info("ready")
 }
 
--- a/internal/assembly/settings_test.go
+++ b/internal/assembly/settings_test.go
@@ -86,7 +86,7 @@
 // checkCounts looks for so many requests of its own, as many of the other's, and one backend.
 func (d deployment) checkCounts(t *testing.T, requests int) {
 	t.Helper()
-	n, refused := d.core.Counts(), d.front.Refused.Load()
+	n, refused := d.core.Counts(), d.front.InvalidRequests()
 	if n.Accepted != requests || n.Served != requests || refused != int64(requests) {
 		t.Errorf("%d accepted, %d served, %d refused; %d wanted of each", n.Accepted, n.Served, refused, requests)
 	}
--- a/internal/assembly/start_test.go
+++ b/internal/assembly/start_test.go
@@ -53,8 +53,8 @@
 func (c readyTest) run(t *testing.T) {
 	s := &Server{core: core.New(nil)}
 	s.core.Start(func(p policy.Port) *policy.Instance { return policy.New(p, policy.Config{Seed: 7, Instances: 1}) })
-	s.discovery = httpwire.NewDiscovery(s.core, nil, "d:1", nil, nil, false, 1)
-	s.front = httpwire.NewFront(s.core, nil, httpwire.NewSockets(0), nil, nil, false, 0, 0)
+	s.discovery = httpwire.NewDiscovery(httpwire.DiscoveryConfig{Core: s.core, Address: "d:1", Seed: 1})
+	s.front = httpwire.NewFront(httpwire.FrontConfig{Core: s.core, Sockets: httpwire.NewSockets(0)})
 	apply := func(text string, origin httpwire.Source) {
 		if err := s.discovery.Apply([]byte(text), origin, func() {}); err != nil {
 			t.Fatal(err)
--- /dev/null
+++ b/internal/httpwire/streams_test.go
@@ -0,0 +1,205 @@
+package httpwire
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"maps"
+	"net"
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+// streamHead is the head of a stream's response; chunk is a part of its body.
+const streamHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+
+func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
+
+// streamLog is which streams were asked for, and when.
+type streamLog struct {
+	paths []string
+	at    []time.Time
+}
+
+// open reads the request for a stream and sends the head and the first part of the response.
+func (l *streamLog) open(conn net.Conn, text string) {
+	request, err := http.ReadRequest(bufio.NewReader(conn))
+	if err != nil {
+		return
+	}
+	l.paths, l.at = append(l.paths, request.RequestURI), append(l.at, time.Now())
+	send(conn, streamHead+chunk(text))
+}
+
+// A watch that breaks or falls silent is opened again after the version held, and notices likewise.
+func TestStreams(t *testing.T) {
+	t.Run("watch", func(t *testing.T) { synctest.Test(t, testWatchReopened) })
+	t.Run("notices", func(t *testing.T) { synctest.Test(t, testNoticesReopened) })
+}
+
+func testWatchReopened(t *testing.T) {
+	log := &streamLog{}
+	a := newTestInstance(network{"list": func(conn net.Conn) {
+		switch len(log.paths) {
+		case 0: // sends a list, then is silent
+			log.open(conn, listJSON(5, false, `{"id":"u","addr":"b:1","state":"Ready","version_no":1}`)+"\n")
+			drain(conn)
+		case 1: // lives on by empty lines, then breaks
+			log.open(conn, "\n")
+			for range 5 {
+				time.Sleep(2 * time.Second)
+				send(conn, chunk("\n"))
+			}
+		default:
+			log.open(conn, "no list\n")
+		}
+	}}, NewSockets(0))
+	ctx, cancel := context.WithCancel(t.Context())
+	from := time.Now()
+	go a.discovery.Run(ctx)
+	time.Sleep(17 * time.Second)
+	cancel()
+	synctest.Wait()
+	opened := len(log.paths) >= 3 && log.paths[0] == "/discovery/hosts?watch=1&after=1" &&
+		log.paths[1] == "/discovery/hosts?watch=1&after=5"
+	if !opened || a.discovery.Address("u") != "b:1" {
+		t.Fatalf("asked %q", log.paths)
+	}
+	if silent := log.at[1].Sub(from); silent < watchSilence || silent > watchSilence+time.Second {
+		t.Errorf("opened again after %v", silent)
+	}
+	if lived := log.at[2].Sub(log.at[1]); lived < 10*time.Second || lived > 11*time.Second {
+		t.Errorf("a watch that lives was left after %v", lived)
+	}
+	a.close()
+}
+
+func testNoticesReopened(t *testing.T) {
+	log := &streamLog{}
+	state := "event: stage\ndata: release=42&tranche=1&mode=canary&exposure=0.28&old_ms=310\n\n"
+	a := newTestInstance(network{}, NewSockets(0))
+	p := a.newPlatform(network{"control": func(conn net.Conn) {
+		log.open(conn, ":\nevent: other\ndata: y\n\n"+state)
+		drain(conn)
+	}})
+	ctx, cancel := context.WithCancel(t.Context())
+	go p.Listen(ctx)
+	time.Sleep(6 * time.Second)
+	cancel()
+	synctest.Wait()
+	if len(log.paths) != 2 || log.paths[0] != "/notices" || log.at[1].Sub(log.at[0]) < noticeSilence {
+		t.Errorf("asked %q at %v", log.paths, log.at)
+	}
+	a.close()
+}
+
+// What can't be read ends the stream at once, and it is opened again after a pause.
+func TestNoise(t *testing.T) {
+	for _, c := range []struct{ name, text string }{
+		{"a release that is no number", "event: stage\ndata: release=x\n\n"},
+		{"an unknown phase", "event: stage\ndata: release=42&tranche=1&mode=cxnary&exposure=0.28&old_ms=310\n\n"},
+		{"no text", "\x00\x01\x02\n"},
+		{"no state", "event: stage\n\n"},
+		{"no colon", "no colon\n"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				var opened atomic.Int64
+				a := newTestInstance(network{}, NewSockets(0))
+				p := a.newPlatform(network{"control": func(conn net.Conn) {
+					opened.Add(1)
+					new(streamLog).open(conn, c.text)
+					drain(conn)
+				}})
+				ctx, cancel := context.WithCancel(t.Context())
+				go p.Listen(ctx)
+				time.Sleep(2 * time.Second)
+				if n := opened.Load(); n < 3 || n > 9 {
+					t.Errorf("%q: opened %d times in 2 s", c.text, n)
+				}
+				cancel()
+				a.close()
+			})
+		})
+	}
+}
+
+// openStreams counts the streams that are open at each of its addresses.
+type openStreams struct {
+	mu     sync.Mutex
+	open   map[string]int
+	silent string // the address that accepts and sends nothing
+}
+
+func (s *openStreams) add(address string, n int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.open[address] += n
+}
+
+func (s *openStreams) String() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return fmt.Sprint(maps.Clone(s.open))
+}
+
+// serve serves one stream at an address.
+func (s *openStreams) serve(address string) func(net.Conn) {
+	return func(conn net.Conn) {
+		request, err := http.ReadRequest(bufio.NewReader(conn))
+		if err != nil {
+			return
+		}
+		s.add(address, 1)
+		defer s.add(address, -1)
+		if address != s.silent {
+			signOfLife := "\n"
+			if request.RequestURI == noticesPath {
+				signOfLife = ":\n\n"
+			}
+			send(conn, streamHead+chunk(signOfLife))
+		}
+		drain(conn)
+	}
+}
+
+// A move opens the new stream beside the old one, which stays until the new one sends something, however long that takes and
+// however many moves follow.
+func TestMove(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		streams := &openStreams{open: map[string]int{}, silent: "b"}
+		n := network{}
+		for _, address := range []string{"list", "b", "c", "control", "e"} {
+			streams.open[address] = 0
+			n[address] = streams.serve(address)
+		}
+		a := newTestInstance(n, NewSockets(0))
+		p := a.newPlatform(n)
+		ctx, cancel := context.WithCancel(t.Context())
+		go a.discovery.Run(ctx)
+		go p.Listen(ctx)
+		for _, c := range []struct {
+			name string
+			move func()
+			want string
+		}{
+			{"none", func() {}, "map[b:0 c:0 control:1 e:0 list:1]"},
+			{"to one that accepts and sends nothing", func() { a.discovery.SetAddress("b") }, "map[b:1 c:0 control:1 e:0 list:1]"},
+			{"to nobody", func() { a.discovery.SetAddress("nowhere") }, "map[b:0 c:0 control:1 e:0 list:1]"},
+			{"to one that sends", func() { a.discovery.SetAddress("c") }, "map[b:0 c:1 control:1 e:0 list:0]"},
+			{"of the notices", func() { p.SetAddress("e") }, "map[b:0 c:1 control:0 e:1 list:0]"},
+		} {
+			c.move()
+			time.Sleep(controlConnectTimeout / 2)
+			if got := streams.String(); got != c.want {
+				t.Errorf("after a move %s: %v, want %v", c.name, got, c.want)
+			}
+		}
+		cancel()
+		a.close()
+	})
+}
