--- a/policy/config.go
+++ b/policy/config.go
@@ -1,17 +1,21 @@
 package policy
 
-// This file owns what an instance is told once, at its start: the deployment's settings in the terms of the decisions.
+// This file owns what an instance is given once, at its start: the deployment's settings in the terms of the decisions.
 
 import (
 	"errors"
 	"fmt"
 	"math"
 
+	"onyxgate/policy/admission"
+	"onyxgate/policy/endpoints"
 	"onyxgate/policy/exposure"
 	"onyxgate/policy/release"
+	"onyxgate/policy/slowstart"
+	"onyxgate/policy/verdict"
 )
 
-// Config is all that an instance is told at its start. Times are in milliseconds, prices and values in any one unit. Validate says
+// Config is all that an instance is given at its start. Times are in ms, prices and values in any one unit. Validate says
 // what can't be used; New takes it as it is.
 type Config struct {
 	Seed      uint64 // of the instance's random numbers
@@ -19,11 +23,11 @@
 	Instances int    // in the fleet; less than 1 counts as 1
 
 	Classes            []RequestClass
-	MaxAttempts        int  // for one request
-	ConcurrentAttempts bool // a request may have two attempts open at the same time
-	CancelAllowed      bool // an open attempt may be canceled
-	MaxOpenRequests    int  // that the instance can hold, by its connections or its memory; 0: any number
-	MaxRetryAfter      float64
+	MaxAttempts        int     // for one request
+	ConcurrentAttempts bool    // a request may have two attempts open at the same time
+	CancelAllowed      bool    // an open attempt may be canceled
+	MaxOpenRequests    int     // that the instance can hold, by its connections or its memory; 0: any number
+	MaxRetryAfter      float64 // ms, the longest wait that clients accept
 
 	PeerMessages  bool // instances may send each other messages
 	ProbesAllowed bool
@@ -42,38 +46,33 @@
 // DiscoveryConfig says how endpoints become known.
 type DiscoveryConfig struct {
 	OnDemand        bool    // changes come only to instances that have asked for them
-	RefreshInterval float64 // an instance without a subscription counts as told of what was listed this long ago
+	RefreshInterval float64 // ms: an instance without a subscription counts as knowing what was listed this long ago
 }
 
-// SlowStartConfig says what a backend bears after its start.
-type SlowStartConfig struct {
-	InitialCapacity float64 // share of its capacity right after the start, at the least
-	WarmUp          float64 // time after which it has all of its capacity
-	OverloadFactor  float64 // times its present capacity, at which it falls
-	OverloadWindow  float64 // time for which it has to get that much
-}
+// SlowStartConfig says what a backend can take after its start.
+type SlowStartConfig = slowstart.Config
 
 // ExposureConfig limits how much of the traffic may go to a release that is rolling out.
 type ExposureConfig struct {
 	FreeAttempts  float64   // in any window, beside the share
 	Caps          []float64 // share of the requests taken, for each stage
-	Window        float64   // over which attempts are counted
+	Window        float64   // ms over which attempts are counted
 	GuardedStages int       // below this stage only safe requests may go there
 	PerClass      bool      // each class counts for itself
 	KeyAffinity   bool      // a key that a release has served goes to no earlier one
 }
 
-// RolloutConfig says what moves a release on or back.
+// RolloutConfig says what promotes a release or rolls it back.
 type RolloutConfig struct {
 	Stages        []float64 // share of the places that get the release, for each stage
 	Control       RolloutControl
-	RollbackVotes int // that roll a release back; less than 1 counts as 1
-	VoteLifetime  float64
+	RollbackVotes int     // that roll a release back; less than 1 counts as 1
+	VoteLifetime  float64 // ms
 }
 
 // TenantConfig limits what each tenant may use at full value.
 type TenantConfig struct {
-	Quotas         []float64 // requests per millisecond, by all instances together
+	Quotas         []float64 // requests per ms, by all instances together
 	OverQuotaValue float64   // value of a request over its quota, as a part of its class's
 }
 
@@ -102,62 +101,86 @@
 
 // New makes an instance that acts through a port. Its decisions follow from the configuration and the events alone.
 func New(port Port, c Config) *Instance {
-	a := &Instance{port: port, rng: NewRand(c.Seed), index: c.Index, instances: max(c.Instances, 1), requests: map[string]*request{}}
-	a.maxOpenRequests, a.armedAt, a.retryQueuedAt, a.admission = math.Inf(1), math.Inf(1), math.Inf(1), [2]float64{1, 1}
-	a.salt = uint64(c.Index+1) << 32 // not by the seed: a process that starts anew draws the same keys for a release that rolls out
-	a.popularKeys = map[string]float64{}
-	a.affinity = exposure.NewAffinity()
-	a.indexOf, a.indexOfHash = map[string]int{}, map[uint32]int{}
-	a.evaluateAt = math.Inf(1)
-	a.configureClasses(c)
-	a.configureSlowStart(c.SlowStart)
-	a.configureExposure(c.Exposure)
-	a.configureRollout(c.Rollout)
-	a.configureTenants(c.Tenants)
+	inst := &Instance{
+		port:      port,
+		rng:       NewRand(c.Seed),
+		index:     c.Index,
+		instances: max(c.Instances, 1),
+		// Not by the seed: a process that starts anew draws the same keys for a release that rolls out.
+		salt: uint64(c.Index+1) << 32,
+
+		maxOpenRequests: math.Inf(1),
+		maxRetryAfter:   c.MaxRetryAfter,
+		peerMessages:    c.PeerMessages,
+		probesAllowed:   c.ProbesAllowed,
+		probePrice:      c.ProbePrice,
+		zone:            c.Zone,
+		crossZonePrice:  c.CrossZonePrice,
+
+		endpoints: endpoints.NewTable(),
+		discovery: discovery{onDemand: c.Discovery.OnDemand, refreshInterval: c.Discovery.RefreshInterval},
+		requests:  map[string]*request{},
+
+		admission:         admission.NewThrottle(),
+		unprobedAdmission: admission.NewThrottle(),
+		popularKeys:       map[string]float64{},
+		affinity:          exposure.NewAffinity(),
+
+		retryQueuedAt: math.Inf(1),
+		armedAt:       math.Inf(1),
+	}
+	inst.evaluateAt = math.Inf(1)
 	if c.MaxOpenRequests > 0 {
-		a.maxOpenRequests = float64(c.MaxOpenRequests)
+		inst.maxOpenRequests = float64(c.MaxOpenRequests)
 	}
-	a.peerMessages = c.PeerMessages
-	a.probesAllowed, a.probePrice = c.ProbesAllowed, c.ProbePrice
-	a.maxRetryAfter = c.MaxRetryAfter
-	a.zoneIndex, a.crossZonePrice = c.Zone, c.CrossZonePrice
-	a.discoveryOnDemand, a.refreshInterval = c.Discovery.OnDemand, c.Discovery.RefreshInterval
-	return a
+	inst.configureClasses(c)
+	inst.configureSlowStart(c.SlowStart)
+	inst.configureExposure(c.Exposure)
+	inst.configureRollout(c.Rollout)
+	inst.configureTenants(c.Tenants)
+	return inst
 }
 
-func (a *Instance) configureSlowStart(c SlowStartConfig) {
-	a.initialCapacity, a.warmUpTime, a.overloadFactor, a.overloadWindow = c.InitialCapacity, c.WarmUp, c.OverloadFactor, c.OverloadWindow
-}
+func (inst *Instance) configureSlowStart(c SlowStartConfig) { inst.slowStart = c }
 
-func (a *Instance) configureClasses(c Config) {
+func (inst *Instance) configureClasses(c Config) {
+	inst.classes, inst.maxAttempts = c.Classes, c.MaxAttempts
+	inst.concurrentAttempts, inst.cancelAllowed = c.ConcurrentAttempts, c.CancelAllowed
 	n := len(c.Classes)
-	a.classes, a.maxAttempts, a.concurrentAttempts, a.cancelAllowed = c.Classes, c.MaxAttempts, c.ConcurrentAttempts, c.CancelAllowed
-	a.meanLatencyPerWork, a.tailLatency = make([]float64, n), make([]float64, n)
-	a.meanLatency, a.longestTimeLeft = make([]float64, n), make([]float64, n)
-	for p := range a.tailLatency {
-		a.tailLatency[p] = math.Inf(1)
-	}
-	a.baseline.usual, a.saturatedSince, a.baselineCorrection = make([]float64, n), math.Inf(1), 1
-	for i := range a.evidence {
-		a.evidence[i] = make([][]outcome, n)
+	inst.latencies = make([]classLatency, n)
+	for class := range inst.latencies {
+		inst.latencies[class].tail = math.Inf(1)
 	}
+	inst.configureEvaluator()
 }
 
-func (a *Instance) configureExposure(c ExposureConfig) {
-	a.guardedStages, a.exposurePerClass, a.keyAffinity, a.exposureWindow = c.GuardedStages, c.PerClass, c.KeyAffinity, c.Window
-	first := 0.0
+func (inst *Instance) configureExposure(c ExposureConfig) {
+	inst.guardedStages, inst.exposurePerClass, inst.keyAffinity, inst.exposureWindow = c.GuardedStages, c.PerClass, c.KeyAffinity, c.Window
+	firstCap := 0.0
 	if len(c.Caps) > 0 {
-		first = c.Caps[0]
+		firstCap = c.Caps[0]
 	}
-	a.releases = release.NewBook(first)
-	a.allowance = exposure.NewAllowance(c.FreeAttempts, len(a.classes))
+	inst.releases = release.NewBook(firstCap)
+	inst.allowance = exposure.NewAllowance(c.FreeAttempts, len(inst.classes))
+}
+
+func (inst *Instance) configureRollout(c RolloutConfig) {
+	inst.rolloutConfig = c
+	inst.configureEvaluator()
 }
 
-func (a *Instance) configureRollout(c RolloutConfig) {
-	a.stages, a.control, a.rollbackVotes, a.voteLifetime = c.Stages, c.Control, max(c.RollbackVotes, 1), c.VoteLifetime
+// configureEvaluator starts the evaluation of releases anew, with the classes and the rollout's settings as they are now.
+func (inst *Instance) configureEvaluator() {
+	c := inst.rolloutConfig
+	inst.evaluator = verdict.New(verdict.Settings{
+		Classes:       len(inst.classes),
+		Stages:        c.Stages,
+		Control:       c.Control,
+		RollbackVotes: max(c.RollbackVotes, 1),
+		VoteLifetime:  c.VoteLifetime,
+	})
 }
 
-func (a *Instance) configureTenants(c TenantConfig) {
-	a.quotas, a.overQuotaValue = c.Quotas, c.OverQuotaValue
-	a.quotaTokens, a.quotaTokensAt = make([]float64, len(c.Quotas)), make([]float64, len(c.Quotas))
+func (inst *Instance) configureTenants(c TenantConfig) {
+	inst.quotas, inst.overQuotaValue = admission.NewQuotas(c.Quotas, inst.instances), c.OverQuotaValue
 }
