--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -31,7 +31,7 @@
 type Options struct {
 	Version    string
 	ConfigPath string // of the configuration
-	// These stand in place of the configuration's where they are not empty.
+	// These replace the configuration's where they are not empty.
 	Name, Listen, Discovery string
 	Settings                config.Settings
 	ReportInterval          time.Duration // between two log lines of counts
@@ -183,7 +183,7 @@
 	}).Info("start")
 }
 
-// startCore starts the decisions, and the merge of the sources after them: what it remembers goes to them at once.
+// startCore starts the decisions, and the merge of the sources after them: what it restores goes to them at once.
 func (s *Server) startCore() {
 	s.core.Start(func(p policy.Port) *policy.Instance {
 		return policy.New(p, siteconfig.InstanceConfig(s.site.settings, s.site.seed, s.sockets.ClientLimit()))
@@ -198,7 +198,7 @@
 	s.discovery.OnUpdate(s.sources.OnDiscovery, s.sources.OnDiscoveryLost)
 }
 
-// applyKnown tells the decisions of the endpoints and the release that the configuration holds.
+// applyKnown gives the decisions the endpoints and the release that the configuration holds.
 func (s *Server) applyKnown() error {
 	known := []byte(s.site.configuration.Get("known").Raw)
 	if err := s.discovery.Apply(known, httpwire.FromConfiguration, func() {}); err != nil {
--- a/internal/assembly/configuration.go
+++ b/internal/assembly/configuration.go
@@ -36,7 +36,7 @@
 	return configuration, nil
 }
 
-// site is what holds for this process: the configuration, and the options that stand in place of some of it.
+// site is what holds for this process: the configuration, and the options that replace some of it.
 type site struct {
 	configuration, settings gjson.Result
 	name, listen, discovery string
@@ -69,14 +69,14 @@
 
 const (
 	bytesPerMB = 1 << 20
-	// defaultBodyBytes may be held by requests' bodies where no limit of memory is set.
+	// defaultBodyBytes may be taken by requests' bodies where no limit of memory is set.
 	defaultBodyBytes = 1 << 30
 	// gcPercent: little is live at some hundreds of requests a second, and the collector cheap; at more, peaks would pass for
 	// growth.
 	gcPercent = 150
 )
 
-// bodyBytes is how much may be held by requests' bodies: a quarter of the memory.
+// bodyBytes is how much requests' bodies may take: a quarter of the memory.
 func (s site) bodyBytes() int64 {
 	if s.memoryMB > 0 {
 		return int64(s.memoryMB) * bytesPerMB / 4
--- a/internal/assembly/harness_test.go
+++ b/internal/assembly/harness_test.go
@@ -25,14 +25,14 @@
 	net.Listener
 	mu      sync.Mutex
 	ran     []string    // paths that the backend ran, with the time that it was given
-	watched chan string // after which version a watch asked; what it is told comes by tell
-	tell    chan string
-	drop    chan bool // ends everything
+	watched chan string // after which version a stream asked
+	updates chan string // what the stream gets
+	drop    chan bool   // ends everything
 }
 
 func newWorld(t *testing.T) *world {
 	t.Helper()
-	w := &world{Listener: listenLoopback(t), watched: make(chan string, 9), tell: make(chan string, 9), drop: make(chan bool)}
+	w := &world{Listener: listenLoopback(t), watched: make(chan string, 9), updates: make(chan string, 9), drop: make(chan bool)}
 	server := &http.Server{Handler: w}
 	go func() { _ = server.Serve(w.Listener) }() // ends with the cleanup
 	t.Cleanup(func() { close(w.drop); server.Close() })
@@ -63,14 +63,14 @@
 	}
 }
 
-// serveDiscovery tells a watch what the test says, until the world or the watch ends.
+// serveDiscovery sends a stream the test's updates, until the world or the stream ends.
 func (w *world) serveDiscovery(rw http.ResponseWriter, r *http.Request) {
 	w.watched <- r.URL.Query().Get("after")
 	rw.(http.Flusher).Flush()
 	for {
 		select {
-		case text := <-w.tell:
-			_, _ = io.WriteString(rw, text+"\n") // a watch that has ended is seen below
+		case text := <-w.updates:
+			_, _ = io.WriteString(rw, text+"\n") // a stream that has ended is seen below
 			rw.(http.Flusher).Flush()
 		case <-w.drop:
 			return
@@ -80,7 +80,7 @@
 	}
 }
 
-// servePlatform holds a stream that tells nothing.
+// servePlatform keeps a stream open without an update.
 func (w *world) servePlatform(rw http.ResponseWriter, r *http.Request) {
 	rw.(http.Flusher).Flush()
 	select {
--- a/internal/assembly/listen.go
+++ b/internal/assembly/listen.go
@@ -14,7 +14,7 @@
 	listenPause   = 50 * time.Millisecond
 )
 
-// listen opens the listener as soon as nobody else has its address, or fails after maxListenWait.
+// listen opens the listener as soon as no other process has its address, or fails after maxListenWait.
 func listen(address string) (net.Listener, error) {
 	var config net.ListenConfig
 	for from := time.Now(); ; time.Sleep(listenPause) {
--- a/internal/assembly/metrics.go
+++ b/internal/assembly/metrics.go
@@ -48,7 +48,7 @@
 	{"onyxgate_sources_questions_total", "DNS questions sent", func(n host.Counts) float64 { return float64(n.Questions) }},
 	{"onyxgate_sources_failed_lookups_total", "look-ups that failed", func(n host.Counts) float64 { return float64(n.FailedLookups) }},
 	{"onyxgate_sources_negative_answers_total", "answers that the service does not exist", func(n host.Counts) float64 { return float64(n.NegativeAnswers) }},
-	{"onyxgate_sources_changes_total", "changes of the fleet that the core was told", func(n host.Counts) float64 { return float64(n.Changes) }},
+	{"onyxgate_sources_changes_total", "changes of the fleet that the core took", func(n host.Counts) float64 { return float64(n.Changes) }},
 	{"onyxgate_sources_backends_running", "backends running, by all sources", func(n host.Counts) float64 { return float64(n.Running) }},
 	{`onyxgate_sources_doubted{source="discovery"}`, "1 while discovery is doubted, else 0", doubtOf(sources.Discovery)},
 	{`onyxgate_sources_doubted{source="srv"}`, "1 while SRV is doubted, else 0", doubtOf(sources.SRV)},
@@ -93,7 +93,7 @@
 	return all
 }
 
-// serveMetrics offers the metrics to whoever scrapes them, where the settings name a listener.
+// serveMetrics offers the metrics to a scraper, where the settings name a listener.
 func (s *Server) serveMetrics(ctx context.Context) {
 	table := s.options.Settings.Metrics
 	if table.Listen == "" {
--- a/internal/assembly/reload.go
+++ b/internal/assembly/reload.go
@@ -15,7 +15,7 @@
 	maxReloadTries = 10
 )
 
-// addressSetter can be told another address.
+// addressSetter is a part that can move to another address.
 type addressSetter interface{ SetAddress(address string) }
 
 // reloader reads the configuration anew. Only the addresses of some parts can change while the instance runs; a
--- a/internal/assembly/reload_test.go
+++ b/internal/assembly/reload_test.go
@@ -11,7 +11,7 @@
 
 // What crosses a reload.
 
-// movedPart keeps the addresses that it was told.
+// movedPart keeps the addresses to which it moved.
 type movedPart struct{ to []string }
 
 func (p *movedPart) SetAddress(address string) { p.to = append(p.to, address) }
@@ -71,7 +71,7 @@
 	if err := os.WriteFile(r.file, []byte(text[:len(text)/2]), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	reloader := r.newReloader() // beside that of the run, which is told of no signal
+	reloader := r.newReloader() // beside that of the run, which gets no signal
 	if reloader.start() == nil {
 		t.Fatal("half a configuration is not read again")
 	}
@@ -106,7 +106,7 @@
 		r.signals <- syscall.SIGHUP
 		<-w.watched
 	}
-	f.tell <- f.list(7)
+	f.updates <- f.list(7)
 	until(func() bool { v, _ := r.discovery.Version(); return v == 7 })
 	c := r.connect(t)
 	c.send(http.MethodGet, "/glance/1", "r1")
--- a/internal/assembly/report.go
+++ b/internal/assembly/report.go
@@ -64,7 +64,7 @@
 func cpuMs() int64 {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
-		return 0 // the kernel refuses it to nobody; a report is not worth an end
+		return 0 // it never fails for the own process, and a report is not worth a crash
 	}
 	return (usage.Utime.Nano() / 1e6) + (usage.Stime.Nano() / 1e6)
 }
--- a/internal/assembly/run.go
+++ b/internal/assembly/run.go
@@ -18,7 +18,7 @@
 // the listener's backlog for it, but no longer than this, for discovery may be down.
 const firstListWait = time.Second
 
-// errKilled is the error of a run that was told twice to end.
+// errKilled ends a run on a second SIGTERM or SIGINT.
 var errKilled = errors.New("told twice to end")
 
 // run is one run of a server, from the start of its parts to the shutdown.
@@ -33,8 +33,8 @@
 	shutDown     chan bool // closed once everything is answered
 }
 
-// Run serves until it has shut down: SIGTERM and SIGINT tell it to, a second one to end at once, SIGHUP to read the
-// configuration anew. It may be called once.
+// Run serves until it has shut down: SIGTERM and SIGINT start the shutdown, a second one ends it at once, and SIGHUP
+// reads the configuration anew. It may be called once.
 func (s *Server) Run(signals <-chan os.Signal) error {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
--- a/internal/assembly/settings_test.go
+++ b/internal/assembly/settings_test.go
@@ -54,12 +54,12 @@
 	world *world
 }
 
-// startIn starts an instance of these settings, and lets discovery tell it of the world's backend.
+// startIn starts an instance of these settings, and lets discovery report the world's backend.
 func startIn(t *testing.T, w *world, grades, limits string) deployment {
 	t.Helper()
 	r := start(t, configuration(w.address(), w.list(1), grades, limits))
 	<-w.watched
-	w.tell <- w.list(2)
+	w.updates <- w.list(2)
 	return deployment{r, w}
 }
 
--- a/internal/assembly/start_test.go
+++ b/internal/assembly/start_test.go
@@ -22,7 +22,7 @@
 	c := r.connect(t)
 	c.send(http.MethodGet, "/glance/1", "r1")
 	<-now.watched
-	now.tell <- now.list(2)
+	now.updates <- now.list(2)
 	if status, body := c.answer(t); status != 200 || body != "made for r1" {
 		t.Errorf("answered %d %q", status, body)
 	}
@@ -32,12 +32,12 @@
 	r.stop(t)
 }
 
-// Ready: once discovery has told its list, after a while where it tells none, and at once where the instance is to shut down.
+// Ready: once discovery has sent its list, after a while where it sends none, and at once where the instance is to shut down.
 func TestReady(t *testing.T) {
 	for _, c := range []readyTest{
-		{"told", true, false, 0},
+		{"list sent", true, false, 0},
 		{"silent", false, false, firstListWait},
-		{"leaves", false, true, 0},
+		{"shuts down", false, true, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) { synctest.Test(t, c.run) })
 	}
@@ -45,9 +45,9 @@
 
 // readyTest is what happens to an instance that has started, and when it is ready.
 type readyTest struct {
-	name            string
-	told, shutsDown bool
-	after           time.Duration
+	name              string
+	listed, shutsDown bool
+	after             time.Duration
 }
 
 func (c readyTest) run(t *testing.T) {
@@ -69,7 +69,7 @@
 		t.Errorf("%s: ready by the configuration alone", c.name)
 	default:
 	}
-	if c.told {
+	if c.listed {
 		apply(`{"version":2,"full":true,"servers":[]}`, httpwire.FromWatch)
 	}
 	if c.shutsDown {
--- a/internal/ci/logcalls_test.go
+++ b/internal/ci/logcalls_test.go
@@ -56,7 +56,7 @@
 	f.open = f.open || other.open
 }
 
-// readLogCalls reads the program packages; what stands in for outside systems is no part of the program.
+// readLogCalls reads the program packages; the fakes of outside systems are no part of it.
 func readLogCalls(t *testing.T) *logCalls {
 	t.Helper()
 	calls := &logCalls{lines: map[string]*logLine{}, decisionLines: map[string]string{}}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -84,8 +84,8 @@
 	return errors.Join(problems...)
 }
 
-// Format writes all that holds, defaults included. There is nothing to hide in it: a secret stands in a file of its own,
-// of which only the name is here.
+// Format writes all that holds, defaults included. There is nothing to hide in it: a secret has a file of its own, of which only the
+// name is here.
 func Format(s Settings) (string, error) {
 	var b bytes.Buffer
 	encoder := toml.NewEncoder(&b)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// Whatever is wrong is told with file, line, key, value and a right example.
+// Whatever is wrong is reported with file, line, key, value and a right example.
 func TestWrong(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
 		{"an unknown key", "[record]\n\nmode = \"off\"\ndirektory = \"x\"\n", "f.toml:4: record.direktory: no such key; write one of mode, directory"},
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -1,6 +1,6 @@
 package config
 
-// This file owns the keys: which there are, and where they stand in a file.
+// This file owns the keys: which there are, and their lines in a file.
 
 import (
 	"reflect"
@@ -49,7 +49,7 @@
 
 // document is what a file holds, by whole keys.
 type document struct {
-	lines       map[string]int    // where each key stands
+	lines       map[string]int    // of each key
 	bareNumbers map[string]string // the values that are numbers without a unit
 }
 
--- a/internal/config/problem.go
+++ b/internal/config/problem.go
@@ -1,6 +1,6 @@
 package config
 
-// This file owns what users are told of a file that can't be used.
+// This file owns the messages about a file that can't be used.
 
 import (
 	"errors"
--- a/internal/jobs/runner/runner.go
+++ b/internal/jobs/runner/runner.go
@@ -16,7 +16,7 @@
 // Runner runs jobs until it is stopped. Its methods may be called by any goroutine, but Add before Run only.
 type Runner struct {
 	start  time.Time
-	wakeup chan struct{} // tells one waiting worker to look at the queue again
+	wakeup chan struct{} // makes one waiting worker look at the queue again
 	jobs   []Job         // by index in the queue
 
 	mu    sync.Mutex
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metrics offers an instance's counters and gauges to whoever scrapes them, by a metrics library. It never labels by
+// Package metrics offers an instance's counters and gauges to a scraper, by a metrics library. It never labels by
 // request, key or client, and decides nothing.
 package metrics
 
--- a/internal/sources/acceptance.go
+++ b/internal/sources/acceptance.go
@@ -11,7 +11,7 @@
 	shrinkConfirmations = 3
 )
 
-// acceptsOmissions tells whether a source that names n backends where it named `before` may be believed in what it leaves
+// acceptsOmissions reports whether a source that names n backends where it named `before` may be believed in what it leaves
 // out; it marks the source as doubtful, or no longer so.
 func (m *Merger) acceptsOmissions(source Source, n, before int) bool {
 	shrankTooMuch := float64(n) < minKeptShare*float64(before)
@@ -22,7 +22,6 @@
 	}
 	m.shrunkenInRow[source]++
 	m.Doubt[source] = fmt.Sprintf("names %d of %d", n, before)
-	// An answer that names nobody is never believed: nobody runs an empty fleet, and a source that lost its own sources
-	// answers so.
+	// An empty answer is never believed: no fleet is empty, and a source that lost its own sources answers so.
 	return n > 0 && m.shrunkenInRow[source] >= shrinkConfirmations
 }
--- a/internal/sources/dns/message.go
+++ b/internal/sources/dns/message.go
@@ -10,7 +10,7 @@
 	"golang.org/x/net/dns/dnsmessage"
 )
 
-// maxUDPPayload (bytes) is what passes without fragments, told to the server by EDNS0.
+// maxUDPPayload (bytes) is what passes without fragments; EDNS0 tells the server.
 const maxUDPPayload = 1232
 
 // response is an answer taken apart, by x/net's package: it allocates nothing at the start of an instance that looks no names
@@ -63,7 +63,7 @@
 
 func fqdn(name string) string { return strings.TrimSuffix(name, ".") + "." }
 
-// answersQuestion tells that a message answers a question, to the letter.
+// answersQuestion reports whether a message answers a question, to the letter.
 func (r response) answersQuestion(id uint16, q dnsmessage.Question) bool {
 	isAnswer := r.Response && r.ID == id && r.OpCode == 0 && len(r.questions) == 1
 	return isAnswer && r.questions[0].Type == q.Type && r.questions[0].Class == q.Class &&
@@ -92,7 +92,7 @@
 	return defaultNegativeTTL
 }
 
-// followChain walks the chain of CNAMEs that one answer may hold, as far as it goes, and tells whether there are records of
+// followChain walks the chain of CNAMEs that one answer may hold, as far as it goes, and reports whether there are records of
 // the kind at its end.
 func (r response) followChain(owner string, kind dnsmessage.Type) (last string, found bool) {
 	last = owner
--- a/internal/sources/dns/server_test.go
+++ b/internal/sources/dns/server_test.go
@@ -11,7 +11,7 @@
 	"github.com/miekg/dns"
 )
 
-// server answers each question as it is told, over pipes; nil is silence.
+// server answers each question with the messages that it returns, over pipes; nil is silence.
 type server func(network string, q *dns.Msg) []*dns.Msg
 
 func (s server) dial(_ context.Context, network, address string) (net.Conn, error) {
--- a/internal/sources/dns/transport.go
+++ b/internal/sources/dns/transport.go
@@ -38,7 +38,7 @@
 	return answer, err
 }
 
-// randomCase writes a name's letters in cases by chance: whoever answers without having read the question does not know them.
+// randomCase writes a name's letters in random case: a forger who has not read the question does not know it.
 func (r *Resolver) randomCase(name string) string {
 	b := []byte(name)
 	for i, c := range b {
@@ -110,7 +110,7 @@
 	return conn.Read(b)
 }
 
-// readFrame reads a length and the message after it, which then stands at the start of b.
+// readFrame reads a length and the message after it into the start of b.
 func readFrame(conn net.Conn, b []byte) (n int, err error) {
 	for want := frameHeaderBytes; n < want; {
 		k, err := conn.Read(b[n:want])
--- a/internal/sources/explain.go
+++ b/internal/sources/explain.go
@@ -1,6 +1,6 @@
 package sources
 
-// This file owns what operators are told of one backend.
+// This file owns what operators read of one backend.
 
 import "fmt"
 
@@ -15,7 +15,7 @@
 func (m *Merger) Explain(id, address string) (statements []Statement) {
 	if endpoint, ok := m.discovered.Get(id); ok {
 		says := fmt.Sprintf("%s, build %d", StateName(endpoint.State), endpoint.Release)
-		statements = append(statements, Statement{"discovery", says, endpoint.toldAt})
+		statements = append(statements, Statement{"discovery", says, endpoint.reportedAt})
 	}
 	if at, ok := m.retired.Get(address); ok {
 		statements = append(statements, Statement{"discovery", "drained or gone at this address", at})
--- a/internal/sources/host/config.go
+++ b/internal/sources/host/config.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// Enabled tells whether anything beside discovery is to be done.
+// Enabled reports whether anything beside discovery is to be done.
 func (c Config) Enabled() bool { return c.DNS.Name != "" || c.Subset.Size > 0 }
 
 // Validate reports each value that can't be: its key, what is wrong and a right example.
--- a/internal/sources/host/host.go
+++ b/internal/sources/host/host.go
@@ -39,7 +39,7 @@
 // Counts are what has been since the start.
 type Counts struct {
 	Lookups, FailedLookups, NegativeAnswers, Questions uint64
-	Changes                                            uint64           // that the core was told
+	Changes                                            uint64           // that the core took
 	ChangesByRule                                      [numRules]uint64 // the same, in the order of sources.Rules
 	Running, Known                                     int              // backends now: in the state running, in any
 	Doubt                                              [2]string        // why discovery and SRV are doubted; empty: they are not
@@ -53,7 +53,7 @@
 	view     atomic.Pointer[sources.View]
 	resolver *dns.Resolver // of the goroutine of Run
 
-	mu      sync.Mutex // guards what follows, and orders what the core is told
+	mu      sync.Mutex // guards what follows, and orders the updates of the core
 	merger  *sources.Merger
 	subset  *sources.SubsetFilter // nil: the core knows the whole fleet
 	pacer   *sources.LookupPacer
@@ -61,7 +61,7 @@
 	unsaved bool // the state file is out of date
 }
 
-// New makes a host and tells the core what an earlier process wrote down, if there is a state file.
+// New makes a host, and updates the core with what an earlier process saved, if there is a state file.
 func New(o Options) *Host {
 	random := rand.New(rand.NewPCG(o.Seed, 17))
 	dial := (&net.Dialer{}).DialContext
@@ -100,10 +100,10 @@
 // updateOrigin says where an update comes from.
 type updateOrigin struct {
 	cached        bool // it is from the configuration or the state file, not from a source as it is now
-	fromDiscovery bool // the core is told also where nothing changed: it learns that discovery spoke
+	fromDiscovery bool // the core gets an update also where nothing changed: it learns that discovery is alive
 }
 
-// apply tells the core of changes. The lock is held, so that their order holds.
+// apply updates the core with changes. The caller holds the lock, so that they reach the core in their order.
 func (h *Host) apply(changes []sources.Entry, origin updateOrigin) {
 	if h.subset != nil {
 		changes = h.subset.Apply(h.merger.Fleet(), changes)
@@ -115,7 +115,7 @@
 	}
 	h.counts.Changes += uint64(len(changes))
 	left := h.leftAddresses(changes)
-	h.publishView() // before the core is told: what it sends at once needs the address
+	h.publishView() // before the core acts: what it sends at once needs the address
 	if len(endpoints) > 0 || origin.fromDiscovery {
 		h.unsaved = h.unsaved || len(endpoints) > 0
 		h.fleet.UpdateEndpoints(policy.EndpointUpdate{Endpoints: endpoints, Cached: origin.cached})
@@ -138,7 +138,7 @@
 	return left
 }
 
-// OnDiscovery takes what discovery tells of the endpoints and, in the same order, of their addresses.
+// OnDiscovery takes an update of discovery, and the addresses of its endpoints in the same order.
 func (h *Host) OnDiscovery(update policy.EndpointUpdate, addresses []string) {
 	entries := make([]sources.Entry, len(update.Endpoints))
 	for i, e := range update.Endpoints {
--- a/internal/sources/host/host_test.go
+++ b/internal/sources/host/host_test.go
@@ -24,7 +24,7 @@
 
 func init() { logrus.SetOutput(io.Discard) }
 
-// fleet is a core's side that keeps what it is told.
+// fleet is a core that keeps the endpoints of its updates.
 type fleet struct {
 	from  time.Time
 	calls int
@@ -136,13 +136,13 @@
 	h.stop = func() { cancel(); <-ended }
 }
 
-// discover tells of the backends from one number to another.
+// discover reports a state of the backends from one number to another, as discovery would.
 func (h *testHost) discover(from, to int, state policy.EndpointState) {
 	endpoints, addresses := listed(from, to, state)
 	h.OnDiscovery(policy.EndpointUpdate{Endpoints: endpoints}, addresses)
 }
 
-// discoverKnown tells the list of the configuration.
+// discoverKnown reports the list of the configuration.
 func (h *testHost) discoverKnown(from, to int) {
 	endpoints, addresses := listed(from, to, policy.EndpointRunning)
 	h.OnDiscovery(policy.EndpointUpdate{Endpoints: endpoints, Snapshot: true, Cached: true}, addresses)
@@ -224,7 +224,7 @@
 func outliveService(t *testing.T, stateFile string) {
 	h := startHost(stateFile, 3)
 	h.discoverKnown(0, 3)
-	h.run()                   // names nothing: nobody answers
+	h.run()                   // names nothing: no server answers
 	time.Sleep(2 * time.Hour) // longer than every lifetime
 	synctest.Wait()
 	if n := h.Counts(); len(h.fleet.has) != 3 || n.FailedLookups == 0 || n.FailedLookups > 1000 || n.Doubt[1] == "" {
--- a/internal/sources/host/lookup.go
+++ b/internal/sources/host/lookup.go
@@ -62,7 +62,7 @@
 	h.apply(h.merger.Expire(h.fleet.Now()), updateOrigin{})
 }
 
-// takeUnsaved tells whether the state file is out of date, once.
+// takeUnsaved reports whether the state file is out of date, and resets that.
 func (h *Host) takeUnsaved() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -97,7 +97,7 @@
 	}
 }
 
-// onAnswer takes a server's answer; the lock is held.
+// onAnswer takes a server's answer; the caller holds the lock.
 func (h *Host) onAnswer(server int, answer dns.Answer) {
 	now, ttlMs := h.fleet.Now(), float64(answer.TTL)/float64(time.Millisecond)
 	h.pacer.OnAnswer(now, server, ttlMs, answer.Negative)
--- a/internal/sources/host/statefile.go
+++ b/internal/sources/host/statefile.go
@@ -22,7 +22,7 @@
 	Memory    sources.Memory `json:"memory"`
 }
 
-// BackendState is one backend with all that was told of it.
+// BackendState is one backend with what each source says of it.
 type BackendState struct {
 	ID         string              `json:"id"`
 	Address    string              `json:"address"`
--- a/internal/sources/lookup.go
+++ b/internal/sources/lookup.go
@@ -17,7 +17,7 @@
 	maxNegativeTTLMs = 60_000.0
 	// The pause after a failure of all servers starts at the first of these and doubles up to the second.
 	minBackoffMs, maxBackoffMs = 250.0, 10_000.0
-	// failureHalfLifeMs halves what is held against a server.
+	// failureHalfLifeMs is the half-life of the failures counted against a server.
 	failureHalfLifeMs = 30_000.0
 )
 
@@ -34,7 +34,7 @@
 	backoffMs   float64
 }
 
-// serverHealth is what is held against one server.
+// serverHealth is the failures counted against one server.
 type serverHealth struct {
 	failures float64 // decayed, as of failedAt
 	failedAt float64
@@ -73,7 +73,7 @@
 	l.refilledAt = now
 }
 
-// healthiest is the server against which the least is held, the first of equals.
+// healthiest is the server with the fewest failures, the first of equals.
 func (l *LookupPacer) healthiest(now float64) (best int) {
 	for i, s := range l.servers {
 		if s.decayedFailures(now) < l.servers[best].decayedFailures(now) {
--- a/internal/sources/merge.go
+++ b/internal/sources/merge.go
@@ -1,6 +1,6 @@
 package sources
 
-// This file owns the sources' views: what each told last, and what a new word of one changes.
+// This file owns the sources' views: the last report of each, and what a new report changes.
 
 import (
 	"github.com/benbjohnson/immutable"
@@ -13,22 +13,22 @@
 	// have been cut short by a name server that was just filling.
 	maxMissedAnswers = 2
 	// retiredHoldMs is how long an address whose backend drained or was removed stays closed to SRV after SRV has ceased to
-	// name it; whoever is named there later is a new backend.
+	// name it; a backend that is named there later is a new one.
 	retiredHoldMs = 60_000.0
-	// maxResolvedAgeMs: a backend that only SRV tells of goes this long after the last answer that named it (RFC 8767 allows
+	// maxResolvedAgeMs: a backend that only SRV names is removed this long after the last answer that named it (RFC 8767 allows
 	// one to three days for names; a fleet turns over faster).
 	maxResolvedAgeMs = 3_600_000.0
 	// noPriority is above every priority that an SRV record can have.
 	noPriority = 1 << 16
 )
 
-// discoveredEndpoint is discovery's word for a backend, and when it came (ms).
+// discoveredEndpoint is what discovery last reported of a backend, and when (ms).
 type discoveredEndpoint struct {
 	Entry
-	toldAt float64
+	reportedAt float64
 }
 
-// resolvedEndpoint is SRV's word for an address.
+// resolvedEndpoint is what SRV last reported of an address.
 type resolvedEndpoint struct {
 	Observation
 	firstSeen, lastSeen float64 // ms, by the answers that named it
@@ -41,7 +41,7 @@
 	fleet        View
 	discovered   *immutable.Map[string, discoveredEndpoint] // by id; none that was removed
 	listedAt     *immutable.Map[string, string]             // by address: the id that discovery lists there
-	retired      *immutable.Map[string, float64]            // by address: when a backend drained or was removed there by discovery's word
+	retired      *immutable.Map[string, float64]            // by address: when discovery drained or removed a backend there
 	resolved     *immutable.Map[string, resolvedEndpoint]   // by address
 	bestPriority int                                        // the lowest that SRV names
 	meanWeight   float64                                    // of the addresses with that priority
@@ -54,7 +54,7 @@
 	hadPrimaries bool   // some did when the spares were last decided
 }
 
-// New returns a merger to which nothing was told.
+// New returns a merger without any report.
 func New() *Merger {
 	return &Merger{
 		fleet:      View{entries: immutable.NewMap[string, Entry](nil)},
@@ -71,7 +71,7 @@
 // MarkDoubtful notes that a source failed, fell silent or says that the service does not exist: its view stays as it was.
 func (m *Merger) MarkDoubtful(source Source, why string) { m.Doubt[source] = why }
 
-// UpdateDiscovered takes what discovery tells, a snapshot of all or changes, and returns what the core is to be told.
+// UpdateDiscovered takes a report of discovery, a snapshot of all or changes, and returns the changes for the core.
 func (m *Merger) UpdateDiscovered(now float64, entries []Entry, snapshot bool) (changes []Entry) {
 	if snapshot {
 		changes = m.removeUnlisted(now, entries)
@@ -102,13 +102,13 @@
 	return changes
 }
 
-// applyDiscovered takes discovery's word for one backend.
+// applyDiscovered takes what discovery reports of one backend.
 func (m *Merger) applyDiscovered(now float64, changes []Entry, e Entry) []Entry {
 	previous, known := m.discovered.Get(e.ID)
 	if e.Address == "" {
 		e.Address = previous.Address
 	}
-	if known && previous.Address != e.Address { // whoever is at the old address now is another backend
+	if known && previous.Address != e.Address { // what runs at the old address now is another backend
 		changes = m.releaseAddress(changes, previous.Entry)
 	}
 	if e.State != policy.EndpointRemoved {
@@ -160,7 +160,7 @@
 	}
 }
 
-// releaseAddress takes a backend off the address that it had, and decides anew what SRV's word for the address is worth.
+// releaseAddress takes a backend off the address that it had, and decides anew about the backend that SRV names there.
 func (m *Merger) releaseAddress(changes []Entry, e Entry) []Entry {
 	if id, taken := m.listedAt.Get(e.Address); taken && id == e.ID {
 		m.listedAt = m.listedAt.Delete(e.Address)
@@ -168,7 +168,7 @@
 	return m.decide(changes, resolvedAt(e.Address))
 }
 
-// UpdateResolved takes a good and whole answer of SRV and returns what the core is to be told.
+// UpdateResolved takes a good and whole answer of SRV and returns the changes for the core.
 func (m *Merger) UpdateResolved(now float64, observations []Observation) (changes []Entry) {
 	named := m.rank(observations)
 	accepted := m.acceptsOmissions(SRV, len(named), m.resolved.Len())
@@ -229,7 +229,7 @@
 	return m.decide(changes, resolvedAt(address))
 }
 
-// Expire forgets what only SRV told of, too long ago, and opens addresses that were retired long ago and are named no more.
+// Expire forgets backends that only SRV named, too long ago, and opens addresses that were retired long ago and are named no more.
 // To be called every few seconds.
 func (m *Merger) Expire(now float64) (changes []Entry) {
 	for address, endpoint := range allOf(m.resolved) {
@@ -248,8 +248,8 @@
 	return m.reconcileSpares(changes)
 }
 
-// ReopenRetired lets SRV undo what discovery ended. It is what must never be, and stands here so that an end-to-end test with
-// this defect can show that it would be found.
+// ReopenRetired lets SRV undo what discovery ended. This must never happen: it is a seeded defect, by which an end-to-end test
+// shows that it would find one like it.
 func (m *Merger) ReopenRetired(observations []Observation) {
 	for _, o := range observations {
 		m.retired = m.retired.Delete(o.Address)
--- a/internal/sources/merge_test.go
+++ b/internal/sources/merge_test.go
@@ -24,7 +24,7 @@
 	return out
 }
 
-// shown is the fleet in words: id, address, state and the rule that decided.
+// shown is the fleet as text: id, address, state and the rule that decided.
 func shown(m *Merger) string {
 	var all []string
 	for id, e := range m.Fleet().All() {
--- a/internal/sources/model_test.go
+++ b/internal/sources/model_test.go
@@ -12,7 +12,7 @@
 	"onyxgate/policy"
 )
 
-// modelState is a merge with what a reader of the changes has, and what discovery has told to end.
+// modelState is a merge with the fleet that a reader of the changes has, and the addresses that discovery has ended.
 type modelState struct {
 	m      Merger
 	reader map[string]Entry
@@ -44,7 +44,7 @@
 }
 
 // checkFleet compares the fleet with what a reader of the changes has, and looks for two that run at one address and for one
-// that runs where discovery has told its end. It returns how many run.
+// that runs at an address which discovery has ended. It returns how many run.
 func (w *modelState) checkFleet() (running int, err error) {
 	at := map[string]string{}
 	for id, e := range w.m.fleet.All() {
@@ -125,7 +125,7 @@
 	}
 	for source := range numSources {
 		all = append(all, event{fmt.Sprint("fail ", source), true, func(m *Merger, _ map[string]bool) []Entry {
-			m.MarkDoubtful(source, "told to")
+			m.MarkDoubtful(source, "as the test wants")
 			return nil
 		}})
 	}
@@ -170,7 +170,7 @@
 	}
 }
 
-// drains are the events by which discovery tells a drain.
+// drains are the events by which discovery reports a drain.
 func drains(all []event, backends int) (some []event) {
 	for i := range backends {
 		some = append(some, all[3*i+1])
@@ -178,7 +178,7 @@
 	return some
 }
 
-// checkBothOrders compares a drain and an answer in either order, for each answer that names somebody.
+// checkBothOrders compares a drain and an answer in either order, for each answer that is not empty.
 func checkBothOrders(t *testing.T, state modelState, drain event, all []event) (pairs int) {
 	t.Helper()
 	for _, answer := range all {
--- a/internal/sources/persist.go
+++ b/internal/sources/persist.go
@@ -14,7 +14,7 @@
 	SRV     []SavedObservation `json:"srv"`   // in the order of addresses
 }
 
-// SavedObservation is what SRV last told of an address, and between which answers (Unix ms).
+// SavedObservation is what SRV last reported of an address, and between which answers (Unix ms).
 type SavedObservation struct {
 	Observation
 	FirstSeen float64 `json:"first_ms"`
@@ -34,7 +34,7 @@
 	return memory
 }
 
-// Restore gives a new merger the memory of an earlier one and returns what the core is to be told. What was last named too
+// Restore gives a new merger the memory of an earlier one and returns the changes for the core. What was last named too
 // long ago is left out.
 func (m *Merger) Restore(now float64, memory Memory) (changes []Entry) {
 	for address, at := range memory.Retired {
--- a/internal/sources/rules.go
+++ b/internal/sources/rules.go
@@ -14,7 +14,7 @@
 // resolvedAt is the backend that SRV names at an address.
 func resolvedAt(address string) candidate { return candidate{"srv:" + address, address} }
 
-// isResolved tells whether the candidate is the one that SRV names.
+// isResolved reports whether the candidate is the one that SRV names.
 func (c candidate) isResolved() bool { return c == resolvedAt(c.address) }
 
 // rule says what a backend is, where it applies.
@@ -24,7 +24,7 @@
 	entry   func(m *Merger, c candidate) Entry
 }
 
-// The names of the rules; they stand in the state file, in metrics and in what operators read.
+// The names of the rules; they appear in the state file, in metrics and in what operators read.
 const (
 	ruleDraining = "draining"
 	ruleListed   = "listed"
@@ -42,9 +42,9 @@
 	// A drain binds at once, whatever SRV says, and holds when discovery falls silent.
 	{ruleDraining, (*Merger).isDraining, (*Merger).discoveredEntry},
 	{ruleListed, (*Merger).isListed, (*Merger).discoveredEntry},
-	// Discovery lists a backend at this address: SRV's word is of that one.
+	// Discovery lists a backend at this address: SRV names that one.
 	{ruleSame, (*Merger).isListedElsewise, (*Merger).removedEntry},
-	// It drained or was removed by discovery's word, and SRV still names it.
+	// Discovery drained or removed the backend at this address, and SRV still names it.
 	{ruleEnded, (*Merger).isRetired, (*Merger).removedEntry},
 	// RFC 2782: a higher priority number is for when none of the lower runs; those that discovery lists count too.
 	{ruleSpare, (*Merger).isIdleSpare, (*Merger).removedEntry},
@@ -100,7 +100,7 @@
 	return endpoint.Entry
 }
 
-// resolvedEntry is what SRV can tell of a backend, with the careful assumption for what it can't: an unknown release, and
+// resolvedEntry is what SRV knows of a backend, with the careful assumption for what it can't know: an unknown release, and
 // started when it was first named.
 func (m *Merger) resolvedEntry(c candidate) Entry {
 	endpoint, _ := m.resolved.Get(c.address)
@@ -120,7 +120,7 @@
 	return Entry{Endpoint: policy.Endpoint{ID: c.id, State: policy.EndpointRemoved}, Address: c.address}
 }
 
-// decide goes through the rules for one backend, changes the fleet and adds what the core has to be told.
+// decide goes through the rules for one backend, changes the fleet and appends the change that the core has to take.
 func (m *Merger) decide(changes []Entry, c candidate) []Entry {
 	decided := m.firstRule(c)
 	previous, present := m.fleet.Get(c.id)
@@ -157,7 +157,7 @@
 	return e
 }
 
-// keepsLast tells whether a backend stays though it is named no more: the last that runs is not taken away by a name that is
+// keepsLast reports whether a backend stays though it is named no more: the last that runs is not taken away by a name that is
 // missing, but once another runs (reconcileSpares).
 func (m *Merger) keepsLast(c candidate, decided, previous Entry, present bool) bool {
 	isLastRunning := present && previous.State == policy.EndpointRunning && m.fleet.Running == 1
--- a/internal/sources/rules_test.go
+++ b/internal/sources/rules_test.go
@@ -6,7 +6,7 @@
 	"onyxgate/policy"
 )
 
-// The rule, row by row.
+// The merge rule, row by row.
 func TestRules(t *testing.T) {
 	run, drain, gone := policy.EndpointRunning, policy.EndpointDraining, policy.EndpointRemoved
 	list := func(whole bool, e ...Entry) func(*Merger) { return func(m *Merger) { m.UpdateDiscovered(1, e, whole) } }
@@ -40,13 +40,13 @@
 		{"and the old one's end comes late", []func(*Merger){list(true, entry(1, 1, run)), list(false, entry(2, 1, run)), list(false, entry(1, 1, gone)), srv(1)}, "a2@1:1 0 listed"},
 		{"an id moves", []func(*Merger){list(true, entry(1, 1, run)), list(false, entry(1, 2, run)), srv(1, 2)}, "a1@2:1 0 listed, srv:10.0.0.1:1@1:1 0 named"},
 		{"the same address twice", []func(*Merger){func(m *Merger) { m.UpdateResolved(1, append(observations(1), Observation{address(1), 5, 9})) }}, "srv:10.0.0.1:1@1:1 0 named"},
-		{"spares stay out while others stand", []func(*Merger){list(true, entry(1, 1, run)), func(m *Merger) { m.UpdateResolved(1, append(observations(2), Observation{address(3), 5, 1})) }}, "a1@1:1 0 listed, srv:10.0.0.2:1@2:1 0 named"},
-		{"and come in, all, once nobody does", []func(*Merger){list(true, entry(1, 1, run)), func(m *Merger) {
+		{"spares stay out while others run", []func(*Merger){list(true, entry(1, 1, run)), func(m *Merger) { m.UpdateResolved(1, append(observations(2), Observation{address(3), 5, 1})) }}, "a1@1:1 0 listed, srv:10.0.0.2:1@2:1 0 named"},
+		{"and come in, all, once none does", []func(*Merger){list(true, entry(1, 1, run)), func(m *Merger) {
 			m.UpdateResolved(1, append(observations(2), Observation{address(3), 5, 1}, Observation{address(4), 5, 1}))
 		}, list(false, entry(1, 1, gone)), list(false, entry(2, 2, drain))}, "a2@2:1 1 draining, srv:10.0.0.3:1@3:1 0 reserve, srv:10.0.0.4:1@4:1 0 reserve"},
 		{"and stay so at the next answer", []func(*Merger){list(true, entry(2, 2, drain)), func(m *Merger) { m.UpdateResolved(1, append(observations(2), Observation{address(3), 5, 1})) }, func(m *Merger) { m.UpdateResolved(1, append(observations(2), Observation{address(3), 5, 1})) }}, "a2@2:1 1 draining, srv:10.0.0.3:1@3:1 0 reserve"},
 		{"and go out again", []func(*Merger){list(true, entry(2, 2, drain)), func(m *Merger) { m.UpdateResolved(1, append(observations(2), Observation{address(3), 5, 1})) }, list(false, entry(5, 5, run))}, "a2@2:1 1 draining, a5@5:1 0 listed"},
-		{"what only SRV told, long ago", []func(*Merger){list(true, entry(1, 1, run)), srv(2), func(m *Merger) { m.MarkDoubtful(SRV, "dead"); m.Expire(maxResolvedAgeMs + 2) }}, "a1@1:1 0 listed"},
+		{"what only SRV named, long ago", []func(*Merger){list(true, entry(1, 1, run)), srv(2), func(m *Merger) { m.MarkDoubtful(SRV, "dead"); m.Expire(maxResolvedAgeMs + 2) }}, "a1@1:1 0 listed"},
 		{"but never the last one", []func(*Merger){srv(2), func(m *Merger) { m.MarkDoubtful(SRV, "dead"); m.Expire(maxResolvedAgeMs + 2) }}, "srv:10.0.0.2:1@2:1 0 named"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -74,6 +74,6 @@
 		}
 	}
 	if again := m.UpdateResolved(9, []Observation{{address(1), 1, 30}, {address(2), 1, 10}, {address(3), 1, 0}}); len(again) != 0 {
-		t.Errorf("told again: %+v", again)
+		t.Errorf("reported again: %+v", again)
 	}
 }
--- a/internal/sources/spares.go
+++ b/internal/sources/spares.go
@@ -2,8 +2,8 @@
 
 // This file owns the backends whose place depends on whether others run: SRV's spares, and the last one that was kept.
 
-// reconcileSpares is called after every change: spares come in once nobody else runs and go out once somebody does, and the
-// last backend that was kept without a name goes once it is not the last.
+// reconcileSpares is called after every change: spares come in once no other backend runs and go out once one does,
+// and the last backend, if it was kept without a name, goes once another runs.
 func (m *Merger) reconcileSpares(changes []Entry) []Entry {
 	if hasPrimaries := m.primaries > 0; hasPrimaries != m.hadPrimaries {
 		m.hadPrimaries = hasPrimaries
--- a/internal/sources/subset.go
+++ b/internal/sources/subset.go
@@ -1,6 +1,6 @@
 package sources
 
-// This file owns which part of a large fleet one instance works with: a window on a ring, the same for whoever computes it.
+// This file owns which part of a large fleet one instance works with: a window on a ring, the same for every process that computes it.
 
 import (
 	"cmp"
@@ -19,7 +19,7 @@
 	LeastPerGroup int // of each release and zone that is there, however small Size is
 }
 
-// Subset returns the ids of an instance's part of the fleet. Backends stand on a ring by the hash of their id; instances begin
+// Subset returns the ids of an instance's part of the fleet. Backends are points on a ring by the hash of their id; instances begin
 // at even distances and take what follows. So each backend has as many instances as any other but for one, a backend that
 // comes or goes moves each window by one place at most, and one instance more moves them by a part of the distance between
 // two. Whatever drains stays in, so that no drain is missed. Nothing is left out where Size is 0 or the fleet is no larger.
@@ -55,7 +55,7 @@
 	zone    int
 }
 
-// ringPoint is where a backend stands on the ring.
+// ringPoint is the place of a backend on the ring.
 type ringPoint struct {
 	hash uint64
 	id   string
@@ -99,8 +99,8 @@
 	return &SubsetFilter{options: o, chosen: map[string]bool{}}
 }
 
-// Apply chooses anew from the fleet after some changes, and returns what the instance is to be told, in the order of ids.
-func (f *SubsetFilter) Apply(fleet View, changes []Entry) (told []Entry) {
+// Apply chooses anew from the fleet after some changes, and returns the changes of the subset, in the order of ids.
+func (f *SubsetFilter) Apply(fleet View, changes []Entry) (subsetChanges []Entry) {
 	all := make([]Entry, 0, fleet.Len())
 	for _, e := range fleet.All() {
 		all = append(all, e)
@@ -108,21 +108,21 @@
 	chosen := Subset(f.options, all)
 	for _, e := range changes {
 		if chosen[e.ID] || f.chosen[e.ID] {
-			told = append(told, e)
+			subsetChanges = append(subsetChanges, e)
 		}
 	}
 	changed := idsOf(changes)
 	for _, e := range all {
 		entered := chosen[e.ID] && !f.chosen[e.ID]
 		if entered && !changed[e.ID] {
-			told = append(told, e)
+			subsetChanges = append(subsetChanges, e)
 		}
 		if !chosen[e.ID] && f.chosen[e.ID] { // it runs on, for others
 			e.State = policy.EndpointRemoved
-			told = append(told, e)
+			subsetChanges = append(subsetChanges, e)
 		}
 	}
 	f.chosen = chosen
-	slices.SortStableFunc(told, func(a, b Entry) int { return cmp.Compare(a.ID, b.ID) })
-	return told
+	slices.SortStableFunc(subsetChanges, func(a, b Entry) int { return cmp.Compare(a.ID, b.ID) })
+	return subsetChanges
 }
--- a/internal/sources/subset_test.go
+++ b/internal/sources/subset_test.go
@@ -44,7 +44,7 @@
 	return n
 }
 
-// The load is even, every release and zone is there, what drains is in, and little moves when somebody comes or goes.
+// The load is even, every release and zone is there, what drains is in, and little moves when a backend or an instance comes or goes.
 func TestSubset(t *testing.T) {
 	fleet := fleetOf(1000)
 	fleet[7].State = policy.EndpointDraining
@@ -115,14 +115,14 @@
 func TestSubsetFilter(t *testing.T) {
 	m := New()
 	options := SubsetOptions{Instance: 1, Instances: 4, Size: 10, LeastPerGroup: 2}
-	filter, told := NewSubsetFilter(options), map[string]policy.EndpointState{}
+	filter, applied := NewSubsetFilter(options), map[string]policy.EndpointState{}
 	random := rand.New(rand.NewPCG(5, 5))
 	for step := range 500 {
 		id, state := random.IntN(60), policy.EndpointState(random.IntN(3))
 		changes := m.UpdateDiscovered(float64(step), []Entry{entry(id, id, state)}, false)
 		for _, e := range filter.Apply(m.Fleet(), changes) {
-			if told[e.ID] = e.State; e.State == policy.EndpointRemoved {
-				delete(told, e.ID)
+			if applied[e.ID] = e.State; e.State == policy.EndpointRemoved {
+				delete(applied, e.ID)
 			}
 		}
 		var fleet []Entry
@@ -130,12 +130,12 @@
 			fleet = append(fleet, e)
 		}
 		want := Subset(options, fleet)
-		if len(told) != len(want) {
-			t.Fatalf("step %d: told of %d, the subset has %d", step, len(told), len(want))
+		if len(applied) != len(want) {
+			t.Fatalf("step %d: %d applied, the subset has %d", step, len(applied), len(want))
 		}
-		for id, state := range told {
+		for id, state := range applied {
 			if e, _ := m.Fleet().Get(id); !want[id] || e.State != state {
-				t.Fatalf("step %d: told that %s is %v, the fleet has %+v, in the subset: %v", step, id, state, e, want[id])
+				t.Fatalf("step %d: %s is %v, the fleet has %+v, in the subset: %v", step, id, state, e, want[id])
 			}
 		}
 	}
--- a/internal/units/units.go
+++ b/internal/units/units.go
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// endsInDigit tells that a text has no unit.
+// endsInDigit reports whether a text has no unit.
 func endsInDigit(text []byte) bool {
 	last := len(text) - 1
 	return last < 0 || text[last] >= '0' && text[last] <= '9'
