--- a/internal/sources/host/host.go
+++ b/internal/sources/host/host.go
@@ -33,16 +33,13 @@
 	Seed      uint64               // of what is drawn by chance
 }
 
-// numRules is how many rules the merge has.
-const numRules = 8
-
 // Counts are what has been since the start.
 type Counts struct {
 	Lookups, FailedLookups, NegativeAnswers, Questions uint64
-	Changes                                            uint64           // that the core took
-	ChangesByRule                                      [numRules]uint64 // the same, in the order of sources.Rules
-	Running, Known                                     int              // backends now: in the state running, in any
-	Doubt                                              [2]string        // why discovery and SRV are doubted; empty: they are not
+	Changes                                            uint64                   // that the core took
+	ChangesByRule                                      [sources.NumRules]uint64 // the same, in the order of sources.Rules
+	Running, Known                                     int                      // backends now: in the state running, in any
+	Doubt                                              [2]string                // why discovery and SRV are doubted; empty: they are not
 }
 
 // Host runs one instance's merge. Its methods may be called by any goroutine.
--- a/internal/sources/rules.go
+++ b/internal/sources/rules.go
@@ -38,7 +38,7 @@
 
 // rules are in the order of their authority: the first that applies decides. Discovery has authority for states, releases and
 // starts, SRV for none of them.
-var rules = []rule{
+var rules = [...]rule{
 	// A drain binds at once, whatever SRV says, and holds when discovery falls silent.
 	{ruleDraining, (*Merger).isDraining, (*Merger).discoveredEntry},
 	{ruleListed, (*Merger).isListed, (*Merger).discoveredEntry},
@@ -53,6 +53,9 @@
 	{ruleUnnamed, func(*Merger, candidate) bool { return true }, (*Merger).removedEntry},
 }
 
+// NumRules is how many rules there are.
+const NumRules = len(rules)
+
 // Rules returns the names of the rules, in order.
 func Rules() []string {
 	names := make([]string, len(rules))
