--- a/cmd/onyxgate/record.go
+++ b/cmd/onyxgate/record.go
@@ -218,15 +218,11 @@
 	}
 	w := table.NewWriter()
 	w.SetOutputMirror(out)
-	w.AppendHeader(table.Row{
-		"answered", "agent", "txn", "product", "outcome", "state", "reason", "build", "appliance",
-		"submissions", "ms",
-	})
+	w.AppendHeader(table.Row{"answered", "agent", "txn", "product", "outcome", "state", "reason", "build", "appliance",
+		"submissions", "ms"})
 	if err := store.Select(ctx, f, func(r sqlstore.Row) error {
-		w.AppendRow(table.Row{
-			time.UnixMilli(int64(r.AnsweredAt)).UTC().Format("2006-01-02 15:04:05.000"), r.Agent, r.RequestID,
-			r.Class, r.Outcome, r.State, r.Reason, r.Release, r.Backend, r.Attempts, int(r.AnsweredAt - r.ArrivedAt),
-		})
+		w.AppendRow(table.Row{time.UnixMilli(int64(r.AnsweredAt)).UTC().Format("2006-01-02 15:04:05.000"), r.Agent, r.RequestID,
+			r.Class, r.Outcome, r.State, r.Reason, r.Release, r.Backend, r.Attempts, int(r.AnsweredAt - r.ArrivedAt)})
 		return nil
 	}); err != nil {
 		return err
@@ -235,17 +231,13 @@
 	return nil
 }
 
-var columns = []string{
-	"agent", "incarnation", "n", "state", "txn", "product", "outcome", "reason", "build", "appliance",
-	"submissions", "taken_ms", "answered_ms", "body", "mark",
-}
+var columns = []string{"agent", "incarnation", "n", "state", "txn", "product", "outcome", "reason", "build", "appliance",
+	"submissions", "taken_ms", "answered_ms", "body", "mark"}
 
 func cells(r sqlstore.Row) []string {
 	ms := func(v float64) string { return strconv.FormatFloat(v, 'f', 3, 64) }
-	return []string{
-		r.Agent, r.Incarnation, strconv.FormatUint(r.N, 10), r.State, r.RequestID, r.Class, r.Outcome, r.Reason,
-		strconv.Itoa(r.Release), r.Backend, strconv.Itoa(r.Attempts), ms(r.ArrivedAt), ms(r.AnsweredAt), r.BodyDigest, r.KeyDigest,
-	}
+	return []string{r.Agent, r.Incarnation, strconv.FormatUint(r.N, 10), r.State, r.RequestID, r.Class, r.Outcome, r.Reason,
+		strconv.Itoa(r.Release), r.Backend, strconv.Itoa(r.Attempts), ms(r.ArrivedAt), ms(r.AnsweredAt), r.BodyDigest, r.KeyDigest}
 }
 
 type recordVerify struct {
--- a/cmd/onyxgate/record_test.go
+++ b/cmd/onyxgate/record_test.go
@@ -30,10 +30,8 @@
 	defer s.Close()
 	b := sqlstore.Batch{Agent: "n1", Incarnation: "i", Place: "p"}
 	for n := uint64(1); n <= 9; n++ {
-		b.Rows = append(b.Rows, record.Row{State: record.StateAnswered, Entry: record.Entry{
-			N: n, RequestID: fmt.Sprintf("t/%d,", n),
-			Outcome: record.Outcome(1 + n%3), AnsweredAt: float64(1000 * n),
-		}})
+		b.Rows = append(b.Rows, record.Row{State: record.StateAnswered, Entry: record.Entry{N: n, RequestID: fmt.Sprintf("t/%d,", n),
+			Outcome: record.Outcome(1 + n%3), AnsweredAt: float64(1000 * n)}})
 	}
 	if err := s.Migrate(context.Background()); err != nil {
 		t.Fatal(err)
@@ -48,13 +46,8 @@
 		limit   int
 		entries int
 		lines   int
-	}{
-		{"ndjson", selection{}, 0, 9, 9},
-		{"csv", selection{}, 0, 9, 10},
-		{"table", selection{}, 4, 4, 8},
-		{"csv", selection{Outcome: "voided"}, 0, 3, 4},
-		{"ndjson", selection{From: "1970-01-01T00:00:08Z"}, 0, 2, 2},
-	} {
+	}{{"ndjson", selection{}, 0, 9, 9}, {"csv", selection{}, 0, 9, 10}, {"table", selection{}, 4, 4, 8},
+		{"csv", selection{Outcome: "voided"}, 0, 3, 4}, {"ndjson", selection{From: "1970-01-01T00:00:08Z"}, 0, 2, 2}} {
 		var out bytes.Buffer
 		if err := write(line, c.s, c.limit, c.format, &out); err != nil {
 			t.Fatal(err)
