--- a/internal/httpwire/interceptor_test.go
+++ b/internal/httpwire/interceptor_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"io"
 	"net"
+	"slices"
 	"strings"
 	"sync"
 	"testing"
@@ -13,7 +14,7 @@
 	"onyxgate/internal/core"
 )
 
-// recordingInterceptor writes down what it is told.
+// recordingInterceptor writes down its calls.
 type recordingInterceptor struct {
 	mu           sync.Mutex
 	calls        []string
@@ -48,6 +49,13 @@
 	r.calls = append(r.calls, "gone")
 }
 
+// recorded returns the calls so far.
+func (r *recordingInterceptor) recorded() []string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return slices.Clone(r.calls)
+}
+
 // An interceptor sees each request's one end before its first byte, whatever the end, and then whether it went whole.
 func TestInterceptors(t *testing.T) {
 	ok := answerOnce("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody")
@@ -82,8 +90,8 @@
 					t.Errorf("%d %q after %v", answer.StatusCode, body, took)
 				}
 				synctest.Wait()
-				if got := strings.Join(interceptor.calls, "|"); got != c.want {
-					t.Errorf("told %q, want %q", got, c.want)
+				if got := strings.Join(interceptor.recorded(), "|"); got != c.want {
+					t.Errorf("called with %q, want %q", got, c.want)
 				}
 				for _, overrun := range interceptor.overrun {
 					if overrun > 0.01 {
@@ -96,7 +104,45 @@
 	}
 }
 
-// A client that goes before its answer is told as gone, one that goes within it as not whole, a handler that fails as failed,
+// An interceptor hears that the answer is written once its last byte has gone to the client, also where the server would hold
+// back a short one; and that it is not where a client does not read a long one in time.
+func TestInterceptorsSlowReader(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		bytes int
+		reads bool
+		want  string
+	}{
+		{"a short answer, read late", 4, true, "r1 true"},
+		{"a long answer, never read", socketBufferBytes + 1, false, "r1 false"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				body := strings.Repeat("x", c.bytes)
+				a, interceptor := intercepted(answerOnce(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", c.bytes, body)))
+				server := a.serve()
+				client := server.dial()
+				send(client, validRequest)
+				time.Sleep(writeTimeout - time.Second)
+				if calls := interceptor.recorded(); len(calls) != 1 {
+					t.Errorf("called with %v before the client has read", calls)
+				}
+				if c.reads {
+					client.readResponse(t)
+				}
+				time.Sleep(2 * time.Second)
+				if calls := interceptor.recorded(); len(calls) != 2 || calls[1] != c.want {
+					t.Errorf("called with %v, want %s", calls, c.want)
+				}
+				client.Close()
+				server.close()
+				a.close()
+			})
+		})
+	}
+}
+
+// A client that goes before its answer is reported as gone, one that goes within it as not written, a handler that fails as failed,
 // and no room is an answer like any other.
 func TestInterceptorsBadEnds(t *testing.T) {
 	for _, c := range []struct {
@@ -132,8 +178,8 @@
 	}
 	client.Close()
 	synctest.Wait()
-	if calls := interceptor.calls; len(calls) != 2 || calls[1] != "r1 false" {
-		t.Errorf("told %v", calls)
+	if calls := interceptor.recorded(); len(calls) != 2 || calls[1] != "r1 false" {
+		t.Errorf("called with %v", calls)
 	}
 	server.close()
 	a.close()
@@ -147,8 +193,8 @@
 		t.Fatal(answer)
 	}
 	synctest.Wait() // the handler ends after its client has the answer
-	if calls := interceptor.calls; len(calls) != 2 || !strings.Contains(calls[0], " room ") || calls[1] != "r1 true" {
-		t.Errorf("told %v", calls)
+	if calls := interceptor.recorded(); len(calls) != 2 || !strings.Contains(calls[0], " room ") || calls[1] != "r1 true" {
+		t.Errorf("called with %v", calls)
 	}
 	a.close()
 }
@@ -166,8 +212,8 @@
 	failed.Fail()
 	failed.ResponseWritten(true)
 	failed.Close()
-	if want := fmt.Sprintf("gone|u %d failed  0 1 |u true", core.ActionFail); strings.Join(interceptor.calls, "|") != want {
-		t.Errorf("told %v", interceptor.calls)
+	if want := fmt.Sprintf("gone|u %d failed  0 1 |u true", core.ActionFail); strings.Join(interceptor.recorded(), "|") != want {
+		t.Errorf("called with %v", interceptor.recorded())
 	}
 	if n := a.core.Counts(); n.ClientGone != 1 || n.Failed != 1 {
 		t.Errorf("%+v", n)
