--- a/internal/assembly/metrics.go
+++ b/internal/assembly/metrics.go
@@ -63,7 +63,7 @@
 	{"onyxgate_record_syncs_total", "syncs of the spool", func(s recorder.Status) float64 { return float64(s.Syncs) }},
 	{"onyxgate_record_spool_failures_total", "writes and syncs that failed", func(s recorder.Status) float64 { return float64(s.Failures) }},
 	{"onyxgate_record_unsynced_total", "answers that went out before they were durable", func(s recorder.Status) float64 { return float64(s.Unsynced) }},
-	{"onyxgate_record_unrecorded_total", "answers that went unrecorded", func(s recorder.Status) float64 { return float64(s.Missed) }},
+	{"onyxgate_record_unrecorded_total", "answers that went unrecorded", func(s recorder.Status) float64 { return float64(s.Unrecorded) }},
 	{"onyxgate_record_gaps_total", "gaps noted in the record", func(s recorder.Status) float64 { return float64(s.Gaps) }},
 	{"onyxgate_record_exported_total", "entries that the store has taken", func(s recorder.Status) float64 { return float64(s.Shipped) }},
 	{"onyxgate_record_in_doubt_total", "requests that were open when an earlier process died", func(s recorder.Status) float64 { return float64(s.InDoubt) }},
--- a/internal/assembly/report.go
+++ b/internal/assembly/report.go
@@ -90,9 +90,9 @@
 func (s *Server) logRecord() {
 	status := s.recorder.Status()
 	logrus.WithFields(logrus.Fields{
-		"spool_state": status.Health.String(), "entries": status.Entries, "completions": status.Notes, "gaps": status.Gaps,
-		"unrecorded": status.Missed, "syncs": status.Syncs, "spool_failures": status.Failures, "unsynced": status.Unsynced,
+		"spool_state": status.Health.String(), "entries": status.Entries, "completions": status.Completions, "gaps": status.Gaps,
+		"unrecorded": status.Unrecorded, "syncs": status.Syncs, "spool_failures": status.Failures, "unsynced": status.Unsynced,
 		"spool_bytes": status.Used, "queued_bytes": status.Queued, "exported": status.Shipped, "in_doubt": status.InDoubt,
-		"oldest_unexported_ms": int(status.Oldest), "store_results": fmt.Sprint(status.Replies),
+		"oldest_unexported_ms": int(status.Oldest), "store_results": fmt.Sprint(status.Results),
 	}).Info("record")
 }
--- a/internal/record/postgres/postgres_test.go
+++ b/internal/record/postgres/postgres_test.go
@@ -27,8 +27,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: name}, DNSNames: []string{name},
-		NotBefore: time.Unix(0, 0), NotAfter: time.Date(2200, 1, 1, 0, 0, 0, 0, time.UTC), IsCA: true, BasicConstraintsValid: true}
+	c := &x509.Certificate{
+		SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: name}, DNSNames: []string{name},
+		NotBefore: time.Unix(0, 0), NotAfter: time.Date(2200, 1, 1, 0, 0, 0, 0, time.UTC), IsCA: true, BasicConstraintsValid: true,
+	}
 	der, err := x509.CreateCertificate(rand.Reader, c, c, &key.PublicKey, key)
 	if err != nil {
 		t.Fatal(err)
@@ -49,11 +51,16 @@
 		server     tls.Certificate
 		ok         bool
 	}{
-		{"require", "db.internal", ours, true}, {"require", "elsewhere", other, true},
-		{"verify-ca", "db.internal", ours, true}, {"verify-ca", "elsewhere", ours, true}, {"verify-ca", "db.internal", other, false},
-		{"verify-full", "db.internal", ours, true}, {"verify-full", "elsewhere", ours, false}, {"verify-full", "db.internal", other, false},
+		{"require", "db.internal", ours, true},
+		{"require", "elsewhere", other, true},
+		{"verify-ca", "db.internal", ours, true},
+		{"verify-ca", "elsewhere", ours, true},
+		{"verify-ca", "db.internal", other, false},
+		{"verify-full", "db.internal", ours, true},
+		{"verify-full", "elsewhere", ours, false},
+		{"verify-full", "db.internal", other, false},
 	} {
-		config, err := secure(c.host, c.mode, ca)
+		config, err := tlsConfig(c.host, c.mode, ca)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -69,16 +76,16 @@
 			}
 		})
 	}
-	if config, err := secure("h", "disable", ""); config != nil || err != nil {
+	if config, err := tlsConfig("h", "disable", ""); config != nil || err != nil {
 		t.Error(config, err)
 	}
 	os.WriteFile(filepath.Join(dir, "none"), []byte("no certificate"), 0o600)
 	for _, file := range []string{filepath.Join(dir, "none"), filepath.Join(dir, "missing")} {
-		if _, err := secure("h", "require", file); err == nil {
+		if _, err := tlsConfig("h", "require", file); err == nil {
 			t.Errorf("%s is taken", file)
 		}
 	}
-	config, _ := secure("h", "require", "")
+	config, _ := tlsConfig("h", "require", "")
 	c, err := pgconn.ParseConfig("host=h port=1 dbname=d user=u sslmode=disable")
 	if err != nil {
 		t.Fatal(err)
@@ -106,9 +113,13 @@
 }
 
 func TestOpen(t *testing.T) {
-	for _, c := range []struct{ address, mode, want string }{{"db", "require", "address"}, {"db:1", "prefer", "tls"}, {"db:x", "require", "port"},
-		{"db:1", "require", ""}} {
-		s, err := Open(c.address, "d'x\\", "u", "", c.mode, "", time.Second)
+	for _, c := range []struct{ address, mode, want string }{
+		{"db", "require", "address"},
+		{"db:1", "prefer", "tls"},
+		{"db:x", "require", "port"},
+		{"db:1", "require", ""},
+	} {
+		s, err := Open(Options{Address: c.address, Database: "d'x\\", User: "u", TLS: c.mode, ConnectTimeout: time.Second})
 		if c.want == "" {
 			if err != nil || s.Close() != nil {
 				t.Errorf("%+v: %v", c, err)
@@ -117,7 +128,10 @@
 			t.Errorf("%+v: %v", c, err)
 		}
 	}
-	s, _ := Open("127.0.0.1:1", "d", "u", "/no/such/password", "disable", "", time.Second)
+	s, _ := Open(Options{
+		Address: "127.0.0.1:1", Database: "d", User: "u", PasswordFile: "/no/such/password", TLS: "disable",
+		ConnectTimeout: time.Second,
+	})
 	if err := s.Migrate(context.Background()); err == nil || !strings.Contains(err.Error(), "password") {
 		t.Errorf("a password that is not there: %v", err)
 	}
