--- /dev/null
+++ b/policy/affinity_test.go
@@ -0,0 +1,253 @@
+package policy
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+)
+
+// startWithAffinity starts an agent whose keys stay, on so many backends of release 1, with news of that and a cap for the first stage.
+func startWithAffinity(backends int, limit float64) (*Instance, *recordingPort) {
+	inst, port := startInstance(RequestClass{}, backends)
+	inst.configureExposure(ExposureConfig{FreeAttempts: 2, Caps: []float64{limit, 1}, KeyAffinity: true})
+	inst.OnReleaseUpdate(2, ReleaseUpdate{Release: 1, Stage: 2, Phase: Released, Cap: 1, Known: true})
+	return inst, port
+}
+
+// attemptedBackend is the backend to which the only attempt of what was done goes; empty: there is none.
+func attemptedBackend(did []string) (backend string) {
+	for _, line := range did {
+		if strings.HasPrefix(line, "submit ") {
+			backend = line[strings.LastIndexByte(line, ' ')+1:]
+		}
+	}
+	return backend
+}
+
+// A key that a release has answered, or may be answering, goes to no earlier one, whichever came first, the list or the news.
+func TestAffinityCrossings(t *testing.T) {
+	trial := func(inst *Instance, now float64, release ReleaseID) {
+		inst.OnReleaseUpdate(now, ReleaseUpdate{Release: release, Phase: RollingOut, Cap: 1, Known: true})
+	}
+	listed := func(inst *Instance, now float64, id string, release ReleaseID, state EndpointState) {
+		inst.OnEndpoints(now, EndpointUpdate{Endpoints: []Endpoint{{ID: id, Release: release, Weight: 1, State: state}}})
+	}
+	withdrawn := func(inst *Instance, now float64, release ReleaseID) {
+		inst.OnReleaseUpdate(now, ReleaseUpdate{Release: release, Phase: RollingOut, Cap: 1, Known: true})
+		inst.OnReleaseUpdate(now+1, ReleaseUpdate{Release: release, Phase: Withdrawn, Cap: 0, Known: true})
+	}
+	for _, tc := range []struct {
+		name   string
+		before func(inst *Instance) // up to the first answer: only x is there to give it
+		after  func(inst *Instance) // then, before the key comes again: only a is there
+		open   bool                 // a may serve the key
+	}{
+		{"news, list", func(inst *Instance) { trial(inst, 5, 2); listed(inst, 6, "x", 2, EndpointRunning) }, nil, false},
+		{"list, no news", func(inst *Instance) { listed(inst, 6, "x", 2, EndpointRunning) }, nil, false},
+		{"list, then news", func(inst *Instance) { listed(inst, 6, "x", 2, EndpointRunning) }, func(inst *Instance) { trial(inst, 25, 2) }, false},
+		{"the one before withdrawn, list, no news", func(inst *Instance) { withdrawn(inst, 3, 2); listed(inst, 6, "x", 3, EndpointRunning) }, nil, false},
+		{
+			"the one before withdrawn, list, then news", func(inst *Instance) { withdrawn(inst, 3, 2); listed(inst, 6, "x", 3, EndpointRunning) },
+			func(inst *Instance) { trial(inst, 25, 3) }, false,
+		},
+		{
+			"the one before going back is told on", func(inst *Instance) { withdrawn(inst, 3, 2); listed(inst, 6, "x", 3, EndpointRunning) },
+			func(inst *Instance) {
+				inst.OnReleaseUpdate(25, ReleaseUpdate{Release: 2, Phase: RollingBack, Cap: 0, Known: true})
+			}, false,
+		},
+		{"two unannounced", func(inst *Instance) { listed(inst, 6, "x", 2, EndpointRunning) }, func(inst *Instance) { trial(inst, 25, 3) }, false},
+		{
+			"released, and an earlier one's fresh backend before the word", func(inst *Instance) { trial(inst, 5, 2); listed(inst, 6, "x", 2, EndpointRunning) },
+			func(inst *Instance) {
+				inst.OnReleaseUpdate(25, ReleaseUpdate{Release: 2, Stage: 1, Phase: Released, Cap: 1, Known: true})
+				inst.OnEndpoints(26, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, Weight: 1}}, Snapshot: true}) // nothing earlier is listed
+				inst.OnTimer(26+2*aggregatesInterval, 0)
+			}, false,
+		},
+		{
+			"goes back, told after the list", func(inst *Instance) { trial(inst, 5, 2); listed(inst, 6, "x", 2, EndpointRunning) },
+			func(inst *Instance) {
+				inst.OnReleaseUpdate(25, ReleaseUpdate{Release: 2, Phase: RollingBack, Cap: 0, Known: true})
+			}, true,
+		},
+		{
+			"goes back, and an answer on its trial comes late", func(inst *Instance) { trial(inst, 5, 2); listed(inst, 6, "x", 2, EndpointRunning) },
+			func(inst *Instance) {
+				inst.OnReleaseUpdate(25, ReleaseUpdate{Release: 2, Phase: RollingBack, Cap: 0, Known: true})
+				inst.OnReleaseUpdate(26, ReleaseUpdate{Release: 2, Phase: RollingOut, Response: VoteCounted, Cap: 1, Known: true})
+			}, true,
+		},
+		{"the later of two goes back", func(inst *Instance) {
+			trial(inst, 3, 2)
+			inst.OnReleaseUpdate(4, ReleaseUpdate{Release: 2, Stage: 1, Phase: Released, Cap: 1, Known: true})
+			listed(inst, 6, "x", 2, EndpointRunning)
+		}, func(inst *Instance) {
+			trial(inst, 25, 3)
+			inst.OnEndpoints(26, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, State: EndpointDraining}, {ID: "y", Release: 3, Weight: 1}}})
+			inst.OnRequest(30, Request{ID: "t2", Key: "k", TimeLeft: 4000})
+			inst.OnAttemptResult(31, AttemptResult{RequestID: "t2", Status: StatusServed, Final: true, Took: 1})
+			inst.OnReleaseUpdate(32, ReleaseUpdate{Release: 3, Phase: RollingBack, Cap: 0, Known: true})
+		}, false},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			inst, port := startWithAffinity(1, 1)
+			listed(inst, 2, "a", 1, EndpointDraining)
+			tc.before(inst)
+			now := 10.0
+			// The first of a process's attempts at a release on trial needs no more than the free ones.
+			inst.OnRequest(now, Request{ID: "t", Key: "k", TimeLeft: 4000})
+			if got := attemptedBackend(port.take()); got != "x" {
+				t.Fatalf("first %q", got)
+			}
+			inst.OnAttemptResult(now+5, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Took: 5})
+			if tc.after != nil {
+				tc.after(inst)
+			}
+			now = 1000
+			inst.OnEndpoints(now, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1, StartedAt: 0}, {ID: "x", Release: 2, State: EndpointRemoved}, {ID: "y", Release: 3, State: EndpointRemoved}}})
+			port.take()
+			inst.OnRequest(now+1, Request{ID: "u", Key: "k", TimeLeft: 4000})
+			if got := attemptedBackend(port.take()); (got == "a") != tc.open {
+				t.Errorf("the key goes to %q, open %v", got, tc.open)
+			}
+		})
+	}
+}
+
+// An id that returns with another release while its answer is out: either may have given it.
+func TestAnswerAcrossReleases(t *testing.T) {
+	inst, port := startWithAffinity(2, 1)
+	inst.OnEndpoints(3, EndpointUpdate{Endpoints: []Endpoint{{ID: "b", State: EndpointRemoved}}})
+	inst.OnRequest(10, Request{ID: "t", Key: "k", TimeLeft: 4000})
+	expect(t, "first", attemptedBackend(port.take()), "a")
+	inst.OnEndpoints(12, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 2, Weight: 1}}})
+	inst.OnAttemptResult(15, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Took: 5})
+	inst.OnEndpoints(16, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 2, Weight: 1, State: EndpointDraining}, {ID: "b", Release: 1, Weight: 1}}})
+	inst.OnRequest(20, Request{ID: "u", Key: "k", TimeLeft: 4000})
+	expect(t, "again, with only the earlier release there", attemptedBackend(port.take()), "")
+	inst.OnRequest(21, Request{ID: "v", Key: "other", TimeLeft: 4000})
+	expect(t, "another key", attemptedBackend(port.take()), "b")
+}
+
+// With the next release announced, the one before still binds the keys that it has answered, and no others.
+func TestKeysOfReleaseBefore(t *testing.T) {
+	inst, port := startWithAffinity(1, 1)
+	inst.OnReleaseUpdate(3, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 1, Known: true})
+	inst.OnEndpoints(4, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1, State: EndpointDraining}, {ID: "x", Release: 2, Weight: 1}}})
+	inst.OnRequest(10, Request{ID: "t", Key: "k", TimeLeft: 4000})
+	inst.OnAttemptResult(15, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Took: 5})
+	inst.OnReleaseUpdate(20, ReleaseUpdate{Release: 2, Stage: 1, Phase: Released, Cap: 1, Known: true})
+	inst.OnReleaseUpdate(21, ReleaseUpdate{Release: 3, Phase: RollingOut, Cap: 1, Known: true})
+	inst.OnEndpoints(22, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1}, {ID: "x", Release: 2, Weight: 1, State: EndpointDraining}}})
+	port.take()
+	for key, want := range map[string]string{"k": "", "other": "a"} {
+		inst.OnRequest(30, Request{ID: key, Key: key, TimeLeft: 4000})
+		expect(t, key, attemptedBackend(port.take()), want)
+	}
+}
+
+// Whether an attempt may still go out when its connection is up, after what came meanwhile.
+func TestSendable(t *testing.T) {
+	for _, tc := range []struct {
+		name  string
+		mean  func(inst *Instance)
+		want  bool
+		trial bool // the attempt is at the release on trial
+	}{
+		{"nothing", func(inst *Instance) {}, true, false},
+		{"its backend drains", func(inst *Instance) {
+			inst.OnEndpoints(11, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1, State: EndpointDraining}}})
+		}, false, false},
+		{"its backend has another release", func(inst *Instance) {
+			inst.OnEndpoints(11, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 2, Weight: 1}}})
+		}, false, false},
+		{"a later release answers the key", func(inst *Instance) {
+			inst.OnEndpoints(11, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1, State: EndpointDraining}, {ID: "x", Release: 2, Weight: 1}}})
+			inst.OnRequest(12, Request{ID: "other", Key: "k", TimeLeft: 4000})
+			inst.OnAttemptResult(13, AttemptResult{RequestID: "other", Status: StatusServed, Final: true, Took: 1})
+			inst.OnEndpoints(14, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1}}})
+		}, false, false},
+		{"an attempt at a later release is out", func(inst *Instance) {
+			inst.OnEndpoints(11, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1, State: EndpointDraining}, {ID: "x", Release: 2, Weight: 1}}})
+			inst.OnRequest(12, Request{ID: "other", Key: "k", TimeLeft: 4000})
+			inst.OnEndpoints(14, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1}}})
+		}, false, false},
+		{"on trial, nothing", func(inst *Instance) {}, true, true},
+		{"its release goes back", func(inst *Instance) {
+			inst.OnReleaseUpdate(11, ReleaseUpdate{Release: 2, Phase: RollingBack, Cap: 0, Known: true})
+		}, false, true},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			inst, port := startWithAffinity(1, 1)
+			want := "a"
+			if tc.trial {
+				want = "x"
+				inst.OnReleaseUpdate(3, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 1, Known: true})
+				inst.OnEndpoints(4, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1, State: EndpointDraining}, {ID: "x", Release: 2, Weight: 1}}})
+			}
+			inst.OnRequest(10, Request{ID: "t", Key: "k", TimeLeft: 4000})
+			if got := attemptedBackend(port.take()); got != want {
+				t.Fatalf("first %q", got)
+			}
+			tc.mean(inst)
+			expect(t, tc.name, inst.MaySend("t", 0), tc.want)
+		})
+	}
+}
+
+// The keys of a trial are the same ones before its news, after it and in the process that follows, and others for another agent.
+func TestTrialKeys(t *testing.T) {
+	drawn := func(seed uint64, me int, told bool) (set string) {
+		inst := New(&recordingPort{}, Config{Seed: seed, Index: me, Instances: 2})
+		inst.configureClasses(Config{Classes: []RequestClass{{LatencyObjective: 1000, Timeout: 4000, Value: 1}}, MaxAttempts: 5, ConcurrentAttempts: true, CancelAllowed: true})
+		inst.configureExposure(ExposureConfig{FreeAttempts: 2, Caps: []float64{0.5, 1}, KeyAffinity: true})
+		inst.OnReleaseUpdate(1, ReleaseUpdate{Release: 2, Phase: Withdrawn, Cap: 0, Known: true})
+		inst.OnEndpoints(2, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1}, {ID: "x", Release: 3, Weight: 1}}, Snapshot: true})
+		if told {
+			inst.OnReleaseUpdate(3, ReleaseUpdate{Release: 3, Phase: RollingOut, Cap: 0.5, Known: true})
+		}
+		for k := range 64 {
+			x := &request{key: fmt.Sprint(k), affinityKey: 1}
+			set += fmt.Sprint(boolIndex(inst.rolloutDraw(x) < 0.5))
+		}
+		return set
+	}
+	early := drawn(7, 0, false)
+	expect(t, "after the news", drawn(7, 0, true), early)
+	expect(t, "in the next process", drawn(8, 0, true), early)
+	expect(t, "another agent's are others", drawn(7, 1, true) != early, true)
+}
+
+// A backend whose release no source tells may run any: its answers bind a key as the latest release's would, it serves only keys
+// that the oldest one may, and the trial's keys are not drawn anew for it.
+func TestUnknownRelease(t *testing.T) {
+	only := func(inst *Instance, now float64, id string) {
+		list := []Endpoint{{ID: "a", Release: 1, Weight: 1}, {ID: "x", Release: 2, Weight: 1}, {ID: "u", Release: UnknownRelease, Weight: 1}}
+		for k := range list {
+			if list[k].ID != id {
+				list[k].State = EndpointDraining
+			}
+		}
+		inst.OnEndpoints(now, EndpointUpdate{Endpoints: list})
+	}
+	for _, tc := range []struct {
+		first, then string
+		serves      bool
+	}{{"a", "u", true}, {"x", "u", false}, {"u", "x", true}, {"u", "a", false}, {"u", "u", false}} {
+		t.Run(tc.first+" has answered, "+tc.then+" is there", func(t *testing.T) {
+			inst, port := startWithAffinity(1, 1)
+			inst.OnReleaseUpdate(3, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 1, Known: true})
+			only(inst, 4, "")
+			drawn := inst.rolloutDraw(&request{key: "k", affinityKey: 1})
+			only(inst, 5, tc.first)
+			expect(t, "drawn", inst.rolloutDraw(&request{key: "k", affinityKey: 1}), drawn)
+			inst.OnRequest(10, Request{ID: "t", Key: "k", TimeLeft: 4000})
+			expect(t, "first", attemptedBackend(port.take()), tc.first)
+			inst.OnAttemptResult(15, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Took: 5})
+			only(inst, 20, tc.then)
+			inst.OnRequest(30, Request{ID: "v", Key: "k", TimeLeft: 4000})
+			expect(t, fmt.Sprint(tc.first, " has answered, ", tc.then, " is there"), attemptedBackend(port.take()) == tc.then, tc.serves)
+		})
+	}
+}
--- /dev/null
+++ b/policy/probes_test.go
@@ -0,0 +1,64 @@
+package policy
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+)
+
+// A txn goes to the probed appliance that answers first, and on without an answer after a while.
+func TestRace(t *testing.T) {
+	for _, tc := range []struct {
+		name   string
+		answer bool // the second probe is answered
+		ok     bool
+		want   string // then, and with the time for both races over
+		later  string
+	}{
+		{"answered", true, true, "submit", ""},
+		{"answered with an error", true, false, "", "submit"},
+		{"unanswered", false, false, "", "submit"},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			inst, port := startInstance(RequestClass{}, 8)
+			inst.instances = 300
+			inst.probesAllowed, inst.probePrice = true, 0.01
+			inst.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
+			probed := port.take()
+			if len(probed) == 0 || !strings.HasPrefix(probed[0], "probe") {
+				t.Fatalf("%v", probed)
+			}
+			last := strings.Fields(probed[len(probed)-1])[1]
+			if tc.answer {
+				inst.OnProbeResult(12, ProbeResult{Backend: last, OK: tc.ok, Took: 2})
+			}
+			got := fmt.Sprint(port.take())
+			if tc.want != "" && got != "[submit t "+last+"]" || tc.want == "" && got != "[]" {
+				t.Errorf("%s", got)
+			}
+			inst.OnTimer(140, inst.timerToken) // a second race
+			inst.OnTimer(270, inst.timerToken)
+			if did := port.take(); tc.later != "" && (len(did) == 0 || !strings.HasPrefix(did[len(did)-1], tc.later)) {
+				t.Errorf("%s, later: %v", tc.name, did)
+			}
+		})
+	}
+}
+
+// Races are run while what they save is worth their price, by the settings; else requests go out at once.
+func TestRacePrice(t *testing.T) {
+	for _, tc := range []struct {
+		price float64
+		first string
+	}{{0, "probe"}, {0.02, "probe"}, {0.03, "submit"}, {0.08, "submit"}} {
+		t.Run(fmt.Sprint("price ", tc.price), func(t *testing.T) {
+			inst, port := startInstance(RequestClass{}, 4)
+			inst.instances = manyInstances
+			inst.probesAllowed, inst.probePrice = true, tc.price
+			inst.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
+			if did := port.take(); len(did) == 0 || !strings.HasPrefix(did[0], tc.first) {
+				t.Errorf("at %v: %v", tc.price, did)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/policy/random_test.go
@@ -0,0 +1,24 @@
+package policy
+
+import (
+	"fmt"
+	"testing"
+)
+
+// The same inputs give the same actions, another seed others; the generator's sequence is known.
+func TestChance(t *testing.T) {
+	g := multiplyWithCarry{x: 1, carry: 0}
+	expect(t, "generator", []uint64{g.next(), g.next(), g.next()}, []uint64{4294957665, 92756161, 18591715})
+	run := func(seed uint64) string {
+		port := &recordingPort{}
+		inst := New(port, Config{Seed: seed, Instances: 1})
+		inst.configureClasses(Config{Classes: []RequestClass{{LatencyObjective: 1000, Timeout: 4000, Value: 1}}, MaxAttempts: 5, ConcurrentAttempts: true, CancelAllowed: true})
+		inst.OnEndpoints(1, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Weight: 1}, {ID: "b", Weight: 1}, {ID: "c", Weight: 1}}, Snapshot: true})
+		for k := range 50 {
+			inst.OnRequest(float64(k), Request{ID: fmt.Sprint(k), TimeLeft: 4000})
+		}
+		return fmt.Sprint(port.did)
+	}
+	expect(t, "same seed", run(7), run(7))
+	expect(t, "another seed differs", run(7) != run(8), true)
+}
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -1,6 +1,10 @@
 package policy
 
-import "testing"
+import (
+	"fmt"
+	"strings"
+	"testing"
+)
 
 // How cold a backend is: a wall clock that was stepped, here or where its start is told, never makes a fresh backend pass for a
 // warm one, nor keeps a warm one cold.
@@ -56,3 +60,61 @@
 	expect(t, "backends", count, 1)
 	expect(t, "last start", lastStart, 1000.0)
 }
+
+// A cold appliance gets no more than its part, be it alone, among warm ones or after a restart.
+func TestCold(t *testing.T) {
+	for _, tc := range []struct {
+		name string
+		warm int
+		txns int // one each 5 ms, answered at once by the cold appliance alone
+		most int // submissions at it
+	}{{"among warm", 4, 100, 30}, {"alone", 0, 600, 30}} {
+		t.Run(tc.name, func(t *testing.T) {
+			inst, port := startInstance(RequestClass{}, tc.warm)
+			for k := range 400 {
+				id, now := fmt.Sprint("w", k), 10+float64(k)*5
+				inst.OnRequest(now, Request{ID: id, TimeLeft: 4000})
+				inst.OnAttemptResult(now+4, AttemptResult{RequestID: id, Status: StatusServed, Final: true, Took: 50})
+			}
+			inst.OnEndpoints(2100, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 1, Weight: 1, StartedAt: 2050}}})
+			port.take()
+			n := 0
+			for k := range tc.txns {
+				id, now := fmt.Sprint(k), 2101+float64(k)*5
+				inst.OnRequest(now, Request{ID: id, TimeLeft: 4000})
+				for _, did := range port.take() {
+					if strings.HasSuffix(did, " x") {
+						n++
+						inst.OnAttemptResult(now+4, AttemptResult{RequestID: strings.Fields(did)[1], Status: StatusServed, Final: true, Took: 50})
+					}
+				}
+			}
+			if n > tc.most || n == 0 {
+				t.Errorf("%d submissions, want 1 to %d", n, tc.most)
+			}
+		})
+	}
+}
+
+// Hundreds of agents meet one cold appliance: none at once, and in sum at the rate of its budget.
+func TestColdSum(t *testing.T) {
+	const agents = 400
+	at := map[float64]int{5: 0, 1000: 0}
+	for k := range agents {
+		port := &recordingPort{}
+		inst := New(port, Config{Seed: uint64(k)*977 + 1, Index: k, Instances: agents})
+		inst.configureClasses(Config{Classes: []RequestClass{{LatencyObjective: 1000, Timeout: 4000, Value: 1}}, MaxAttempts: 5, ConcurrentAttempts: true, CancelAllowed: true})
+		inst.configureSlowStart(SlowStartConfig{InitialCapacity: 0.4, WarmUp: 5000, OverloadFactor: 3, OverloadWindow: 1000})
+		inst.OnEndpoints(1, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 1, Weight: 1, StartedAt: 1}}, Snapshot: true})
+		for _, now := range []float64{5, 1000} {
+			inst.OnRequest(now, Request{ID: fmt.Sprint(now), TimeLeft: 300})
+			at[now] += len(port.take())
+			inst.OnClientGone(now, fmt.Sprint(now))
+			port.take()
+		}
+	}
+	// One txn a second is the floor where nothing warm is seen, times multiple, least warmth and margin.
+	if at[5] > 2 || at[1000] > 4 {
+		t.Errorf("%d at once, %d after a second", at[5], at[1000])
+	}
+}
