--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -6,27 +6,31 @@
 	"testing"
 )
 
-// Late answers lower what is taken on, the cheap first; time forgets; no product is locked out for ever.
-func TestShortage(t *testing.T) {
+// Late answers lower the admission probability, for requests of low value first; it recovers with time, and no class is locked out for good.
+func TestOverload(t *testing.T) {
 	inst, port := startInstance(RequestClass{}, 3)
 	inst.instances = 300
 	for range 8 {
 		inst.onOverloadSignal(false, 1)
 	}
-	low, dear, cheap := inst.admission.Probability(inst.now), 0, 0
+	overloaded, highValue, lowValue := inst.admission.Probability(inst.now), 0, 0
 	inst.meanValue = 3
 	for range 1000 {
 		if inst.admission.Admits(9, inst.meanValue, inst.now, inst.rng) {
-			dear++
+			highValue++
 		}
 		if inst.admission.Admits(1, inst.meanValue, inst.now, inst.rng) {
-			cheap++
+			lowValue++
 		}
 	}
-	if inst.now += 60000; low > 0.1 || inst.admission.Probability(inst.now) < 0.9 || dear <= cheap {
-		t.Errorf("flow %.2f, then %.2f; %d dear and %d cheap of 1000", low, inst.admission.Probability(inst.now), dear, cheap)
+	inst.now += 60000
+	if recovered := inst.admission.Probability(inst.now); overloaded > 0.1 || recovered < 0.9 {
+		t.Errorf("admission probability %.2f, then %.2f", overloaded, recovered)
 	}
-	inst.latencies[0].mean = 5000 // past the SLA time of 1000
+	if highValue <= lowValue {
+		t.Errorf("of 1000 each, %d of high value and %d of low value are admitted", highValue, lowValue)
+	}
+	inst.latencies[0].mean = 5000 // past the latency objective of 1000
 	inst.OnRequest(inst.now, Request{ID: "t", TimeLeft: 4000})
 	expect(t, "sent all the same", strings.HasPrefix(fmt.Sprint(port.take()), "[submit t"), true)
 }
--- a/policy/affinity_test.go
+++ b/policy/affinity_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// startWithAffinity starts an agent whose keys stay, on so many backends of release 1, with news of that and a cap for the first stage.
+// startWithAffinity starts an instance with key affinity, with backends of release 1, which is released, and a cap for the first stage.
 func startWithAffinity(backends int, limit float64) (*Instance, *recordingPort) {
 	inst, port := startInstance(RequestClass{}, backends)
 	inst.configureExposure(ExposureConfig{FreeAttempts: 2, Caps: []float64{limit, 1}, KeyAffinity: true})
@@ -14,7 +14,7 @@
 	return inst, port
 }
 
-// attemptedBackend is the backend to which the only attempt of what was done goes; empty: there is none.
+// attemptedBackend is the backend to which the last attempt among some actions goes; empty: there is none.
 func attemptedBackend(did []string) (backend string) {
 	for _, line := range did {
 		if strings.HasPrefix(line, "submit ") {
@@ -115,7 +115,7 @@
 	}
 }
 
-// An id that returns with another release while its answer is out: either may have given it.
+// A backend returns with another release while an attempt there is open: either release may have answered.
 func TestAnswerAcrossReleases(t *testing.T) {
 	inst, port := startWithAffinity(2, 1)
 	inst.OnEndpoints(3, EndpointUpdate{Endpoints: []Endpoint{{ID: "b", State: EndpointRemoved}}})
@@ -125,7 +125,7 @@
 	inst.OnAttemptResult(15, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Took: 5})
 	inst.OnEndpoints(16, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 2, Weight: 1, State: EndpointDraining}, {ID: "b", Release: 1, Weight: 1}}})
 	inst.OnRequest(20, Request{ID: "u", Key: "k", TimeLeft: 4000})
-	expect(t, "again, with only the earlier release there", attemptedBackend(port.take()), "")
+	expect(t, "the key again, with only the earlier release there", attemptedBackend(port.take()), "")
 	inst.OnRequest(21, Request{ID: "v", Key: "other", TimeLeft: 4000})
 	expect(t, "another key", attemptedBackend(port.take()), "b")
 }
@@ -147,15 +147,15 @@
 	}
 }
 
-// Whether an attempt may still go out when its connection is up, after what came meanwhile.
-func TestSendable(t *testing.T) {
+// An attempt may still go out when its connection is up, unless what came meanwhile forbids it.
+func TestMaySend(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		mean  func(inst *Instance)
-		want  bool
-		trial bool // the attempt is at the release on trial
+		name       string
+		meanwhile  func(inst *Instance)
+		want       bool
+		rollingOut bool // the attempt is at a release that rolls out
 	}{
-		{"nothing", func(inst *Instance) {}, true, false},
+		{"nothing", func(*Instance) {}, true, false},
 		{"its backend drains", func(inst *Instance) {
 			inst.OnEndpoints(11, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1, State: EndpointDraining}}})
 		}, false, false},
@@ -168,20 +168,20 @@
 			inst.OnAttemptResult(13, AttemptResult{RequestID: "other", Status: StatusServed, Final: true, Took: 1})
 			inst.OnEndpoints(14, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1}}})
 		}, false, false},
-		{"an attempt at a later release is out", func(inst *Instance) {
+		{"an attempt at a later release is open", func(inst *Instance) {
 			inst.OnEndpoints(11, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1, State: EndpointDraining}, {ID: "x", Release: 2, Weight: 1}}})
 			inst.OnRequest(12, Request{ID: "other", Key: "k", TimeLeft: 4000})
 			inst.OnEndpoints(14, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1}}})
 		}, false, false},
-		{"on trial, nothing", func(inst *Instance) {}, true, true},
-		{"its release goes back", func(inst *Instance) {
+		{"rolling out, nothing", func(*Instance) {}, true, true},
+		{"its release rolls back", func(inst *Instance) {
 			inst.OnReleaseUpdate(11, ReleaseUpdate{Release: 2, Phase: RollingBack, Cap: 0, Known: true})
 		}, false, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			inst, port := startWithAffinity(1, 1)
 			want := "a"
-			if tc.trial {
+			if tc.rollingOut {
 				want = "x"
 				inst.OnReleaseUpdate(3, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 1, Known: true})
 				inst.OnEndpoints(4, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1, State: EndpointDraining}, {ID: "x", Release: 2, Weight: 1}}})
@@ -190,37 +190,37 @@
 			if got := attemptedBackend(port.take()); got != want {
 				t.Fatalf("first %q", got)
 			}
-			tc.mean(inst)
-			expect(t, tc.name, inst.MaySend("t", 0), tc.want)
+			tc.meanwhile(inst)
+			expect(t, "may send", inst.MaySend("t", 0), tc.want)
 		})
 	}
 }
 
-// The keys of a trial are the same ones before its news, after it and in the process that follows, and others for another agent.
-func TestTrialKeys(t *testing.T) {
-	drawn := func(seed uint64, me int, told bool) (set string) {
-		inst := New(&recordingPort{}, Config{Seed: seed, Index: me, Instances: 2})
+// The keys of a rollout are the same ones before its first update, after it and in the process that follows, and others for another instance.
+func TestRolloutKeys(t *testing.T) {
+	drawn := func(seed uint64, index int, announced bool) (set string) {
+		inst := New(&recordingPort{}, Config{Seed: seed, Index: index, Instances: 2})
 		inst.configureClasses(Config{Classes: []RequestClass{{LatencyObjective: 1000, Timeout: 4000, Value: 1}}, MaxAttempts: 5, ConcurrentAttempts: true, CancelAllowed: true})
 		inst.configureExposure(ExposureConfig{FreeAttempts: 2, Caps: []float64{0.5, 1}, KeyAffinity: true})
 		inst.OnReleaseUpdate(1, ReleaseUpdate{Release: 2, Phase: Withdrawn, Cap: 0, Known: true})
 		inst.OnEndpoints(2, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1}, {ID: "x", Release: 3, Weight: 1}}, Snapshot: true})
-		if told {
+		if announced {
 			inst.OnReleaseUpdate(3, ReleaseUpdate{Release: 3, Phase: RollingOut, Cap: 0.5, Known: true})
 		}
 		for k := range 64 {
-			x := &request{key: fmt.Sprint(k), affinityKey: 1}
-			set += fmt.Sprint(boolIndex(inst.rolloutDraw(x) < 0.5))
+			req := &request{key: fmt.Sprint(k), affinityKey: 1}
+			set += fmt.Sprint(boolIndex(inst.rolloutDraw(req) < 0.5))
 		}
 		return set
 	}
 	early := drawn(7, 0, false)
-	expect(t, "after the news", drawn(7, 0, true), early)
+	expect(t, "after the update", drawn(7, 0, true), early)
 	expect(t, "in the next process", drawn(8, 0, true), early)
-	expect(t, "another agent's are others", drawn(7, 1, true) != early, true)
+	expect(t, "another instance's are others", drawn(7, 1, true) != early, true)
 }
 
-// A backend whose release no source tells may run any: its answers bind a key as the latest release's would, it serves only keys
-// that the oldest one may, and the trial's keys are not drawn anew for it.
+// A backend whose release no source names may run any: its answers bind a key as the latest release's would, it serves only keys that the
+// oldest release may, and the rollout's keys are not drawn anew for it.
 func TestUnknownRelease(t *testing.T) {
 	only := func(inst *Instance, now float64, id string) {
 		list := []Endpoint{{ID: "a", Release: 1, Weight: 1}, {ID: "x", Release: 2, Weight: 1}, {ID: "u", Release: UnknownRelease, Weight: 1}}
@@ -247,7 +247,7 @@
 			inst.OnAttemptResult(15, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Took: 5})
 			only(inst, 20, tc.then)
 			inst.OnRequest(30, Request{ID: "v", Key: "k", TimeLeft: 4000})
-			expect(t, fmt.Sprint(tc.first, " has answered, ", tc.then, " is there"), attemptedBackend(port.take()) == tc.then, tc.serves)
+			expect(t, "serves the key", attemptedBackend(port.take()) == tc.then, tc.serves)
 		})
 	}
 }
--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -8,61 +8,71 @@
 	"onyxgate/policy/concurrency"
 )
 
-// Work is refused by a machine that fails at once, and found again when it recovers.
+// A backend that fails at once gets hardly any attempts, and gets them again when it recovers.
 func TestQuickFailures(t *testing.T) {
-	for _, result := range []AttemptStatus{StatusRejected, StatusConnectFailed, StatusErrored} {
-		one, port := startInstance(RequestClass{}, 1)
-		one.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
-		one.OnAttemptResult(11, AttemptResult{RequestID: "t", Status: result, Took: 1})
-		expect(t, "sent, and not again at once", port.take(), "[submit t a]")
-		inst, port := startInstance(RequestClass{}, 4)
-		n, late := 0, 0
-		for k := range 900 {
-			id, now := fmt.Sprint(k), 10+float64(k)*10
-			inst.OnRequest(now, Request{ID: id, TimeLeft: 4000})
-			for s := 0; s < 5; s++ {
-				did := port.take()
-				if len(did) == 0 {
-					break
-				}
-				if !strings.HasSuffix(did[0], " a") {
-					inst.OnAttemptResult(now+9, AttemptResult{RequestID: id, Attempt: s, Status: StatusServed, Final: true, Took: 9})
-				} else if k < 300 {
-					n++
-					inst.OnAttemptResult(now+1, AttemptResult{RequestID: id, Attempt: s, Status: result, Took: 1})
-				} else {
-					late++
-					inst.OnAttemptResult(now+9, AttemptResult{RequestID: id, Attempt: s, Status: StatusServed, Final: true, Took: 9})
-				}
+	for _, status := range []AttemptStatus{StatusRejected, StatusConnectFailed, StatusErrored} {
+		t.Run(fmt.Sprint("status ", status), func(t *testing.T) {
+			inst, port := startInstance(RequestClass{}, 1)
+			inst.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
+			inst.OnAttemptResult(11, AttemptResult{RequestID: "t", Status: status, Took: 1})
+			expect(t, "sent, and not again at once", port.take(), "[submit t a]")
+			failing, recovered := attemptsAtFailing(status)
+			if failing > 8 || recovered < 5 {
+				t.Errorf("%d attempts while it failed, %d after", failing, recovered)
+			}
+		})
+	}
+}
+
+// attemptsAtFailing counts the attempts at one of four backends, which fails the first 300 of 900 requests and then serves again.
+func attemptsAtFailing(status AttemptStatus) (failing, recovered int) {
+	inst, port := startInstance(RequestClass{}, 4)
+	for k := range 900 {
+		id, now := fmt.Sprint(k), 10+float64(k)*10
+		inst.OnRequest(now, Request{ID: id, TimeLeft: 4000})
+		for attempt := range 5 {
+			did := port.take()
+			if len(did) == 0 {
+				break
+			}
+			served := AttemptResult{RequestID: id, Attempt: attempt, Status: StatusServed, Final: true, Took: 9}
+			atFailing := strings.HasSuffix(did[0], " a")
+			switch {
+			case atFailing && k < 300:
+				failing++
+				inst.OnAttemptResult(now+1, AttemptResult{RequestID: id, Attempt: attempt, Status: status, Took: 1})
+			case atFailing:
+				recovered++
+				inst.OnAttemptResult(now+9, served)
+			default:
+				inst.OnAttemptResult(now+9, served)
 			}
-		}
-		if n > 8 || late < 5 {
-			t.Errorf("result %d: %d submissions while it failed, %d after", result, n, late)
 		}
 	}
+	return failing, recovered
 }
 
-// Connections that break on the way do not shut an appliance's door; late answers do.
+// Connections that break on the way do not lower a backend's concurrency limit; late answers and rejections do.
 func TestBroken(t *testing.T) {
 	for _, tc := range []struct {
-		result AttemptStatus
+		status AttemptStatus
 		falls  bool
 	}{{StatusReset, false}, {StatusErrored, false}, {StatusConnectFailed, false}, {StatusRejected, true}, {StatusTimedOut, true}} {
-		t.Run(fmt.Sprint("status ", tc.result), func(t *testing.T) {
+		t.Run(fmt.Sprint("status ", tc.status), func(t *testing.T) {
 			inst, _ := startInstance(RequestClass{}, 1)
 			for k := range 20 {
 				inst.now = float64(10 + 1000*k)
 				inst.OnRequest(inst.now, Request{ID: fmt.Sprint(k), TimeLeft: 4000})
 				if len(inst.requests[fmt.Sprint(k)].attempts) > 0 {
-					inst.OnAttemptResult(inst.now+1, AttemptResult{RequestID: fmt.Sprint(k), Status: tc.result, Final: true, Took: 1})
+					inst.OnAttemptResult(inst.now+1, AttemptResult{RequestID: fmt.Sprint(k), Status: tc.status, Final: true, Took: 1})
 				}
 			}
-			expect(t, fmt.Sprint("after result ", tc.result, " the limit fell"), inst.endpoints.At(0).Limit < concurrency.InitialLimit, tc.falls)
+			expect(t, "the limit fell", inst.endpoints.At(0).Limit < concurrency.InitialLimit, tc.falls)
 		})
 	}
 }
 
-// An appliance answers for its own time, not for what a txn waited here before it was placed.
+// A backend's limit goes by its own time, not by how long a request waited here before it was placed.
 func TestBlame(t *testing.T) {
 	for _, tc := range []struct {
 		name           string
--- a/policy/decision_bench_test.go
+++ b/policy/decision_bench_test.go
@@ -5,30 +5,30 @@
 	"testing"
 )
 
-// discardingPort is a port that keeps nothing.
+// discardingPort is a port that keeps only the last attempt.
 type discardingPort struct{ recordingPort }
 
-func (q *discardingPort) SendAttempt(txn, appliance string, limit float64) {
-	q.did = append(q.did[:0], appliance)
+func (port *discardingPort) SendAttempt(_, backend string, _ float64) {
+	port.did = append(port.did[:0], backend)
 }
 
-// One decision, from a request to the end of its attempt, at so many backends, one in ten of a release on trial.
+// One decision, from a request to the end of its attempt, with so many backends, of which one in ten has a release that rolls out.
 func BenchmarkDecision(b *testing.B) {
 	for _, n := range []int{10, 200, 3200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			q := &discardingPort{}
-			inst := New(q, Config{Seed: 7, Instances: 300})
+			port := &discardingPort{}
+			inst := New(port, Config{Seed: 7, Instances: 300})
 			inst.configureClasses(Config{Classes: []RequestClass{{LatencyObjective: 1000, Timeout: 4000, Value: 1}}, MaxAttempts: 5, ConcurrentAttempts: true, CancelAllowed: true})
 			inst.configureExposure(ExposureConfig{FreeAttempts: 2, Caps: []float64{0.1, 0.5, 1}, PerClass: true, KeyAffinity: true})
 			inst.configureRollout(RolloutConfig{Stages: []float64{0.1, 0.5, 1}, Control: ControlMajority, RollbackVotes: 1, VoteLifetime: 4000})
 			inst.OnReleaseUpdate(1, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.1, Known: true})
 			var list []Endpoint
 			for i := range n {
-				build := ReleaseID(1)
+				id := ReleaseID(1)
 				if i%10 == 0 {
-					build = 2
+					id = 2
 				}
-				list = append(list, Endpoint{ID: fmt.Sprint("s", i), Release: build, Weight: 1})
+				list = append(list, Endpoint{ID: fmt.Sprint("s", i), Release: id, Weight: 1})
 			}
 			inst.OnEndpoints(1, EndpointUpdate{Endpoints: list, Snapshot: true})
 			keys := make([]string, 4096)
@@ -40,9 +40,9 @@
 			b.ResetTimer()
 			for k := range b.N {
 				now := 10 + float64(k)*0.5
-				id := ids[k&4095]
-				inst.OnRequest(now, Request{ID: id, Key: keys[(k*7)&4095], TimeLeft: 4000})
-				inst.OnAttemptResult(now+0.2, AttemptResult{RequestID: id, Status: StatusServed, Final: true, Took: 10})
+				request := ids[k&4095]
+				inst.OnRequest(now, Request{ID: request, Key: keys[(k*7)&4095], TimeLeft: 4000})
+				inst.OnAttemptResult(now+0.2, AttemptResult{RequestID: request, Status: StatusServed, Final: true, Took: 10})
 			}
 		})
 	}
--- a/policy/discovery_test.go
+++ b/policy/discovery_test.go
@@ -2,45 +2,51 @@
 
 import "testing"
 
-// Nothing goes to an appliance that drains or is gone, and a re-used id is a new, cold machine.
+// Nothing goes to a backend that drains, was removed or is missing from a snapshot.
 func TestList(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		entry Endpoint
-		whole bool
-		want  string
+		name     string
+		listed   Endpoint
+		snapshot bool
+		want     string
 	}{
 		{"drains", Endpoint{ID: "a", Release: 1, State: EndpointDraining, Weight: 1}, false, "[]"},
-		{"gone", Endpoint{ID: "a", Release: 1, State: EndpointRemoved, Weight: 1}, false, "[]"},
-		{"not in a whole list", Endpoint{ID: "b", Release: 1, Weight: 1}, true, "[submit t b]"},
+		{"removed", Endpoint{ID: "a", Release: 1, State: EndpointRemoved, Weight: 1}, false, "[]"},
+		{"not in a snapshot", Endpoint{ID: "b", Release: 1, Weight: 1}, true, "[submit t b]"},
 		{"runs", Endpoint{ID: "a", Release: 1, Weight: 1}, false, "[submit t a]"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			inst, port := startInstance(RequestClass{}, 1)
-			inst.OnEndpoints(5, EndpointUpdate{Endpoints: []Endpoint{tc.entry}, Snapshot: tc.whole})
+			inst.OnEndpoints(5, EndpointUpdate{Endpoints: []Endpoint{tc.listed}, Snapshot: tc.snapshot})
 			inst.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
-			expect(t, tc.name, port.take(), tc.want)
+			expect(t, "actions", port.take(), tc.want)
 		})
 	}
+}
+
+// After failures the subscription is made again, with growing pauses and within the refresh interval of 10 s.
+func TestWatchRetries(t *testing.T) {
 	inst, port := startInstance(RequestClass{}, 1)
 	inst.discovery.onDemand, inst.discovery.refreshInterval = true, 10000
 	inst.OnTimer(2, 0)
 	inst.OnEndpointsFailed(3)
-	expect(t, "asked once", port.take(), "[subscribe]")
-	var asked []float64
+	expect(t, "subscribed once", port.take(), "[subscribe]")
+	var attempts []float64 // ms
 	for now := 3.0; now < 60000; now += 5 {
 		inst.OnTimer(now, inst.timerToken)
 		if len(port.take()) > 0 {
-			asked = append(asked, now)
+			attempts = append(attempts, now)
 			inst.OnEndpointsFailed(now)
 		}
 	}
-	for k := 1; k < len(asked); k++ {
-		if gap := asked[k] - asked[k-1]; gap > 9000 || k < 4 && gap < asked[k-1]-3 && k > 1 && gap < 100 {
-			t.Errorf("asked again after %v ms", gap)
+	for k := 1; k < len(attempts); k++ {
+		pause := attempts[k] - attempts[k-1]
+		tooSoon := k > 1 && k < 4 && pause < attempts[k-1]-3 && pause < 100
+		if pause > 9000 || tooSoon {
+			t.Errorf("subscribed again after %v ms", pause)
 		}
 	}
-	if len(asked) < 6 {
-		t.Errorf("asked %d times in a minute of failures", len(asked))
+	if len(attempts) < 6 {
+		t.Errorf("subscribed %d times in a minute of failures", len(attempts))
 	}
 }
--- a/policy/probes_test.go
+++ b/policy/probes_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// A txn goes to the probed appliance that answers first, and on without an answer after a while.
-func TestRace(t *testing.T) {
+// A request goes to the probed backend that answers first, and on without an answer after a while.
+func TestProbes(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		answer bool // the second probe is answered
 		ok     bool
-		want   string // then, and with the time for both races over
-		later  string
+		want   string // the action then
+		later  string // and after the time for both rounds
 	}{
 		{"answered", true, true, "submit", ""},
 		{"answered with an error", true, false, "", "submit"},
@@ -26,7 +26,7 @@
 			inst.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
 			probed := port.take()
 			if len(probed) == 0 || !strings.HasPrefix(probed[0], "probe") {
-				t.Fatalf("%v", probed)
+				t.Fatalf("no probe: %v", probed)
 			}
 			last := strings.Fields(probed[len(probed)-1])[1]
 			if tc.answer {
@@ -34,19 +34,19 @@
 			}
 			got := fmt.Sprint(port.take())
 			if tc.want != "" && got != "[submit t "+last+"]" || tc.want == "" && got != "[]" {
-				t.Errorf("%s", got)
+				t.Errorf("after the probe: %s", got)
 			}
-			inst.OnTimer(140, inst.timerToken) // a second race
+			inst.OnTimer(140, inst.timerToken) // a second round
 			inst.OnTimer(270, inst.timerToken)
 			if did := port.take(); tc.later != "" && (len(did) == 0 || !strings.HasPrefix(did[len(did)-1], tc.later)) {
-				t.Errorf("%s, later: %v", tc.name, did)
+				t.Errorf("later: %v", did)
 			}
 		})
 	}
 }
 
-// Races are run while what they save is worth their price, by the settings; else requests go out at once.
-func TestRacePrice(t *testing.T) {
+// Probes are sent while what they save is worth their configured price; at a higher one requests go out at once.
+func TestProbePrice(t *testing.T) {
 	for _, tc := range []struct {
 		price float64
 		first string
@@ -57,7 +57,7 @@
 			inst.probesAllowed, inst.probePrice = true, tc.price
 			inst.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
 			if did := port.take(); len(did) == 0 || !strings.HasPrefix(did[0], tc.first) {
-				t.Errorf("at %v: %v", tc.price, did)
+				t.Errorf("%v", did)
 			}
 		})
 	}
--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// The same inputs give the same actions, another seed others; the generator's sequence is known.
+// The same events give the same actions, another seed others; the generator's sequence is known.
 func TestChance(t *testing.T) {
-	g := multiplyWithCarry{x: 1, carry: 0}
-	expect(t, "generator", []uint64{g.next(), g.next(), g.next()}, []uint64{4294957665, 92756161, 18591715})
+	generator := multiplyWithCarry{x: 1, carry: 0}
+	expect(t, "generator", []uint64{generator.next(), generator.next(), generator.next()}, []uint64{4294957665, 92756161, 18591715})
 	run := func(seed uint64) string {
 		port := &recordingPort{}
 		inst := New(port, Config{Seed: seed, Instances: 1})
--- a/policy/replay_test.go
+++ b/policy/replay_test.go
@@ -8,24 +8,24 @@
 	"onyxgate/internal/fake/replay"
 )
 
-// replayPort hands each action to the recorder but log lines; what the instance sends to others is kept to be played back.
+// replayPort hands each action but log lines to the recorder. It keeps the messages to other instances: they are played back.
 type replayPort struct {
 	recordingPort
-	to    *replay.Recorder
-	sent  [][]byte
-	timer uint64
+	recorder *replay.Recorder
+	sent     [][]byte
+	timer    uint64
 }
 
 func (p *replayPort) flush() {
 	for _, did := range p.take() {
-		p.to.Effect(did)
+		p.recorder.Effect(did)
 	}
 }
 
 func (p *replayPort) Reject(id string, wait float64) { p.add("decline %s %v", id, wait) }
-func (p *replayPort) SendMessage(instance int, note []byte) {
-	p.sent = append(p.sent, note)
-	p.recordingPort.SendMessage(instance, note)
+func (p *replayPort) SendMessage(instance int, message []byte) {
+	p.sent = append(p.sent, message)
+	p.recordingPort.SendMessage(instance, message)
 }
 
 func (p *replayPort) SetTimer(after float64, token uint64) {
@@ -34,15 +34,14 @@
 }
 func (p *replayPort) FetchEndpoints() { p.add("fetch list") }
 
-// schedule is a random order of events for one instance, whatever sense they make together.
+// schedule is a random order of events for one instance, whether or not they make sense together.
 type schedule struct {
-	rng      *rand.Rand
-	inst     *Instance
-	port     *replayPort
-	now      float64
-	ids      int
-	attempts map[string]int // by request, as many as were sent
-	open     []string
+	rng  *rand.Rand
+	inst *Instance
+	port *replayPort
+	now  float64
+	ids  int      // requests so far
+	open []string // requests, also some that have ended
 }
 
 func (s *schedule) backend() string { return string(rune('a' + s.rng.IntN(8))) }
@@ -61,24 +60,24 @@
 	return s.open[max(0, len(s.open)-1-s.rng.IntN(12))]
 }
 
-// event plays one and names it.
-func (s *schedule) event() string {
+// event plays one event and says which, in the words of the recording.
+func (s *schedule) event() string { //nolint:funlen // one case for each event, in the order in which the recording drew them
 	now := s.now
 	switch s.rng.IntN(22) {
 	case 0:
-		id, release, state, start := s.backend(), s.release(), EndpointState(s.rng.IntN(6)%4%3), 0.0
+		id, release, state, startedAt := s.backend(), s.release(), EndpointState(s.rng.IntN(6)%4%3), 0.0
 		if s.rng.IntN(2) == 0 {
-			start = now - s.rng.Float64()*40000
+			startedAt = now - s.rng.Float64()*40000
 		}
-		whole := s.rng.IntN(30) == 0
-		s.inst.OnEndpoints(now, EndpointUpdate{Endpoints: []Endpoint{{ID: id, Release: release, State: state, Weight: 1 + s.rng.Float64(), StartedAt: start, Zone: s.rng.IntN(2), Cell: s.rng.IntN(2)}}, Snapshot: whole, Cached: s.rng.IntN(50) == 0})
-		return fmt.Sprint("list ", id, release, int(state), start, whole)
+		snapshot := s.rng.IntN(30) == 0
+		s.inst.OnEndpoints(now, EndpointUpdate{Endpoints: []Endpoint{{ID: id, Release: release, State: state, Weight: 1 + s.rng.Float64(), StartedAt: startedAt, Zone: s.rng.IntN(2), Cell: s.rng.IntN(2)}}, Snapshot: snapshot, Cached: s.rng.IntN(50) == 0})
+		return fmt.Sprint("list ", id, release, int(state), startedAt, snapshot)
 	case 1:
-		release, stage, phase, reply := ReleaseID(1+s.rng.IntN(5)), s.rng.IntN(3), Phase(s.rng.IntN(4)), VoteResponse(s.rng.IntN(5))
+		release, stage, phase, response := ReleaseID(1+s.rng.IntN(5)), s.rng.IntN(3), Phase(s.rng.IntN(4)), VoteResponse(s.rng.IntN(5))
 		limit := []float64{0.5, 0, 1, 0}[phase]
-		told := s.rng.IntN(3) > 0
-		s.inst.OnReleaseUpdate(now, ReleaseUpdate{Release: release, Stage: stage, Phase: phase, Response: reply, Cap: limit, Age: s.rng.Float64() * 100, Known: told})
-		return fmt.Sprint("news ", release, stage, int(phase), int(reply), told)
+		known := s.rng.IntN(3) > 0
+		s.inst.OnReleaseUpdate(now, ReleaseUpdate{Release: release, Stage: stage, Phase: phase, Response: response, Cap: limit, Age: s.rng.Float64() * 100, Known: known})
+		return fmt.Sprint("news ", release, stage, int(phase), int(response), known)
 	case 2, 3, 4, 5, 6, 7:
 		s.ids++
 		id, key := fmt.Sprint("r", s.ids), ""
@@ -86,15 +85,15 @@
 			key = fmt.Sprint("k", s.rng.IntN(30))
 		}
 		s.open = append(s.open, id)
-		class, left, hint := s.rng.IntN(4), 100+s.rng.Float64()*4000, s.rng.Float64()*20-5
-		s.inst.OnRequest(now, Request{ID: id, Key: key, Class: class, Tenant: s.rng.IntN(3), Retry: s.rng.IntN(6) == 0, TimeLeft: left, Work: hint})
-		return fmt.Sprint("request ", id, key, class, left, hint)
+		class, timeLeft, work := s.rng.IntN(4), 100+s.rng.Float64()*4000, s.rng.Float64()*20-5
+		s.inst.OnRequest(now, Request{ID: id, Key: key, Class: class, Tenant: s.rng.IntN(3), Retry: s.rng.IntN(6) == 0, TimeLeft: timeLeft, Work: work})
+		return fmt.Sprint("request ", id, key, class, timeLeft, work)
 	case 8, 9, 10, 11, 12, 13, 14:
 		id, attempt := s.request(), s.rng.IntN(3)
-		result := []AttemptStatus{StatusServed, StatusServed, StatusServed, StatusServed, StatusErrored, StatusRejected, StatusTimedOut, StatusConnectFailed, StatusReset, StatusCanceled, StatusNotSent}[s.rng.IntN(11)]
+		status := []AttemptStatus{StatusServed, StatusServed, StatusServed, StatusServed, StatusErrored, StatusRejected, StatusTimedOut, StatusConnectFailed, StatusReset, StatusCanceled, StatusNotSent}[s.rng.IntN(11)]
 		took, waiting := s.rng.Float64()*300, float64(s.rng.IntN(4)-1)
-		s.inst.OnAttemptResult(now, AttemptResult{RequestID: id, Attempt: attempt, Status: result, Final: result == StatusServed, Took: took, Load: loadReportOf(waiting, waiting/2)})
-		return fmt.Sprint("outcome ", id, attempt, int(result), took, waiting)
+		s.inst.OnAttemptResult(now, AttemptResult{RequestID: id, Attempt: attempt, Status: status, Final: status == StatusServed, Took: took, Load: loadReportOf(waiting, waiting/2)})
+		return fmt.Sprint("outcome ", id, attempt, int(status), took, waiting)
 	case 15:
 		id := s.request()
 		s.inst.OnClientGone(now, id)
@@ -105,8 +104,8 @@
 		return "probed " + id
 	case 17:
 		if len(s.port.sent) > 0 {
-			note := s.port.sent[s.rng.IntN(len(s.port.sent))]
-			s.inst.OnMessage(now, note[:s.rng.IntN(len(note)+1)])
+			message := s.port.sent[s.rng.IntN(len(s.port.sent))]
+			s.inst.OnMessage(now, message[:s.rng.IntN(len(message)+1)])
 		}
 		return "told"
 	case 18:
@@ -142,10 +141,10 @@
 	s.port.add("releases %d %d %d %d %d", r.RollingOut, r.Keys, r.Skipped.Closed, r.Skipped.CapReached, r.Skipped.Affinity)
 }
 
-// configured is an instance of a kind drawn from the schedule's seed.
+// configured is an instance with a configuration drawn from the schedule's seed.
 func configured(s *schedule) *Instance {
-	agents := []int{1, 2, 8, 40, 300}[s.rng.IntN(5)]
-	inst := New(s.port, Config{Seed: s.rng.Uint64(), Index: s.rng.IntN(min(agents, 4)), Instances: agents})
+	instances := []int{1, 2, 8, 40, 300}[s.rng.IntN(5)]
+	inst := New(s.port, Config{Seed: s.rng.Uint64(), Index: s.rng.IntN(min(instances, 4)), Instances: instances})
 	classes := []RequestClass{
 		{LatencyObjective: 1000, Timeout: 4000, Value: 1},
 		{LatencyObjective: 800, Timeout: 3000, Value: 3, Semantics: Idempotent, DedupWindow: 2000},
@@ -167,8 +166,8 @@
 	return inst
 }
 
-// Random schedules, among them what no simulated day has: steps of the clock, unknown releases, attempts asked again as they are
-// sent, leaving. The effects are those of the recording, to the byte.
+// The effects of random schedules are those of the recording, to the byte. They hold what no simulated day has: steps of the clock, unknown
+// releases, questions whether an attempt may still go out, shutdown.
 func TestReplaySchedules(t *testing.T) {
 	t.Run("early", func(t *testing.T) { playSchedules(t, "testdata/schedules.txt", 80, 1000) })
 	t.Run("late", func(t *testing.T) { playSchedules(t, "testdata/schedules-late.txt", 40, 1_000_000) })
@@ -182,7 +181,7 @@
 		if recorder.Differs() {
 			return
 		}
-		s := &schedule{rng: rand.New(rand.NewPCG(seed, 2)), port: &replayPort{to: recorder}, now: from}
+		s := &schedule{rng: rand.New(rand.NewPCG(seed, 2)), port: &replayPort{recorder: recorder}, now: from}
 		s.inst = configured(s)
 		recorder.Event(fmt.Sprint("schedule ", seed))
 		for range 1200 {
