--- /dev/null
+++ b/policy/evidence_test.go
@@ -0,0 +1,97 @@
+package policy
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"onyxgate/policy/verdict"
+)
+
+// An end that is noticed after the instance itself stood still says nothing of the backend or the release.
+func TestStandstill(t *testing.T) {
+	for _, tc := range []struct {
+		name    string
+		stalled bool
+		want    int // outcomes in evidence
+	}{{"running", false, 1}, {"stalled", true, 0}} {
+		t.Run(tc.name, func(t *testing.T) {
+			inst, port := startInstance(RequestClass{}, 1)
+			inst.OnReleaseUpdate(2, ReleaseUpdate{Release: 1, Phase: RollingOut, Cap: 1, Known: true})
+			inst.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
+			port.take()
+			for now := 20.0; now < 900 && !tc.stalled; now += 20 {
+				inst.OnTimer(now, inst.timerToken)
+			}
+			inst.OnAttemptResult(900, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Took: 890})
+			expect(t, "outcomes", inst.evaluator.OutcomeCount(verdict.Candidate), tc.want)
+		})
+	}
+}
+
+// Outcomes from other instances count like own ones; what cannot be read is ignored.
+func TestMessages(t *testing.T) {
+	sender, port := startInstance(RequestClass{}, 3)
+	sender.instances, sender.index = 300, 7
+	sender.peerMessages = true
+	sender.OnReleaseUpdate(2, ReleaseUpdate{Release: 1, Phase: RollingOut, Cap: 1, Known: true})
+	sender.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
+	sender.OnAttemptResult(60, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Took: 50})
+	var message []byte
+	for _, did := range port.take() {
+		if !strings.HasPrefix(did, "tell 0 ") {
+			continue
+		}
+		if _, err := fmt.Sscanf(did, "tell 0 %x", &message); err != nil {
+			t.Fatalf("%s: %v", did, err)
+		}
+	}
+	for _, tc := range []struct {
+		name    string
+		message []byte
+		want    int // outcomes in evidence
+	}{
+		{"whole", message, 1},
+		{"cut short", message[:9], 0},
+		{"nothing", nil, 0},
+		{"unknown backend", append([]byte{1, 2, 3, 4}, message[4:]...), 0},
+		{"unknown class", append(append([]byte{}, message[:6]...), append([]byte{9}, message[7:]...)...), 0},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			receiver, _ := startInstance(RequestClass{}, 3)
+			receiver.OnReleaseUpdate(2, ReleaseUpdate{Release: 1, Phase: RollingOut, Cap: 1, Known: true})
+			receiver.OnMessage(70, tc.message)
+			expect(t, "outcomes", receiver.evaluator.OutcomeCount(verdict.Candidate), tc.want)
+		})
+	}
+}
+
+// What a release does is evidence on itself alone: one whose first update is still to come or that was withdrawn counts for no other.
+func TestEvidenceByRelease(t *testing.T) {
+	for _, tc := range []struct {
+		name                string
+		updates             func(inst *Instance)
+		release             ReleaseID
+		baseline, candidate int // outcomes in evidence
+	}{
+		{"the newest", func(inst *Instance) {
+			inst.OnReleaseUpdate(5, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.5, Known: true})
+		}, 2, 0, 1},
+		{"the one before", func(inst *Instance) {
+			inst.OnReleaseUpdate(5, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.5, Known: true})
+		}, 1, 1, 0},
+		{"its first update is to come", func(*Instance) {}, 2, 0, 0},
+		{"it was withdrawn, and the next one announced", func(inst *Instance) {
+			inst.OnReleaseUpdate(5, ReleaseUpdate{Release: 2, Phase: Withdrawn, Cap: 0, Known: true})
+			inst.OnReleaseUpdate(6, ReleaseUpdate{Release: 3, Phase: RollingOut, Cap: 0.5, Known: true})
+		}, 2, 0, 0},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			inst, _ := startWithAffinity(1, 0.5)
+			tc.updates(inst)
+			inst.addEvidence(tc.release, 0, verdict.Outcome{EndedAt: 10, Latency: 5})
+			got := []int{inst.evaluator.OutcomeCount(verdict.Baseline), inst.evaluator.OutcomeCount(verdict.Candidate)}
+			expect(t, "outcomes", got, []int{tc.baseline, tc.candidate})
+		})
+	}
+}
--- a/policy/health/health_test.go
+++ b/policy/health/health_test.go
@@ -31,15 +31,19 @@
 			for range tc.failures {
 				backend.Add(1000, false)
 			}
-			rng, skipped := rand.New(rand.NewPCG(1, 1)), 0
-			for range 1000 {
-				if DrawUnhealthy(&backend, &fleet, 1000+tc.age, rng) {
-					skipped++
-				}
-			}
-			if skipped < tc.minimum || skipped > tc.maximum {
+			if skipped := skippedOf1000(&backend, &fleet, 1000+tc.age); skipped < tc.minimum || skipped > tc.maximum {
 				t.Errorf("skipped in %d of 1000 draws, want %d to %d", skipped, tc.minimum, tc.maximum)
 			}
 		})
 	}
 }
+
+func skippedOf1000(backend, fleet *Record, now float64) (skipped int) {
+	rng := rand.New(rand.NewPCG(1, 1))
+	for range 1000 {
+		if DrawUnhealthy(backend, fleet, now, rng) {
+			skipped++
+		}
+	}
+	return skipped
+}
--- a/policy/slowstart/slowstart.go
+++ b/policy/slowstart/slowstart.go
@@ -24,20 +24,20 @@
 	return c.InitialCapacity + (1-c.InitialCapacity)*max(up, 0)/c.WarmUp
 }
 
-// maxStartAge (ms) is how long a backend can have been up when it is first listed while a process runs: discovery tells of it within
+// maxStartAge (ms) is how long a backend can have been up when it is first listed while a process runs: discovery lists it within
 // seconds, even with an outage in between. A backend that seems to have been up for longer was timed by another clock. The price: after a
 // very long outage of discovery warm backends are warmed up again.
 const maxStartAge = 20000
 
-// Start is a backend's start as discovery tells it.
+// Start is a backend's start as discovery lists it.
 type Start struct {
 	ListedStart  float64 // ms; 0: long ago
 	FirstList    bool    // the process has had no list from discovery before
 	ClockStepped bool    // a step of the wall clock was seen since the process started
 }
 
-// Believed is since when a backend has been up for certain. The start is told by others' wall clock, which may be stepped, as may ours; the
-// process's own time runs on evenly. A fresh backend must never pass for a warm one. So the start as told is believed only while no
+// Believed is since when a backend has been up for certain. The listed start was read from a wall clock, which may have been stepped, as may
+// ours; the process's own time runs evenly. A fresh backend must never pass for a warm one. So the listed start is believed only while no
 // step of the clock was seen, and only where it can be true of a backend that has just been listed. Otherwise the backend counts as up
 // since now, which is later than its start by the list's delay and never too early. A process's first list is believed: there is
 // nothing else to go by.
