--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -5,46 +5,46 @@
 // This file owns the ends of attempts: what each says of its backend, the load and the release, and how the request goes on.
 
 // endAttempt takes the end of an open attempt.
-func (inst *Instance) endAttempt(req *request, att *attempt, result AttemptResult) {
-	att.open, att.notRun = false, result.Status.provesNotRun()
+func (inst *Instance) endAttempt(req *request, attempt *attempt, result AttemptResult) {
+	attempt.open, attempt.notRun = false, result.Status.provesNotRun()
 	req.openAttempts--
 	req.ended = req.ended || result.Final
-	inst.affinity.AttemptEnded(req.affinityKey, att.bindsTo)
-	inst.endpoints.At(att.backend).OpenAttempts--
+	inst.affinity.AttemptEnded(req.affinityKey, attempt.bindsTo)
+	inst.endpoints.At(attempt.backend).OpenAttempts--
 	inst.openAttempts--
 	inst.retryQueuedAt = inst.now // there may be room for a queued request
-	inst.reportLoad(att.backend, result.Load)
-	inst.learnFromAttempt(req, att, result.Status, result.Took)
-	inst.continueRequest(req, att)
+	inst.reportLoad(attempt.backend, result.Load)
+	inst.learnFromAttempt(req, attempt, result.Status, result.Took)
+	inst.continueRequest(req, attempt)
 }
 
 // learnFromAttempt draws the conclusions from an attempt's end. took is in ms, infinite where it is not known.
-func (inst *Instance) learnFromAttempt(req *request, att *attempt, status AttemptStatus, took float64) {
+func (inst *Instance) learnFromAttempt(req *request, attempt *attempt, status AttemptStatus, took float64) {
 	served := status == StatusServed
-	inTime := served && inst.now <= att.dueAt
-	inst.updateEjection(att, status)
+	inTime := served && inst.now <= attempt.dueAt
+	inst.updateEjection(attempt, status)
 	if served && inst.now == inst.resumedAt {
 		// What took so long may be this instance's own stall: it says nothing of the backend, the load or the release.
 		took, inTime = math.Inf(1), true
 	}
-	inst.signalOverload(req, att, status, inTime)
-	inst.sampleAnswer(att, status, inTime)
+	inst.signalOverload(req, attempt, status, inTime)
+	inst.sampleAnswer(attempt, status, inTime)
 	if served {
-		inst.learnLatency(inst.endpoints.At(att.backend), req, took)
+		inst.learnLatency(inst.endpoints.At(attempt.backend), req, took)
 	}
 	// An answer that broke on its way, or came when nobody read it, has bound its key all the same.
-	if status != StatusErrored && !att.notRun {
-		inst.bindKey(req, att)
+	if status != StatusErrored && !attempt.notRun {
+		inst.bindKey(req, attempt)
 	}
-	isEvidence := !math.IsInf(took, 1) && !att.notRun && status != StatusCanceled
+	isEvidence := !math.IsInf(took, 1) && !attempt.notRun && status != StatusCanceled
 	if inst.evaluator.Announced() && isEvidence {
-		inst.recordEvidence(att, req, status, took)
+		inst.recordEvidence(attempt, req, status, took)
 	}
 }
 
 // continueRequest ends a request that has its answer, and lets one without an open attempt go on where it may run again.
-func (inst *Instance) continueRequest(req *request, att *attempt) {
-	mayRunAgain := att.notRun || inst.classes[req.class].Semantics != NonIdempotent
+func (inst *Instance) continueRequest(req *request, attempt *attempt) {
+	mayRunAgain := attempt.notRun || inst.classes[req.class].Semantics != NonIdempotent
 	switch {
 	case req.ended:
 		inst.cancelOpenAttempts(req)
@@ -58,8 +58,8 @@
 }
 
 // updateEjection ejects a backend that fails quickly.
-func (inst *Instance) updateEjection(att *attempt, status AttemptStatus) {
-	ejection := &inst.endpoints.At(att.backend).Ejection
+func (inst *Instance) updateEjection(attempt *attempt, status AttemptStatus) {
+	ejection := &inst.endpoints.At(attempt.backend).Ejection
 	switch status {
 	case StatusServed:
 		ejection.OnSuccess()
@@ -69,8 +69,8 @@
 }
 
 // signalOverload takes an attempt's end as a sign of overload or of none. Ends in other zones are no sign: the way there may be at fault.
-func (inst *Instance) signalOverload(req *request, att *attempt, status AttemptStatus, inTime bool) {
-	if inst.endpoints.At(att.backend).Zone != inst.zone {
+func (inst *Instance) signalOverload(req *request, attempt *attempt, status AttemptStatus, inTime bool) {
+	if inst.endpoints.At(attempt.backend).Zone != inst.zone {
 		return
 	}
 	switch {
@@ -85,21 +85,21 @@
 
 // sampleAnswer counts an attempt's end in its backend's record and as a sample for its concurrency limit, once. What breaks on the way says
 // nothing of the load there, and a canceled attempt nothing at all.
-func (inst *Instance) sampleAnswer(att *attempt, status AttemptStatus, inTime bool) {
-	if status == StatusCanceled || status == StatusNotSent || att.countedLate {
+func (inst *Instance) sampleAnswer(attempt *attempt, status AttemptStatus, inTime bool) {
+	if status == StatusCanceled || status == StatusNotSent || attempt.countedLate {
 		return
 	}
-	inst.recordAnswer(inst.endpoints.At(att.backend), inTime)
+	inst.recordAnswer(inst.endpoints.At(attempt.backend), inTime)
 	broke := status == StatusConnectFailed || status == StatusErrored || status == StatusReset
 	if !broke {
-		inst.sampleLimit(att.backend, inTime)
+		inst.sampleLimit(attempt.backend, inTime)
 	}
 }
 
 // sampleLimit moves a backend's concurrency limit and the sum of all limits.
-func (inst *Instance) sampleLimit(backend int, inTime bool) {
-	b := inst.endpoints.At(backend)
-	inst.fleet.concurrencyLimit += b.Limit.OnSample(inTime, b.OpenAttempts, inst.instances)
+func (inst *Instance) sampleLimit(index int, inTime bool) {
+	backend := inst.endpoints.At(index)
+	inst.fleet.concurrencyLimit += backend.Limit.OnSample(inTime, backend.OpenAttempts, inst.instances)
 }
 
 // handleOverdue takes the first pending request's attempts that are late or taken for lost.
@@ -107,7 +107,7 @@
 	req := inst.pending[0]
 	inst.dropPending()
 	for k := range req.attempts {
-		if att := &req.attempts[k]; att.open && !att.countedLate {
+		if attempt := &req.attempts[k]; attempt.open && !attempt.countedLate {
 			inst.handleOverdueAttempt(req, k)
 		}
 	}
@@ -116,25 +116,25 @@
 // handleOverdueAttempt counts a late attempt against its backend at once, and cancels one that is taken for lost while there is time to try
 // elsewhere: answers get lost on any way. No second copy goes out beside it, and the cancellation budget keeps such retries few: both
 // would feed an overload.
-func (inst *Instance) handleOverdueAttempt(req *request, k int) {
-	att := &req.attempts[k]
-	late := inst.now >= att.dueAt
-	if !late && !inst.isLost(req, att) {
+func (inst *Instance) handleOverdueAttempt(req *request, number int) {
+	attempt := &req.attempts[number]
+	late := inst.now >= attempt.dueAt
+	if !late && !inst.isLost(req, attempt) {
 		return
 	}
-	att.countedLate = true
-	inst.recordAnswer(inst.endpoints.At(att.backend), false)
+	attempt.countedLate = true
+	inst.recordAnswer(inst.endpoints.At(attempt.backend), false)
 	if late {
-		inst.sampleLimit(att.backend, false)
+		inst.sampleLimit(attempt.backend, false)
 		return
 	}
-	att.canceled, inst.cancellationBudget = true, inst.cancellationBudget-1
-	inst.port.CancelAttempt(req.id, k)
+	attempt.canceled, inst.cancellationBudget = true, inst.cancellationBudget-1
+	inst.port.CancelAttempt(req.id, number)
 }
 
 // isLost says whether an attempt has outlasted nearly all answers and can be replaced in time.
-func (inst *Instance) isLost(req *request, att *attempt) bool {
-	outlasted := inst.now >= inst.givenUpAt(req.class, att.sentAt)
+func (inst *Instance) isLost(req *request, attempt *attempt) bool {
+	outlasted := inst.now >= inst.givenUpAt(req.class, attempt.sentAt)
 	mayReplace := len(req.attempts) < inst.maxAttempts && inst.cancellationBudget >= 1
 	return outlasted && mayReplace && inst.now+inst.expectedLatency(req) < req.objectiveAt
 }
--- a/policy/discovery.go
+++ b/policy/discovery.go
@@ -43,31 +43,31 @@
 
 // applyEndpoint takes one backend as listed.
 func (inst *Instance) applyEndpoint(listed Endpoint) {
-	backend, known := inst.endpoints.Find(listed.ID)
+	index, known := inst.endpoints.Find(listed.ID)
 	if !known {
-		backend = inst.addEndpoint(listed.ID)
+		index = inst.addEndpoint(listed.ID)
 	}
-	b := inst.endpoints.At(backend)
-	if b.IsNewProcess(listed) {
+	backend := inst.endpoints.At(index)
+	if backend.IsNewProcess(listed) {
 		start := slowstart.Start{ListedStart: listed.StartedAt, FirstList: !inst.discovery.heard, ClockStepped: inst.discovery.clockStepped}
-		b.StartProcess(start.Believed(inst.now), inst.now)
-		inst.evaluator.ResetBackend(backend)
+		backend.StartProcess(start.Believed(inst.now), inst.now)
+		inst.evaluator.ResetBackend(index)
 		if inst.instances >= manyInstances && listed.StartedAt > 0 {
 			// With an empty budget each of many instances would wait long for its first request; with a full one all would send at once.
-			b.SlowStart = slowstart.NewBudget(inst.rng.Float64(), inst.now)
+			backend.SlowStart = slowstart.NewBudget(inst.rng.Float64(), inst.now)
 		}
 	}
 	if listed.State != EndpointRemoved {
 		inst.onReleaseListed(listed.Release)
 	}
-	b.Update(listed, inst.now)
+	backend.Update(listed, inst.now)
 }
 
 // addEndpoint makes an entry for a new backend. Evidence on the backend whose entry it takes is dropped, since it goes by that index.
 func (inst *Instance) addEndpoint(id string) int {
-	backend, reused := inst.endpoints.Add(id, inst.now)
+	index, reused := inst.endpoints.Add(id, inst.now)
 	if reused {
-		inst.evaluator.ForgetBackend(backend)
+		inst.evaluator.ForgetBackend(index)
 	}
-	return backend
+	return index
 }
--- a/policy/events.go
+++ b/policy/events.go
@@ -112,12 +112,12 @@
 // seen here is corrected. A backend that is not known is ignored.
 func (inst *Instance) OnWrongAnswer(now float64, backendID string, class int, age float64) {
 	inst.beginEvent(now)
-	backend, known := inst.endpoints.Find(backendID)
+	index, known := inst.endpoints.Find(backendID)
 	if !known {
 		return
 	}
-	inst.recordAnswer(inst.endpoints.At(backend), false)
-	inst.evaluator.MarkFailed(class, backend, now-age)
+	inst.recordAnswer(inst.endpoints.At(index), false)
+	inst.evaluator.MarkFailed(class, index, now-age)
 }
 
 // OnClientGone takes notice that a request's client has gone; an id that is not open is ignored.
@@ -132,8 +132,8 @@
 // OnProbeResult takes the end of a load probe.
 func (inst *Instance) OnProbeResult(now float64, result ProbeResult) {
 	inst.beginEvent(now)
-	if backend, known := inst.endpoints.Find(result.Backend); known {
-		inst.endProbe(backend, result)
+	if index, known := inst.endpoints.Find(result.Backend); known {
+		inst.endProbe(index, result)
 	}
 	inst.loadProbes = slices.DeleteFunc(inst.loadProbes, func(probe loadProbe) bool { return !probe.request.awaitsPlacement() })
 	inst.applyRules()
--- a/policy/exposure.go
+++ b/policy/exposure.go
@@ -47,20 +47,20 @@
 }
 
 // withinExposureCap guards the rule on exposure for one attempt of a request at a backend.
-func (inst *Instance) withinExposureCap(req *request, b *endpoints.Backend) bool {
-	if inst.releases.ServesAs(b.Release) < inst.oldestAllowedRelease(req) {
+func (inst *Instance) withinExposureCap(req *request, backend *endpoints.Backend) bool {
+	if inst.releases.ServesAs(backend.Release) < inst.oldestAllowedRelease(req) {
 		inst.skipped.Affinity++
 		return false
 	}
-	limit, limited := inst.releases.Cap(b.Release)
+	limit, limited := inst.releases.Cap(backend.Release)
 	if !limited {
 		return true
 	}
-	if limit <= 0 || inst.isGuarded(req, b.Release) {
+	if limit <= 0 || inst.isGuarded(req, backend.Release) {
 		inst.skipped.Closed++
 		return false
 	}
-	if !inst.allowance.Allows(b.Release, inst.exposureLane(req.class), inst.now) {
+	if !inst.allowance.Allows(backend.Release, inst.exposureLane(req.class), inst.now) {
 		inst.skipped.CapReached++
 		return false
 	}
@@ -85,8 +85,8 @@
 
 // bindKey notes that a release may have answered a request's key. Where the backend was listed with another release meanwhile, it
 // may have been either that answered.
-func (inst *Instance) bindKey(req *request, att *attempt) {
-	for _, id := range [...]ReleaseID{att.release, inst.endpoints.At(att.backend).Release} {
+func (inst *Instance) bindKey(req *request, attempt *attempt) {
+	for _, id := range [...]ReleaseID{attempt.release, inst.endpoints.At(attempt.backend).Release} {
 		if to := inst.releases.BindsAs(id); !inst.releases.IsClosed(to) {
 			inst.affinity.Bind(req.affinityKey, to)
 		}
@@ -95,18 +95,18 @@
 
 // MaySend says whether an attempt that was decided a while ago may still go out: its connection came up late, and the endpoint list, a release
 // update or another attempt's answer came meanwhile. One that may not counts as never sent. It changes no decision.
-func (inst *Instance) MaySend(id string, attempt int) bool {
+func (inst *Instance) MaySend(id string, number int) bool {
 	req := inst.requests[id]
-	if req == nil || attempt < 0 || attempt >= len(req.attempts) {
+	if req == nil || number < 0 || number >= len(req.attempts) {
 		return false
 	}
-	att := &req.attempts[attempt]
-	b := inst.endpoints.At(att.backend)
-	asDecided := b.State == EndpointRunning && b.Release == att.release
-	if !asDecided || inst.releases.ServesAs(att.release) < inst.oldestAllowedRelease(req) {
+	attempt := &req.attempts[number]
+	backend := inst.endpoints.At(attempt.backend)
+	asDecided := backend.State == EndpointRunning && backend.Release == attempt.release
+	if !asDecided || inst.releases.ServesAs(attempt.release) < inst.oldestAllowedRelease(req) {
 		return false
 	}
-	limit, limited := inst.releases.Cap(att.release)
+	limit, limited := inst.releases.Cap(attempt.release)
 	return !limited || limit > 0
 }
 
--- a/policy/fleet.go
+++ b/policy/fleet.go
@@ -37,31 +37,31 @@
 	stable, rollout := fleet.candidates[stableArm][:0], fleet.candidates[rolloutArm][:0]
 	*fleet = fleetAggregates{dueAt: inst.now + aggregatesInterval, candidates: [2][]int{stable, rollout}}
 	inst.inferReleased()
-	for backend := range inst.endpoints.Len() {
-		if b := inst.endpoints.At(backend); b.State == EndpointRunning {
-			inst.addToAggregates(backend, b)
+	for index := range inst.endpoints.Len() {
+		if backend := inst.endpoints.At(index); backend.State == EndpointRunning {
+			inst.addToAggregates(index, backend)
 		}
 	}
 }
 
-func (inst *Instance) addToAggregates(backend int, b *endpoints.Backend) {
-	fleet, arm, progress := &inst.fleet, stableArm, inst.warmUpProgress(b)
-	limit, limited := inst.releases.Cap(b.Release)
+func (inst *Instance) addToAggregates(index int, backend *endpoints.Backend) {
+	fleet, arm, progress := &inst.fleet, stableArm, inst.warmUpProgress(backend)
+	limit, limited := inst.releases.Cap(backend.Release)
 	if limited && limit <= 0 {
 		return // no request may go there
 	}
 	if limited {
 		arm, fleet.rolloutCap = rolloutArm, max(fleet.rolloutCap, limit)
-		if b.Release != release.Unknown {
-			fleet.rolloutRelease = max(fleet.rolloutRelease, b.Release)
+		if backend.Release != release.Unknown {
+			fleet.rolloutRelease = max(fleet.rolloutRelease, backend.Release)
 		}
 	}
-	fleet.candidates[arm] = append(fleet.candidates[arm], backend)
-	fleet.capacity[arm] += b.Weight * progress
-	fleet.concurrencyLimit += float64(b.Limit)
-	fleet.maxCapacity = max(fleet.maxCapacity, inst.capacityOf(b))
+	fleet.candidates[arm] = append(fleet.candidates[arm], index)
+	fleet.capacity[arm] += backend.Weight * progress
+	fleet.concurrencyLimit += float64(backend.Limit)
+	fleet.maxCapacity = max(fleet.maxCapacity, inst.capacityOf(backend))
 	if progress >= 1 {
-		fleet.warmWeight += b.Weight
+		fleet.warmWeight += backend.Weight
 	}
 }
 
@@ -70,15 +70,15 @@
 func (inst *Instance) inferReleased() {
 	newest := inst.evaluator.Release()
 	oldest, earlier, counts := ReleaseID(math.MaxInt), 0, map[ReleaseID]int{}
-	for backend := range inst.endpoints.Len() {
-		b := inst.endpoints.At(backend)
-		if b.State == EndpointRemoved || b.Release == release.Unknown {
+	for index := range inst.endpoints.Len() {
+		backend := inst.endpoints.At(index)
+		if backend.State == EndpointRemoved || backend.Release == release.Unknown {
 			continue
 		}
-		oldest = min(oldest, b.Release)
-		if b.State == EndpointRunning && b.Release < newest {
+		oldest = min(oldest, backend.Release)
+		if backend.State == EndpointRunning && backend.Release < newest {
 			earlier++
-			counts[b.Release]++
+			counts[backend.Release]++
 		}
 	}
 	if oldest < math.MaxInt {
@@ -95,21 +95,21 @@
 const crossZonePenalty = 1.5
 
 // capacityOf is what a backend can take, as far as is known: its weight, less while it warms up, is slow or is in another zone.
-func (inst *Instance) capacityOf(b *endpoints.Backend) float64 {
-	capacity := b.Weight * inst.warmUpProgress(b) / b.LatencyInflation
-	if inst.crossZonePrice && b.Zone != inst.zone {
+func (inst *Instance) capacityOf(backend *endpoints.Backend) float64 {
+	capacity := backend.Weight * inst.warmUpProgress(backend) / backend.LatencyInflation
+	if inst.crossZonePrice && backend.Zone != inst.zone {
 		capacity /= crossZonePenalty
 	}
 	return capacity
 }
 
 // warmUpProgress is the part of its capacity that a backend has at the least.
-func (inst *Instance) warmUpProgress(b *endpoints.Backend) float64 {
-	return inst.slowStart.Progress(b.UpSince, inst.now)
+func (inst *Instance) warmUpProgress(backend *endpoints.Backend) float64 {
+	return inst.slowStart.Progress(backend.UpSince, inst.now)
 }
 
 // recordAnswer counts an answer for its backend and for the fleet.
-func (inst *Instance) recordAnswer(b *endpoints.Backend, inTime bool) {
+func (inst *Instance) recordAnswer(backend *endpoints.Backend, inTime bool) {
 	inst.answers.Add(inst.now, inTime)
-	b.Answers.Add(inst.now, inTime)
+	backend.Answers.Add(inst.now, inTime)
 }
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -27,7 +27,7 @@
 }
 
 // learnLatency takes the latency of an answer.
-func (inst *Instance) learnLatency(b *endpoints.Backend, req *request, took float64) {
+func (inst *Instance) learnLatency(backend *endpoints.Backend, req *request, took float64) {
 	if math.IsInf(took, 1) {
 		return
 	}
@@ -35,8 +35,8 @@
 	moveMean(&latency.mean, took)
 	inst.learnTail(req.class, took)
 	moveMean(&inst.meanLatency, took)
-	b.LatencyInflation += backendStep * (min(took/max(latency.mean, 1), maxLatencyInflation) - b.LatencyInflation)
-	if inst.fleet.warmWeight > 0 && inst.warmUpProgress(b) >= 1 {
+	backend.LatencyInflation += backendStep * (min(took/max(latency.mean, 1), maxLatencyInflation) - backend.LatencyInflation)
+	if inst.fleet.warmWeight > 0 && inst.warmUpProgress(backend) >= 1 {
 		inst.throughput.Add(req.relativeWork/inst.fleet.warmWeight, inst.now)
 	}
 }
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -53,8 +53,8 @@
 	if unbound && inst.isPopular(req.key) {
 		rollout = false
 	}
-	if backend := inst.pickCandidate(req, rollout); backend >= 0 || !rollout && unbound {
-		return backend
+	if index := inst.pickCandidate(req, rollout); index >= 0 || !rollout && unbound {
+		return index
 	}
 	return inst.pickCandidate(req, !rollout)
 }
@@ -75,47 +75,47 @@
 
 // pickCandidate chooses a backend in one arm, with a probability by its capacity and then by its load.
 func (inst *Instance) pickCandidate(req *request, rollout bool) int {
-	fits := func(backend int) bool {
-		return inst.hasCapacity(req, inst.endpoints.At(backend)) && inst.maySendTo(req, backend)
+	fits := func(index int) bool {
+		return inst.hasCapacity(req, inst.endpoints.At(index)) && inst.maySendTo(req, index)
 	}
-	accepts := func(backend int) bool {
-		b := inst.endpoints.At(backend)
-		if inst.rng.Float64()*inst.fleet.maxCapacity > inst.capacityOf(b) || req.triedAt(backend) || !fits(backend) {
+	accepts := func(index int) bool {
+		backend := inst.endpoints.At(index)
+		if inst.rng.Float64()*inst.fleet.maxCapacity > inst.capacityOf(backend) || req.triedAt(index) || !fits(index) {
 			return false
 		}
-		return !health.DrawUnhealthy(&b.Answers, &inst.answers, inst.now, inst.rng)
+		return !health.DrawUnhealthy(&backend.Answers, &inst.answers, inst.now, inst.rng)
 	}
 	return balance.LeastLoaded(inst.fleet.candidates[boolIndex(rollout)], inst.rng, accepts, fits, inst.loadOf)
 }
 
 // loadOf is a backend's load for its capacity: the instance's own open attempts. In a small fleet the reported load is added; in a large one
 // reports are old, and a false one would draw the requests of all instances.
-func (inst *Instance) loadOf(backend int) float64 {
-	b := inst.endpoints.At(backend)
-	load := float64(b.OpenAttempts)
+func (inst *Instance) loadOf(index int) float64 {
+	backend := inst.endpoints.At(index)
+	load := float64(backend.OpenAttempts)
 	if inst.instances < manyInstances {
-		load += b.Load.At(inst.now)
+		load += backend.Load.At(inst.now)
 	}
-	return load / inst.capacityOf(b)
+	return load / inst.capacityOf(backend)
 }
 
 // hasCapacity says whether a backend is not ejected and the instance's own open attempts, there and in all, are within the concurrency
 // limits, whose last part is for requests of high value.
-func (inst *Instance) hasCapacity(req *request, b *endpoints.Backend) bool {
+func (inst *Instance) hasCapacity(req *request, backend *endpoints.Backend) bool {
 	share := 1.0
 	if req.value < inst.meanValue {
 		share = lowValueLimitShare
 	}
-	here, inAll := max(float64(b.Limit)*share, minOpenPerBackend), max(inst.fleet.concurrencyLimit*share, minOpenInAll)
-	return !b.Ejection.Active(inst.now) && float64(b.OpenAttempts) < here && float64(inst.openAttempts) < inAll
+	here, inAll := max(float64(backend.Limit)*share, minOpenPerBackend), max(inst.fleet.concurrencyLimit*share, minOpenInAll)
+	return !backend.Ejection.Active(inst.now) && float64(backend.OpenAttempts) < here && float64(inst.openAttempts) < inAll
 }
 
 // maySendTo guards every attempt: the limits on attempts, the rule on repeats, the exposure cap and the slow start.
-func (inst *Instance) maySendTo(req *request, backend int) bool {
-	b := inst.endpoints.At(backend)
+func (inst *Instance) maySendTo(req *request, index int) bool {
+	backend := inst.endpoints.At(index)
 	// A draining backend gets nothing, though the platform would still allow it for a while.
-	return inst.mayAttempt(req) && b.State == EndpointRunning && inst.mayRepeatAt(req, b) &&
-		inst.withinExposureCap(req, b) && inst.allowsWarmingUp(req, b)
+	return inst.mayAttempt(req) && backend.State == EndpointRunning && inst.mayRepeatAt(req, backend) &&
+		inst.withinExposureCap(req, backend) && inst.allowsWarmingUp(req, backend)
 }
 
 // mayAttempt says whether a request may have one more attempt.
@@ -128,7 +128,7 @@
 
 // mayRepeatAt says whether a repeat at a backend can have no second effect. The first attempt that may have run decides: the backends that
 // know of it are those in its scope, for as long as they drop repeats.
-func (inst *Instance) mayRepeatAt(req *request, b *endpoints.Backend) bool {
+func (inst *Instance) mayRepeatAt(req *request, backend *endpoints.Backend) bool {
 	class := &inst.classes[req.class]
 	if class.Semantics == Safe {
 		return true
@@ -141,7 +141,7 @@
 		if class.Semantics == NonIdempotent || inst.now >= earlier.sentAt+class.DedupWindow {
 			return false
 		}
-		return inDedupScope(class.DedupScope, inst.endpoints.At(earlier.backend), b)
+		return inDedupScope(class.DedupScope, inst.endpoints.At(earlier.backend), backend)
 	}
 	return true
 }
@@ -160,12 +160,12 @@
 
 // allowsWarmingUp keeps to the slow-start budget of a backend that is not warm: by its progress, a part of what warm backends are seen to
 // serve. Where none is seen, a backend counts as serving one request at a time, shared by all instances.
-func (inst *Instance) allowsWarmingUp(req *request, b *endpoints.Backend) bool {
-	progress := inst.warmUpProgress(b)
+func (inst *Instance) allowsWarmingUp(req *request, backend *endpoints.Backend) bool {
+	progress := inst.warmUpProgress(backend)
 	if progress >= 1 {
 		return true
 	}
-	seen := inst.throughput.PerWeight() * b.Weight
+	seen := inst.throughput.PerWeight() * backend.Weight
 	latency := cmp.Or(inst.meanLatency, inst.classes[req.class].LatencyObjective)
-	return b.SlowStart.Allows(&inst.slowStart, progress, max(seen, 1/(latency*float64(inst.instances))), inst.now)
+	return backend.SlowStart.Allows(&inst.slowStart, progress, max(seen, 1/(latency*float64(inst.instances))), inst.now)
 }
--- a/policy/probes.go
+++ b/policy/probes.go
@@ -27,41 +27,41 @@
 func (inst *Instance) probeBeforePlacement(req *request) {
 	req.probeRounds++
 	for range probesPerRound {
-		backend := inst.pickBackend(req)
-		if backend >= 0 && !slices.Contains(inst.loadProbes, loadProbe{req, backend}) {
-			inst.loadProbes = append(inst.loadProbes, loadProbe{req, backend})
-			inst.port.SendProbe(inst.endpoints.At(backend).ID)
+		index := inst.pickBackend(req)
+		if index >= 0 && !slices.Contains(inst.loadProbes, loadProbe{req, index}) {
+			inst.loadProbes = append(inst.loadProbes, loadProbe{req, index})
+			inst.port.SendProbe(inst.endpoints.At(index).ID)
 		}
 	}
 	inst.schedule(inst.now+probeRoundShare*inst.classes[req.class].LatencyObjective, req)
 }
 
 // endProbe takes a probe's result. Failures in other zones count for nothing: the way there may be at fault.
-func (inst *Instance) endProbe(backend int, result ProbeResult) {
-	if inst.endpoints.At(backend).Zone == inst.zone {
+func (inst *Instance) endProbe(index int, result ProbeResult) {
+	if inst.endpoints.At(index).Zone == inst.zone {
 		inst.probeFailureShare -= backendStep * inst.probeFailureShare
 		if !result.OK {
 			inst.probeFailureShare += backendStep
 		}
 	}
 	if result.OK {
-		inst.reportLoad(backend, result.Load)
-		inst.placeAfterProbe(backend)
+		inst.reportLoad(index, result.Load)
+		inst.placeAfterProbe(index)
 	}
 }
 
 // placeAfterProbe gives the backend that has answered to the first request that waits for it.
-func (inst *Instance) placeAfterProbe(backend int) {
-	req := inst.probedRequest(backend)
-	if req != nil && inst.now < req.objectiveAt && inst.maySendTo(req, backend) {
-		inst.placeRequest(req, backend)
+func (inst *Instance) placeAfterProbe(index int) {
+	req := inst.probedRequest(index)
+	if req != nil && inst.now < req.objectiveAt && inst.maySendTo(req, index) {
+		inst.placeRequest(req, index)
 	}
 }
 
 // probedRequest is the first request without a place for which a backend was probed; nil: there is none.
-func (inst *Instance) probedRequest(backend int) *request {
+func (inst *Instance) probedRequest(index int) *request {
 	for _, probe := range inst.loadProbes {
-		if probe.backend == backend && probe.request.awaitsPlacement() {
+		if probe.backend == index && probe.request.awaitsPlacement() {
 			return probe.request
 		}
 	}
@@ -69,8 +69,8 @@
 }
 
 // reportLoad takes what a backend says of its load.
-func (inst *Instance) reportLoad(backend int, report LoadReport) {
+func (inst *Instance) reportLoad(index int, report LoadReport) {
 	if report.Present {
-		inst.endpoints.At(backend).Load = balance.NewLoad(report.Waiting, report.Busy, inst.now)
+		inst.endpoints.At(index).Load = balance.NewLoad(report.Waiting, report.Busy, inst.now)
 	}
 }
--- a/policy/request.go
+++ b/policy/request.go
@@ -49,9 +49,9 @@
 func (req *request) awaitsPlacement() bool { return !req.ended && req.openAttempts == 0 }
 
 // triedAt says whether an attempt of the request went to a backend.
-func (req *request) triedAt(backend int) bool {
+func (req *request) triedAt(index int) bool {
 	for k := range req.attempts {
-		if req.attempts[k].backend == backend {
+		if req.attempts[k].backend == index {
 			return true
 		}
 	}
--- a/policy/routing.go
+++ b/policy/routing.go
@@ -40,11 +40,11 @@
 		inst.probeBeforePlacement(req)
 		return
 	}
-	backend := inst.pickBackend(req)
+	index := inst.pickBackend(req)
 	isNew := inst.now <= req.arrivedAt
 	switch {
-	case backend >= 0:
-		inst.placeRequest(req, backend)
+	case index >= 0:
+		inst.placeRequest(req, index)
 	case isNew && float64(len(inst.requests)) > openRequestsBeforeReject*inst.maxOpenRequests:
 		inst.answerFinally(req)
 	case !req.queued:
@@ -132,9 +132,9 @@
 }
 
 // placeRequest sends a request to a backend and has it looked at again when the attempt is late or taken for lost.
-func (inst *Instance) placeRequest(req *request, backend int) {
+func (inst *Instance) placeRequest(req *request, index int) {
 	req.queued = false
-	inst.sendAttempt(req, backend)
+	inst.sendAttempt(req, index)
 	inst.schedule(req.attempts[len(req.attempts)-1].dueAt, req)
 	if givenUpAt := inst.givenUpAt(req.class, inst.now); givenUpAt < req.objectiveAt {
 		inst.schedule(givenUpAt, req)
@@ -142,25 +142,25 @@
 }
 
 // sendAttempt sends an attempt; the caller has asked maySendTo.
-func (inst *Instance) sendAttempt(req *request, backend int) {
-	b := inst.endpoints.At(backend)
-	if inst.underCap(b.Release) {
-		inst.allowance.Use(b.Release, inst.exposureLane(req.class), inst.now)
+func (inst *Instance) sendAttempt(req *request, index int) {
+	backend := inst.endpoints.At(index)
+	if inst.underCap(backend.Release) {
+		inst.allowance.Use(backend.Release, inst.exposureLane(req.class), inst.now)
 	}
-	if inst.warmUpProgress(b) < 1 {
-		b.SlowStart.Spend(req.relativeWork)
+	if inst.warmUpProgress(backend) < 1 {
+		backend.SlowStart.Spend(req.relativeWork)
 	}
-	bindsTo := inst.releases.BindsAs(b.Release)
+	bindsTo := inst.releases.BindsAs(backend.Release)
 	req.attempts = append(req.attempts, attempt{
-		backend: backend, release: b.Release, bindsTo: bindsTo, sentAt: inst.now, dueAt: inst.latencyDeadline(req), open: true,
+		backend: index, release: backend.Release, bindsTo: bindsTo, sentAt: inst.now, dueAt: inst.latencyDeadline(req), open: true,
 	})
 	req.openAttempts++
 	if !inst.releases.IsClosed(bindsTo) {
 		inst.affinity.AttemptStarted(req.affinityKey, bindsTo)
 	}
-	b.OpenAttempts++
+	backend.OpenAttempts++
 	inst.openAttempts++
-	inst.port.SendAttempt(req.id, b.ID, 0)
+	inst.port.SendAttempt(req.id, backend.ID, 0)
 }
 
 // latencyDeadline is after which time an answer is late by its backend's doing. What the request has waited here is not: where few backends
@@ -193,8 +193,8 @@
 		return
 	}
 	for k := range req.attempts {
-		if att := &req.attempts[k]; att.open && inst.cancelAllowed && !att.canceled {
-			att.countedLate, att.canceled = true, true
+		if attempt := &req.attempts[k]; attempt.open && inst.cancelAllowed && !attempt.canceled {
+			attempt.countedLate, attempt.canceled = true, true
 			inst.port.CancelAttempt(req.id, k)
 		}
 	}
