--- a/policy/affinity_test.go
+++ b/policy/affinity_test.go
@@ -224,7 +224,7 @@
 		}
 		for k := range 64 {
 			req := &request{key: fmt.Sprint(k), affinityKey: 1}
-			set += fmt.Sprint(boolIndex(inst.rolloutDraw(req) < 0.5))
+			set += fmt.Sprintf("%t ", inst.rolloutDraw(req) < 0.5)
 		}
 		return set
 	}
--- a/policy/config.go
+++ b/policy/config.go
@@ -112,8 +112,7 @@
 		maxOpenRequests: math.Inf(1),
 		maxRetryAfter:   c.MaxRetryAfter,
 		peerMessages:    c.PeerMessages,
-		probesAllowed:   c.ProbesAllowed,
-		probePrice:      c.ProbePrice,
+		probing:         probing{allowed: c.ProbesAllowed, price: c.ProbePrice},
 		zone:            c.Zone,
 		crossZonePrice:  c.CrossZonePrice,
 
@@ -127,7 +126,7 @@
 		affinity:          exposure.NewAffinity(),
 
 		retryQueuedAt: math.Inf(1),
-		armedAt:       math.Inf(1),
+		timers:        timers{armedAt: math.Inf(1)},
 	}
 	inst.evaluateAt = math.Inf(1)
 	if c.MaxOpenRequests > 0 {
@@ -155,7 +154,7 @@
 }
 
 func (inst *Instance) configureExposure(c ExposureConfig) {
-	inst.guardedStages, inst.exposurePerClass, inst.keyAffinity, inst.exposureWindow = c.GuardedStages, c.PerClass, c.KeyAffinity, c.Window
+	inst.exposureConfig = c
 	firstCap := 0.0
 	if len(c.Caps) > 0 {
 		firstCap = c.Caps[0]
--- a/policy/discovery_test.go
+++ b/policy/discovery_test.go
@@ -33,7 +33,7 @@
 	expect(t, "subscribed once", port.take(), "[subscribe]")
 	var attempts []float64 // ms
 	for now := 3.0; now < 60000; now += 5 {
-		inst.OnTimer(now, inst.timerToken)
+		inst.OnTimer(now, inst.timers.token)
 		if len(port.take()) > 0 {
 			attempts = append(attempts, now)
 			inst.OnEndpointsFailed(now)
--- a/policy/endpoints/endpoints.go
+++ b/policy/endpoints/endpoints.go
@@ -124,8 +124,8 @@
 // RemoveAll removes every backend, since a snapshot names those that are there.
 func (t *Table) RemoveAll(now float64) {
 	for index := range t.backends {
-		if b := &t.backends[index]; b.State != Removed {
-			b.State, b.removedAt = Removed, now
+		if backend := &t.backends[index]; backend.State != Removed {
+			backend.State, backend.removedAt = Removed, now
 		}
 	}
 }
@@ -141,8 +141,8 @@
 		index = len(t.backends)
 		t.backends = append(t.backends, Backend{State: Removed})
 	}
-	b := &t.backends[index]
-	b.ID, b.OpenAttempts, b.Answers, b.StartedAt, b.Release = id, 0, health.Record{}, neverStarted, 0
+	backend := &t.backends[index]
+	backend.ID, backend.OpenAttempts, backend.Answers, backend.StartedAt, backend.Release = id, 0, health.Record{}, neverStarted, 0
 	t.byID[id], t.byHash[gossip.BackendHash(id)] = index, index
 	return index, reused
 }
@@ -152,8 +152,9 @@
 		return 0, false
 	}
 	for index := range t.backends {
-		b := &t.backends[index]
-		if b.State == Removed && b.OpenAttempts == 0 && now > b.removedAt+reuseAfter {
+		backend := &t.backends[index]
+		unused := backend.State == Removed && backend.OpenAttempts == 0
+		if unused && now > backend.removedAt+reuseAfter {
 			return index, true
 		}
 	}
--- a/policy/events.go
+++ b/policy/events.go
@@ -17,13 +17,13 @@
 
 // beginEvent sets the time of an event. The instance's own timers show whether it stood still before it.
 func (inst *Instance) beginEvent(now float64) {
-	if len(inst.timers) > 0 && now-inst.timers[0].at > stallThreshold {
+	if len(inst.timers.queue) > 0 && now-inst.timers.queue[0].at > stallThreshold {
 		inst.resumedAt = now
 	}
 	inst.now = now
 	if !inst.started {
 		inst.started = true
-		inst.allowance.HoldUntil(now + inst.exposureWindow)
+		inst.allowance.HoldUntil(now + inst.exposureConfig.Window)
 	}
 }
 
@@ -77,7 +77,7 @@
 		inst.learnWork(req, arrived.Work)
 	}
 	inst.requestsTaken++
-	if inst.keyAffinity {
+	if inst.exposureConfig.KeyAffinity {
 		req.affinityKey = exposure.KeyOf(arrived.Key)
 		inst.countKey(arrived.Key)
 	}
@@ -135,7 +135,7 @@
 	if index, known := inst.endpoints.Find(result.Backend); known {
 		inst.endProbe(index, result)
 	}
-	inst.loadProbes = slices.DeleteFunc(inst.loadProbes, func(probe loadProbe) bool { return !probe.request.awaitsPlacement() })
+	inst.probing.open = slices.DeleteFunc(inst.probing.open, func(probe loadProbe) bool { return !probe.request.awaitsPlacement() })
 	inst.applyRules()
 }
 
@@ -161,8 +161,8 @@
 // OnTimer takes a timer that was set through the Port, by its token.
 func (inst *Instance) OnTimer(now float64, token uint64) {
 	inst.beginEvent(now)
-	if token == inst.timerToken {
-		inst.armedAt = math.Inf(1)
+	if token == inst.timers.token {
+		inst.timers.armedAt = math.Inf(1)
 	}
 	inst.applyRules()
 }
--- a/policy/evidence_test.go
+++ b/policy/evidence_test.go
@@ -21,7 +21,7 @@
 			inst.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
 			port.take()
 			for now := 20.0; now < 900 && !tc.stalled; now += 20 {
-				inst.OnTimer(now, inst.timerToken)
+				inst.OnTimer(now, inst.timers.token)
 			}
 			inst.OnAttemptResult(900, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Took: 890})
 			expect(t, "outcomes", inst.evaluator.OutcomeCount(verdict.Candidate), tc.want)
--- a/policy/exposure.go
+++ b/policy/exposure.go
@@ -69,15 +69,15 @@
 
 // isGuarded says whether a release is in a stage that takes only safe requests, and the request is not one.
 func (inst *Instance) isGuarded(req *request, id ReleaseID) bool {
-	if inst.guardedStages <= 0 || inst.classes[req.class].Semantics == Safe {
+	if inst.exposureConfig.GuardedStages <= 0 || inst.classes[req.class].Semantics == Safe {
 		return false
 	}
-	return inst.releases.Record(id).Stage < inst.guardedStages
+	return inst.releases.Record(id).Stage < inst.exposureConfig.GuardedStages
 }
 
 // exposureLane is the lane of the allowance in which a class counts.
 func (inst *Instance) exposureLane(class int) int {
-	if inst.exposurePerClass {
+	if inst.exposureConfig.PerClass {
 		return class
 	}
 	return 0
--- a/policy/exposurerule_test.go
+++ b/policy/exposurerule_test.go
@@ -185,7 +185,7 @@
 			case 7, 8:
 				run.endAttempt()
 			case 9:
-				run.inst.OnTimer(run.now, run.inst.timerToken)
+				run.inst.OnTimer(run.now, run.inst.timers.token)
 			}
 			run.checkAttempts()
 		}
--- a/policy/fleet.go
+++ b/policy/fleet.go
@@ -29,6 +29,8 @@
 	rolloutArm
 )
 
+func otherArm(arm int) int { return stableArm + rolloutArm - arm }
+
 func (inst *Instance) aggregatesDue() bool { return inst.now >= inst.fleet.dueAt }
 
 // refreshAggregates sums over the fleet what placing a request needs.
--- a/policy/instance.go
+++ b/policy/instance.go
@@ -44,12 +44,9 @@
 	retryQueuedAt      float64    // ms, when the queue is tried again
 	cancellationBudget float64    // attempts that may still be canceled for taking too long
 
-	// Timers.
-	timers     timerQueue
-	armedAt    float64 // ms, when the port's timer fires
-	timerToken uint64
-	started    bool    // an event has come
-	resumedAt  float64 // ms, when the instance last ran again after a stall
+	timers    timers
+	started   bool    // an event has come
+	resumedAt float64 // ms, when the instance last ran again after a stall
 
 	// Admission.
 	admission         admission.Throttle // of all requests
@@ -71,23 +68,15 @@
 	latencies    []classLatency       // by class
 	meanLatency  float64              // ms, of all classes
 	openAttempts int                  // at all backends
-
-	// Load probes.
-	probesAllowed     bool
-	probePrice        float64
-	loadProbes        []loadProbe
-	probeFailureShare float64 // of the recent probes
+	probing      probing
 
 	// Releases and exposure.
-	guardedStages    int
-	exposurePerClass bool
-	keyAffinity      bool
-	exposureWindow   float64 // ms over which attempts are counted
-	releases         *release.Book
-	allowance        *exposure.Allowance
-	affinity         *exposure.Affinity
-	skipped          SkippedBackends
-	popularKeys      map[string]float64 // recent requests by key
+	exposureConfig ExposureConfig
+	releases       *release.Book
+	allowance      *exposure.Allowance
+	affinity       *exposure.Affinity
+	skipped        SkippedBackends
+	popularKeys    map[string]float64 // recent requests by key
 
 	// The rollout of the newest release.
 	rolloutConfig RolloutConfig
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -48,15 +48,20 @@
 // take the request.
 func (inst *Instance) pickBackend(req *request) int {
 	failedInRollout := len(req.attempts) > 0 && inst.underCap(req.attempts[len(req.attempts)-1].release)
-	rollout := !failedInRollout && inst.rolloutDraw(req) < inst.rolloutShare()
+	arm := stableArm
+	if !failedInRollout && inst.rolloutDraw(req) < inst.rolloutShare() {
+		arm = rolloutArm
+	}
 	unbound := req.affinityKey != 0 && inst.fleet.rolloutCap < 1 && inst.oldestAllowedRelease(req) < inst.fleet.rolloutRelease
 	if unbound && inst.isPopular(req.key) {
-		rollout = false
+		arm = stableArm
 	}
-	if index := inst.pickCandidate(req, rollout); index >= 0 || !rollout && unbound {
+	index := inst.pickCandidate(req, arm)
+	staysUnbound := unbound && arm == stableArm // in the other arm its key would be bound without having been drawn
+	if index >= 0 || staysUnbound {
 		return index
 	}
-	return inst.pickCandidate(req, !rollout)
+	return inst.pickCandidate(req, otherArm(arm))
 }
 
 // isPopular says whether a key has more of the requests than may be bound to a release under a cap.
@@ -74,7 +79,7 @@
 }
 
 // pickCandidate chooses a backend in one arm, with a probability by its capacity and then by its load.
-func (inst *Instance) pickCandidate(req *request, rollout bool) int {
+func (inst *Instance) pickCandidate(req *request, arm int) int {
 	fits := func(index int) bool {
 		return inst.hasCapacity(req, inst.endpoints.At(index)) && inst.maySendTo(req, index)
 	}
@@ -85,7 +90,7 @@
 		}
 		return !health.DrawUnhealthy(&backend.Answers, &inst.answers, inst.now, inst.rng)
 	}
-	return balance.LeastLoaded(inst.fleet.candidates[boolIndex(rollout)], inst.rng, accepts, fits, inst.loadOf)
+	return balance.LeastLoaded(inst.fleet.candidates[arm], inst.rng, accepts, fits, inst.loadOf)
 }
 
 // loadOf is a backend's load for its capacity: the instance's own open attempts. In a small fleet the reported load is added; in a large one
--- a/policy/probes.go
+++ b/policy/probes.go
@@ -15,6 +15,14 @@
 	maxProbePrice = 0.045
 )
 
+// probing is what load probes cost and how they fare.
+type probing struct {
+	allowed      bool
+	price        float64     // of one probe, as a part of one request's value
+	open         []loadProbe // for requests without a place
+	failureShare float64     // of the recent probes in the own zone
+}
+
 // loadProbe is a backend that has been probed for a request.
 type loadProbe struct {
 	request *request
@@ -28,8 +36,8 @@
 	req.probeRounds++
 	for range probesPerRound {
 		index := inst.pickBackend(req)
-		if index >= 0 && !slices.Contains(inst.loadProbes, loadProbe{req, index}) {
-			inst.loadProbes = append(inst.loadProbes, loadProbe{req, index})
+		if index >= 0 && !slices.Contains(inst.probing.open, loadProbe{req, index}) {
+			inst.probing.open = append(inst.probing.open, loadProbe{req, index})
 			inst.port.SendProbe(inst.endpoints.At(index).ID)
 		}
 	}
@@ -39,9 +47,9 @@
 // endProbe takes a probe's result. Failures in other zones count for nothing: the way there may be at fault.
 func (inst *Instance) endProbe(index int, result ProbeResult) {
 	if inst.endpoints.At(index).Zone == inst.zone {
-		inst.probeFailureShare -= backendStep * inst.probeFailureShare
+		inst.probing.failureShare -= backendStep * inst.probing.failureShare
 		if !result.OK {
-			inst.probeFailureShare += backendStep
+			inst.probing.failureShare += backendStep
 		}
 	}
 	if result.OK {
@@ -60,7 +68,7 @@
 
 // probedRequest is the first request without a place for which a backend was probed; nil: there is none.
 func (inst *Instance) probedRequest(index int) *request {
-	for _, probe := range inst.loadProbes {
+	for _, probe := range inst.probing.open {
 		if probe.backend == index && probe.request.awaitsPlacement() {
 			return probe.request
 		}
--- a/policy/probes_test.go
+++ b/policy/probes_test.go
@@ -22,7 +22,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			inst, port := startInstance(RequestClass{}, 8)
 			inst.instances = 300
-			inst.probesAllowed, inst.probePrice = true, 0.01
+			inst.probing.allowed, inst.probing.price = true, 0.01
 			inst.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
 			probed := port.take()
 			if len(probed) == 0 || !strings.HasPrefix(probed[0], "probe") {
@@ -36,8 +36,8 @@
 			if tc.want != "" && got != "[submit t "+last+"]" || tc.want == "" && got != "[]" {
 				t.Errorf("after the probe: %s", got)
 			}
-			inst.OnTimer(140, inst.timerToken) // a second round
-			inst.OnTimer(270, inst.timerToken)
+			inst.OnTimer(140, inst.timers.token) // a second round
+			inst.OnTimer(270, inst.timers.token)
 			if did := port.take(); tc.later != "" && (len(did) == 0 || !strings.HasPrefix(did[len(did)-1], tc.later)) {
 				t.Errorf("later: %v", did)
 			}
@@ -54,7 +54,7 @@
 		t.Run(fmt.Sprint("price ", tc.price), func(t *testing.T) {
 			inst, port := startInstance(RequestClass{}, 4)
 			inst.instances = manyInstances
-			inst.probesAllowed, inst.probePrice = true, tc.price
+			inst.probing.allowed, inst.probing.price = true, tc.price
 			inst.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
 			if did := port.take(); len(did) == 0 || !strings.HasPrefix(did[0], tc.first) {
 				t.Errorf("%v", did)
--- a/policy/random.go
+++ b/policy/random.go
@@ -25,11 +25,3 @@
 	g.x, g.carry = product&0xffffffff, product>>32
 	return g.x
 }
-
-// boolIndex is 1 for true: the index into a pair whose second element is for the condition.
-func boolIndex(second bool) int {
-	if second {
-		return 1
-	}
-	return 0
-}
--- a/policy/replay_test.go
+++ b/policy/replay_test.go
@@ -154,13 +154,13 @@
 	inst.configureClasses(Config{Classes: classes, MaxAttempts: 2 + s.rng.IntN(4), ConcurrentAttempts: s.rng.IntN(2) == 0, CancelAllowed: s.rng.IntN(2) == 0})
 	inst.maxOpenRequests = float64(20 + s.rng.IntN(200))
 	inst.peerMessages = s.rng.IntN(2) == 0
-	inst.probesAllowed, inst.probePrice = s.rng.IntN(2) == 0, 0.01
+	inst.probing.allowed, inst.probing.price = s.rng.IntN(2) == 0, 0.01
 	inst.maxRetryAfter = 2000
 	inst.zone, inst.crossZonePrice = s.rng.IntN(2), s.rng.IntN(2) == 0
 	inst.discovery.onDemand, inst.discovery.refreshInterval = s.rng.IntN(2) == 0, 10000
 	inst.configureSlowStart(SlowStartConfig{InitialCapacity: 0.4, WarmUp: 5000, OverloadFactor: 3, OverloadWindow: 1000})
 	inst.configureExposure(ExposureConfig{FreeAttempts: 2, Caps: []float64{0.1, 0.5, 1}, GuardedStages: s.rng.IntN(2), PerClass: s.rng.IntN(2) == 0, KeyAffinity: s.rng.IntN(3) > 0})
-	inst.exposureWindow = float64(s.rng.IntN(2) * 3000)
+	inst.exposureConfig.Window = float64(s.rng.IntN(2) * 3000)
 	inst.configureRollout(RolloutConfig{Stages: []float64{0.1, 0.5, 1}, Control: RolloutControl(s.rng.IntN(3)), RollbackVotes: 1 + s.rng.IntN(5), VoteLifetime: 4000})
 	inst.configureTenants(TenantConfig{Quotas: []float64{0.02, 0.005}, OverQuotaValue: 0.1})
 	return inst
--- a/policy/routing.go
+++ b/policy/routing.go
@@ -64,8 +64,8 @@
 	if !inst.choosesByProbes(req) {
 		return false
 	}
-	giveUp := inst.unprobedAdmission.Probability(inst.now) >= admission.FullAdmission && inst.rng.Float64() < 2*inst.probeFailureShare-1
-	worthIt := inst.probesAllowed && probesPerRound*inst.probePrice <= maxProbePrice
+	giveUp := inst.unprobedAdmission.Probability(inst.now) >= admission.FullAdmission && inst.rng.Float64() < 2*inst.probing.failureShare-1
+	worthIt := inst.probing.allowed && probesPerRound*inst.probing.price <= maxProbePrice
 	probing := worthIt && req.probeRounds < maxProbeRounds && !giveUp
 	req.unprobed = req.unprobed || !probing
 	return probing
--- a/policy/routing_test.go
+++ b/policy/routing_test.go
@@ -40,7 +40,7 @@
 				first := port.take()[0]
 				inst.OnAttemptResult(10+tc.after, AttemptResult{RequestID: "t", Status: tc.status, Took: tc.after})
 				for now := 10 + tc.after; len(port.did) == 0 && now < 5000; now += 10 {
-					inst.OnTimer(now, inst.timerToken)
+					inst.OnTimer(now, inst.timers.token)
 				}
 				got := port.take()
 				if len(got) != 1 || !strings.HasPrefix(got[0], tc.want) {
@@ -65,7 +65,7 @@
 			inst.OnRequest(10, Request{ID: "t", TimeLeft: 500})
 			port.take()
 			for now := 15.0; now < 510; now += 5 {
-				inst.OnTimer(now, inst.timerToken)
+				inst.OnTimer(now, inst.timers.token)
 			}
 			expect(t, "at the deadline", port.take(), tc.want)
 			inst.OnAttemptResult(520, AttemptResult{RequestID: "t", Status: StatusTimedOut, Final: true, Took: 510})
@@ -83,8 +83,8 @@
 			inst, port := startInstance(RequestClass{}, 0)
 			inst.OnRequest(10, Request{ID: "t", TimeLeft: tc.timeLeft})
 			for now := 10.0; now < 5000; now++ {
-				if len(inst.timers) > 0 && inst.timers[0].at <= now {
-					inst.OnTimer(now, inst.timerToken)
+				if len(inst.timers.queue) > 0 && inst.timers.queue[0].at <= now {
+					inst.OnTimer(now, inst.timers.token)
 				}
 				if len(port.did) > 0 {
 					if took := now - 10; took > tc.after+queueRetryInterval || took < tc.after-queueRetryInterval {
@@ -199,7 +199,7 @@
 					inst.OnRequest(now, Request{ID: fmt.Sprint(k), TimeLeft: 4000})
 				}
 				backends.answer(now)
-				inst.OnTimer(now, inst.timerToken)
+				inst.OnTimer(now, inst.timers.token)
 				backends.take(now)
 			}
 			if backends.served < tc.least || backends.served > tc.most {
--- a/policy/timers.go
+++ b/policy/timers.go
@@ -11,6 +11,13 @@
 	request *request
 }
 
+// timers is the queue of an instance's timers, of which the port has the next one.
+type timers struct {
+	queue   timerQueue
+	armedAt float64 // ms, when the port's timer fires; infinite: none is set
+	token   uint64  // of the port's last timer
+}
+
 // timerQueue is a heap of timers, the next first.
 type timerQueue []timer
 
@@ -35,23 +42,27 @@
 }
 
 // schedule brings a request back to the rules at a time (ms).
-func (inst *Instance) schedule(at float64, req *request) { heap.Push(&inst.timers, timer{at, req}) }
+func (inst *Instance) schedule(at float64, req *request) {
+	heap.Push(&inst.timers.queue, timer{at, req})
+}
 
-func (inst *Instance) timerDue() bool { return len(inst.timers) > 0 && inst.timers[0].at <= inst.now }
+func (inst *Instance) timerDue() bool {
+	return len(inst.timers.queue) > 0 && inst.timers.queue[0].at <= inst.now
+}
 
 func (inst *Instance) timerFired() {
-	if req := heap.Pop(&inst.timers).(timer).request; req != nil && !req.ended {
+	if req := heap.Pop(&inst.timers.queue).(timer).request; req != nil && !req.ended {
 		inst.pending = append(inst.pending, req)
 	}
 }
 
 // timerUnarmed: the port's timer would fire after the next one is due.
 func (inst *Instance) timerUnarmed() bool {
-	return len(inst.timers) > 0 && inst.timers[0].at < inst.armedAt
+	return len(inst.timers.queue) > 0 && inst.timers.queue[0].at < inst.timers.armedAt
 }
 
 func (inst *Instance) armTimer() {
-	inst.timerToken++
-	inst.armedAt = inst.timers[0].at
-	inst.port.SetTimer(max(inst.armedAt-inst.now, minTimer), inst.timerToken)
+	inst.timers.token++
+	inst.timers.armedAt = inst.timers.queue[0].at
+	inst.port.SetTimer(max(inst.timers.armedAt-inst.now, minTimer), inst.timers.token)
 }
--- a/policy/turnover_test.go
+++ b/policy/turnover_test.go
@@ -34,7 +34,7 @@
 	}
 	for range 100 { // timers that are still set
 		now += 10
-		inst.OnTimer(now, inst.timerToken)
+		inst.OnTimer(now, inst.timers.token)
 	}
 	return now
 }
@@ -56,7 +56,7 @@
 		{"backends", inst.endpoints.Len(), 1000},
 		{"ids", ids, 1000},
 		{"hashes", hashes, 1000},
-		{"timers", len(inst.timers), 9},
+		{"timers", len(inst.timers.queue), 9},
 		{"allowances", inst.allowance.Len(), 3},
 		{"queued", len(inst.retryQueue), 0},
 		{"pending", len(inst.pending), 0},
