--- a/policy/evidence.go
+++ b/policy/evidence.go
@@ -5,7 +5,7 @@
 	"onyxgate/policy/verdict"
 )
 
-// This file owns which attempts become evidence on a release, an instance's own ones and those that others tell it of.
+// This file owns which attempts become evidence on a release, the instance's own ones and those in messages of others.
 
 // recordEvidence takes the end of an own attempt as evidence, and queues it for the evaluators.
 func (inst *Instance) recordEvidence(attempt *attempt, req *request, status AttemptStatus, took float64) {
@@ -25,7 +25,7 @@
 // mergeSummary takes another instance's outcome as if it were an own one. One of a backend or class that is not known here,
 // or that comes before any release is announced, is ignored.
 func (inst *Instance) mergeSummary(summary gossip.Summary) {
-	backend, known := inst.endpoints.FindHash(summary.BackendHash)
+	index, known := inst.endpoints.FindHash(summary.BackendHash)
 	if !known || summary.Class >= len(inst.classes) || !inst.evaluator.Announced() {
 		return
 	}
@@ -35,7 +35,7 @@
 		Latency:          summary.Latency,
 		Failed:           summary.Failed,
 		ConnectionBroken: summary.ConnectionBroken,
-		Backend:          backend,
+		Backend:          index,
 	})
 }
 
--- a/policy/rollout.go
+++ b/policy/rollout.go
@@ -38,14 +38,14 @@
 	}
 }
 
-// newestReleaseBackends counts the running backends of the newest release, and tells when (ms) the last of them started; 0: all did
+// newestReleaseBackends counts the running backends of the newest release, and when (ms) the last of them started; 0: all did
 // long ago.
 func (inst *Instance) newestReleaseBackends() (count int, lastStart float64) {
 	newest := inst.evaluator.Release()
-	for backend := range inst.endpoints.Len() {
-		if b := inst.endpoints.At(backend); b.State == EndpointRunning && b.Release == newest {
+	for index := range inst.endpoints.Len() {
+		if backend := inst.endpoints.At(index); backend.State == EndpointRunning && backend.Release == newest {
 			count++
-			lastStart = max(lastStart, min(b.StartedAt, b.UpSince))
+			lastStart = max(lastStart, min(backend.StartedAt, backend.UpSince))
 		}
 	}
 	return count, lastStart
@@ -66,13 +66,13 @@
 func (inst *Instance) countPlaces(newest ReleaseID) {
 	inst.places, inst.placesWeight = 0, 0
 	prevailing := inst.prevailingRelease(newest)
-	for backend := range inst.endpoints.Len() {
-		b := inst.endpoints.At(backend)
-		running := b.State == EndpointRunning && b.Release < newest
-		replaced := b.State == EndpointDraining && b.Release == prevailing
+	for index := range inst.endpoints.Len() {
+		backend := inst.endpoints.At(index)
+		running := backend.State == EndpointRunning && backend.Release < newest
+		replaced := backend.State == EndpointDraining && backend.Release == prevailing
 		if running || replaced {
 			inst.places++
-			inst.placesWeight += b.Weight
+			inst.placesWeight += backend.Weight
 		}
 	}
 }
@@ -80,10 +80,10 @@
 // prevailingRelease is the one that most running backends have, of the releases before the newest; of several such the latest.
 func (inst *Instance) prevailingRelease(newest ReleaseID) (prevailing ReleaseID) {
 	counts, most := map[ReleaseID]int{}, 0
-	for backend := range inst.endpoints.Len() {
-		b := inst.endpoints.At(backend)
-		id := b.Release
-		if b.State != EndpointRunning || id >= newest {
+	for index := range inst.endpoints.Len() {
+		backend := inst.endpoints.At(index)
+		id := backend.Release
+		if backend.State != EndpointRunning || id >= newest {
 			continue
 		}
 		counts[id]++
