--- /dev/null
+++ b/policy/attempts_test.go
@@ -0,0 +1,102 @@
+package policy
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"onyxgate/policy/concurrency"
+)
+
+// A backend that fails at once gets hardly any attempts, and gets them again when it recovers.
+func TestQuickFailures(t *testing.T) {
+	for _, status := range []AttemptStatus{StatusRejected, StatusConnectFailed, StatusErrored} {
+		t.Run(fmt.Sprint("status ", status), func(t *testing.T) {
+			inst, port := startInstance(RequestClass{}, 1)
+			inst.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
+			inst.OnAttemptResult(11, AttemptResult{RequestID: "t", Status: status, Took: 1})
+			expect(t, "sent, and not again at once", port.take(), "[submit t a]")
+			failing, recovered := attemptsAtFailing(status)
+			if failing > 8 || recovered < 5 {
+				t.Errorf("%d attempts while it failed, %d after", failing, recovered)
+			}
+		})
+	}
+}
+
+// attemptsAtFailing counts the attempts at one of four backends, which fails the first 300 of 900 requests and then serves again.
+func attemptsAtFailing(status AttemptStatus) (failing, recovered int) {
+	inst, port := startInstance(RequestClass{}, 4)
+	for k := range 900 {
+		id, now := fmt.Sprint(k), 10+float64(k)*10
+		inst.OnRequest(now, Request{ID: id, TimeLeft: 4000})
+		for attempt := range 5 {
+			did := port.take()
+			if len(did) == 0 {
+				break
+			}
+			served := AttemptResult{RequestID: id, Attempt: attempt, Status: StatusServed, Final: true, Took: 9}
+			atFailing := strings.HasSuffix(did[0], " a")
+			switch {
+			case atFailing && k < 300:
+				failing++
+				inst.OnAttemptResult(now+1, AttemptResult{RequestID: id, Attempt: attempt, Status: status, Took: 1})
+			case atFailing:
+				recovered++
+				inst.OnAttemptResult(now+9, served)
+			default:
+				inst.OnAttemptResult(now+9, served)
+			}
+		}
+	}
+	return failing, recovered
+}
+
+// Connections that break on the way do not lower a backend's concurrency limit; late answers and rejections do.
+func TestBroken(t *testing.T) {
+	for _, tc := range []struct {
+		status AttemptStatus
+		falls  bool
+	}{{StatusReset, false}, {StatusErrored, false}, {StatusConnectFailed, false}, {StatusRejected, true}, {StatusTimedOut, true}} {
+		t.Run(fmt.Sprint("status ", tc.status), func(t *testing.T) {
+			inst, _ := startInstance(RequestClass{}, 1)
+			for k := range 20 {
+				inst.now = float64(10 + 1000*k)
+				inst.OnRequest(inst.now, Request{ID: fmt.Sprint(k), TimeLeft: 4000})
+				if len(inst.requests[fmt.Sprint(k)].attempts) > 0 {
+					inst.OnAttemptResult(inst.now+1, AttemptResult{RequestID: fmt.Sprint(k), Status: tc.status, Final: true, Took: 1})
+				}
+			}
+			expect(t, "the limit fell", inst.endpoints.At(0).Limit < concurrency.InitialLimit, tc.falls)
+		})
+	}
+}
+
+// A backend's limit goes by its own time, not by how long a request waited here before it was placed.
+func TestBlame(t *testing.T) {
+	for _, tc := range []struct {
+		name           string
+		waited, took   float64
+		lowers, raises bool
+	}{
+		{"in time", 0, 300, false, true},
+		{"late by the wait here", 950, 100, false, true},
+		{"slow after a wait", 950, 400, true, false},
+		{"slow", 0, 1100, true, false},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			inst, port := startInstance(RequestClass{}, 1)
+			inst.OnRequest(2, Request{ID: "t", TimeLeft: 4000})
+			inst.requests["t"].objectiveAt -= tc.waited
+			inst.requests["t"].attempts[0].dueAt = inst.latencyDeadline(inst.requests["t"])
+			inst.endpoints.At(0).Limit = 1.5
+			was := inst.endpoints.At(0).Limit
+			inst.OnTimer(2+tc.took, 0)
+			inst.OnAttemptResult(2+tc.took, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Took: tc.took})
+			port.take()
+			if got := inst.endpoints.At(0).Limit; got < was != tc.lowers || got > was != tc.raises {
+				t.Errorf("the limit went from %.1f to %.1f", was, got)
+			}
+		})
+	}
+}
