--- a/policy/verdict/evaluator_test.go
+++ b/policy/verdict/evaluator_test.go
@@ -208,3 +208,101 @@
 		})
 	}
 }
+
+// The first class with a regression is named, the pooled classes as such; any class may earn a promotion.
+func TestCompareClasses(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		failed [3]bool // classes in which the candidate fails
+		few    [3]bool // classes with too few outcomes to earn anything
+		earned bool
+		want   string
+	}{
+		{"none", [3]bool{}, [3]bool{}, true, ""},
+		{"the first", [3]bool{true}, [3]bool{}, false, "class 0: failures"},
+		{"the last", [3]bool{2: true}, [3]bool{}, false, "class 2: failures"},
+		{"two", [3]bool{1: true, 2: true}, [3]bool{}, false, "class 1: failures"},
+		{"one class has enough", [3]bool{}, [3]bool{0: true, 2: true}, true, ""},
+		{"only all together have enough", [3]bool{}, [3]bool{true, true, true}, true, ""},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			e := New(Settings{Classes: 3, Stages: []float64{1}, RollbackVotes: 1})
+			e.StartRollout(0, 2, true, Fleet{Instances: 2})
+			e.SetState(0, release.RollingOut, 0)
+			for class := range 3 {
+				count := 200
+				if c.few[class] {
+					count = 15
+				}
+				for k := range count {
+					at := float64(k) / float64(count)
+					e.Record(1, class, Outcome{EndedAt: at, Latency: 100 + float64(k*7%11), Backend: k % 4}, true, true)
+					e.Record(2, class, Outcome{EndedAt: at, Latency: 100 + float64(k*7%11), Backend: 4 + k%4, Failed: c.failed[class] && k%3 == 0}, true, true)
+				}
+			}
+			got := e.compareClasses(Fleet{Instances: 2})
+			expect(t, "earned", got.Earned, c.earned)
+			if !strings.HasPrefix(got.Regression, c.want) || (got.Regression == "") != (c.want == "") {
+				t.Errorf("regression %q, want %q", got.Regression, c.want)
+			}
+		})
+	}
+}
+
+// When a stage counts as started: at its share of the places, for good, or after ten seconds.
+func TestStageStarts(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		backends int // of ten places, in the stage of half of them
+		after    float64
+		before   bool // it had enough before
+		want     bool
+	}{
+		{"half", 5, 100, false, true},
+		{"one less", 4, 100, false, false},
+		{"one less, half before", 4, 100, true, true},
+		{"one less, just under ten seconds", 4, 9999, false, false},
+		{"one less, ten seconds", 4, 10000, false, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			e := rollingOut(1)
+			if c.before {
+				e.mayEvaluateStage(50, Fleet{Places: 10, CandidateBackends: 5})
+			}
+			expect(t, "may be evaluated", e.mayEvaluateStage(c.after, Fleet{Places: 10, CandidateBackends: c.backends}), c.want)
+		})
+	}
+}
+
+// When a stage may be promoted, in ms after the state's and the last backend's start.
+func TestPromoteAt(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		count    int
+		earned   bool
+		control  RolloutControl
+		fleet    Fleet
+		stage    float64 // since when it is in this state
+		promotes float64
+	}{
+		{"enough, at once", 20, false, ControlMajority, Fleet{}, 0, 3550},
+		{"enough, the stage is younger", 20, false, ControlMajority, Fleet{LastCandidateStart: 500}, 1000, 4550},
+		{"enough, the backend is younger", 20, false, ControlMajority, Fleet{LastCandidateStart: 2000}, 1000, 5550},
+		{"few", 19, false, ControlMajority, Fleet{}, 0, 4000},
+		{"few, earned", 19, true, ControlMajority, Fleet{}, 0, 3550},
+		{"few, single vote", 19, false, ControlSingleVote, Fleet{}, 0, 6000},
+		{"enough, single vote", 20, false, ControlSingleVote, Fleet{}, 0, 3550},
+		{"no evaluator", 20, false, ControlMajority, Fleet{PeerMessages: true, Index: 3}, 0, 5550},
+		{"no evaluator, few, single vote", 19, false, ControlSingleVote, Fleet{PeerMessages: true, Index: 3}, 0, 6000},
+		{"the third evaluator", 20, false, ControlMajority, Fleet{PeerMessages: true, Index: 2}, 0, 3550},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			e := rollingOut(0)
+			e.settings.Control, e.stateSince = c.control, c.stage
+			for range c.count {
+				e.evidence.add(Candidate, 0, Outcome{EndedAt: 1, Latency: 1}, true)
+			}
+			expect(t, "from", e.promoteAt(c.fleet, c.earned), c.promotes)
+		})
+	}
+}
--- a/policy/verdict/evidence_test.go
+++ b/policy/verdict/evidence_test.go
@@ -242,3 +242,12 @@
 		})
 	}
 }
+
+// Outcomes of one time keep the order in which they came.
+func TestEvidenceOfOneTime(t *testing.T) {
+	e := newEvidence(1)
+	for backend := range 4 {
+		e.add(Baseline, 0, Outcome{EndedAt: 7, Latency: 1, Backend: backend}, true)
+	}
+	expect(t, "backends", each(e.outcomes[Baseline][0], func(o Outcome) int { return o.Backend }), "[0 1 2 3]")
+}
--- a/policy/verdict/gates_test.go
+++ b/policy/verdict/gates_test.go
@@ -1,6 +1,7 @@
 package verdict
 
 import (
+	"fmt"
 	"math"
 	"math/rand/v2"
 	"strings"
@@ -212,3 +213,137 @@
 		return o
 	})
 }
+
+// At which number of outcomes of each arm a comparison is no longer one of few: from there on the latency shift is looked for.
+func TestLeastSample(t *testing.T) {
+	arm := func(n int, latency float64) (outcomes []Outcome) {
+		for k := range n {
+			outcomes = append(outcomes, Outcome{EndedAt: float64(k) / float64(n), Latency: latency, Backend: k % 4, comparable: true})
+		}
+		return outcomes
+	}
+	for _, c := range []struct {
+		candidate, baseline int
+		want                bool
+	}{{20, 20, true}, {19, 20, false}, {20, 19, false}, {19, 19, false}} {
+		t.Run(fmt.Sprint(c.candidate, " of ", c.baseline), func(t *testing.T) {
+			by := criteria{compareLatency: true, errorProbability: 0.01, rollbackVotes: 1}
+			got := compare(arm(c.candidate, 300), arm(c.baseline, 100), by)
+			expect(t, "regression", got.Regression != "", c.want)
+		})
+	}
+}
+
+// One backend's failures do not count, unless so many must agree that each instance sees little of any backend.
+func TestOneBackendFails(t *testing.T) {
+	for _, c := range []struct {
+		votes, backends int
+		want            bool
+	}{{1, 3, false}, {3, 3, false}, {4, 3, true}, {1, 2, true}} {
+		t.Run(fmt.Sprint(c.votes, " votes, ", c.backends, " backends"), func(t *testing.T) {
+			candidate, baseline := make([]Outcome, 12), make([]Outcome, 24)
+			for k := range candidate {
+				candidate[k].Backend = k % c.backends
+				candidate[k].Failed = k%c.backends == 0
+			}
+			by := criteria{errorProbability: 0.01, rollbackVotes: c.votes}
+			expect(t, "fails more", comparison{criteria: by, candidate: candidate, baseline: baseline}.failsMore(), c.want)
+		})
+	}
+}
+
+// Broken connections count as failures only up to a share of the baseline's attempts that break too, 2 of 100.
+func TestUsualBreaks(t *testing.T) {
+	for _, c := range []struct {
+		broken int // of the baseline's 200
+		want   bool
+	}{{0, true}, {4, true}, {5, false}} {
+		t.Run(fmt.Sprint(c.broken), func(t *testing.T) {
+			candidate, baseline := make([]Outcome, 20), make([]Outcome, 200)
+			for k := range candidate {
+				candidate[k] = Outcome{Backend: k % 2, Failed: k < 10, ConnectionBroken: k < 10}
+			}
+			for k := range baseline {
+				baseline[k] = Outcome{Backend: 2 + k%5, Failed: k < c.broken, ConnectionBroken: k < c.broken}
+			}
+			by := criteria{errorProbability: 0.01, rollbackVotes: 1}
+			expect(t, "fails more", comparison{criteria: by, candidate: candidate, baseline: baseline}.failsMore(), c.want)
+		})
+	}
+}
+
+// uneven makes an arm of 200 outcomes in five slices; each slice has its own failures (of 40) and latency.
+func uneven(failures [5]int, latencies [5]float64) (outcomes []Outcome) {
+	for k := range 200 {
+		slice := k / 40
+		o := Outcome{EndedAt: float64(k), Latency: latencies[slice] + float64(k*7%11), Backend: k % 4, comparable: true}
+		if k%40 < failures[slice] {
+			o.Failed, o.comparable = true, false
+		}
+		outcomes = append(outcomes, o)
+	}
+	return outcomes
+}
+
+// What the slices show: equivalence of success shares, of latencies, of either, and whose unevenness hides it.
+func TestSliceGates(t *testing.T) {
+	none, wild := [5]int{}, [5]int{0, 20, 0, 20, 0}
+	same, slower, faster, drifting := [5]float64{100, 100, 100, 100, 100}, [5]float64{160, 160, 160, 160, 160}, [5]float64{60, 60, 60, 60, 60}, [5]float64{100, 200, 300, 400, 500}
+	for _, c := range []struct {
+		name                string
+		candidate, baseline []Outcome
+		idle                bool
+		earned              bool
+		regression          string
+	}{
+		{"alike in both", uneven(none, same), uneven(none, same), false, true, ""},
+		{"shares alike, baseline idle", uneven(none, same), uneven(none, same), true, true, ""},
+		{"shares alike, candidate's latency drifts", uneven(none, drifting), uneven(none, same), false, true, ""},
+		{"shares alike, baseline's latency drifts", uneven(none, same), uneven(none, drifting), false, true, ""},
+		{"candidate's shares uneven, latency alike", uneven(wild, same), uneven(none, same), false, true, ""},
+		{"baseline's shares uneven, latency alike", uneven(none, same), uneven(wild, same), false, true, ""},
+		{"candidate's shares uneven, faster", uneven(wild, faster), uneven(none, same), false, true, ""},
+		{"candidate's shares uneven, baseline idle", uneven(wild, same), uneven(none, same), true, false, ""},
+		{"baseline's shares uneven, baseline idle", uneven(none, same), uneven(wild, same), true, false, ""},
+		{"candidate's shares uneven, its latency drifts", uneven(wild, drifting), uneven(none, same), false, false, ""},
+		{"candidate's shares uneven, baseline's latency drifts", uneven(wild, same), uneven(none, drifting), false, false, ""},
+		{"shares alike, slower: not earned", uneven(none, slower), uneven(none, same), false, false, "latency quantile 0.90"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			by := criteria{compareLatency: !c.idle, errorProbability: 0.01, rollbackVotes: 1}
+			got := comparison{criteria: by, candidate: c.candidate, baseline: c.baseline}.sliceGates()
+			expect(t, "earned", got.Earned, c.earned)
+			if !strings.HasPrefix(got.Regression, c.regression) || (got.Regression == "") != (c.regression == "") {
+				t.Errorf("regression %q, want %q", got.Regression, c.regression)
+			}
+		})
+	}
+}
+
+// One quantile that is slower is no regression, two are.
+func TestSlowerQuantiles(t *testing.T) {
+	// Of ten latencies of a slice: the candidate's slowest one, or its slowest four, take so many times as long.
+	arm := func(slowest int, times float64) (outcomes []Outcome) {
+		for k := range 500 {
+			latency := 100 + float64(k%10)
+			if k%10 >= 10-slowest {
+				latency *= times
+			}
+			outcomes = append(outcomes, Outcome{EndedAt: float64(k), Latency: latency, Backend: k / 10 % 4, comparable: true})
+		}
+		return outcomes
+	}
+	for _, c := range []struct {
+		slowest int
+		want    string
+	}{{0, ""}, {2, ""}, {4, "latency quantile 0.90"}} {
+		t.Run(fmt.Sprint("slowest ", c.slowest, " of 10"), func(t *testing.T) {
+			by := criteria{compareLatency: true, errorProbability: 0.01, rollbackVotes: 1}
+			x := comparison{criteria: by, candidate: arm(c.slowest, 2), baseline: arm(0, 1)}
+			got := x.latencyQuantileGate(each(sliceByCount(x.candidate), latencies), each(sliceByCount(x.baseline), latencies))
+			if !strings.HasPrefix(got.Regression, c.want) || (got.Regression == "") != (c.want == "") {
+				t.Errorf("regression %q, want %q", got.Regression, c.want)
+			}
+		})
+	}
+}
--- a/policy/verdict/saturation_test.go
+++ b/policy/verdict/saturation_test.go
@@ -128,3 +128,64 @@
 		})
 	}
 }
+
+// The typical latency: the least numbers of backends and outcomes, and which outcomes count.
+func TestTypicalLatencyLeast(t *testing.T) {
+	for _, c := range []struct {
+		name              string
+		backends, each    int
+		fleet             Fleet
+		failed, uncounted bool // all of the outcomes
+		want              float64
+	}{
+		{"three backends with three outcomes", 3, 3, Fleet{Instances: 2}, false, false, 2},
+		{"two backends", 2, 30, Fleet{Instances: 2}, false, false, 0},
+		{"two outcomes each", 9, 2, Fleet{Instances: 2}, false, false, 0},
+		{"two outcomes each, twenty in all, ten instances", 10, 2, Fleet{Instances: 10}, false, false, 2},
+		{"two outcomes each, twenty in all, nine instances", 10, 2, Fleet{Instances: 9}, false, false, 0},
+		{"two outcomes each, twenty in all, ten instances with messages", 10, 2, Fleet{Instances: 10, PeerMessages: true}, false, false, 0},
+		{"one outcome each, nineteen in all, ten instances", 19, 1, Fleet{Instances: 10}, false, false, 0},
+		{"failed ones do not count", 3, 9, Fleet{Instances: 2}, true, false, 0},
+		{"of a class without a baseline", 3, 9, Fleet{Instances: 2}, false, true, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			e := New(Settings{Classes: 2, RollbackVotes: 1})
+			e.baseline.lowLatency[0] = 10
+			class := 0
+			if c.uncounted {
+				class = 1
+			}
+			for k := range c.backends * c.each {
+				e.evidence.add(Candidate, class, Outcome{EndedAt: 5000, Latency: 20, Backend: k % c.backends, Failed: c.failed}, true)
+			}
+			expectNear(t, "typical", e.typicalLatency(e.evidence.outcomes, 4000, c.fleet), c.want)
+		})
+	}
+}
+
+// The low latency of a class before a rollout needs twenty comparable outcomes of the last six seconds.
+func TestBaselineLatency(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		count  int
+		at     float64
+		failed bool
+		want   float64
+	}{
+		{"twenty", 20, 5000, false, 30},
+		{"nineteen", 19, 5000, false, 0},
+		{"failed ones", 20, 5000, true, 0},
+		{"just young enough", 20, 4001, false, 30},
+		{"too old", 20, 4000, false, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			e := New(Settings{Classes: 1, RollbackVotes: 1})
+			for k := range c.count {
+				e.evidence.add(Baseline, 0, Outcome{EndedAt: c.at, Latency: 30, Backend: k % 4, Failed: c.failed}, true)
+			}
+			e.StartRollout(10000, 2, false, Fleet{Instances: 2, ArrivalRate: 3})
+			expectNear(t, "low latency", e.baseline.lowLatency[0], c.want)
+			expectNear(t, "arrival rate", e.baseline.arrivalRate, 3)
+		})
+	}
+}
--- a/policy/verdict/slices_test.go
+++ b/policy/verdict/slices_test.go
@@ -74,3 +74,17 @@
 		})
 	}
 }
+
+// Every slice needs its least number of latencies, four.
+func TestAgreeNeedsLatencies(t *testing.T) {
+	for _, c := range []struct {
+		last int // latencies in the last slice
+		want bool
+	}{{4, true}, {3, false}, {0, false}} {
+		t.Run(fmt.Sprint(c.last), func(t *testing.T) {
+			latencySlices := [][]float64{{1, 2, 3, 4}, {1, 2, 3, 4}, {1, 2, 3, 4}, {1, 2, 3, 4}, nil}
+			latencySlices[4] = []float64{1, 2, 3, 4}[:c.last]
+			expect(t, "agree", agree(latencySlices), c.want)
+		})
+	}
+}
--- a/policy/verdict/statistics_test.go
+++ b/policy/verdict/statistics_test.go
@@ -1,6 +1,7 @@
 package verdict
 
 import (
+	"fmt"
 	"math"
 	"slices"
 	"testing"
@@ -165,3 +166,16 @@
 	expectNear(t, "some", variationCoefficient([]float64{1, 2, 3}), 0.5)
 	expect(t, "of nothing but 0", variationCoefficient([]float64{0, 0, 0}), 0)
 }
+
+// Few latencies are compared from four of each arm on.
+func TestLatencyRatioCount(t *testing.T) {
+	four := []float64{10, 11, 12, 13}
+	for _, c := range []struct {
+		x, y []float64
+		want bool
+	}{{four, four, true}, {four[:3], four, false}, {four, four[:3], false}} {
+		t.Run(fmt.Sprint(len(c.x), " and ", len(c.y)), func(t *testing.T) {
+			expect(t, "compared", latencyRatioLowerBound(c.x, c.y, fewOutcomes, 0.5) > 0, c.want)
+		})
+	}
+}
