--- a/policy/events.go
+++ b/policy/events.go
@@ -89,8 +89,8 @@
 	inst.applyRules()
 }
 
-// OnStreamStarted takes notice that an attempt's answer streams to the client. No deadline ends the request any more. An id that is not
-// open is ignored.
+// OnStreamStarted takes notice that an attempt's answer streams to the client. No deadline ends the request any more, whichever of its
+// attempts streams. An id that is not open is ignored.
 func (inst *Instance) OnStreamStarted(now float64, id string, _ int) {
 	inst.beginEvent(now)
 	if req := inst.requests[id]; req != nil {
