--- a/internal/assembly/metrics.go
+++ b/internal/assembly/metrics.go
@@ -65,11 +65,11 @@
 	{"onyxgate_record_unsynced_total", "answers that went out before they were durable", func(s recorder.Status) float64 { return float64(s.Unsynced) }},
 	{"onyxgate_record_unrecorded_total", "answers that went unrecorded", func(s recorder.Status) float64 { return float64(s.Unrecorded) }},
 	{"onyxgate_record_gaps_total", "gaps noted in the record", func(s recorder.Status) float64 { return float64(s.Gaps) }},
-	{"onyxgate_record_exported_total", "entries that the store has taken", func(s recorder.Status) float64 { return float64(s.Shipped) }},
+	{"onyxgate_record_exported_total", "entries that the store has taken", func(s recorder.Status) float64 { return float64(s.Exported) }},
 	{"onyxgate_record_in_doubt_total", "requests that were open when an earlier process died", func(s recorder.Status) float64 { return float64(s.InDoubt) }},
-	{"onyxgate_record_spool_bytes", "size of the spool", func(s recorder.Status) float64 { return float64(s.Used) }},
-	{"onyxgate_record_queued_bytes", "waiting to be written to the spool", func(s recorder.Status) float64 { return float64(s.Queued) }},
-	{"onyxgate_record_oldest_unexported_seconds", "age of the oldest entry that the store does not have", func(s recorder.Status) float64 { return s.Oldest / 1000 }},
+	{"onyxgate_record_spool_bytes", "size of the spool", func(s recorder.Status) float64 { return float64(s.SpoolBytes) }},
+	{"onyxgate_record_queued_bytes", "waiting to be written to the spool", func(s recorder.Status) float64 { return float64(s.QueuedBytes) }},
+	{"onyxgate_record_oldest_unexported_seconds", "age of the oldest entry that the store does not have", func(s recorder.Status) float64 { return s.OldestWaiting / 1000 }},
 }
 
 // doubtOf is 1 while a source is doubted.
--- a/internal/assembly/metrics_test.go
+++ b/internal/assembly/metrics_test.go
@@ -69,7 +69,7 @@
 	if got := valueOf(t, sourceMetrics, `onyxgate_sources_doubted{source="discovery"}`, doubted); got != 0 {
 		t.Errorf("discovery doubted: %v", got)
 	}
-	if got := valueOf(t, recordMetrics, "onyxgate_record_oldest_unexported_seconds", recorder.Status{Oldest: 1500}); got != 1.5 {
+	if got := valueOf(t, recordMetrics, "onyxgate_record_oldest_unexported_seconds", recorder.Status{OldestWaiting: 1500}); got != 1.5 {
 		t.Errorf("oldest: %v s", got)
 	}
 }
--- a/internal/assembly/report.go
+++ b/internal/assembly/report.go
@@ -92,7 +92,7 @@
 	logrus.WithFields(logrus.Fields{
 		"spool_state": status.Health.String(), "entries": status.Entries, "completions": status.Completions, "gaps": status.Gaps,
 		"unrecorded": status.Unrecorded, "syncs": status.Syncs, "spool_failures": status.Failures, "unsynced": status.Unsynced,
-		"spool_bytes": status.Used, "queued_bytes": status.Queued, "exported": status.Shipped, "in_doubt": status.InDoubt,
-		"oldest_unexported_ms": int(status.Oldest), "store_results": fmt.Sprint(status.Results),
+		"spool_bytes": status.SpoolBytes, "queued_bytes": status.QueuedBytes, "exported": status.Exported, "in_doubt": status.InDoubt,
+		"oldest_unexported_ms": int(status.OldestWaiting), "store_results": fmt.Sprint(status.Results),
 	}).Info("record")
 }
--- a/internal/fake/memfs/memfs.go
+++ b/internal/fake/memfs/memfs.go
@@ -59,7 +59,7 @@
 // Open opens a file to read.
 func (f *FS) Open(name string) (spool.ReadFile, error) { return f.memory.Open(name) }
 
-// List returns what stands in a directory.
+// List returns the files and directories in a directory.
 func (f *FS) List(dir string) ([]spool.FileInfo, error) { return f.memory.List(dir) }
 
 // Remove takes a file away.
--- a/internal/record/entry.go
+++ b/internal/record/entry.go
@@ -70,7 +70,7 @@
 	KeyDigest  Digest // of the idempotency key
 }
 
-// Gap stands where answers were given and could not be recorded: how many, over which span, why. Times are in ms. The order
+// Gap takes the place of entries where answers were given and could not be recorded: how many, over which span, why. Times are in ms. The order
 // of the fields is the stored one.
 type Gap struct {
 	_        struct{} `cbor:",toarray"`
@@ -80,7 +80,7 @@
 	Cause    string // one word
 }
 
-// Total is how many answers it stands for.
+// Total is how many answers it counts.
 func (g Gap) Total() (n uint64) {
 	for _, count := range g.Counts {
 		n += count
--- a/internal/record/export.go
+++ b/internal/record/export.go
@@ -90,7 +90,7 @@
 	return min(rows, waiting), 0
 }
 
-// Result tells how a batch ended.
+// Result takes how a batch ended.
 func (s *ExportScheduler) Result(now float64, result ExportResult) {
 	s.Results[result]++
 	if result == ExportStored {
@@ -108,7 +108,7 @@
 	s.failures++
 }
 
-// CircuitOpen tells that the store counts as away.
+// CircuitOpen reports whether the store counts as away.
 func (s *ExportScheduler) CircuitOpen() bool { return s.failures >= circuitOpensAfter }
 
 // ExportSource is where the next batch comes from.
--- a/internal/record/frame.go
+++ b/internal/record/frame.go
@@ -1,6 +1,6 @@
 package record
 
-// This file owns the coding of frames: how what is recorded stands in a segment, byte by byte.
+// This file owns the coding of frames: the bytes of what is recorded.
 
 import (
 	"crypto/sha256"
--- a/internal/record/ledger.go
+++ b/internal/record/ledger.go
@@ -1,7 +1,7 @@
 package record
 
-// This file owns what the writer of one incarnation holds: its options, the entries and completions that wait, and how the
-// spool stands. ledger_io.go says what is written next.
+// This file owns what the writer of one incarnation holds: its options, the entries and completions that wait, and the
+// health of the spool. ledger_io.go says what is written next.
 
 // FullPolicy says what holds while the spool takes nothing.
 type FullPolicy uint8
@@ -12,7 +12,7 @@
 	RejectRequests                   // new requests are rejected at once
 )
 
-// Health is how the spool stands.
+// Health is whether the spool takes what is to be written, and if not, why.
 type Health uint8
 
 // The states of a spool.
@@ -87,7 +87,7 @@
 // Counts are what has been since the start.
 type Counts struct {
 	Entries, Completions, Gaps uint64
-	Unrecorded                 uint64 // answers that gaps stand for
+	Unrecorded                 uint64 // answers that are only counted in gaps
 	Writes, Syncs, Failures    uint64
 	Segments                   uint64
 }
@@ -151,7 +151,7 @@
 // Confirmed is the last ordinal that is durable, or written where nothing is synced.
 func (l *Ledger) Confirmed() uint64 { return l.confirmed }
 
-// Pending tells that something is not confirmed yet, completions and gaps included.
+// Pending reports whether something is not confirmed yet, completions and gaps included.
 func (l *Ledger) Pending() bool {
 	return len(l.queue) > 0 || l.waitingCompletions() > 0 || l.countingGap
 }
@@ -162,7 +162,7 @@
 // SpoolBytes is how many bytes the spool holds.
 func (l *Ledger) SpoolBytes() int64 { return l.spoolBytes }
 
-// ReleaseBytes tells that files are gone from the spool.
+// ReleaseBytes notes that files were removed from the spool.
 func (l *Ledger) ReleaseBytes(bytes int64) { l.spoolBytes = max(l.spoolBytes-bytes, 0) }
 
 // Segment is the one that is appended to; it must stay.
@@ -171,7 +171,7 @@
 // Counts are the counts now.
 func (l *Ledger) Counts() Counts { return l.counts }
 
-// Health says how the spool stands.
+// Health says whether the spool takes what is to be written.
 func (l *Ledger) Health(now float64) Health {
 	stalled := l.ioSince != 0 && now-l.ioSince > l.options.StallAfter
 	switch {
@@ -193,7 +193,7 @@
 	return l.options.CommitDelay
 }
 
-// RejectsRequests tells that new requests are to be rejected.
+// RejectsRequests reports whether new requests are to be rejected.
 func (l *Ledger) RejectsRequests(now float64) bool {
 	return l.options.FullPolicy == RejectRequests && l.Health(now) != HealthGood
 }
--- a/internal/record/ledger_io.go
+++ b/internal/record/ledger_io.go
@@ -16,7 +16,7 @@
 )
 
 // IO is the writer's next step, in this order: a new segment, bytes at its end, a sync. Where there is none, it is to look
-// again after Wait (ms), or when told.
+// again after Wait (ms), or when something was added.
 type IO struct {
 	NewSegment bool
 	Segment    uint64
@@ -26,7 +26,7 @@
 	frames     int // of the queue, in Bytes
 }
 
-// Idle tells that there is nothing to do now.
+// Idle reports whether there is nothing to do now.
 func (w IO) Idle() bool { return !w.NewSegment && len(w.Bytes) == 0 && !w.Sync }
 
 // NextIO says what to do next. Where that is not idle, Completed must follow; until then nothing else is given out.
@@ -136,7 +136,7 @@
 	return ordinals[:n:n], ordinals[n:]
 }
 
-// waitsForGroup tells that entries may gather for a while before they are written and synced together.
+// waitsForGroup reports whether entries may gather for a while before they are written and synced together.
 func (l *Ledger) waitsForGroup(now float64, unwritten []queuedFrame) bool {
 	if now-unwritten[0].queuedAt >= l.options.GroupWait || !containsEntry(unwritten) {
 		return false
@@ -157,13 +157,13 @@
 	return false
 }
 
-// fitsSpool tells that the spool's greatest size allows what comes next. Completions have no part of it reserved for them:
-// the entries that they end are milliseconds old and stand in the last segment, and it is the ones before it that make room.
+// fitsSpool reports whether the spool's greatest size allows what comes next. Completions have no part of it reserved for them:
+// the entries that they end are milliseconds old and are in the last segment, and it is the ones before it that make room.
 func (l *Ledger) fitsSpool(unwritten []queuedFrame) bool {
 	return l.spoolBytes+int64(len(unwritten[0].bytes)) <= l.options.MaxSpoolBytes
 }
 
-// Completed tells how the step that NextIO gave out went: wrote is how many bytes of it the disk may now hold, ok whether
+// Completed takes how the step that NextIO gave out went: wrote is how many bytes of it the disk may now hold, ok whether
 // all of it was done.
 func (l *Ledger) Completed(now float64, wrote int, ok bool) {
 	done := l.inFlight
--- a/internal/record/recorder/audit.go
+++ b/internal/record/recorder/audit.go
@@ -1,6 +1,6 @@
 package recorder
 
-// This file owns the audit of what stands in spools and store: it reads all, changes nothing and says what must not be.
+// This file owns the audit of spools and store: it reads all, changes nothing and reports what must not be.
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"onyxgate/internal/record/sqlstore"
 )
 
-// Finding is one thing that an audit says; a defect is one that must not be.
+// Finding is one result of an audit; a defect is one that must not be.
 type Finding struct {
 	Defect bool   `json:"defect"`
 	Where  string `json:"where"`
--- a/internal/record/recorder/bench_test.go
+++ b/internal/record/recorder/bench_test.go
@@ -18,7 +18,7 @@
 		for _, atOnce := range []int{1, 64} {
 			b.Run(fmt.Sprintf("%s/%d at once", c.name, atOnce), func(b *testing.B) {
 				table := Default()
-				table.Mode, table.Sync, table.Directory, table.Budget = c.mode, c.sync, b.TempDir(), 64<<30
+				table.Mode, table.Sync, table.Directory, table.MaxSpoolBytes = c.mode, c.sync, b.TempDir(), 64<<30
 				benchmarkAnswer(b, table, atOnce)
 			})
 		}
--- a/internal/record/recorder/check.go
+++ b/internal/record/recorder/check.go
@@ -16,7 +16,7 @@
 	maxBatchRows      = 5000
 )
 
-// complaint is told of a setting that can't be: its key, its value, what it is and what would be right.
+// complaint is called with a setting that can't be: its key, its value, what it is and what would be right.
 type complaint = func(key string, value any, what, right string)
 
 // Check calls wrong for each field that can't be or that contradicts another: its key, its value, what it is and what
@@ -59,36 +59,36 @@
 }
 
 func (t Table) checkSizes(wrong complaint) {
-	if t.Segment < minSegmentBytes {
-		wrong("record.segment", t.Segment, "too small for a write", `"4MiB"`)
+	if t.MaxSegmentBytes < minSegmentBytes {
+		wrong("record.segment", t.MaxSegmentBytes, "too small for a write", `"4MiB"`)
 	}
-	if t.Budget < minBudgetSegments*t.Segment {
-		wrong("record.budget", t.Budget, fmt.Sprintf("less than four segments of %v", t.Segment),
-			fmt.Sprintf("%q", minBudgetSegments*t.Segment))
+	if t.MaxSpoolBytes < minBudgetSegments*t.MaxSegmentBytes {
+		wrong("record.budget", t.MaxSpoolBytes, fmt.Sprintf("less than four segments of %v", t.MaxSegmentBytes),
+			fmt.Sprintf("%q", minBudgetSegments*t.MaxSegmentBytes))
 	}
-	if t.GroupBytes < minGroupBytes || t.GroupBytes > t.Segment {
-		wrong("record.group_bytes", t.GroupBytes, "not between 4 KiB and a segment", `"256KiB"`)
+	if t.MaxWriteBytes < minGroupBytes || t.MaxWriteBytes > t.MaxSegmentBytes {
+		wrong("record.group_bytes", t.MaxWriteBytes, "not between 4 KiB and a segment", `"256KiB"`)
 	}
-	if t.Room < minRoomBytes {
-		wrong("record.room", t.Room, "too small for the txns of a moment", `"2MiB"`)
+	if t.MaxQueuedBytes < minRoomBytes {
+		wrong("record.room", t.MaxQueuedBytes, "too small for the txns of a moment", `"2MiB"`)
 	}
 }
 
 func (t Table) checkTimes(wrong complaint) {
-	if t.syncs() && t.Patience.Ms() <= t.Group.Ms() {
-		wrong("record.patience", t.Patience, "no longer than group_wait, so nothing would be durable in time", `"250ms"`)
+	if t.syncs() && t.CommitDelay.Ms() <= t.GroupWait.Ms() {
+		wrong("record.patience", t.CommitDelay, "no longer than group_wait, so nothing would be durable in time", `"250ms"`)
 	}
-	if t.Stall.Ms() <= 0 {
-		wrong("record.stall", t.Stall, "every write would count as a stall", `"200ms"`)
+	if t.StallAfter.Ms() <= 0 {
+		wrong("record.stall", t.StallAfter, "every write would count as a stall", `"200ms"`)
 	}
 }
 
 func (s StoreTable) check(wrong complaint) {
-	if s.Batch < 1 || s.Batch > maxBatchRows {
-		wrong("record.store.batch", s.Batch, "not between 1 and 5000", "500")
+	if s.MaxBatchRows < 1 || s.MaxBatchRows > maxBatchRows {
+		wrong("record.store.batch", s.MaxBatchRows, "not between 1 and 5000", "500")
 	}
-	if s.Kind != "none" && (s.Timeout.Ms() <= 0 || s.Every.Ms() <= 0) {
-		wrong("record.store.timeout", s.Timeout, "neither timeout nor every may be zero", `"5s"`)
+	if s.Kind != "none" && (s.BatchTimeout.Ms() <= 0 || s.BatchWait.Ms() <= 0) {
+		wrong("record.store.timeout", s.BatchTimeout, "neither timeout nor every may be zero", `"5s"`)
 	}
 	if s.Kind == "sqlite" && s.Path == "" {
 		wrong("record.store.path", s.Path, "needed by kind = \"sqlite\"", `"/var/lib/onyxgate/record.db"`)
--- a/internal/record/recorder/exporter.go
+++ b/internal/record/recorder/exporter.go
@@ -33,7 +33,7 @@
 	table    StoreTable
 	store    *sqlstore.Store // nil: there is none
 	now      func() float64  // ms
-	// segment is the one that the running incarnation is written to, which must stay; onFreed tells of files that are gone.
+	// segment is the one that the running incarnation is written to, which must stay; onFreed is called when files were removed.
 	segment func() uint64
 	onFreed func(bytes int64)
 
@@ -76,7 +76,7 @@
 	random := rand.New(rand.NewPCG(seed, schedulerStream))
 	return &exporter{
 		spool: from, instance: from.Instance, table: table, store: store, now: now, onFreed: func(int64) {},
-		scheduler: record.NewExportScheduler(table.Batch, table.Every.Ms(), random),
+		scheduler: record.NewExportScheduler(table.MaxBatchRows, table.BatchWait.Ms(), random),
 	}
 }
 
@@ -102,8 +102,8 @@
 	}
 }
 
-// step sends one batch, if it is time to. It returns the bytes that went and when to come again; left tells that something
-// still waits. Calls must not overlap.
+// step sends one batch, if it is time to. It returns the bytes that went and when to come again; left reports whether
+// something still waits. Calls must not overlap.
 func (e *exporter) step(ctx context.Context) (sent int64, wait time.Duration, left bool) {
 	from, batch, wait := e.nextBatch()
 	if from == nil || wait > 0 {
@@ -148,7 +148,7 @@
 }
 
 func (e *exporter) put(ctx context.Context, batch sqlstore.Batch) (sent int64, err error) {
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(e.table.Timeout))
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(e.table.BatchTimeout))
 	defer cancel()
 	if !e.migrated {
 		if err := e.store.Migrate(ctx); err != nil {
@@ -203,7 +203,7 @@
 	if e.running == nil {
 		return false
 	}
-	err := e.running.read(e.table.Batch)
+	err := e.running.read(e.table.MaxBatchRows)
 	if err != nil && record.SourceRunning.OnReadError() == record.ReadAgain {
 		e.logFailure(err, record.ExportUnreachable)
 	}
@@ -219,7 +219,7 @@
 // readEarlier reads on in the first of the earlier incarnations and tells whether it can be read.
 func (e *exporter) readEarlier() bool {
 	first := e.earlier[0]
-	err := first.read(e.table.Batch)
+	err := first.read(e.table.MaxBatchRows)
 	logDefects(first)
 	if err == nil {
 		return true
@@ -266,7 +266,7 @@
 	line.Info("an earlier incarnation is stored")
 }
 
-// logFailure tells of a failure once, until another kind comes.
+// logFailure logs a failure once, until another kind comes.
 func (e *exporter) logFailure(err error, result record.ExportResult) {
 	if result != e.lastResult {
 		logrus.WithFields(logrus.Fields{"store": e.table.Kind, "reply": result.String()}).WithError(err).
@@ -275,7 +275,7 @@
 	}
 }
 
-// logDefects tells of each defect once.
+// logDefects logs each defect once.
 func logDefects(from *incarnationReader) {
 	all := from.reader.Replay.Defects
 	for _, defect := range all[min(from.loggedDefects, len(all)):] {
@@ -288,8 +288,8 @@
 func (e *exporter) addStatus(status *Status) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	status.Shipped, status.InDoubt, status.Results = e.exported, e.inDoubt, e.scheduler.Results
+	status.Exported, status.InDoubt, status.Results = e.exported, e.inDoubt, e.scheduler.Results
 	if e.oldestWaiting > 0 {
-		status.Oldest = max(e.now()-e.oldestWaiting, 0)
+		status.OldestWaiting = max(e.now()-e.oldestWaiting, 0)
 	}
 }
--- a/internal/record/recorder/incarnation.go
+++ b/internal/record/recorder/incarnation.go
@@ -36,10 +36,10 @@
 	return nil
 }
 
-// waits tells that the store lacks something.
+// waits reports whether the store lacks something.
 func (i *incarnationReader) waits() bool { return !i.refused && (len(i.rows) > 0 || !i.running) }
 
-// waiting is how many rows are ready. That an incarnation is complete is told to the store as one row would be.
+// waiting is how many rows are ready. That an incarnation is complete goes to the store as a row would.
 func (i *incarnationReader) waiting() int {
 	if i.done && len(i.rows) == 0 {
 		return 1
--- a/internal/record/recorder/recorder.go
+++ b/internal/record/recorder/recorder.go
@@ -185,25 +185,25 @@
 	r.mu.Unlock()
 }
 
-// Status is how the record stands.
+// Status are the figures of the record now.
 type Status struct {
 	record.Counts
-	Health           record.Health
-	Used             int64 // bytes in the spool
-	Queued           int   // bytes that wait in memory
-	Unsynced         uint64
-	Canceled         uint64
-	Shipped, InDoubt uint64
-	Results          [7]uint64 // batches, by record.ExportResult
-	Oldest           float64   // ms since the oldest unshipped entry was answered; 0: none
+	Health            record.Health
+	SpoolBytes        int64 // bytes in the spool
+	QueuedBytes       int   // bytes that wait in memory
+	Unsynced          uint64
+	Canceled          uint64
+	Exported, InDoubt uint64
+	Results           [7]uint64 // batches, by record.ExportResult
+	OldestWaiting     float64   // ms since the oldest unshipped entry was answered; 0: none
 }
 
-// Status tells it.
+// Status returns the figures now.
 func (r *Recorder) Status() Status {
 	r.mu.Lock()
 	status := Status{
-		Counts: r.ledger.Counts(), Health: r.ledger.Health(r.now()), Used: r.ledger.SpoolBytes(),
-		Queued: r.ledger.QueuedBytes(), Unsynced: r.unsynced, Canceled: r.canceled,
+		Counts: r.ledger.Counts(), Health: r.ledger.Health(r.now()), SpoolBytes: r.ledger.SpoolBytes(),
+		QueuedBytes: r.ledger.QueuedBytes(), Unsynced: r.unsynced, Canceled: r.canceled,
 	}
 	r.mu.Unlock()
 	r.exporter.addStatus(&status)
--- a/internal/record/recorder/recorder_test.go
+++ b/internal/record/recorder/recorder_test.go
@@ -54,7 +54,7 @@
 					return bytes, nil
 				}
 				table := Default()
-				table.Mode, table.Stall = "spool", span(5*time.Second)
+				table.Mode, table.StallAfter = "spool", span(5*time.Second)
 				r := onMemory(t, files, table)
 				stop := start(r)
 				failing.Store(true)
@@ -110,7 +110,7 @@
 		return bytes, nil
 	}
 	table := Default()
-	table.Mode, table.Room, table.WhenFull = "spool", 64<<10, policy
+	table.Mode, table.MaxQueuedBytes, table.WhenFull = "spool", 64<<10, policy
 	r := onMemory(t, files, table)
 	stop := start(r)
 	failing.Store(true)
--- a/internal/record/recorder/ship_test.go
+++ b/internal/record/recorder/ship_test.go
@@ -48,8 +48,8 @@
 func TestShip(t *testing.T) {
 	dir := t.TempDir()
 	table := Default()
-	table.Mode, table.Directory, table.Segment, table.GroupBytes = "spool", filepath.Join(dir, "spool"), 64<<10, 4<<10
-	table.Store.Kind, table.Store.Path, table.Store.Batch = "sqlite", filepath.Join(dir, "r.db"), 70
+	table.Mode, table.Directory, table.MaxSegmentBytes, table.MaxWriteBytes = "spool", filepath.Join(dir, "spool"), 64<<10, 4<<10
+	table.Store.Kind, table.Store.Path, table.Store.MaxBatchRows = "sqlite", filepath.Join(dir, "r.db"), 70
 	const lives = 3
 	for life := range lives {
 		live(t, table, life)
--- a/internal/record/recorder/stored_test.go
+++ b/internal/record/recorder/stored_test.go
@@ -19,13 +19,13 @@
 	"onyxgate/internal/units"
 )
 
-// storedData is what the program at commit a848032 wrote: a spool of two agents (n1: two incarnations, segments left after
+// storedData is what the program at commit a848032 wrote: a spool of two instances (n1: two incarnations, segments left after
 // failed writes, a gap, a torn end; n2: a bit flipped in its first segment), and a SQLite store into which that program had
 // shipped a part of n1's rows when it was stopped. expected.json is what that program itself read, shipped and audited.
 const storedData = "testdata/a848032"
 
-// storedAgent is what the old program made of one agent's spool.
-type storedAgent struct {
+// storedInstance is what the old program made of one instance's spool.
+type storedInstance struct {
 	AuditSpool   []Finding         `json:"audit_spool"` // before anything was shipped
 	AuditStore   []Finding         `json:"audit_store"` // once everything was shipped
 	Rows         []sqlstore.Row    `json:"rows"`
@@ -35,22 +35,22 @@
 	StoredBefore int               `json:"stored_before"` // rows of it in record.db
 }
 
-func expectedOfStoredData(t *testing.T) map[string]storedAgent {
+func expectedOfStoredData(t *testing.T) map[string]storedInstance {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(storedData, "expected.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var expected struct {
-		Agents map[string]storedAgent `json:"agents"`
+		Instances map[string]storedInstance `json:"agents"`
 	}
 	if err := json.Unmarshal(text, &expected); err != nil {
 		t.Fatal(err)
 	}
-	for _, agent := range expected.Agents {
-		slices.SortFunc(agent.Rows, byOrdinal)
+	for _, instance := range expected.Instances {
+		slices.SortFunc(instance.Rows, byOrdinal)
 	}
-	return expected.Agents
+	return expected.Instances
 }
 
 func byOrdinal(a, b sqlstore.Row) int {
@@ -68,8 +68,8 @@
 	}
 	table := Default()
 	table.Mode, table.Directory = "spool", filepath.Join(dir, "spool")
-	table.Store.Kind, table.Store.Path, table.Store.Batch = "sqlite", filepath.Join(dir, "record.db"), 7
-	table.Store.Every = units.Span(10 * time.Millisecond)
+	table.Store.Kind, table.Store.Path, table.Store.MaxBatchRows = "sqlite", filepath.Join(dir, "record.db"), 7
+	table.Store.BatchWait = units.Span(10 * time.Millisecond)
 	db, err := sql.Open("sqlite", table.Store.Path)
 	if err != nil {
 		t.Fatal(err)
@@ -109,9 +109,9 @@
 
 // TestStoredDataRead: each row that the old program shipped is read from its spool.
 func TestStoredDataRead(t *testing.T) {
-	for agent, want := range expectedOfStoredData(t) {
-		t.Run(agent, func(t *testing.T) {
-			rows, gaps := rowsOfSpool(t, copyStoredData(t).Directory, agent)
+	for instance, want := range expectedOfStoredData(t) {
+		t.Run(instance, func(t *testing.T) {
+			rows, gaps := rowsOfSpool(t, copyStoredData(t).Directory, instance)
 			for i := range want.Rows {
 				want.Rows[i].BodyDigest, want.Rows[i].KeyDigest = "", "" // compared where they are stored
 			}
@@ -122,10 +122,10 @@
 	}
 }
 
-// rowsOfSpool reads all that an agent's spool holds, without digests.
-func rowsOfSpool(t *testing.T, directory, agent string) (rows []sqlstore.Row, gaps int) {
+// rowsOfSpool reads all that an instance's spool holds, without digests.
+func rowsOfSpool(t *testing.T, directory, instance string) (rows []sqlstore.Row, gaps int) {
 	t.Helper()
-	opened, err := spool.Open(spool.Disk{}, directory, agent)
+	opened, err := spool.Open(spool.Disk{}, directory, instance)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -138,7 +138,7 @@
 			}
 			entry := row.Entry
 			rows = append(rows, sqlstore.Row{
-				Instance: agent, Incarnation: incarnation, N: entry.N, State: row.State.String(), RequestID: entry.RequestID,
+				Instance: instance, Incarnation: incarnation, N: entry.N, State: row.State.String(), RequestID: entry.RequestID,
 				Class: entry.Class, Outcome: entry.Outcome.String(), Reason: entry.Reason, Release: entry.Release,
 				Backend: entry.Backend, Attempts: entry.Attempts, ArrivedAt: entry.ArrivedAt, AnsweredAt: entry.AnsweredAt,
 			})
@@ -160,27 +160,27 @@
 	t.Run("onto the old store", func(t *testing.T) {
 		table := copyStoredData(t)
 		store := openStore(t, table)
-		for agent, want := range expected {
-			if before := len(storedRows(t, store, agent)); before != want.StoredBefore {
-				t.Errorf("%s: %d rows in the store at first, want %d", agent, before, want.StoredBefore)
+		for instance, want := range expected {
+			if before := len(storedRows(t, store, instance)); before != want.StoredBefore {
+				t.Errorf("%s: %d rows in the store at first, want %d", instance, before, want.StoredBefore)
 			}
 		}
 		shipStoredData(t, table, expected)
 	})
 }
 
-func shipStoredData(t *testing.T, table Table, expected map[string]storedAgent) {
+func shipStoredData(t *testing.T, table Table, expected map[string]storedInstance) {
 	t.Helper()
 	store := openStore(t, table)
-	for agent, want := range expected {
-		if err := Ship(t.Context(), table, agent, func(uint64, uint64) {}); err != nil {
+	for instance, want := range expected {
+		if err := Ship(t.Context(), table, instance, func(uint64, uint64) {}); err != nil {
 			t.Fatal(err)
 		}
-		checkStored(t, store, agent, want)
+		checkStored(t, store, instance, want)
 	}
-	for agent, left := range map[string]int{"n1": 0, "n2": 1} { // a damaged incarnation's files stay
-		if in := spool.View(spool.Disk{}, table.Directory, agent).Incarnations(); len(in) != left {
-			t.Errorf("%s: incarnations %v left in the spool, want %d", agent, in, left)
+	for instance, left := range map[string]int{"n1": 0, "n2": 1} { // a damaged incarnation's files stay
+		if in := spool.View(spool.Disk{}, table.Directory, instance).Incarnations(); len(in) != left {
+			t.Errorf("%s: incarnations %v left in the spool, want %d", instance, in, left)
 		}
 	}
 }
@@ -188,35 +188,35 @@
 // TestStoredDataAudit: the findings are the old program's, in the spool before it is shipped and in the store afterwards.
 func TestStoredDataAudit(t *testing.T) {
 	table := copyStoredData(t)
-	for agent, want := range expectedOfStoredData(t) {
-		t.Run(agent, func(t *testing.T) {
+	for instance, want := range expectedOfStoredData(t) {
+		t.Run(instance, func(t *testing.T) {
 			spoolOnly, storeOnly := table, table
 			spoolOnly.Store.Kind = "none"
 			storeOnly.Directory = t.TempDir()
-			if found := audit(t, spoolOnly, agent); !slices.Equal(found, want.AuditSpool) {
+			if found := audit(t, spoolOnly, instance); !slices.Equal(found, want.AuditSpool) {
 				t.Errorf("in the spool: %+v\nwant %+v", found, want.AuditSpool)
 			}
-			if err := Ship(t.Context(), table, agent, func(uint64, uint64) {}); err != nil {
+			if err := Ship(t.Context(), table, instance, func(uint64, uint64) {}); err != nil {
 				t.Fatal(err)
 			}
-			if found := audit(t, storeOnly, agent); !slices.Equal(found, want.AuditStore) {
+			if found := audit(t, storeOnly, instance); !slices.Equal(found, want.AuditStore) {
 				t.Errorf("in the store: %+v\nwant %+v", found, want.AuditStore)
 			}
 		})
 	}
 }
 
-func audit(t *testing.T, table Table, agent string) (found []Finding) {
+func audit(t *testing.T, table Table, instance string) (found []Finding) {
 	t.Helper()
-	if err := Audit(t.Context(), table, agent, func(f Finding) { found = append(found, f) }, func(int) {}); err != nil {
+	if err := Audit(t.Context(), table, instance, func(f Finding) { found = append(found, f) }, func(int) {}); err != nil {
 		t.Fatal(err)
 	}
 	return found
 }
 
-func storedRows(t *testing.T, store *sqlstore.Store, agent string) (rows []sqlstore.Row) {
+func storedRows(t *testing.T, store *sqlstore.Store, instance string) (rows []sqlstore.Row) {
 	t.Helper()
-	if err := store.Select(t.Context(), sqlstore.Filter{Instance: agent}, func(r sqlstore.Row) error {
+	if err := store.Select(t.Context(), sqlstore.Filter{Instance: instance}, func(r sqlstore.Row) error {
 		rows = append(rows, r)
 		return nil
 	}); err != nil {
@@ -226,20 +226,20 @@
 	return rows
 }
 
-func checkStored(t *testing.T, store *sqlstore.Store, agent string, want storedAgent) {
+func checkStored(t *testing.T, store *sqlstore.Store, instance string, want storedInstance) {
 	t.Helper()
-	if rows := storedRows(t, store, agent); !slices.Equal(rows, want.Rows) {
-		t.Errorf("%s: rows\n%+v\nwant\n%+v", agent, rows, want.Rows)
+	if rows := storedRows(t, store, instance); !slices.Equal(rows, want.Rows) {
+		t.Errorf("%s: rows\n%+v\nwant\n%+v", instance, rows, want.Rows)
 	}
 	var gaps []sqlstore.GapRow
-	if err := store.Gaps(t.Context(), agent, func(g sqlstore.GapRow) error {
+	if err := store.Gaps(t.Context(), instance, func(g sqlstore.GapRow) error {
 		gaps = append(gaps, g)
 		return nil
 	}); err != nil {
 		t.Fatal(err)
 	}
 	if !slices.Equal(gaps, want.Gaps) {
-		t.Errorf("%s: gaps\n%+v\nwant\n%+v", agent, gaps, want.Gaps)
+		t.Errorf("%s: gaps\n%+v\nwant\n%+v", instance, gaps, want.Gaps)
 	}
 	through, closed := map[string]uint64{}, map[string]bool{}
 	for incarnation := range want.Through {
@@ -249,7 +249,7 @@
 		}
 	}
 	if !reflect.DeepEqual(through, want.Through) || !reflect.DeepEqual(closed, want.Closed) {
-		t.Errorf("%s: through %v, closed %v, want %v, %v", agent, through, closed, want.Through, want.Closed)
+		t.Errorf("%s: through %v, closed %v, want %v, %v", instance, through, closed, want.Through, want.Closed)
 	}
 }
 
--- a/internal/record/recorder/table.go
+++ b/internal/record/recorder/table.go
@@ -15,46 +15,46 @@
 
 // Table is [record].
 type Table struct {
-	Mode       string     `toml:"mode" comment:"off; spool: durable before the answer; memory: no disk, gives up what a kill takes"`
-	Directory  string     `toml:"directory" comment:"of the spool; every agent has its own under it"`
-	Sync       string     `toml:"sync" comment:"group: synced before the answer; none: survives a kill, not a loss of power"`
-	Group      units.Span `toml:"group_wait" comment:"an entry waits so long for others to be synced with"`
-	GroupBytes units.Size `toml:"group_bytes"`
-	Segment    units.Size `toml:"segment"`
-	Budget     units.Size `toml:"budget" comment:"of the spool on disk, or in memory"`
-	Room       units.Size `toml:"room" comment:"of entries that wait in memory for the disk"`
-	Patience   units.Span `toml:"patience" comment:"an answer waits so long for its sync"`
-	Reserve    units.Span `toml:"reserve" comment:"kept back of each client's time for it"`
-	Stall      units.Span `toml:"stall" comment:"a write that takes longer means that the disk stands still"`
-	WhenFull   string     `toml:"when_full" comment:"keep-serving: a gap says what is missing; decline: new txns are declined"`
-	Store      StoreTable `toml:"store"`
+	Mode            string     `toml:"mode" comment:"off; spool: durable before the answer; memory: no disk, gives up what a kill takes"`
+	Directory       string     `toml:"directory" comment:"of the spool; every agent has its own under it"`
+	Sync            string     `toml:"sync" comment:"group: synced before the answer; none: survives a kill, not a loss of power"`
+	GroupWait       units.Span `toml:"group_wait" comment:"an entry waits so long for others to be synced with"`
+	MaxWriteBytes   units.Size `toml:"group_bytes"`
+	MaxSegmentBytes units.Size `toml:"segment"`
+	MaxSpoolBytes   units.Size `toml:"budget" comment:"of the spool on disk, or in memory"`
+	MaxQueuedBytes  units.Size `toml:"room" comment:"of entries that wait in memory for the disk"`
+	CommitDelay     units.Span `toml:"patience" comment:"an answer waits so long for its sync"`
+	Reserve         units.Span `toml:"reserve" comment:"kept back of each client's time for it"`
+	StallAfter      units.Span `toml:"stall" comment:"a write that takes longer means that the disk stands still"`
+	WhenFull        string     `toml:"when_full" comment:"keep-serving: a gap says what is missing; decline: new txns are declined"`
+	Store           StoreTable `toml:"store"`
 }
 
 // StoreTable is [record.store].
 type StoreTable struct {
-	Kind         string     `toml:"kind" comment:"sqlite, postgres, or none: the spool waits for 'onyxgate record ship'"`
-	Path         string     `toml:"path" comment:"of sqlite's file"`
-	Address      string     `toml:"address" comment:"of the PostgreSQL server, host:port"`
-	Database     string     `toml:"database"`
-	User         string     `toml:"user"`
-	PasswordFile string     `toml:"password_file" comment:"read anew at each connection"`
-	TLS          string     `toml:"tls" comment:"disable, require, verify-ca, verify-full"`
-	CA           string     `toml:"tls_ca"`
-	Batch        int        `toml:"batch" comment:"rows at once, at most"`
-	Every        units.Span `toml:"every" comment:"rows wait so long for a whole batch"`
-	Timeout      units.Span `toml:"timeout" comment:"of a batch"`
-	Bytes        units.Size `toml:"bytes_a_second"`
+	Kind           string     `toml:"kind" comment:"sqlite, postgres, or none: the spool waits for 'onyxgate record ship'"`
+	Path           string     `toml:"path" comment:"of sqlite's file"`
+	Address        string     `toml:"address" comment:"of the PostgreSQL server, host:port"`
+	Database       string     `toml:"database"`
+	User           string     `toml:"user"`
+	PasswordFile   string     `toml:"password_file" comment:"read anew at each connection"`
+	TLS            string     `toml:"tls" comment:"disable, require, verify-ca, verify-full"`
+	CAFile         string     `toml:"tls_ca"`
+	MaxBatchRows   int        `toml:"batch" comment:"rows at once, at most"`
+	BatchWait      units.Span `toml:"every" comment:"rows wait so long for a whole batch"`
+	BatchTimeout   units.Span `toml:"timeout" comment:"of a batch"`
+	BytesPerSecond units.Size `toml:"bytes_a_second"`
 }
 
 // Default is what holds where nothing is said.
 func Default() Table {
 	return Table{
-		Mode: "off", Sync: "group", Group: 0, GroupBytes: 256 << 10, Segment: 4 << 20,
-		Budget: 256 << 20, Room: 2 << 20, Patience: units.Span(250 * time.Millisecond),
-		Reserve: units.Span(40 * time.Millisecond), Stall: units.Span(200 * time.Millisecond), WhenFull: "keep-serving",
+		Mode: "off", Sync: "group", GroupWait: 0, MaxWriteBytes: 256 << 10, MaxSegmentBytes: 4 << 20,
+		MaxSpoolBytes: 256 << 20, MaxQueuedBytes: 2 << 20, CommitDelay: units.Span(250 * time.Millisecond),
+		Reserve: units.Span(40 * time.Millisecond), StallAfter: units.Span(200 * time.Millisecond), WhenFull: "keep-serving",
 		Store: StoreTable{
-			Kind: "none", TLS: "verify-full", Batch: 500, Every: units.Span(200 * time.Millisecond),
-			Timeout: units.Span(5 * time.Second), Bytes: 4 << 20,
+			Kind: "none", TLS: "verify-full", MaxBatchRows: 500, BatchWait: units.Span(200 * time.Millisecond),
+			BatchTimeout: units.Span(5 * time.Second), BytesPerSecond: 4 << 20,
 		},
 	}
 }
@@ -69,11 +69,11 @@
 func (s StoreTable) Open() (*sqlstore.Store, error) {
 	switch s.Kind {
 	case "sqlite":
-		return sqlite.Open(s.Path, time.Duration(s.Timeout)/2)
+		return sqlite.Open(s.Path, time.Duration(s.BatchTimeout)/2)
 	case "postgres":
 		return postgres.Open(postgres.Options{
-			Address: s.Address, Database: s.Database, User: s.User, PasswordFile: s.PasswordFile, TLS: s.TLS, CAFile: s.CA,
-			ConnectTimeout: time.Duration(s.Timeout),
+			Address: s.Address, Database: s.Database, User: s.User, PasswordFile: s.PasswordFile, TLS: s.TLS, CAFile: s.CAFile,
+			ConnectTimeout: time.Duration(s.BatchTimeout),
 		})
 	}
 	return nil, nil
@@ -87,8 +87,8 @@
 	}
 	return record.LedgerOptions{
 		Instance: instance, Incarnation: incarnation,
-		Sync: t.syncs(), GroupWait: t.Group.Ms(), MaxWriteBytes: int(t.GroupBytes),
-		MaxSegmentBytes: int64(t.Segment), MaxSpoolBytes: int64(t.Budget), MaxQueuedBytes: int(t.Room),
-		CommitDelay: t.Patience.Ms(), StallAfter: t.Stall.Ms(), FullPolicy: policy, SpoolBytes: spoolBytes,
+		Sync: t.syncs(), GroupWait: t.GroupWait.Ms(), MaxWriteBytes: int(t.MaxWriteBytes),
+		MaxSegmentBytes: int64(t.MaxSegmentBytes), MaxSpoolBytes: int64(t.MaxSpoolBytes), MaxQueuedBytes: int(t.MaxQueuedBytes),
+		CommitDelay: t.CommitDelay.Ms(), StallAfter: t.StallAfter.Ms(), FullPolicy: policy, SpoolBytes: spoolBytes,
 	}
 }
--- a/internal/record/recorder/upkeep.go
+++ b/internal/record/recorder/upkeep.go
@@ -27,7 +27,7 @@
 	}
 	background := runner.New()
 	pruneNow := func() {}
-	background.Add(jobs.Options{Name: "ship", MaxBytesPerSecond: float64(e.table.Bytes)}, func(ctx context.Context) (int64, time.Duration) {
+	background.Add(jobs.Options{Name: "ship", MaxBytesPerSecond: float64(e.table.BytesPerSecond)}, func(ctx context.Context) (int64, time.Duration) {
 		sent, wait, _ := e.step(ctx)
 		if sent > 0 {
 			pruneNow()
@@ -75,7 +75,7 @@
 	if !ready {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(e.table.Timeout))
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(e.table.BatchTimeout))
 	defer cancel()
 	if err := e.store.Checkpoint(ctx); err != nil {
 		logrus.WithError(err).Debug("no checkpoint")
--- a/internal/record/recorder/writer.go
+++ b/internal/record/recorder/writer.go
@@ -108,7 +108,7 @@
 func (r *Recorder) wakeWriter() {
 	select {
 	case r.wake <- struct{}{}:
-	default: // it has been told already
+	default: // it has been woken already
 	}
 }
 
--- a/internal/record/replay.go
+++ b/internal/record/replay.go
@@ -160,7 +160,7 @@
 func (p *Replay) complete(rows []Row, ordinals []uint64, state State) []Row {
 	for _, ordinal := range ordinals {
 		entry, ok := p.open[ordinal]
-		if !ok { // its entry fell into a hole, or stood in a segment that is exported and gone
+		if !ok { // its entry fell into a hole, or was in a segment that is exported and removed
 			if ordinal >= p.start {
 				p.addDefect(defectOrphan, ordinal, ordinal, "an end without its entry")
 			}
--- a/internal/record/spool/disk.go
+++ b/internal/record/spool/disk.go
@@ -25,7 +25,7 @@
 // Open opens a file to read.
 func (Disk) Open(name string) (ReadFile, error) { return os.Open(name) }
 
-// List returns what stands in a directory.
+// List returns the files and directories in a directory.
 func (Disk) List(dir string) (files []FileInfo, err error) {
 	entries, err := os.ReadDir(dir)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -33,7 +33,7 @@
 	}
 	for _, entry := range entries {
 		info, err := entry.Info()
-		if err != nil { // gone meanwhile
+		if err != nil { // removed meanwhile
 			continue
 		}
 		files = append(files, FileInfo{entry.Name(), info.Size()})
--- a/internal/record/spool/fs.go
+++ b/internal/record/spool/fs.go
@@ -14,7 +14,7 @@
 	// Create makes a file to append to. It fails where the file exists.
 	Create(name string) (File, error)
 	Open(name string) (ReadFile, error)
-	// List returns what stands in a directory, in the order of names; nothing where there is no such directory.
+	// List returns the files and directories in a directory, in the order of names; none where there is no such directory.
 	List(dir string) ([]FileInfo, error)
 	// Remove takes a file away, or an empty directory.
 	Remove(name string) error
--- a/internal/record/spool/owner.go
+++ b/internal/record/spool/owner.go
@@ -9,7 +9,7 @@
 	"io"
 )
 
-// ErrCopied says that a directory does not stand where it was made. Were it used, one incarnation would be written at two
+// ErrCopied says that a directory is not where it was made. If it were used, one incarnation would be written at two
 // places.
 var ErrCopied = errors.New("copied from elsewhere")
 
--- a/internal/record/spool/reader.go
+++ b/internal/record/spool/reader.go
@@ -36,7 +36,7 @@
 	corruptFrom  int64 // their offset in the file
 }
 
-// Read starts reading an incarnation; closed tells that it will never be written again.
+// Read starts reading an incarnation; closed: it will never be written again.
 func (s *Spool) Read(incarnation string, closed bool) *Reader {
 	return &Reader{Replay: record.NewReplay(), fs: s.fs, dir: join(s.dir, incarnation), closed: closed}
 }
@@ -91,10 +91,10 @@
 
 // fill reads a chunk behind what the buffer holds.
 func (r *Reader) fill() (read int, atEnd bool, err error) {
-	held := len(r.buffer)
+	kept := len(r.buffer)
 	r.buffer = append(r.buffer, make([]byte, readChunk)...)
-	read, err = r.file.ReadAt(r.buffer[held:], r.offset+int64(held))
-	r.buffer = r.buffer[:held+read]
+	read, err = r.file.ReadAt(r.buffer[kept:], r.offset+int64(kept))
+	r.buffer = r.buffer[:kept+read]
 	atEnd = errors.Is(err, io.EOF)
 	if err != nil && !atEnd {
 		return read, false, fmt.Errorf("%s segment %d: %w", r.dir, r.segment, err)
@@ -139,7 +139,7 @@
 	return step + 1
 }
 
-// endCorrupt tells of the corrupt bytes before a frame.
+// endCorrupt notes the corrupt bytes before a frame as a defect.
 func (r *Reader) endCorrupt() {
 	if r.corruptBytes > 0 {
 		r.Replay.AddCorruptBytes(r.corruptFrom, r.corruptBytes)
@@ -175,7 +175,7 @@
 	r.buffer, r.offset, r.corruptBytes, r.rewrittenFrom = r.buffer[:0], 0, 0, 0
 }
 
-// lookAhead notes where the next segment begins and tells whether there is one.
+// lookAhead notes where the next segment begins and reports whether there is one.
 func (r *Reader) lookAhead() bool {
 	next, ok := r.nextSegment()
 	if ok && r.rewrittenFrom == 0 {
--- a/internal/record/spool/segment.go
+++ b/internal/record/spool/segment.go
@@ -16,7 +16,7 @@
 // maxHeaderBytes holds a frame with a segment's header.
 const maxHeaderBytes = 2048
 
-// segmentFile is a segment as it stands in its directory.
+// segmentFile is a segment as its directory lists it.
 type segmentFile struct {
 	number uint64
 	bytes  int64
--- a/internal/record/spool/spool.go
+++ b/internal/record/spool/spool.go
@@ -47,11 +47,11 @@
 	return &Spool{fs: files, dir: join(root, url.PathEscape(instance)), Instance: instance}
 }
 
-// Instances lists whose directories stand under a root.
+// Instances lists whose directories are under a root.
 func Instances(files FS, root string) (instances []string, err error) {
 	all, err := files.List(root)
 	for _, dir := range all {
-		inside, _ := files.List(join(root, dir.Name)) // what else stands there, as a store's file, is no instance's
+		inside, _ := files.List(join(root, dir.Name)) // anything else, such as a store's file, is no instance's
 		isInstance := slices.ContainsFunc(inside, func(file FileInfo) bool { return file.Name == lockName })
 		if instance, err := url.PathUnescape(dir.Name); err == nil && isInstance {
 			instances = append(instances, instance)
--- a/internal/record/spool/spool_test.go
+++ b/internal/record/spool/spool_test.go
@@ -67,8 +67,8 @@
 	}
 	w.Close()
 	s.Close()
-	if agents, err := spool.Instances(spool.Disk{}, root); err != nil || len(agents) != 1 || agents[0] != "a/b c" {
-		t.Errorf("%v %v", agents, err)
+	if instances, err := spool.Instances(spool.Disk{}, root); err != nil || len(instances) != 1 || instances[0] != "a/b c" {
+		t.Errorf("%v %v", instances, err)
 	}
 
 	copied := t.TempDir()
--- a/internal/record/sqlstore/query.go
+++ b/internal/record/sqlstore/query.go
@@ -105,7 +105,7 @@
 		})
 }
 
-// Repeats counts the ordinals that stand more than once: none, unless somebody took the key away.
+// Repeats counts the ordinals that are stored more than once: none, unless somebody dropped the primary key.
 func (s *Store) Repeats(ctx context.Context) (n int64, err error) {
 	err = queryOne(ctx, s.db, NameCount+`select count(*) from (select 1 from onyxgate_entry group by incarnation, n
 		having count(*) > 1) repeats`, nil, &n)
--- a/internal/record/sqlstore/rows.go
+++ b/internal/record/sqlstore/rows.go
@@ -1,6 +1,6 @@
 package sqlstore
 
-// This file owns how entries and gaps stand in the store.
+// This file owns the rows and columns of entries and gaps.
 
 import (
 	"encoding/hex"
