--- a/internal/fake/memfs/memfs.go
+++ b/internal/fake/memfs/memfs.go
@@ -13,8 +13,8 @@
 
 // FS is spool.Memory with faults.
 type FS struct {
-	// Fail is asked before each operation: mkdir, create, write, sync, remove, syncdir. An error makes it fail; of a write,
-	// `part` bytes go in all the same. Nil: nothing fails.
+	// Fail is asked before each operation: mkdir, create, write, sync, close (of a file that was written), remove, syncdir.
+	// An error makes it fail; of a write, `part` bytes go in all the same. Nil: nothing fails.
 	Fail func(op, name string, bytes int) (part int, err error)
 
 	memory *spool.Memory
@@ -163,6 +163,9 @@
 	return a.inner.Sync()
 }
 
-func (a *file) Close() error { return a.inner.Close() }
+func (a *file) Close() error {
+	_, failed := a.fs.fail("close", a.name, 0)
+	return errors.Join(failed, a.inner.Close())
+}
 
 var _ spool.FS = (*FS)(nil)
--- a/internal/record/recorder/recorder.go
+++ b/internal/record/recorder/recorder.go
@@ -35,7 +35,6 @@
 	confirmed chan struct{} // closed and made anew with each confirmation or failure
 	health    record.Health // as it was logged last
 	unsynced  uint64        // answers that went before they were durable
-	canceled  uint64
 }
 
 // New takes the spool and begins an incarnation; now is the instance's clock in ms, classes are the names of request
@@ -178,12 +177,8 @@
 	r.wakeWriter()
 }
 
-// Closed counts a request that ended without an answer.
-func (r *Recorder) Closed(float64) {
-	r.mu.Lock()
-	r.canceled++
-	r.mu.Unlock()
-}
+// Closed does nothing: a request that ended without an answer has no entry.
+func (r *Recorder) Closed(float64) {}
 
 // Status are the figures of the record now.
 type Status struct {
@@ -192,7 +187,6 @@
 	SpoolBytes        int64 // bytes in the spool
 	QueuedBytes       int   // bytes that wait in memory
 	Unsynced          uint64
-	Canceled          uint64
 	Exported, InDoubt uint64
 	Results           [7]uint64 // batches, by record.ExportResult
 	OldestWaiting     float64   // ms since the oldest unshipped entry was answered; 0: none
@@ -203,7 +197,7 @@
 	r.mu.Lock()
 	status := Status{
 		Counts: r.ledger.Counts(), Health: r.ledger.Health(r.now()), SpoolBytes: r.ledger.SpoolBytes(),
-		QueuedBytes: r.ledger.QueuedBytes(), Unsynced: r.unsynced, Canceled: r.canceled,
+		QueuedBytes: r.ledger.QueuedBytes(), Unsynced: r.unsynced,
 	}
 	r.mu.Unlock()
 	r.exporter.addStatus(&status)
--- a/internal/record/spool/faults_test.go
+++ b/internal/record/spool/faults_test.go
@@ -40,7 +40,7 @@
 // Whatever fails at whichever moment, and however the power goes, what was durable is read once and nothing else claims
 // an end.
 func TestFaults(t *testing.T) {
-	for _, op := range []string{"none", "create", "write", "sync", "syncdir"} {
+	for _, op := range []string{"none", "create", "write", "sync", "close", "syncdir"} {
 		for every := 2; every <= 5; every++ {
 			t.Run(fmt.Sprint(op, every), func(t *testing.T) { failAndLosePower(t, failEvery(every, op), op != "none") })
 		}
