--- a/internal/record/recorder/upkeep.go
+++ b/internal/record/recorder/upkeep.go
@@ -27,18 +27,21 @@
 	}
 	background := runner.New()
 	pruneNow := func() {}
-	background.Add(jobs.Options{Name: "ship", MaxBytesPerSecond: float64(e.table.BytesPerSecond)}, func(ctx context.Context) (int64, time.Duration) {
+	export := jobs.Options{Name: "ship", MaxBytesPerSecond: float64(e.table.BytesPerSecond)}
+	background.Add(export, func(ctx context.Context) (int64, time.Duration) {
 		sent, wait, _ := e.step(ctx)
 		if sent > 0 {
 			pruneNow()
 		}
 		return sent, wait
 	})
-	pruneNow = background.Add(jobs.Options{Name: "prune", Priority: 1, MaxMsPerSecond: 200}, func(context.Context) (int64, time.Duration) {
+	prune := jobs.Options{Name: "prune", Priority: 1, MaxMsPerSecond: 200}
+	pruneNow = background.Add(prune, func(context.Context) (int64, time.Duration) {
 		e.prune()
 		return 0, pruneInterval
 	})
-	background.Add(jobs.Options{Name: "checkpoint", Priority: 2, MaxMsPerSecond: 100}, func(ctx context.Context) (int64, time.Duration) {
+	checkpoint := jobs.Options{Name: "checkpoint", Priority: 2, MaxMsPerSecond: 100}
+	background.Add(checkpoint, func(ctx context.Context) (int64, time.Duration) {
 		e.checkpoint(ctx)
 		return 0, checkpointInterval
 	})
