--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -103,7 +103,9 @@
 	if !table.On() {
 		return nil
 	}
-	s.recorder, err = recorder.New(table, s.site.name, s.site.classNames, s.core.Now, s.site.seed+recorderSeed)
+	s.recorder, err = recorder.New(recorder.Options{
+		Settings: table, Instance: s.site.name, Classes: s.site.classNames, Now: s.core.Now, Seed: s.site.seed + recorderSeed,
+	})
 	if err != nil {
 		return err
 	}
--- a/internal/record/export.go
+++ b/internal/record/export.go
@@ -49,6 +49,9 @@
 	runningTurns, turnsPerRound = 3, 4
 )
 
+// ExportCounts are how many batches ended with each result, by ExportResult.
+type ExportCounts [len(exportResultNames)]uint64
+
 // ExportScheduler paces one instance's batches to the store. Times are in ms, of one clock.
 type ExportScheduler struct {
 	maxRows      int
@@ -59,7 +62,7 @@
 	retryAt      float64
 	waitingSince float64 // when the oldest row that waits was seen; 0: none waits
 	turn         int
-	Results      [len(exportResultNames)]uint64 // how often, by ExportResult
+	Results      ExportCounts
 }
 
 // NewExportScheduler makes one for batches of at most maxRows, and at least every maxWait ms while rows wait.
--- a/internal/record/recorder/bench_test.go
+++ b/internal/record/recorder/bench_test.go
@@ -27,7 +27,7 @@
 
 func benchmarkAnswer(b *testing.B, table Table, atOnce int) {
 	b.Helper()
-	r, err := New(table, "n1", []string{"p"}, clock(), 1)
+	r, err := New(testOptions(table))
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/record/recorder/helper_test.go
+++ b/internal/record/recorder/helper_test.go
@@ -23,6 +23,10 @@
 
 func span(d time.Duration) units.Span { return units.Span(d) }
 
+func testOptions(table Table) Options {
+	return Options{Settings: table, Instance: "n1", Classes: []string{"p"}, Now: clock(), Seed: 1}
+}
+
 // start runs a recorder; stop ends it and waits until nothing of it runs any more.
 func start(r *Recorder) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/record/recorder/recorder.go
+++ b/internal/record/recorder/recorder.go
@@ -19,6 +19,15 @@
 	"onyxgate/internal/record/spool"
 )
 
+// Options are what a recorder is made with.
+type Options struct {
+	Settings Table
+	Instance string         // its name, which must be the same after a restart
+	Classes  []string       // names of request classes, by number
+	Now      func() float64 // the instance's clock (ms)
+	Seed     uint64         // of random pauses
+}
+
 // Recorder keeps one instance's record. It is a core.Interceptor; its methods may be called from any goroutine.
 type Recorder struct {
 	table    Table
@@ -37,33 +46,35 @@
 	unsynced  uint64        // answers that went before they were durable
 }
 
-// New takes the spool and begins an incarnation; now is the instance's clock in ms, classes are the names of request
-// classes by number. Errors wrap spool.ErrLocked and spool.ErrCopied.
-func New(table Table, instance string, classes []string, now func() float64, seed uint64) (*Recorder, error) {
-	if instance == "" {
+// memoryRoot is where a spool in memory has its directories.
+const memoryRoot = "memory"
+
+// New takes the spool and begins an incarnation. Errors wrap spool.ErrLocked and spool.ErrCopied.
+func New(options Options) (*Recorder, error) {
+	if options.Instance == "" {
 		return nil, errors.New("record: an agent without a name can't keep one: entries would be nobody's")
 	}
-	if table.Mode == "memory" {
-		return newOn(spool.NewMemory(), "memory", table, instance, classes, now, seed)
+	if options.Settings.Mode == "memory" {
+		return newOn(spool.NewMemory(), memoryRoot, options)
 	}
-	return newOn(spool.Disk{}, table.Directory, table, instance, classes, now, seed)
+	return newOn(spool.Disk{}, options.Settings.Directory, options)
 }
 
-func newOn(files spool.FS, root string, table Table, instance string, classes []string, now func() float64,
-	seed uint64,
-) (*Recorder, error) {
+// newOn is New on a file system.
+func newOn(files spool.FS, root string, options Options) (*Recorder, error) {
+	table, instance := options.Settings, options.Instance
 	opened, err := spool.Open(files, root, instance)
 	if err != nil {
 		return nil, fmt.Errorf("record: %w", err)
 	}
 	r := &Recorder{
-		table: table, now: now, classes: classes, spool: opened,
+		table: table, now: options.Now, classes: options.Classes, spool: opened,
 		wake: make(chan struct{}, 1), confirmed: make(chan struct{}),
 	}
 	bytes := opened.Bytes()
 	if r.writer, err = opened.Begin(); err == nil {
 		r.ledger = record.NewLedger(table.ledgerOptions(instance, r.writer.Incarnation, bytes))
-		r.exporter, err = newRecorderExporter(r, seed)
+		r.exporter, err = newRecorderExporter(r, options.Seed)
 	}
 	if err != nil {
 		opened.Close()
@@ -188,8 +199,8 @@
 	QueuedBytes       int   // bytes that wait in memory
 	Unsynced          uint64
 	Exported, InDoubt uint64
-	Results           [7]uint64 // batches, by record.ExportResult
-	OldestWaiting     float64   // ms since the oldest unshipped entry was answered; 0: none
+	Results           record.ExportCounts
+	OldestWaiting     float64 // ms since the oldest unshipped entry was answered; 0: none
 }
 
 // Status returns the figures now.
--- a/internal/record/recorder/recorder_test.go
+++ b/internal/record/recorder/recorder_test.go
@@ -18,7 +18,7 @@
 // onMemory makes a recorder on a file system that fails as it is told.
 func onMemory(t *testing.T, files *memfs.FS, table Table) *Recorder {
 	t.Helper()
-	r, err := newOn(files, "root", table, "n1", []string{"p"}, clock(), 1)
+	r, err := newOn(files, "root", testOptions(table))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/record/recorder/ship_test.go
+++ b/internal/record/recorder/ship_test.go
@@ -25,7 +25,7 @@
 func live(t *testing.T, table Table, life int) {
 	t.Helper()
 	table.Store.Kind = "none"
-	r, err := New(table, "n1", []string{"p"}, clock(), 1)
+	r, err := New(testOptions(table))
 	if err != nil {
 		t.Fatal(err)
 	}
