--- a/internal/record/recorder/exporter.go
+++ b/internal/record/recorder/exporter.go
@@ -1,7 +1,7 @@
 package recorder
 
-// This file owns the way to the store: which rows go in a batch, and what became of it. Pace, turns and the meaning of
-// failures are record.ExportScheduler's.
+// This file owns the way to the store: which rows go in a batch, and what became of it. Pace and the meaning of failures are
+// record.ExportScheduler's.
 
 import (
 	"context"
@@ -179,70 +179,6 @@
 	}
 }
 
-// pick is the incarnation whose turn it is, with rows read; nil where nothing waits. Under the lock.
-func (e *exporter) pick() *incarnationReader {
-	runningWaits := e.readRunning()
-	for {
-		e.skipRefused()
-		switch e.scheduler.NextSource(runningWaits, len(e.earlier) > 0) {
-		case record.SourceRunning:
-			return e.running
-		case record.SourceEarlier:
-			if e.readEarlier() {
-				return e.earlier[0]
-			}
-		default:
-			return nil
-		}
-	}
-}
-
-// readRunning reads on in the running incarnation and tells whether the store lacks something of it.
-func (e *exporter) readRunning() (waits bool) {
-	if e.running == nil {
-		return false
-	}
-	err := e.running.read(e.table.MaxBatchRows)
-	if err != nil && record.SourceRunning.OnReadError() == record.ReadAgain {
-		e.logFailure(err, record.ExportUnreachable)
-	}
-	logDefects(e.running)
-	waits = e.running.waits()
-	e.oldestWaiting = 0
-	if waits && e.running.rows[0].Gap == nil {
-		e.oldestWaiting = e.running.rows[0].Entry.AnsweredAt
-	}
-	return waits
-}
-
-// readEarlier reads on in the first of the earlier incarnations and tells whether it can be read.
-func (e *exporter) readEarlier() bool {
-	first := e.earlier[0]
-	err := first.read(e.table.MaxBatchRows)
-	logDefects(first)
-	if err == nil {
-		return true
-	}
-	if record.SourceEarlier.OnReadError() == record.LeaveFiles {
-		logrus.WithField("incarnation", first.incarnation).WithError(err).Error("an earlier incarnation can't be read, " +
-			"its files stay: 'onyxgate record verify' shows what is wrong")
-		e.leaveFirst()
-	}
-	return false
-}
-
-func (e *exporter) skipRefused() {
-	for len(e.earlier) > 0 && e.earlier[0].refused {
-		e.leaveFirst()
-	}
-}
-
-// leaveFirst ends the reading of the first of the earlier incarnations.
-func (e *exporter) leaveFirst() {
-	e.earlier[0].reader.Close()
-	e.earlier = e.earlier[1:]
-}
-
 // finish removes an incarnation that is stored whole. One with defects stays for whoever looks into it, and is not read
 // again until the next start. Only the first of the earlier ones can be complete.
 func (e *exporter) finish(stored *incarnationReader) {
@@ -265,25 +201,6 @@
 	line.Info("an earlier incarnation is stored")
 }
 
-// logFailure logs a failure once, until another kind comes.
-func (e *exporter) logFailure(err error, result record.ExportResult) {
-	if result != e.lastResult {
-		logrus.WithFields(logrus.Fields{"store": e.table.Kind, "reply": result.String()}).WithError(err).
-			Warn("record can't be shipped")
-		e.lastResult = result
-	}
-}
-
-// logDefects logs each defect once.
-func logDefects(from *incarnationReader) {
-	all := from.reader.Replay.Defects
-	for _, defect := range all[min(from.loggedDefects, len(all)):] {
-		logrus.WithFields(logrus.Fields{"incarnation": from.incarnation, "defect": defect.String()}).
-			Error("record is damaged")
-	}
-	from.loggedDefects = len(all)
-}
-
 func (e *exporter) addStatus(status *Status) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
