--- a/cmd/e2e/record_figures.go
+++ b/cmd/e2e/record_figures.go
@@ -70,7 +70,7 @@
 		if err := json.Unmarshal(lines.Bytes(), &entry); err != nil {
 			return nil, fmt.Errorf("export: %w", err)
 		}
-		key := fmt.Sprintf("%s/%d", entry.Incarnation, entry.N)
+		key := fmt.Sprintf("%s/%d", entry.Incarnation, entry.Ordinal)
 		if seen[key] {
 			f.Duplicates++
 			continue
--- a/cmd/e2e/record_figures_test.go
+++ b/cmd/e2e/record_figures_test.go
@@ -16,7 +16,7 @@
 	body := record.DigestOf([]byte("body"))
 	response := fleet.Response{ID: "r1", Class: "order", Instance: 1, Outcome: fleet.OutcomeServed, Body: body}
 	entry := sqlstore.Row{
-		Instance: "n1", Incarnation: "i", N: 7, State: stateAnswered, RequestID: "r1", Class: "order",
+		Instance: "n1", Incarnation: "i", Ordinal: 7, State: stateAnswered, RequestID: "r1", Class: "order",
 		Outcome: fleet.OutcomeServed, BodyDigest: hex.EncodeToString(body[:]),
 	}
 	with := func(change func(*sqlstore.Row)) sqlstore.Row {
@@ -24,7 +24,7 @@
 		change(&changed)
 		return changed
 	}
-	second := with(func(e *sqlstore.Row) { e.N = 8 })
+	second := with(func(e *sqlstore.Row) { e.Ordinal = 8 })
 	otherBody := with(func(e *sqlstore.Row) { e.BodyDigest = "00" })
 	otherInstance := with(func(e *sqlstore.Row) { e.Instance = "n2" })
 	undelivered := with(func(e *sqlstore.Row) { e.State = stateUndelivered })
--- /dev/null
+++ b/internal/assembly/report.go
@@ -0,0 +1,98 @@
+package assembly
+
+// This file owns the log lines of counts. The table of them is in docs/oncall.md.
+
+import (
+	"context"
+	"fmt"
+	"syscall"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"onyxgate/internal/invariant"
+	"onyxgate/policy"
+)
+
+// report logs the decisions' own lines and, every so often, the counts.
+func (s *Server) report(ctx context.Context) {
+	tick := time.NewTicker(s.options.ReportInterval)
+	defer tick.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case line := <-s.core.LogLines():
+			logrus.Info(line)
+		case <-tick.C:
+			s.core.CheckClock() // about once a second, as its comment asks: options with a longer interval see a step later
+			s.logCounts()
+		}
+	}
+}
+
+// logCounts logs one line for each part that counts.
+func (s *Server) logCounts() {
+	s.logTraffic()
+	s.logReleases()
+	if s.sources != nil {
+		s.logSources()
+	}
+	if s.recorder != nil {
+		s.logRecord()
+	}
+}
+
+func (s *Server) logTraffic() {
+	n := s.core.Counts()
+	opened, idle, unsent := s.upstream.Connections()
+	all, clients, idleClients := s.sockets.Used()
+	version, listed := s.discovery.Version()
+	logrus.WithFields(logrus.Fields{
+		"cpu_ms":   cpuMs(),
+		"accepted": n.Accepted, "served": n.Served, "rejected": n.Rejected, "failed": n.Failed, "client_gone": n.ClientGone,
+		"invalid_requests": s.front.InvalidRequests(), "requests_open": n.OpenRequests,
+		"attempts_open": n.OpenAttempts, "attempts_ended": fmt.Sprint(n.AttemptsByStatus[policy.StatusServed:]), "attempts_withheld": n.AttemptsWithheld,
+		"sockets": all, "client_connections": clients, "client_connections_idle": idleClients,
+		"backend_connections_opened": opened, "backend_connections_idle": idle, "attempts_without_socket": unsent,
+		"list_version": version, "backends": listed,
+		"timers": n.Timers, "invariant_violations": invariant.Violations(),
+	}).Info("counts")
+}
+
+// cpuMs is the processor time that the process has used, in ms.
+func cpuMs() int64 {
+	var usage syscall.Rusage
+	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
+		return 0 // it never fails for the own process, and a report is not worth a crash
+	}
+	return (usage.Utime.Nano() / 1e6) + (usage.Stime.Nano() / 1e6)
+}
+
+func (s *Server) logReleases() {
+	r := s.core.Counts().Releases
+	logrus.WithFields(logrus.Fields{
+		"release": r.Newest.Release, "phase": r.Newest.Phase.String(), "stage": r.Newest.Stage, "cap": r.Newest.Cap,
+		"rolling_out": r.RollingOut, "affinity_keys": r.Keys,
+		"skipped_closed": r.Skipped.Closed, "skipped_cap": r.Skipped.CapReached, "skipped_affinity": r.Skipped.Affinity,
+	}).Info("releases")
+}
+
+func (s *Server) logSources() {
+	n := s.sources.Counts()
+	logrus.WithFields(logrus.Fields{
+		"lookups": n.Lookups, "questions": n.Questions, "failed_lookups": n.FailedLookups, "negative_answers": n.NegativeAnswers,
+		"changes": n.Changes, "backends_running": n.Running, "backends": n.Known,
+		"doubt_discovery": n.Doubt[0], "doubt_srv": n.Doubt[1],
+	}).Info("sources")
+}
+
+func (s *Server) logRecord() {
+	status := s.recorder.Status()
+	logrus.WithFields(logrus.Fields{
+		"spool_state": status.Health.String(), "entries": status.Entries, "completions": status.Completions, "gaps": status.Gaps,
+		"unrecorded": status.Unrecorded, "syncs": status.Syncs, "spool_failures": status.Failures, "unsynced": status.Unsynced,
+		"spool_bytes": status.SpoolBytes, "queued_bytes": status.QueuedBytes, "exported": status.Exported, "in_doubt": status.InDoubt,
+		"oldest_unexported_ms": int(status.OldestWaiting), "store_results": fmt.Sprint(status.Results),
+	}).Info("record")
+}
--- a/internal/ci/clock_test.go
+++ b/internal/ci/clock_test.go
@@ -17,22 +17,24 @@
 	"internal/core/clock.go: return time.Now().UnixNano()":          "the epoch of Core.Now, and steps against the monotonic clock",
 	"internal/httpwire/conn.go: canceledDeadline = time.Unix(1, 0)": "a deadline long past, by any clock",
 	"internal/httpwire/writer.go: SetReadDeadline(time.Unix(1, 0))": "the same",
-	"internal/sources/dns/dns.go: SetDeadline(time.Unix(1, 0))":     "the same",
+	"internal/sources/dns/transport.go: time.Unix(1, 0)":            "the same",
 	"internal/record/sqlstore/schema.go: time.Now().UnixMilli()":    "a time that is stored for people",
 	"internal/record/recorder/ship.go: uint64(from.UnixNano())":     "a seed",
 	"cmd/onyxgate/record.go: Add(-span).UnixMilli()":                "times that operators give and read",
 	"cmd/onyxgate/record.go: at.UnixNano()":                         "the same",
 	"cmd/onyxgate/record_write.go: time.UnixMilli(":                 "the same",
-	"cmd/onyxgate/sources.go: Unix":                                 "a time that operators read, and a seed",
+	"cmd/onyxgate/sources_show.go: UnixMilli":                       "a time that operators read",
+	"cmd/onyxgate/sources_resolve.go: UnixNano":                     "a seed",
 }
 
 // Spans are of monotonic time: no program code takes the wall clock as a number but where it is an epoch, a seed or for people.
 func TestNoSpansOfWallTime(t *testing.T) {
 	used := map[string]bool{}
-	for _, root := range []string{"policy", "internal", "cmd/onyxgate"} {
-		err := filepath.WalkDir(filepath.Join("../..", root), func(path string, entry fs.DirEntry, err error) error {
-			name, _ := filepath.Rel("../..", path)
-			if err != nil || entry.IsDir() || !isProgramCode(name) {
+	for _, folder := range []string{"policy", "internal", "cmd/onyxgate"} {
+		err := filepath.WalkDir(filepath.Join(root, folder), func(path string, entry fs.DirEntry, err error) error {
+			name, _ := filepath.Rel(root, path)
+			isProgram := strings.HasSuffix(path, ".go") && !strings.HasSuffix(path, "_test.go") && !strings.HasPrefix(name, "internal/fake/")
+			if err != nil || entry.IsDir() || !isProgram {
 				return err
 			}
 			text, err := os.ReadFile(path)
@@ -50,12 +52,7 @@
 	}
 }
 
-// isProgramCode tells that a file is Go code of the program, and neither a test nor a fake.
-func isProgramCode(name string) bool {
-	return strings.HasSuffix(name, ".go") && !strings.HasSuffix(name, "_test.go") && !strings.HasPrefix(name, "internal/fake/")
-}
-
-// checkWallClock reports lines of a file that read the wall clock and may not, and notes the uses that it finds.
+// checkWallClock looks through one file, and notes which of the allowed uses it holds.
 func checkWallClock(t *testing.T, name, text string, used map[string]bool) {
 	t.Helper()
 	for n, line := range strings.Split(text, "\n") {
--- a/internal/fake/postgres/postgres.go
+++ b/internal/fake/postgres/postgres.go
@@ -185,7 +185,7 @@
 
 // entryKey is the primary key of an entry.
 func entryKey(entry sqlstore.Row) string {
-	return entry.Incarnation + "/" + strconv.FormatUint(entry.N, 10)
+	return entry.Incarnation + "/" + strconv.FormatUint(entry.Ordinal, 10)
 }
 
 // countRepeated counts the keys that more than one entry has. Under the lock.
--- a/internal/fake/postgres/statements.go
+++ b/internal/fake/postgres/statements.go
@@ -179,7 +179,7 @@
 	}
 	for _, row := range rows {
 		stored := slices.ContainsFunc(s.server.Gaps, func(gap sqlstore.GapRow) bool {
-			return gap.Incarnation == row.Incarnation && gap.N == row.N
+			return gap.Incarnation == row.Incarnation && gap.Ordinal == row.Ordinal
 		})
 		if !stored {
 			s.changes.Gaps = append(s.changes.Gaps, row)
@@ -192,7 +192,7 @@
 		"appliance", "submissions big", "taken_ms real", "answered_ms real", "body", "mark")
 	for _, entry := range s.server.Entries {
 		s.rows = append(s.rows, []string{
-			entry.Instance, entry.Incarnation, fmt.Sprint(entry.N), entry.State, entry.RequestID, entry.Class, entry.Outcome,
+			entry.Instance, entry.Incarnation, fmt.Sprint(entry.Ordinal), entry.State, entry.RequestID, entry.Class, entry.Outcome,
 			entry.Reason, fmt.Sprint(entry.Release), entry.Backend, fmt.Sprint(entry.Attempts), fmt.Sprint(entry.ArrivedAt),
 			fmt.Sprint(entry.AnsweredAt), entry.BodyDigest, entry.KeyDigest,
 		})
@@ -204,7 +204,7 @@
 		"from_ms real", "to_ms real", "cause")
 	for _, gap := range s.server.Gaps {
 		s.rows = append(s.rows, []string{
-			gap.Instance, gap.Incarnation, fmt.Sprint(gap.N), fmt.Sprint(gap.Served), fmt.Sprint(gap.Rejected),
+			gap.Instance, gap.Incarnation, fmt.Sprint(gap.Ordinal), fmt.Sprint(gap.Served), fmt.Sprint(gap.Rejected),
 			fmt.Sprint(gap.Failed), fmt.Sprint(gap.Unknown), fmt.Sprint(gap.From), fmt.Sprint(gap.To), gap.Cause,
 		})
 	}
--- a/internal/record/recorder/audit.go
+++ b/internal/record/recorder/audit.go
@@ -1,6 +1,6 @@
 package recorder
 
-// This file owns the audit of what stands in spools and store: it reads all, changes nothing and says what must not be.
+// This file owns the audit of spools and store: it reads all, changes nothing and reports what must not be.
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"onyxgate/internal/record/sqlstore"
 )
 
-// Finding is one thing that an audit says; a defect is one that must not be.
+// Finding is one result of an audit; a defect is one that must not be.
 type Finding struct {
 	Defect bool   `json:"defect"`
 	Where  string `json:"where"`
@@ -103,7 +103,7 @@
 	}
 	if err := store.Gaps(ctx, instance, func(gap sqlstore.GapRow) error {
 		what := fmt.Sprintf("gap of %s/%s at %d: %d settled, %d declined, %d voided, %d unknown, %.0f to %.0f ms, %s",
-			gap.Instance, gap.Incarnation, gap.N, gap.Served, gap.Rejected, gap.Failed, gap.Unknown, gap.From, gap.To,
+			gap.Instance, gap.Incarnation, gap.Ordinal, gap.Served, gap.Rejected, gap.Failed, gap.Unknown, gap.From, gap.To,
 			gap.Cause)
 		found(Finding{gap.Cause == "hole", "store", what})
 		return nil
--- a/internal/record/recorder/exporter.go
+++ b/internal/record/recorder/exporter.go
@@ -1,7 +1,7 @@
 package recorder
 
-// This file owns the way to the store: which rows go in a batch, and what became of it. Pace, turns and the meaning of
-// failures are record.ExportScheduler's.
+// This file owns the way to the store: which rows go in a batch, and what became of it. Pace and the meaning of failures are
+// record.ExportScheduler's.
 
 import (
 	"context"
@@ -31,11 +31,10 @@
 	spool    *spool.Spool
 	instance string
 	table    StoreTable
-	store    *sqlstore.Store // nil: there is none
-	now      func() float64  // ms
-	// segment is the one that the running incarnation is written to, which must stay; onFreed tells of files that are gone.
-	segment func() uint64
-	onFreed func(bytes int64)
+	store    *sqlstore.Store   // nil: there is none
+	now      func() float64    // ms
+	segment  func() uint64     // the one that the running incarnation is written to, which must stay
+	onFreed  func(bytes int64) // files of so many bytes were removed
 
 	mu            sync.Mutex
 	scheduler     *record.ExportScheduler
@@ -76,7 +75,7 @@
 	random := rand.New(rand.NewPCG(seed, schedulerStream))
 	return &exporter{
 		spool: from, instance: from.Instance, table: table, store: store, now: now, onFreed: func(int64) {},
-		scheduler: record.NewExportScheduler(table.Batch, table.Every.Ms(), random),
+		scheduler: record.NewExportScheduler(table.MaxBatchRows, table.BatchWait.Ms(), random),
 	}
 }
 
@@ -102,8 +101,8 @@
 	}
 }
 
-// step sends one batch, if it is time to. It returns the bytes that went and when to come again; left tells that something
-// still waits. Calls must not overlap.
+// step sends one batch, if it is time to. It returns the bytes that went and when to come again; left reports whether
+// something still waits. Calls must not overlap.
 func (e *exporter) step(ctx context.Context) (sent int64, wait time.Duration, left bool) {
 	from, batch, wait := e.nextBatch()
 	if from == nil || wait > 0 {
@@ -148,7 +147,7 @@
 }
 
 func (e *exporter) put(ctx context.Context, batch sqlstore.Batch) (sent int64, err error) {
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(e.table.Timeout))
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(e.table.BatchTimeout))
 	defer cancel()
 	if !e.migrated {
 		if err := e.store.Migrate(ctx); err != nil {
@@ -180,70 +179,6 @@
 	}
 }
 
-// pick is the incarnation whose turn it is, with rows read; nil where nothing waits. Under the lock.
-func (e *exporter) pick() *incarnationReader {
-	runningWaits := e.readRunning()
-	for {
-		e.skipRefused()
-		switch e.scheduler.NextSource(runningWaits, len(e.earlier) > 0) {
-		case record.SourceRunning:
-			return e.running
-		case record.SourceEarlier:
-			if e.readEarlier() {
-				return e.earlier[0]
-			}
-		default:
-			return nil
-		}
-	}
-}
-
-// readRunning reads on in the running incarnation and tells whether the store lacks something of it.
-func (e *exporter) readRunning() (waits bool) {
-	if e.running == nil {
-		return false
-	}
-	err := e.running.read(e.table.Batch)
-	if err != nil && record.SourceRunning.OnReadError() == record.ReadAgain {
-		e.logFailure(err, record.ExportUnreachable)
-	}
-	logDefects(e.running)
-	waits = e.running.waits()
-	e.oldestWaiting = 0
-	if waits && e.running.rows[0].Gap == nil {
-		e.oldestWaiting = e.running.rows[0].Entry.AnsweredAt
-	}
-	return waits
-}
-
-// readEarlier reads on in the first of the earlier incarnations and tells whether it can be read.
-func (e *exporter) readEarlier() bool {
-	first := e.earlier[0]
-	err := first.read(e.table.Batch)
-	logDefects(first)
-	if err == nil {
-		return true
-	}
-	if record.SourceEarlier.OnReadError() == record.LeaveFiles {
-		logrus.WithField("incarnation", first.incarnation).WithError(err).Error("an earlier incarnation can't be read, " +
-			"its files stay: 'onyxgate record verify' shows what is wrong")
-		e.leaveFirst()
-	}
-	return false
-}
-
-func (e *exporter) skipRefused() {
-	for len(e.earlier) > 0 && e.earlier[0].refused {
-		e.leaveFirst()
-	}
-}
-
-// leaveFirst ends the reading of the first of the earlier incarnations.
-func (e *exporter) leaveFirst() {
-	e.earlier[0].reader.Close()
-	e.earlier = e.earlier[1:]
-}
-
 // finish removes an incarnation that is stored whole. One with defects stays for whoever looks into it, and is not read
 // again until the next start. Only the first of the earlier ones can be complete.
 func (e *exporter) finish(stored *incarnationReader) {
@@ -266,30 +201,11 @@
 	line.Info("an earlier incarnation is stored")
 }
 
-// logFailure tells of a failure once, until another kind comes.
-func (e *exporter) logFailure(err error, result record.ExportResult) {
-	if result != e.lastResult {
-		logrus.WithFields(logrus.Fields{"store": e.table.Kind, "reply": result.String()}).WithError(err).
-			Warn("record can't be shipped")
-		e.lastResult = result
-	}
-}
-
-// logDefects tells of each defect once.
-func logDefects(from *incarnationReader) {
-	all := from.reader.Replay.Defects
-	for _, defect := range all[min(from.loggedDefects, len(all)):] {
-		logrus.WithFields(logrus.Fields{"incarnation": from.incarnation, "defect": defect.String()}).
-			Error("record is damaged")
-	}
-	from.loggedDefects = len(all)
-}
-
 func (e *exporter) addStatus(status *Status) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	status.Shipped, status.InDoubt, status.Results = e.exported, e.inDoubt, e.scheduler.Results
+	status.Exported, status.InDoubt, status.Results = e.exported, e.inDoubt, e.scheduler.Results
 	if e.oldestWaiting > 0 {
-		status.Oldest = max(e.now()-e.oldestWaiting, 0)
+		status.OldestWaiting = max(e.now()-e.oldestWaiting, 0)
 	}
 }
--- a/internal/record/recorder/recorder_test.go
+++ b/internal/record/recorder/recorder_test.go
@@ -18,7 +18,7 @@
 // onMemory makes a recorder on a file system that fails as it is told.
 func onMemory(t *testing.T, files *memfs.FS, table Table) *Recorder {
 	t.Helper()
-	r, err := newOn(files, "root", table, "n1", []string{"p"}, clock(), 1)
+	r, err := newOn(files, "root", testOptions(table))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +54,7 @@
 					return bytes, nil
 				}
 				table := Default()
-				table.Mode, table.Stall = "spool", span(5*time.Second)
+				table.Mode, table.StallAfter = "spool", span(5*time.Second)
 				r := onMemory(t, files, table)
 				stop := start(r)
 				failing.Store(true)
@@ -110,7 +110,7 @@
 		return bytes, nil
 	}
 	table := Default()
-	table.Mode, table.Room, table.WhenFull = "spool", 64<<10, policy
+	table.Mode, table.MaxQueuedBytes, table.WhenFull = "spool", 64<<10, policy
 	r := onMemory(t, files, table)
 	stop := start(r)
 	failing.Store(true)
--- a/internal/record/recorder/ship_test.go
+++ b/internal/record/recorder/ship_test.go
@@ -25,7 +25,7 @@
 func live(t *testing.T, table Table, life int) {
 	t.Helper()
 	table.Store.Kind = "none"
-	r, err := New(table, "n1", []string{"p"}, clock(), 1)
+	r, err := New(testOptions(table))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,8 +48,9 @@
 func TestShip(t *testing.T) {
 	dir := t.TempDir()
 	table := Default()
-	table.Mode, table.Directory, table.Segment, table.GroupBytes = "spool", filepath.Join(dir, "spool"), 64<<10, 4<<10
-	table.Store.Kind, table.Store.Path, table.Store.Batch = "sqlite", filepath.Join(dir, "r.db"), 70
+	table.Mode, table.Directory = "spool", filepath.Join(dir, "spool")
+	table.MaxSegmentBytes, table.MaxWriteBytes = 64<<10, 4<<10
+	table.Store.Kind, table.Store.Path, table.Store.MaxBatchRows = "sqlite", filepath.Join(dir, "r.db"), 70
 	const lives = 3
 	for life := range lives {
 		live(t, table, life)
--- a/internal/record/recorder/upkeep.go
+++ b/internal/record/recorder/upkeep.go
@@ -9,6 +9,7 @@
 
 	"github.com/sirupsen/logrus"
 
+	"onyxgate/internal/jobs"
 	"onyxgate/internal/jobs/runner"
 )
 
@@ -24,24 +25,27 @@
 	if e.store == nil {
 		return
 	}
-	jobs := runner.New()
+	background := runner.New()
 	pruneNow := func() {}
-	jobs.Add("ship", 0, 0, float64(e.table.Bytes), func(ctx context.Context) (int64, time.Duration) {
+	export := jobs.Options{Name: "ship", MaxBytesPerSecond: float64(e.table.BytesPerSecond)}
+	background.Add(export, func(ctx context.Context) (int64, time.Duration) {
 		sent, wait, _ := e.step(ctx)
 		if sent > 0 {
 			pruneNow()
 		}
 		return sent, wait
 	})
-	pruneNow = jobs.Add("prune", 1, 200, 0, func(context.Context) (int64, time.Duration) {
+	prune := jobs.Options{Name: "prune", Priority: 1, MaxMsPerSecond: 200}
+	pruneNow = background.Add(prune, func(context.Context) (int64, time.Duration) {
 		e.prune()
 		return 0, pruneInterval
 	})
-	jobs.Add("checkpoint", 2, 100, 0, func(ctx context.Context) (int64, time.Duration) {
+	checkpoint := jobs.Options{Name: "checkpoint", Priority: 2, MaxMsPerSecond: 100}
+	background.Add(checkpoint, func(ctx context.Context) (int64, time.Duration) {
 		e.checkpoint(ctx)
 		return 0, checkpointInterval
 	})
-	jobs.Run(ctx, jobWorkers)
+	background.Run(ctx, jobWorkers)
 }
 
 // prune removes the segments in which everything is stored.
@@ -74,7 +78,7 @@
 	if !ready {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(e.table.Timeout))
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(e.table.BatchTimeout))
 	defer cancel()
 	if err := e.store.Checkpoint(ctx); err != nil {
 		logrus.WithError(err).Debug("no checkpoint")
--- a/internal/record/sqlstore/query.go
+++ b/internal/record/sqlstore/query.go
@@ -65,7 +65,7 @@
 			&row.KeyDigest); err != nil {
 			return err
 		}
-		row.N = uint64(n)
+		row.Ordinal = uint64(n)
 		return each(row)
 	})
 }
@@ -84,7 +84,7 @@
 			&gap.Cause); err != nil {
 			return err
 		}
-		gap.N, gap.Unknown = uint64(n), uint64(unknown)
+		gap.Ordinal, gap.Unknown = uint64(n), uint64(unknown)
 		gap.Served, gap.Rejected, gap.Failed = uint64(served), uint64(rejected), uint64(failed)
 		return each(gap)
 	})
@@ -105,7 +105,7 @@
 		})
 }
 
-// Repeats counts the ordinals that stand more than once: none, unless somebody took the key away.
+// Repeats counts the ordinals that are stored more than once: none, unless somebody dropped the primary key.
 func (s *Store) Repeats(ctx context.Context) (n int64, err error) {
 	err = queryOne(ctx, s.db, NameCount+`select count(*) from (select 1 from onyxgate_entry group by incarnation, n
 		having count(*) > 1) repeats`, nil, &n)
--- a/internal/sources/host/host.go
+++ b/internal/sources/host/host.go
@@ -1,334 +1,165 @@
-// Package host runs the merge in an agent: between discovery and the core, with a resolver beside it. It must never decide
-// what holds; every change of the fleet reaches the core in the order in which the merge made it.
+// Package host runs the merge of the sources in an instance: between discovery and the core, with a resolver beside it. It
+// decides nothing of what holds; every change of the fleet reaches the core in the order in which the merge made it.
 package host
 
 import (
-	"cmp"
-	"context"
-	"encoding/json"
 	"math/rand/v2"
 	"net"
-	"os"
 	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
 
-	"github.com/sirupsen/logrus"
-
-	"onyxgate/internal/failpoint"
 	"onyxgate/internal/sources"
 	"onyxgate/internal/sources/dns"
-	"onyxgate/internal/units"
 	"onyxgate/policy"
 )
 
-// Table is [sources].
-type Table struct {
-	State  string      `toml:"state" comment:"a file in which 'onyxgate sources show' reads, and a restart what had ended; empty: none"`
-	DNS    DNSTable    `toml:"dns"`
-	Subset SubsetTable `toml:"subset"`
-}
-
-// SubsetTable is [sources.subset].
-type SubsetTable struct {
-	Size  int `toml:"size" comment:"appliances that this agent works with; 0: all"`
-	Least int `toml:"least" comment:"of each build and zone, however small"`
-}
-
-// DNSTable is [sources.dns].
-type DNSTable struct {
-	Name    string     `toml:"name" comment:"of the service, as _render._tcp.fleet.example.org; empty: off"`
-	Servers []string   `toml:"servers" comment:"host:port, asked in turn as they fail"`
-	Wait    units.Span `toml:"wait" comment:"for one answer over UDP"`
-	Rate    float64    `toml:"lookups_a_second" comment:"at most, whatever lifetimes say"`
-}
-
-// Default is off.
-func Default() Table {
-	return Table{DNS: DNSTable{Servers: []string{}, Wait: units.Span(500 * time.Millisecond), Rate: 2}, Subset: SubsetTable{Least: 3}}
-}
-
-// On tells whether anything beside discovery is a source.
-func (t Table) On() bool { return t.DNS.Name != "" || t.Subset.Size > 0 }
-
-// Check looks for what can't be.
-func (t Table) Check(wrong func(key string, value any, what, right string)) {
-	if !t.On() {
-		return
-	}
-	if t.Subset.Size < 0 || t.Subset.Least < 0 || t.Subset.Size > 0 && t.Subset.Size < t.Subset.Least {
-		wrong("sources.subset.size", t.Subset.Size, "below zero, or below least", "50")
-	}
-	if t.DNS.Name == "" {
-		return
-	}
-	if len(t.DNS.Servers) == 0 {
-		wrong("sources.dns.servers", t.DNS.Servers, "needed by a name", `["10.0.0.53:53"]`)
-	}
-	for _, s := range t.DNS.Servers {
-		if _, _, err := net.SplitHostPort(s); err != nil {
-			wrong("sources.dns.servers", s, err.Error(), `["10.0.0.53:53"]`)
-		}
-	}
-	if t.DNS.Wait.Ms() < 10 {
-		wrong("sources.dns.wait", t.DNS.Wait, "too short for any answer", `"500ms"`)
-	}
-	if t.DNS.Rate < 0.01 || t.DNS.Rate > 100 {
-		wrong("sources.dns.lookups_a_second", t.DNS.Rate, "not between 0.01 and 100", "2.0")
-	}
-}
-
-// Fleet is the core's side of it.
+// Fleet is the core's side of it. Its methods are called under the host's lock and must not call the host, but for Address.
 type Fleet interface {
+	// UpdateEndpoints takes changes of the fleet, in order.
 	UpdateEndpoints(update policy.EndpointUpdate)
+	// Now returns the core's time, Unix ms.
 	Now() float64
 }
 
+// Options are what a host is made with.
+type Options struct {
+	Config    Config
+	Fleet     Fleet
+	OnLeft    func(address string) // called when a backend left an address, or another one took it over
+	Instance  int                  // this instance's number, from 0
+	Instances int                  // in the fleet
+	Seed      uint64               // of what is drawn by chance
+}
+
 // Counts are what has been since the start.
 type Counts struct {
-	Lookups, Failures, Negative, Questions, Changes uint64
-	Running, Known                                  int
-	ByRule                                          [8]uint64 // changes, in the order of sources.Rules
-	Doubt                                           [2]string
+	Lookups, FailedLookups, NegativeAnswers, Questions uint64
+	Changes                                            uint64                   // that the core took
+	ChangesByRule                                      [sources.NumRules]uint64 // the same, in the order of sources.Rules
+	Running, Known                                     int                      // backends now: in the state running, in any
+	Doubt                                              [2]string                // why discovery and SRV are doubted; empty: they are not
 }
 
-// Host is one agent's.
+// Host runs one instance's merge. Its methods may be called by any goroutine.
 type Host struct {
-	table  Table
-	fleet  Fleet
-	forget func(address string)
-	mu     sync.Mutex
-	merge  *sources.Merge
-	view   atomic.Pointer[sources.View]
-	lookup *sources.Lookup
-	dns    *dns.Resolver
-	counts Counts
-	dirty  bool
-	me     int
-	agents int
-	chosen map[string]bool // with a subset: whom the core knows
-}
-
-// New makes one and recalls what an earlier life wrote down.
-func New(t Table, fleet Fleet, forget func(string), me, agents int, seed uint64) *Host {
-	chance := rand.New(rand.NewPCG(seed, 17))
+	config   Config
+	fleet    Fleet
+	onLeft   func(address string)
+	view     atomic.Pointer[sources.View]
+	resolver *dns.Resolver // of the goroutine of Run
+
+	mu      sync.Mutex // guards what follows, and orders the updates of the core
+	merger  *sources.Merger
+	subset  *sources.SubsetFilter // nil: the core knows the whole fleet
+	pacer   *sources.LookupPacer
+	counts  Counts
+	unsaved bool // the state file is out of date
+}
+
+// New makes a host, and updates the core with what an earlier process saved, if there is a state file.
+func New(o Options) *Host {
+	random := rand.New(rand.NewPCG(o.Seed, 17))
 	dial := (&net.Dialer{}).DialContext
-	h := &Host{table: t, fleet: fleet, forget: forget, me: me, agents: agents, chosen: map[string]bool{}, merge: sources.New(),
-		lookup: sources.NewLookup(len(t.DNS.Servers), t.DNS.Rate, chance), dns: dns.New(dial, chance, time.Duration(t.DNS.Wait))}
-	h.show()
-	if text, err := os.ReadFile(t.State); err == nil {
-		var file State
-		if err := json.Unmarshal(text, &file); err != nil {
-			logrus.WithError(err).Warn("the state of sources can't be read, it starts anew")
-		} else if !failpoint.Defect("forget-drains") {
-			h.apply(h.merge.Recall(fleet.Now(), file.Memory), true, false)
-		}
-	}
+	h := &Host{
+		config:   o.Config,
+		fleet:    o.Fleet,
+		onLeft:   o.OnLeft,
+		merger:   sources.New(),
+		pacer:    sources.NewLookupPacer(len(o.Config.DNS.Servers), o.Config.DNS.MaxLookupsPerSecond, random),
+		resolver: dns.New(dial, random, time.Duration(o.Config.DNS.Timeout)),
+	}
+	if o.Config.Subset.Size > 0 {
+		h.subset = sources.NewSubsetFilter(sources.SubsetOptions{
+			Instance: o.Instance, Instances: o.Instances, Size: o.Config.Subset.Size, LeastPerGroup: o.Config.Subset.LeastPerGroup,
+		})
+	}
+	h.publishView()
+	h.restore()
 	return h
 }
 
 var ruleNames = sources.Rules()
 
-func (h *Host) show() {
-	v := h.merge.Fleet()
-	h.view.Store(&v)
+// publishView shows readers the fleet as the merge has it now.
+func (h *Host) publishView() {
+	view := h.merger.Fleet()
+	h.view.Store(&view)
 }
 
-// Address is where an appliance listens; empty: it is not in the fleet. Readers never wait for a change under way.
+// Address returns where a backend listens; empty: it is not in the fleet. Readers never wait for a change under way.
 func (h *Host) Address(id string) string {
 	e, _ := h.view.Load().Get(id)
 	return e.Address
 }
 
-// apply tells the core of changes. Under the lock, so that their order holds.
-func (h *Host) apply(changes []sources.Entry, old, always bool) {
-	if h.table.Subset.Size > 0 {
-		changes = h.choose(changes)
+// updateOrigin says where an update comes from.
+type updateOrigin struct {
+	cached        bool // it is from the configuration or the state file, not from a source as it is now
+	fromDiscovery bool // the core gets an update also where nothing changed: it learns that discovery is alive
+}
+
+// apply updates the core with changes. The caller holds the lock, so that they reach the core in their order.
+func (h *Host) apply(changes []sources.Entry, origin updateOrigin) {
+	if h.subset != nil {
+		changes = h.subset.Apply(h.merger.Fleet(), changes)
 	}
-	var left []string
-	entries := make([]policy.Endpoint, 0, len(changes))
+	endpoints := make([]policy.Endpoint, 0, len(changes))
 	for _, e := range changes {
-		if was, ok := h.view.Load().Get(e.ID); ok && (e.State == policy.EndpointRemoved || was.Address != e.Address || was.StartedAt != e.StartedAt) {
-			left = append(left, was.Address)
-		}
-		entries = append(entries, e.Endpoint)
-		h.counts.ByRule[slices.Index(ruleNames, e.Rule)]++
+		endpoints = append(endpoints, e.Endpoint)
+		h.counts.ChangesByRule[slices.Index(ruleNames, e.Rule)]++
 	}
 	h.counts.Changes += uint64(len(changes))
-	h.show() // before the core: what it sends at once needs the address
-	if len(entries) > 0 || always {
-		h.dirty = h.dirty || len(entries) > 0
-		h.fleet.UpdateEndpoints(policy.EndpointUpdate{Endpoints: entries, Cached: old})
+	left := h.leftAddresses(changes)
+	h.publishView() // before the core acts: what it sends at once needs the address
+	if len(endpoints) > 0 || origin.fromDiscovery {
+		h.unsaved = h.unsaved || len(endpoints) > 0
+		h.fleet.UpdateEndpoints(policy.EndpointUpdate{Endpoints: endpoints, Cached: origin.cached})
 	}
 	for _, address := range left {
-		h.forget(address)
+		h.onLeft(address)
 	}
 }
 
-// choose turns changes of the fleet into changes of the part that this agent works with.
-func (h *Host) choose(changes []sources.Entry) (out []sources.Entry) {
-	var all []sources.Entry
-	h.merge.Fleet().Each(func(_ string, e sources.Entry) { all = append(all, e) })
-	in := sources.Subset(h.me, h.agents, h.table.Subset.Size, h.table.Subset.Least, all)
-	changed := make(map[string]bool, len(changes))
+// leftAddresses are those that backends leave by changes which the view does not show yet.
+func (h *Host) leftAddresses(changes []sources.Entry) (left []string) {
+	view := h.view.Load()
 	for _, e := range changes {
-		changed[e.ID] = true
-		if in[e.ID] || h.chosen[e.ID] {
-			out = append(out, e)
+		previous, known := view.Get(e.ID)
+		sameProcess := e.State != policy.EndpointRemoved && previous.Address == e.Address && previous.StartedAt == e.StartedAt
+		if known && !sameProcess {
+			left = append(left, previous.Address)
 		}
 	}
-	for _, e := range all {
-		if in[e.ID] && !h.chosen[e.ID] && !changed[e.ID] {
-			out = append(out, e)
-		}
-		if !in[e.ID] && h.chosen[e.ID] { // it runs on, for others
-			e.State = policy.EndpointRemoved
-			out = append(out, e)
-		}
-	}
-	h.chosen = in
-	slices.SortStableFunc(out, func(a, b sources.Entry) int { return cmp.Compare(a.ID, b.ID) })
-	return out
+	return left
 }
 
-// OnDiscovery takes what discovery tells of the endpoints and, in the same order, of their addresses.
+// OnDiscovery takes an update of discovery, and the addresses of its endpoints in the same order.
 func (h *Host) OnDiscovery(update policy.EndpointUpdate, addresses []string) {
-	told := make([]sources.Entry, len(update.Endpoints))
+	entries := make([]sources.Entry, len(update.Endpoints))
 	for i, e := range update.Endpoints {
-		told[i] = sources.Entry{Endpoint: e, Address: addresses[i]}
+		entries[i] = sources.Entry{Endpoint: e, Address: addresses[i]}
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.apply(h.merge.List(h.fleet.Now(), told, update.Snapshot), update.Cached, true)
+	changes := h.merger.UpdateDiscovered(h.fleet.Now(), entries, update.Snapshot)
+	h.apply(changes, updateOrigin{cached: update.Cached, fromDiscovery: true})
 }
 
-// Silent notes that discovery's stream broke.
-func (h *Host) Silent() {
+// OnDiscoveryLost notes that discovery's stream broke.
+func (h *Host) OnDiscoveryLost() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.merge.Fail(sources.Discovery, "silent")
+	h.merger.MarkDoubtful(sources.Discovery, "silent")
 }
 
-const ageEvery = 5 * time.Second
-
-// Run looks names up until ctx ends.
-func (h *Host) Run(ctx context.Context) {
-	if h.table.DNS.Name == "" {
-		return
-	}
-	aged := time.Now()
-	for ctx.Err() == nil {
-		h.mu.Lock()
-		server, wait := h.lookup.Next(h.fleet.Now())
-		h.mu.Unlock()
-		if server < 0 {
-			timer := time.NewTimer(min(time.Duration(wait*1e6), time.Second))
-			select {
-			case <-ctx.Done():
-			case <-timer.C:
-			}
-			timer.Stop()
-		} else {
-			h.ask(ctx, server)
-		}
-		h.mu.Lock()
-		if time.Since(aged) > ageEvery {
-			aged = time.Now()
-			h.apply(h.merge.Age(h.fleet.Now()), false, false)
-		}
-		dirty := h.dirty
-		h.dirty = false
-		h.mu.Unlock()
-		if dirty {
-			h.write()
-		}
-	}
-	h.write()
-}
-
-func (h *Host) ask(ctx context.Context, server int) {
-	at := h.table.DNS.Servers[server]
-	a, err := h.dns.Lookup(ctx, at, h.table.DNS.Name)
-	if ctx.Err() != nil {
-		return
-	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	now, doubt := h.fleet.Now(), h.merge.Doubt[sources.SRV]
-	h.counts.Lookups++
-	h.counts.Questions = h.dns.Asked
-	switch {
-	case err != nil:
-		h.counts.Failures++
-		h.lookup.Failed(now, server)
-		h.merge.Fail(sources.SRV, err.Error())
-	case a.Negative:
-		h.counts.Negative++
-		h.lookup.Answered(now, server, float64(a.TTL)/1e6, true)
-		h.merge.Fail(sources.SRV, "the service does not exist")
-	default:
-		h.lookup.Answered(now, server, float64(a.TTL)/1e6, false)
-		if failpoint.Defect("undrain") {
-			h.merge.Forgive(a.Observations)
-		}
-		h.apply(h.merge.Answer(now, a.Observations), false, false)
-		h.dirty = true // when it was last named
-	}
-	if is := h.merge.Doubt[sources.SRV]; (is == "") != (doubt == "") {
-		logrus.WithFields(logrus.Fields{"source": "srv", "server": at, "doubt": is, "claims": len(a.Observations)}).Info("source")
-	}
-}
-
-// Counts tells them.
+// Counts returns what has been so far.
 func (h *Host) Counts() Counts {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	n := h.counts
-	n.Doubt = h.merge.Doubt
-	n.Running, n.Known = h.merge.Fleet().Running, h.merge.Fleet().Len()
-	return n
-}
-
-// State is what the state file holds.
-type State struct {
-	At         float64        `json:"at_ms"`
-	Doubt      [2]string      `json:"doubt"` // of discovery, of SRV; empty: none
-	Appliances []Shown        `json:"appliances"`
-	Memory     sources.Memory `json:"memory"`
-}
-
-// Shown is one appliance with all that was told of it.
-type Shown struct {
-	ID      string         `json:"id"`
-	Address string         `json:"address"`
-	State   string         `json:"state"`
-	Release int            `json:"build"`
-	Rating  float64        `json:"rating"`
-	Rule    string         `json:"rule"`
-	Words   []sources.Word `json:"words"`
-}
-
-// write puts the state file in place whole.
-func (h *Host) write() {
-	if h.table.State == "" {
-		return
-	}
-	h.mu.Lock()
-	s := State{At: h.fleet.Now(), Doubt: h.merge.Doubt, Memory: h.merge.Remember()}
-	h.merge.Fleet().Each(func(id string, e sources.Entry) {
-		s.Appliances = append(s.Appliances, Shown{id, e.Address, [...]string{"running", "draining", "gone"}[e.State], int(e.Release),
-			e.Weight, e.Rule, h.merge.Explain(id, e.Address)})
-	})
-	h.mu.Unlock()
-	slices.SortFunc(s.Appliances, func(a, b Shown) int { return cmp.Compare(a.ID, b.ID) })
-	text, err := json.Marshal(s)
-	if err == nil {
-		if err = os.WriteFile(h.table.State+".new", text, 0o600); err == nil {
-			err = os.Rename(h.table.State+".new", h.table.State)
-		}
-	}
-	if err != nil {
-		logrus.WithError(err).Warn("the state of sources can't be written")
-	}
+	counts := h.counts
+	counts.Doubt = h.merger.Doubt
+	counts.Running, counts.Known = h.merger.Fleet().Running, h.merger.Fleet().Len()
+	return counts
 }
--- a/internal/sources/lookup.go
+++ b/internal/sources/lookup.go
@@ -8,84 +8,101 @@
 )
 
 const (
-	// lifetimes (ms) are kept within these: 0 would be a storm, 2^31 seconds for ever. RFC 8767 sets a ceiling of a week on
-	// what is believed; appliances come and go within minutes.
-	ttlLeast, ttlMost = 1_000.0, 300_000.0
-	// refreshFrom and refreshTo of the lifetime: agents that learned a name together must not ask together.
-	refreshFrom, refreshTo = 0.6, 0.9
-	// negativeMost (ms) bounds what RFC 2308 lets a server say of a name that does not exist.
-	negativeMost = 60_000.0
-	// againFirst, againMost (ms): pauses after a failure of all servers, doubled.
-	againFirst, againMost = 250.0, 10_000.0
-	// forget (ms) halves what is held against a server.
-	forget = 30_000.0
+	// Lifetimes are kept within these: 0 would be a storm, 2^31 seconds for ever. RFC 8767 sets a ceiling of a week on what is
+	// believed; backends come and go within minutes.
+	minTTLMs, maxTTLMs = 1_000.0, 300_000.0
+	// A name is looked up again after a random part of its lifetime: instances that learned it together must not ask together.
+	minRefreshShare, maxRefreshShare = 0.6, 0.9
+	// maxNegativeTTLMs bounds what RFC 2308 lets a server say of a name that does not exist.
+	maxNegativeTTLMs = 60_000.0
+	// The pause after a failure of all servers starts at the first of these and doubles up to the second.
+	minBackoffMs, maxBackoffMs = 250.0, 10_000.0
+	// failureHalfLifeMs is the half-life of the failures counted against a server.
+	failureHalfLifeMs = 30_000.0
 )
 
-// Lookup paces one name's look-ups over some servers.
-type Lookup struct {
-	chance  *rand.Rand
-	fault   []float64 // by server: failures, fading
-	faultAt []float64
-	rate    float64 // look-ups a second, at most
-	tokens  float64
-	filled  float64
-	due     float64
-	failed  int // servers in a row
-	again   float64
+// LookupPacer paces one name's look-ups over some servers. Times are in ms of one clock; it is used by one goroutine at a
+// time.
+type LookupPacer struct {
+	random      *rand.Rand
+	servers     []serverHealth
+	rate        float64 // look-ups a second, at most
+	tokens      float64 // look-ups that the rate allows now
+	refilledAt  float64
+	nextAt      float64 // no look-up before
+	failedInRow int     // servers since the last answer, or the last pause
+	backoffMs   float64
 }
 
-// NewLookup makes one for so many servers and look-ups a second.
-func NewLookup(servers int, rate float64, chance *rand.Rand) *Lookup {
-	return &Lookup{chance: chance, fault: make([]float64, servers), faultAt: make([]float64, servers), rate: rate, tokens: 1}
+// serverHealth is the failures counted against one server.
+type serverHealth struct {
+	failures float64 // decayed, as of failedAt
+	failedAt float64
 }
 
-// Next says which server is to be asked now, -1: none before wait (ms) is over.
-func (l *Lookup) Next(now float64) (server int, wait float64) {
-	l.tokens = min(l.tokens+(now-l.filled)*l.rate/1000, max(l.rate, 1))
-	if l.filled == 0 {
-		l.tokens = 1
-	}
-	l.filled = now
-	if now < l.due {
-		return -1, l.due - now
+// decayedFailures is how many failures count at a time.
+func (s serverHealth) decayedFailures(now float64) float64 {
+	return s.failures * math.Pow(0.5, max(now-s.failedAt, 0)/failureHalfLifeMs)
+}
+
+// NewLookupPacer returns a pacer for so many servers and at most so many look-ups a second.
+func NewLookupPacer(servers int, rate float64, random *rand.Rand) *LookupPacer {
+	return &LookupPacer{random: random, servers: make([]serverHealth, servers), rate: rate, tokens: 1}
+}
+
+// Next returns which server is to be asked now, which counts as a look-up; -1: none before wait (ms) is over.
+func (l *LookupPacer) Next(now float64) (server int, wait float64) {
+	l.refill(now)
+	if now < l.nextAt {
+		return -1, l.nextAt - now
 	}
 	if l.tokens < 1 {
 		return -1, (1 - l.tokens) / l.rate * 1000
 	}
 	l.tokens--
-	server = 0
-	for i := range l.fault {
-		if l.faults(now, i) < l.faults(now, server) {
-			server = i
-		}
+	return l.healthiest(now), 0
+}
+
+// refill adds the tokens of the time that passed; there is one at the start.
+func (l *LookupPacer) refill(now float64) {
+	if l.refilledAt == 0 {
+		l.tokens = 1
+	} else {
+		l.tokens = min(l.tokens+(now-l.refilledAt)*l.rate/1000, max(l.rate, 1))
 	}
-	return server, 0
+	l.refilledAt = now
 }
 
-func (l *Lookup) faults(now float64, server int) float64 {
-	return l.fault[server] * math.Pow(0.5, max(now-l.faultAt[server], 0)/forget)
+// healthiest is the server with the fewest failures, the first of equals.
+func (l *LookupPacer) healthiest(now float64) (best int) {
+	for i, s := range l.servers {
+		if s.decayedFailures(now) < l.servers[best].decayedFailures(now) {
+			best = i
+		}
+	}
+	return best
 }
 
-// Answered tells that a server answered with a lifetime (ms); negative: that there is no such name, for so long.
-func (l *Lookup) Answered(now float64, server int, ttl float64, negative bool) {
-	l.fault[server], l.failed, l.again = 0, 0, 0
-	ttl = min(max(ttl, ttlLeast), ttlMost)
+// OnAnswer notes that a server answered with a lifetime (ms); negative: that there is no such name, for so long.
+func (l *LookupPacer) OnAnswer(now float64, server int, ttl float64, negative bool) {
+	l.servers[server].failures, l.failedInRow, l.backoffMs = 0, 0, 0
+	ttl = min(max(ttl, minTTLMs), maxTTLMs)
 	if negative {
-		ttl = min(ttl, negativeMost)
+		ttl = min(ttl, maxNegativeTTLMs)
 	}
-	l.due = now + ttl*(refreshFrom+(refreshTo-refreshFrom)*l.chance.Float64())
+	l.nextAt = now + ttl*(minRefreshShare+(maxRefreshShare-minRefreshShare)*l.random.Float64())
 }
 
-// Failed tells that a server did not answer, or not so that it can be used. The next one is asked at once; after all of them
-// there is a pause.
-func (l *Lookup) Failed(now float64, server int) {
-	l.fault[server] = l.faults(now, server) + 1
-	l.faultAt[server] = now
-	if l.failed++; l.failed < len(l.fault) {
-		l.due = now
+// OnFailure notes that a server did not answer, or not so that it can be used. The next one is asked at once; after all of
+// them there is a pause.
+func (l *LookupPacer) OnFailure(now float64, server int) {
+	l.servers[server] = serverHealth{l.servers[server].decayedFailures(now) + 1, now}
+	l.failedInRow++
+	if l.failedInRow < len(l.servers) {
+		l.nextAt = now
 		return
 	}
-	l.failed = 0
-	l.again = min(max(2*l.again, againFirst), againMost)
-	l.due = now + l.again*(0.5+l.chance.Float64())
+	l.failedInRow = 0
+	l.backoffMs = min(max(2*l.backoffMs, minBackoffMs), maxBackoffMs)
+	l.nextAt = now + l.backoffMs*(0.5+l.random.Float64())
 }
