--- a/cmd/onyxgate/record.go
+++ b/cmd/onyxgate/record.go
@@ -25,7 +25,7 @@
 	List     recordList   `cmd:"" help:"List entries of the store, the newest of them last."`
 	Export   recordExport `cmd:"" help:"Write entries of the store as NDJSON or CSV."`
 	Verify   recordVerify `cmd:"" help:"Look for gaps, repeats, broken chains and entries in doubt; exits 1 on a defect."`
-	Ship     recordShip   `cmd:"" help:"Send what an agent that does not run left in its spool."`
+	Ship     recordShip   `cmd:"" help:"Send what an instance that does not run left in its spool."`
 	Prune    recordPrune  `cmd:"" help:"Remove old entries from the store."`
 	Adopt    recordAdopt  `cmd:"" help:"Take over a spool directory that was moved here on purpose."`
 }
--- a/cmd/onyxgate/record_verify.go
+++ b/cmd/onyxgate/record_verify.go
@@ -11,7 +11,7 @@
 )
 
 type recordVerify struct {
-	Instance string `name:"agent" help:"One agent's spool; all without it."`
+	Instance string `name:"agent" help:"One instance's spool; all without it."`
 	JSON     bool   `help:"One JSON object a finding."`
 }
 
--- a/cmd/onyxgate/serve.go
+++ b/cmd/onyxgate/serve.go
@@ -14,9 +14,9 @@
 
 // serveCommand runs an instance.
 type serveCommand struct {
-	Configuration string        `name:"config" env:"NODE_CONFIG" type:"path" required:"" help:"The agent's configuration, JSON."`
+	Configuration string        `name:"config" env:"NODE_CONFIG" type:"path" required:"" help:"The instance's configuration, JSON."`
 	Settings      string        `env:"ONYXGATE_SETTINGS" type:"path" help:"Our own settings, TOML; without it nothing of theirs is on."`
-	Name          string        `env:"NODE_NAME" help:"The agent's name, in place of the configuration's."`
+	Name          string        `env:"NODE_NAME" help:"The instance's name, in place of the configuration's."`
 	Listen        string        `env:"NODE_LISTEN" help:"Where clients connect, in place of the configuration's."`
 	Discovery     string        `env:"NODE_DISCOVERY" help:"Discovery's address, in place of the configuration's."`
 	Level         string        `env:"ONYXGATE_LOG" default:"info" enum:"debug,info,warn,error" help:"Least level that is logged."`
--- a/cmd/onyxgate/sources.go
+++ b/cmd/onyxgate/sources.go
@@ -12,8 +12,8 @@
 
 type sourcesCommands struct {
 	Settings string         `env:"ONYXGATE_SETTINGS" type:"path" required:"" help:"Our settings, TOML: [sources] says where the state file is."`
-	Show     sourcesShow    `cmd:"" help:"Each appliance with what each source says, how old it is and which rule decided."`
-	Explain  sourcesExplain `cmd:"" help:"All that is known of one appliance, by id or address."`
+	Show     sourcesShow    `cmd:"" help:"Each backend with what each source says, how old it is and which rule decided."`
+	Explain  sourcesExplain `cmd:"" help:"All that is known of one backend, by id or address."`
 	Resolve  sourcesResolve `cmd:"" help:"One look-up with every step and time."`
 }
 
--- a/internal/record/recorder/table.go
+++ b/internal/record/recorder/table.go
@@ -16,7 +16,7 @@
 // Table is [record].
 type Table struct {
 	Mode            string     `toml:"mode" comment:"off; spool: durable before the answer; memory: no disk, gives up what a kill takes"`
-	Directory       string     `toml:"directory" comment:"of the spool; every agent has its own under it"`
+	Directory       string     `toml:"directory" comment:"of the spool; every instance has its own under it"`
 	Sync            string     `toml:"sync" comment:"group: synced before the answer; none: survives a kill, not a loss of power"`
 	GroupWait       units.Span `toml:"group_wait" comment:"an entry waits so long for others to be synced with"`
 	MaxWriteBytes   units.Size `toml:"group_bytes"`
@@ -26,7 +26,7 @@
 	CommitDelay     units.Span `toml:"patience" comment:"an answer waits so long for its sync"`
 	Reserve         units.Span `toml:"reserve" comment:"kept back of each client's time for it"`
 	StallAfter      units.Span `toml:"stall" comment:"a write that takes longer means that the disk stands still"`
-	WhenFull        string     `toml:"when_full" comment:"keep-serving: a gap says what is missing; decline: new txns are declined"`
+	WhenFull        string     `toml:"when_full" comment:"keep-serving: a gap says what is missing; decline: new requests are rejected"`
 	Store           StoreTable `toml:"store"`
 }
 
--- a/internal/sources/host/config.go
+++ b/internal/sources/host/config.go
@@ -16,8 +16,8 @@
 
 // SubsetConfig is [sources.subset].
 type SubsetConfig struct {
-	Size          int `toml:"size" comment:"appliances that this agent works with; 0: all"`
-	LeastPerGroup int `toml:"least" comment:"of each build and zone, however small"`
+	Size          int `toml:"size" comment:"backends that this instance works with; 0: all"`
+	LeastPerGroup int `toml:"least" comment:"of each release and zone, however small"`
 }
 
 // DNSConfig is [sources.dns].
--- a/policy/votes.go
+++ b/policy/votes.go
@@ -13,7 +13,7 @@
 func (inst *Instance) sendVote() {
 	vote := inst.evaluator.Vote()
 	inst.port.SendVote(vote.Release, vote.Verdict, vote.Stage)
-	if vote.Verdict == verdict.Rollback { // promotions by hundreds of instances would fill any log
+	if vote.Verdict == verdict.Rollback { // the others have no reason to tell; the live transport logs each vote
 		inst.port.Log(fmt.Sprintf("rollback vote: release %d, stage %d: %s", vote.Release, vote.Stage, inst.evaluator.RollbackReason()))
 	}
 }
