--- a/cmd/e2e/record.go
+++ b/cmd/e2e/record.go
@@ -97,7 +97,10 @@
 	return startOptions{instance: instance, seed: seed, settings: r.settings, env: r.env}
 }
 
-// writeRecordSettings writes settings with small segments and a short export period, so that each of them comes often.
+// writeRecordSettings writes settings with small segments and a short export period, so that each of them comes often. An answer
+// waits for its sync for as long as its client does: by default it goes out unsynced once the disk has hung for 200 ms (stall), which
+// is what keep-serving promises, and a kill may then take its entry. The claim that none is missing is of answers that were synced,
+// however slow the host's disk is.
 func writeRecordSettings(dir string, store faultyStore) (path string, err error) {
 	const text = `[record]
 mode = "spool"
@@ -105,6 +108,8 @@
 segment = "16KiB"
 group_bytes = "8KiB"
 budget = "64MiB"
+patience = "2s"
+stall = "5s"
 
 [record.store]
 every = "50ms"
