--- a/internal/fake/dnsserver/dnsserver.go
+++ b/internal/fake/dnsserver/dnsserver.go
@@ -51,15 +51,11 @@
 func New(addresses func() []string) (*Server, error) {
 	s := &Server{addresses: addresses}
 	s.mode.Store("")
-	packets, err := loopback.ListenPacket()
+	packets, listener, err := loopback.ListenPair()
 	if err != nil {
 		return nil, err
 	}
 	s.Address = packets.LocalAddr().String()
-	listener, err := loopback.ListenOn(s.Address)
-	if err != nil {
-		return nil, err
-	}
 	s.udp, s.tcp = &dns.Server{PacketConn: packets, Handler: s}, &dns.Server{Listener: listener, Handler: s}
 	go func() { _ = s.udp.ActivateAndServe() }() // both end by Close
 	go func() { _ = s.tcp.ActivateAndServe() }()
--- a/internal/fake/loopback/loopback.go
+++ b/internal/fake/loopback/loopback.go
@@ -4,11 +4,16 @@
 
 import (
 	"context"
+	"errors"
 	"net"
+	"syscall"
 	"time"
 )
 
-const anyPort = "127.0.0.1:0"
+const (
+	anyPort         = "127.0.0.1:0"
+	maxPortAttempts = 20 // of ListenPair
+)
 
 // Listen opens a TCP listener on a free port.
 func Listen() (net.Listener, error) { return ListenOn(anyPort) }
@@ -26,6 +31,30 @@
 	return config.ListenPacket(context.Background(), "udp", anyPort)
 }
 
+// ListenPair opens a UDP socket and a TCP listener on one port. The kernel chooses the port among those that are free for UDP;
+// where TCP has it in use, another one is tried.
+func ListenPair() (net.PacketConn, net.Listener, error) { return listenPair(ListenPacket) }
+
+func listenPair(listenPacket func() (net.PacketConn, error)) (net.PacketConn, net.Listener, error) {
+	var inUse error
+	for range maxPortAttempts {
+		packets, err := listenPacket()
+		if err != nil {
+			return nil, nil, err
+		}
+		listener, err := ListenOn(packets.LocalAddr().String())
+		if err == nil {
+			return packets, listener, nil
+		}
+		packets.Close()
+		if !errors.Is(err, syscall.EADDRINUSE) {
+			return nil, nil, err
+		}
+		inUse = err
+	}
+	return nil, nil, inUse
+}
+
 // FreeAddress returns an address on which nobody listens at the moment of the call. Another process may take the port before
 // the caller's does; the run then ends with an error, which is no verdict on the program.
 func FreeAddress() (string, error) {
