--- a/cmd/onyxgate/record.go
+++ b/cmd/onyxgate/record.go
@@ -31,9 +31,9 @@
 }
 
 // table is [record] of the settings, which must be on.
-func (l recordLine) table() (recorder.Table, error) {
+func (l recordLine) table() (recorder.Config, error) {
 	tables, err := config.Read(l.Settings)
-	if err == nil && !tables.Record.On() {
+	if err == nil && !tables.Record.Enabled() {
 		err = fmt.Errorf("%s: record.mode is off", l.Settings)
 	}
 	return tables.Record, err
--- a/cmd/onyxgate/record_status.go
+++ b/cmd/onyxgate/record_status.go
@@ -45,7 +45,7 @@
 			runs = err.Error()
 		}
 		if err != nil {
-			opened = spool.View(spool.Disk{}, directory, instance)
+			opened = spool.OpenReadOnly(spool.Disk{}, directory, instance)
 		}
 		bytes := humanize.IBytes(uint64(opened.Bytes()))
 		writer.AppendRow(table.Row{instance, len(opened.Incarnations()), bytes, runs})
@@ -56,7 +56,7 @@
 }
 
 // showStore shows nothing where there is no store.
-func showStore(ctx context.Context, settings recorder.StoreTable) error {
+func showStore(ctx context.Context, settings recorder.StoreConfig) error {
 	store, err := settings.Open()
 	if err != nil || store == nil {
 		return err
--- a/cmd/onyxgate/record_test.go
+++ b/cmd/onyxgate/record_test.go
@@ -33,7 +33,7 @@
 			t.Error(err)
 		}
 	})
-	batch := sqlstore.Batch{Instance: "n1", Incarnation: "i", Place: "p"}
+	batch := sqlstore.Batch{Instance: "n1", Incarnation: "i", DirID: "p"}
 	for n := uint64(1); n <= 9; n++ {
 		batch.Rows = append(batch.Rows, record.Row{State: record.StateAnswered, Entry: record.Entry{
 			Ordinal: n, RequestID: fmt.Sprintf("t/%d,", n), Outcome: record.Outcome(1 + n%3), AnsweredAt: float64(1000 * n),
--- a/cmd/onyxgate/sources_explain.go
+++ b/cmd/onyxgate/sources_explain.go
@@ -27,7 +27,7 @@
 			return writeBackend(out, b, s.WrittenAt)
 		}
 	}
-	if at, ok := s.Memory.Retired[e.ID]; ok {
+	if at, ok := s.Merger.Retired[e.ID]; ok {
 		_, err := fmt.Fprintf(out, "nobody in the fleet at %s: who was there drained or went %v ago by discovery's word, and SRV can't undo that\n",
 			e.ID, age(at, s.WrittenAt))
 		return err
@@ -39,7 +39,7 @@
 	_, err := fmt.Fprintf(out, "%s at %s: %s, build %d, rating %.2f, by the rule %q\n", b.ID, b.Address, b.State, b.Release, b.Weight, b.Rule)
 	for _, statement := range b.Statements {
 		if err == nil {
-			_, err = fmt.Fprintf(out, "  %s, %v ago: %s\n", statement.Source, age(statement.At, writtenAt), statement.Says)
+			_, err = fmt.Fprintf(out, "  %s, %v ago: %s\n", statement.Source, age(statement.ReportedAt, writtenAt), statement.Detail)
 		}
 	}
 	return err
--- a/cmd/onyxgate/sources_show.go
+++ b/cmd/onyxgate/sources_show.go
@@ -34,7 +34,7 @@
 	for _, b := range s.Backends {
 		backend := table.Row{b.ID, b.Address, b.State, b.Release, fmt.Sprintf("%.2f", b.Weight), b.Rule}
 		for _, statement := range b.Statements {
-			w.AppendRow(append(backend, statement.Source, statement.Says, age(statement.At, s.WrittenAt)))
+			w.AppendRow(append(backend, statement.Source, statement.Detail, age(statement.ReportedAt, s.WrittenAt)))
 			backend = table.Row{"", "", "", "", "", ""}
 		}
 	}
--- a/cmd/onyxgate/sources_test.go
+++ b/cmd/onyxgate/sources_test.go
@@ -18,16 +18,16 @@
 			{
 				ID: "a1", Address: "10.0.0.1:80", State: "running", Release: 7, Weight: 1, Rule: "listed",
 				Statements: []sources.Statement{
-					{Source: "discovery", Says: "running, build 7", At: 9_000},
-					{Source: "srv", Says: "named, priority 0, weight 1, missed 0 times", At: 9_500},
+					{Source: "discovery", Detail: "running, build 7", ReportedAt: 9_000},
+					{Source: "srv", Detail: "named, priority 0, weight 1, missed 0 times", ReportedAt: 9_500},
 				},
 			},
 			{
 				ID: "srv:10.0.0.2:80", Address: "10.0.0.2:80", State: "running", Release: -1, Weight: 0.5, Rule: "named",
-				Statements: []sources.Statement{{Source: "srv", Says: "named, priority 0, weight 2, missed 1 times", At: 8_000}},
+				Statements: []sources.Statement{{Source: "srv", Detail: "named, priority 0, weight 2, missed 1 times", ReportedAt: 8_000}},
 			},
 		},
-		Memory: sources.Memory{Retired: map[string]float64{"10.0.0.3:80": 4_000}},
+		Merger: sources.MergerState{Retired: map[string]float64{"10.0.0.3:80": 4_000}},
 	}
 }
 
--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -100,7 +100,7 @@
 // openRecorder takes the spool, if a record is kept.
 func (s *Server) openRecorder() (err error) {
 	table := s.options.Settings.Record
-	if !table.On() {
+	if !table.Enabled() {
 		return nil
 	}
 	s.recorder, err = recorder.New(recorder.Options{
@@ -142,7 +142,7 @@
 
 // makeUpstream makes the client of the backends, whose addresses come from the sources where there are several.
 func (s *Server) makeUpstream() {
-	address := s.discovery.Address
+	address := s.discovery.BackendAddress
 	if s.options.Settings.Sources.Enabled() {
 		address = func(id string) string { return s.sources.Address(id) } // s.sources is made after the upstream
 	}
@@ -152,13 +152,13 @@
 		Core:               s.core,
 		Dial:               dial,
 		Sockets:            s.sockets,
-		Address:            address,
+		BackendAddress:     address,
 		ConnectTimeout:     milliseconds(connect),
 		BackendIdleTimeout: milliseconds(idle),
 		LoadOnResponses:    onAnswers,
 		LoadOnProbes:       onProbes,
 	})
-	s.discovery.OnRemove(s.upstream.CloseAddress)
+	s.discovery.OnAddressVacated(s.upstream.CloseAddress)
 }
 
 // milliseconds is a duration that the configuration's settings give in ms.
@@ -194,10 +194,10 @@
 		return
 	}
 	s.sources = host.New(host.Options{
-		Config: s.options.Settings.Sources, Fleet: s.core, OnLeft: s.upstream.CloseAddress, Seed: s.site.seed + sourcesSeed,
+		Config: s.options.Settings.Sources, Fleet: s.core, OnAddressReleased: s.upstream.CloseAddress, Seed: s.site.seed + sourcesSeed,
 		Instance: int(s.site.settings.Get("me").Int()), Instances: s.site.instances(),
 	})
-	s.discovery.OnUpdate(s.sources.OnDiscovery, s.sources.OnDiscoveryLost)
+	s.discovery.OnUpdate(s.sources.OnDiscoveryUpdate, s.sources.OnDiscoveryDisconnected)
 }
 
 // applyKnown gives the decisions the endpoints and the release that the configuration holds.
--- a/internal/assembly/metrics.go
+++ b/internal/assembly/metrics.go
@@ -37,7 +37,7 @@
 	{"onyxgate_release_newest", "number of the newest release", func(n core.Counts) float64 { return float64(n.Releases.Newest.Release) }},
 	{"onyxgate_release_stage", "its stage", func(n core.Counts) float64 { return float64(n.Releases.Newest.Stage) }},
 	{"onyxgate_release_rolling_out", "number of the newest running release under a cap", func(n core.Counts) float64 { return float64(n.Releases.RollingOut) }},
-	{"onyxgate_affinity_keys", "keys remembered with the release that answered them", func(n core.Counts) float64 { return float64(n.Releases.Keys) }},
+	{"onyxgate_affinity_keys", "keys remembered with the release that answered them", func(n core.Counts) float64 { return float64(n.Releases.AffinityKeys) }},
 	{`onyxgate_backends_skipped_total{reason="closed"}`, "backends passed over: their release is closed to the request", func(n core.Counts) float64 { return float64(n.Releases.Skipped.Closed) }},
 	{`onyxgate_backends_skipped_total{reason="cap"}`, "backends passed over: their release has used up its cap", func(n core.Counts) float64 { return float64(n.Releases.Skipped.CapReached) }},
 	{`onyxgate_backends_skipped_total{reason="affinity"}`, "backends passed over: the key belongs to a later release", func(n core.Counts) float64 { return float64(n.Releases.Skipped.Affinity) }},
--- a/internal/assembly/metrics_test.go
+++ b/internal/assembly/metrics_test.go
@@ -40,7 +40,7 @@
 func TestMetricValues(t *testing.T) {
 	counts := core.Counts{
 		Accepted: 1, Served: 2, Rejected: 3, Failed: 4, ClientGone: 5, OpenRequests: 6, OpenAttempts: 7, AttemptsWithheld: 8,
-		Releases: policy.ReleaseStatus{RollingOut: 9, Keys: 10},
+		Releases: policy.ReleaseStatus{RollingOut: 9, AffinityKeys: 10},
 	}
 	for name, want := range map[string]float64{
 		"onyxgate_requests_accepted_total":                     1,
--- a/internal/assembly/report.go
+++ b/internal/assembly/report.go
@@ -73,7 +73,7 @@
 	r := s.core.Counts().Releases
 	logrus.WithFields(logrus.Fields{
 		"release": r.Newest.Release, "phase": r.Newest.Phase.String(), "stage": r.Newest.Stage, "cap": r.Newest.Cap,
-		"rolling_out": r.RollingOut, "affinity_keys": r.Keys,
+		"rolling_out": r.RollingOut, "affinity_keys": r.AffinityKeys,
 		"skipped_closed": r.Skipped.Closed, "skipped_cap": r.Skipped.CapReached, "skipped_affinity": r.Skipped.Affinity,
 	}).Info("releases")
 }
@@ -82,7 +82,7 @@
 	n := s.sources.Counts()
 	logrus.WithFields(logrus.Fields{
 		"lookups": n.Lookups, "questions": n.Questions, "failed_lookups": n.FailedLookups, "negative_answers": n.NegativeAnswers,
-		"changes": n.Changes, "backends_running": n.Running, "backends": n.Known,
+		"changes": n.Changes, "backends_running": n.Running, "backends": n.Backends,
 		"doubt_discovery": n.Doubt[0], "doubt_srv": n.Doubt[1],
 	}).Info("sources")
 }
--- a/internal/assembly/run.go
+++ b/internal/assembly/run.go
@@ -59,7 +59,7 @@
 // startBackground starts what runs until the context ends.
 func (s *Server) startBackground(ctx context.Context) {
 	go s.discovery.Run(ctx)
-	go s.platform.Listen(ctx)
+	go s.platform.WatchReleases(ctx)
 	go s.platform.SendVotes(ctx)
 	go s.upstream.Sweep(ctx)
 	go s.report(ctx)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -18,14 +18,14 @@
 
 // Settings are all tables that there are.
 type Settings struct {
-	Record  recorder.Table `toml:"record"`
-	Sources host.Config    `toml:"sources"`
-	Metrics metrics.Config `toml:"metrics"`
+	Record  recorder.Config `toml:"record"`
+	Sources host.Config     `toml:"sources"`
+	Metrics metrics.Config  `toml:"metrics"`
 }
 
 // Default returns what holds without a file.
 func Default() Settings {
-	return Settings{Record: recorder.Default(), Sources: host.DefaultConfig(), Metrics: metrics.DefaultConfig()}
+	return Settings{Record: recorder.DefaultConfig(), Sources: host.DefaultConfig(), Metrics: metrics.DefaultConfig()}
 }
 
 // Read reads a file; an empty name means what holds without one. Its error is the file's, or Parse's.
@@ -78,7 +78,7 @@
 			Text: fmt.Sprintf("%s = %q: %s; write %s = %s", key, fmt.Sprint(value), what, lastPart(key), right),
 		})
 	}
-	s.Record.Check(report)
+	s.Record.Validate(report)
 	s.Sources.Validate(report)
 	s.Metrics.Validate(report)
 	return errors.Join(problems...)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -81,7 +81,7 @@
 func TestRead(t *testing.T) {
 	t.Run("without a file", func(t *testing.T) {
 		settings, err := Read("")
-		if err != nil || settings.Record.On() || settings.Metrics.Listen != "" {
+		if err != nil || settings.Record.Enabled() || settings.Metrics.Listen != "" {
 			t.Errorf("without a file %+v, %v", settings, err)
 		}
 	})
--- a/internal/core/action.go
+++ b/internal/core/action.go
@@ -32,8 +32,8 @@
 	return actionNames[k]
 }
 
-// Answer is the response of a backend as the front that read it keeps it. Core only passes it on.
-type Answer interface {
+// Response is the response of a backend as the front that read it keeps it. Core only passes it on.
+type Response interface {
 	// Bytes is the body as the client gets it.
 	Bytes() []byte
 }
@@ -43,7 +43,7 @@
 	Kind       ActionKind
 	Attempt    *Attempt // with ActionSendAttempt
 	RetryAfter float64  // ms, with ActionReject; 0: the response names no time
-	Answer     Answer   // with ActionServe; nil where the attempt brought none
+	Response   Response // with ActionServe; nil where the attempt brought none
 	Reason     string   // one word: why the request ended so; empty with ActionSendAttempt and in no other
 }
 
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -55,5 +55,5 @@
 
 // accept hands over a request that has so many ms.
 func accept(core *Core, id string, timeLeft float64) *Request {
-	return core.Accept(Arrival{ID: id, ArrivedAt: core.Now(), TimeLeft: timeLeft})
+	return core.Accept(IncomingRequest{ID: id, ArrivedAt: core.Now(), TimeLeft: timeLeft})
 }
--- a/internal/core/crossings_test.go
+++ b/internal/core/crossings_test.go
@@ -84,7 +84,7 @@
 func TestShutdownEndsVotes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core, sent := hosted(t, policy.RequestClass{}, 2)
-		core.UpdateRelease(policy.ReleaseUpdate{Release: 2, Phase: policy.RollingOut, Cap: 0.1, Known: true})
+		core.UpdateRelease(policy.ReleaseUpdate{Release: 2, Phase: policy.RollingOut, Cap: 0.1, HasState: true})
 		core.UpdateEndpoints(policy.EndpointUpdate{Endpoints: []policy.Endpoint{{ID: "n", Release: 2, Weight: 1, StartedAt: core.Now()}}})
 		core.Shutdown(core.Now() + 60000)
 		time.Sleep(20 * time.Second)
--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -53,7 +53,7 @@
 
 // EndpointsFailed tells that the endpoint stream has ended, or that the list could not be read.
 func (c *Core) EndpointsFailed() {
-	c.handleEvent("endpoints failed", func(now float64) { c.instance.OnEndpointsFailed(now) })
+	c.handleEvent("endpoints failed", func(now float64) { c.instance.OnDiscoveryFailed(now) })
 }
 
 // UpdateRelease passes on the state of a release, or the platform's response to a vote.
--- a/internal/core/interceptor.go
+++ b/internal/core/interceptor.go
@@ -27,8 +27,8 @@
 	BeforeResponse(completion Completion, until float64) (state any)
 	// AfterResponse comes after the last byte of an answer (complete), or once it can't be written any more.
 	AfterResponse(state any, now float64, complete bool)
-	// Closed comes in place of the two above where nothing is answered, for the client has gone.
-	Closed(now float64)
+	// Abandoned comes in place of the two above where nothing is answered, for the client has gone.
+	Abandoned(now float64)
 }
 
 // Completion is how a request ends, as the interceptors see it. Times are ms, as Core.Now.
@@ -58,9 +58,9 @@
 	c.interceptors = append(c.interceptors, interceptor)
 }
 
-// Intercepted tells that interceptors follow the request, so that its handler must see whether the answer's last byte went out. It
+// HasInterceptors tells that interceptors follow the request, so that its handler must see whether the answer's last byte went out. It
 // is false for a nil request.
-func (r *Request) Intercepted() bool { return r != nil && len(r.core.interceptors) > 0 }
+func (r *Request) HasInterceptors() bool { return r != nil && len(r.core.interceptors) > 0 }
 
 // admit asks the interceptors whether the request, which has timeLeft (ms), may enter. It returns why not, or an empty string.
 func (r *Request) admit(timeLeft float64) (rejectReason string) {
@@ -99,8 +99,8 @@
 		RequestID: r.ID, IdempotencyKey: r.IdempotencyKey, Class: r.Class, Kind: action.Kind, Reason: action.Reason,
 		ArrivedAt: r.ArrivedAt, Now: r.core.Now(),
 	}
-	if action.Kind == ActionServe && action.Answer != nil {
-		completion.Body = action.Answer.Bytes()
+	if action.Kind == ActionServe && action.Response != nil {
+		completion.Body = action.Response.Bytes()
 	}
 	r.core.mu.Lock()
 	defer r.core.mu.Unlock()
@@ -129,6 +129,6 @@
 func (r *Request) closeInterceptors() {
 	r.interception.notified = true
 	for _, interceptor := range r.core.interceptors {
-		interceptor.Closed(r.core.Now())
+		interceptor.Abandoned(r.core.Now())
 	}
 }
--- a/internal/core/interceptor_test.go
+++ b/internal/core/interceptor_test.go
@@ -32,7 +32,7 @@
 	o.seen = append(o.seen, fmt.Sprintf("after: %v %v", state, complete))
 }
 
-func (o *observer) Closed(float64) { o.seen = append(o.seen, "closed") }
+func (o *observer) Abandoned(float64) { o.seen = append(o.seen, "closed") }
 
 // handle does with a request what its handler does: it carries out attempts with this status, and writes the answer.
 func handle(request *Request, status policy.AttemptStatus) {
@@ -120,7 +120,7 @@
 				seen := &observer{rejectReason: c.rejectReason}
 				core.AddInterceptor(seen)
 				request := accept(core, "t", 2000)
-				if !request.Intercepted() {
+				if !request.HasInterceptors() {
 					t.Error("the request is not intercepted")
 				}
 				c.handler(request)
@@ -166,7 +166,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		core, _ := hosted(t, policy.RequestClass{}, 1)
 		request := accept(core, "t", 2000)
-		if request.Intercepted() || (*Request)(nil).Intercepted() {
+		if request.HasInterceptors() || (*Request)(nil).HasInterceptors() {
 			t.Error("intercepted by nobody")
 		}
 		handle(request, policy.StatusServed)
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -43,8 +43,8 @@
 	lastStatus   policy.AttemptStatus // of the attempt that ended last; 0: none
 }
 
-// Arrival is a request as a front has read it. Times are ms, and points in time are those of Core.Now.
-type Arrival struct {
+// IncomingRequest is a request as a front has read it. Times are ms, and points in time are those of Core.Now.
+type IncomingRequest struct {
 	ID             string
 	Key            string // requests with one key belong together; empty: it has none
 	IdempotencyKey string
@@ -62,7 +62,7 @@
 
 // Accept hands a new request to the decisions and returns it to its handler. It returns nil where a request with that ID is open:
 // nothing has begun then, though the interceptors have admitted it.
-func (c *Core) Accept(arrival Arrival) *Request {
+func (c *Core) Accept(arrival IncomingRequest) *Request {
 	request := &Request{
 		ID: arrival.ID, IdempotencyKey: arrival.IdempotencyKey, Class: arrival.Class, ArrivedAt: arrival.ArrivedAt,
 		Deadline: arrival.ArrivedAt + arrival.TimeLeft, core: c, startAttempt: arrival.StartAttempt,
--- a/internal/core/request_test.go
+++ b/internal/core/request_test.go
@@ -49,7 +49,7 @@
 	if c.clientGone {
 		request.ClientGone()
 	}
-	if action := request.NextAction(); action.Kind != c.answer || action.Kind == ActionServe && action.Answer != body("body") {
+	if action := request.NextAction(); action.Kind != c.answer || action.Kind == ActionServe && action.Response != body("body") {
 		t.Errorf("got %v, want %v", action, c.answer)
 	}
 	if took := time.Since(arrived); took > c.within {
@@ -104,7 +104,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			core, _ := hosted(t, policy.RequestClass{}, 2)
 			startedBeside := make(chan *Attempt, 1)
-			request := core.Accept(Arrival{
+			request := core.Accept(IncomingRequest{
 				ID: "b", ArrivedAt: core.Now(), TimeLeft: 2000,
 				StartAttempt: func(attempt *Attempt) { startedBeside <- attempt },
 			})
@@ -130,7 +130,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		core, _ := hosted(t, policy.RequestClass{}, 2)
 		startedBeside := make(chan *Attempt, 2)
-		request := core.Accept(Arrival{
+		request := core.Accept(IncomingRequest{
 			ID: "t", ArrivedAt: core.Now(), TimeLeft: 3000,
 			StartAttempt: func(attempt *Attempt) { startedBeside <- attempt },
 		})
--- a/internal/core/watchdog_test.go
+++ b/internal/core/watchdog_test.go
@@ -16,7 +16,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		core, _ := hosted(t, policy.RequestClass{}, 1)
 		arrived, violations := time.Now(), invariant.Violations()
-		failed := core.Accept(Arrival{ID: "t", Class: 9, ArrivedAt: core.Now(), TimeLeft: 300}) // a class that the decisions do not have
+		failed := core.Accept(IncomingRequest{ID: "t", Class: 9, ArrivedAt: core.Now(), TimeLeft: 300}) // a class that the decisions do not have
 		if action := failed.NextAction(); action.Kind != ActionFail {
 			t.Errorf("got %v", action.Kind)
 		}
--- a/internal/fake/memfs/memfs.go
+++ b/internal/fake/memfs/memfs.go
@@ -90,8 +90,8 @@
 	return &lock{f, name}, nil
 }
 
-// Place is the same for all directories.
-func (f *FS) Place(dir string) (string, error) { return f.memory.Place(dir) }
+// DirID is the same for all directories.
+func (f *FS) DirID(dir string) (string, error) { return f.memory.DirID(dir) }
 
 // Crash drops what was not synced but for the first `keep` bytes of it in each file, and all locks.
 func (f *FS) Crash(keep int) (err error) {
--- a/internal/fake/postgres/statements.go
+++ b/internal/fake/postgres/statements.go
@@ -96,16 +96,16 @@
 
 // statements play sqlstore's statements, under the server's lock.
 var statements = map[string]func(s *session, text string){
-	sqlstore.NameMigrate: (*session).migrate,
-	sqlstore.NameVersion: (*session).selectVersion,
-	sqlstore.NameClaim:   (*session).claim,
-	sqlstore.NameThrough: (*session).advance,
-	sqlstore.NameOwner:   (*session).selectOwner,
-	sqlstore.NamePut:     (*session).insertEntries,
-	sqlstore.NameGaps:    (*session).insertGaps,
-	sqlstore.NameSelect:  (*session).selectEntries,
-	sqlstore.NameMissed:  (*session).selectGaps,
-	sqlstore.NameCount:   (*session).count,
+	sqlstore.NameMigrate:       (*session).migrate,
+	sqlstore.NameVersion:       (*session).selectVersion,
+	sqlstore.NameClaim:         (*session).claim,
+	sqlstore.NameUpdateThrough: (*session).advance,
+	sqlstore.NameOwner:         (*session).selectOwner,
+	sqlstore.NameInsertEntries: (*session).insertEntries,
+	sqlstore.NameInsertGaps:    (*session).insertGaps,
+	sqlstore.NameSelect:        (*session).selectEntries,
+	sqlstore.NameSelectGaps:    (*session).selectGaps,
+	sqlstore.NameCount:         (*session).count,
 }
 
 func (s *session) migrate(text string) {
--- a/internal/httpwire/answers_test.go
+++ b/internal/httpwire/answers_test.go
@@ -98,7 +98,7 @@
 		{name: "no room", text: validRequest, prepare: noRoom},
 		{name: "the handler fails", text: validRequest, prepare: panics},
 		{name: "an id held already", text: validRequest, prepare: func(a *testInstance) {
-			a.core.Accept(core.Arrival{ID: "r1", ArrivedAt: a.core.Now(), TimeLeft: 9000})
+			a.core.Accept(core.IncomingRequest{ID: "r1", ArrivedAt: a.core.Now(), TimeLeft: 9000})
 		}},
 	}
 }
--- a/internal/httpwire/discovery.go
+++ b/internal/httpwire/discovery.go
@@ -96,8 +96,8 @@
 	}
 }
 
-// OnRemove sets what is called for an address that its backend has left.
-func (d *Discovery) OnRemove(onRemove func(address string)) { d.onRemove = onRemove }
+// OnAddressVacated sets what is called for an address that its backend has left.
+func (d *Discovery) OnAddressVacated(onRemove func(address string)) { d.onRemove = onRemove }
 
 // OnUpdate sets what is called with each list in place of the core: a merge with other sources. onDisconnect is called whenever
 // a watch breaks or falls silent.
@@ -105,8 +105,8 @@
 	d.onUpdate, d.onDisconnect = onUpdate, onDisconnect
 }
 
-// Address is where a backend listens; empty: it is not in the endpoint list.
-func (d *Discovery) Address(backend string) string {
+// BackendAddress is where a backend listens; empty: it is not in the endpoint list.
+func (d *Discovery) BackendAddress(backend string) string {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return d.directory.addressOf[backend]
--- a/internal/httpwire/discovery_test.go
+++ b/internal/httpwire/discovery_test.go
@@ -44,9 +44,9 @@
 			synctest.Test(t, func(t *testing.T) {
 				a := newTestInstance(network{}, NewSockets(0))
 				left := []string{}
-				a.discovery.OnRemove(func(address string) { left = append(left, address) })
+				a.discovery.OnAddressVacated(func(address string) { left = append(left, address) })
 				err := a.discovery.Apply([]byte(c.text), FromWatch, func() {})
-				addresses := a.discovery.Address("s") + " " + a.discovery.Address("u")
+				addresses := a.discovery.BackendAddress("s") + " " + a.discovery.BackendAddress("u")
 				if (err != nil) != c.fails || addresses != c.addresses || fmt.Sprint(left) != c.left {
 					t.Errorf("%v, addresses %q, left %v", err, addresses, left)
 				}
--- a/internal/httpwire/handler.go
+++ b/internal/httpwire/handler.go
@@ -31,7 +31,7 @@
 
 	head := requestHead(r, len(body))
 	send := func(attempt *core.Attempt) { f.upstream.SendAttempt(attempt, head, body) }
-	request := f.core.Accept(core.Arrival{
+	request := f.core.Accept(core.IncomingRequest{
 		ID: parsed.id, Key: parsed.key, IdempotencyKey: parsed.idempotencyKey, Class: parsed.class.index, Retry: parsed.retry,
 		ArrivedAt: arrivedAt, TimeLeft: parsed.timeLeft,
 		RejectReason: f.rejectReason(parsed.id, openBodyBytes), StartAttempt: send,
@@ -89,7 +89,7 @@
 	switch action.Kind {
 	case core.ActionServe:
 		h.answered = true
-		h.request.ResponseWritten(h.response.writeServed(action.Answer.(answer)))
+		h.request.ResponseWritten(h.response.writeServed(action.Response.(answer)))
 	case core.ActionReject:
 		h.answered = true
 		h.request.ResponseWritten(h.response.writeRejected(action.RetryAfter))
--- a/internal/httpwire/helpers_test.go
+++ b/internal/httpwire/helpers_test.go
@@ -64,11 +64,11 @@
 		Core: a.core, Dial: n.dial, Address: "list", Zones: []string{"z"}, HardwareClasses: []string{"k"}, Seed: 1,
 	})
 	a.upstream = NewUpstream(UpstreamConfig{
-		Core: a.core, Dial: n.dial, Sockets: sockets, Address: a.discovery.Address,
+		Core: a.core, Dial: n.dial, Sockets: sockets, BackendAddress: a.discovery.BackendAddress,
 		ConnectTimeout: 250 * time.Millisecond, BackendIdleTimeout: 30 * time.Second,
 		LoadOnResponses: true, LoadOnProbes: true,
 	})
-	a.discovery.OnRemove(a.upstream.CloseAddress)
+	a.discovery.OnAddressVacated(a.upstream.CloseAddress)
 	a.front = NewFront(FrontConfig{
 		Core: a.core, Upstream: a.upstream, Sockets: sockets, ClassNames: []string{"look", "save", "pay"}, Classes: classes,
 		CancelAllowed: true, MaxBodyBytes: 1 << 20,
--- a/internal/httpwire/interceptor_test.go
+++ b/internal/httpwire/interceptor_test.go
@@ -43,7 +43,7 @@
 	r.calls = append(r.calls, fmt.Sprint(kept, " ", whole))
 }
 
-func (r *recordingInterceptor) Closed(float64) {
+func (r *recordingInterceptor) Abandoned(float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.calls = append(r.calls, "gone")
@@ -201,14 +201,14 @@
 
 func testGoneAndFailed(t *testing.T) {
 	a, interceptor := intercepted(holdSilent)
-	gone := a.core.Accept(core.Arrival{ID: "t", ArrivedAt: a.core.Now(), TimeLeft: 500})
+	gone := a.core.Accept(core.IncomingRequest{ID: "t", ArrivedAt: a.core.Now(), TimeLeft: 500})
 	gone.NextAction()
 	gone.ClientGone()
 	if gone.NextAction().Kind != core.ActionAbandon {
 		t.Error("no end")
 	}
 	gone.Close()
-	failed := a.core.Accept(core.Arrival{ID: "u", ArrivedAt: a.core.Now(), TimeLeft: 500})
+	failed := a.core.Accept(core.IncomingRequest{ID: "u", ArrivedAt: a.core.Now(), TimeLeft: 500})
 	failed.Fail()
 	failed.ResponseWritten(true)
 	failed.Close()
--- a/internal/httpwire/lists_test.go
+++ b/internal/httpwire/lists_test.go
@@ -34,7 +34,7 @@
 			conn.mustReadRequest(t)
 			send(conn, streamHead+chunk(list))
 			<-a.discovery.FirstUpdate()
-			if a.discovery.Address("u") != "u:1" {
+			if a.discovery.BackendAddress("u") != "u:1" {
 				t.Error("not taken")
 			}
 		})
@@ -182,7 +182,7 @@
 func (l movedList) apply(t *testing.T, d *Discovery) {
 	t.Helper()
 	err := d.apply([]byte(listJSON(l.version, l.snapshot, entryAt(l.id))), FromWatch, l.generation, func() {})
-	if taken := d.Address(l.id) != ""; taken != l.taken || (err != nil) != l.fails {
+	if taken := d.BackendAddress(l.id) != ""; taken != l.taken || (err != nil) != l.fails {
 		t.Errorf("version %d of generation %d taken %v, %v", l.version, l.generation, taken, err)
 	}
 	if _, _, version := d.position(); l.fails && version != 0 {
--- a/internal/httpwire/loadprobe.go
+++ b/internal/httpwire/loadprobe.go
@@ -20,7 +20,7 @@
 	startedAt := u.core.Now()
 	address := u.address(backend)
 	report, ok := u.probe(address)
-	u.core.ReportProbe(policy.ProbeResult{Backend: backend, OK: ok, Took: u.core.Now() - startedAt, Load: report})
+	u.core.ReportProbe(policy.ProbeResult{Backend: backend, OK: ok, Elapsed: u.core.Now() - startedAt, Load: report})
 }
 
 // probe asks the backend at an address and reports whether it said 200. The load report is the zero one where backends report
--- a/internal/httpwire/loadreport.go
+++ b/internal/httpwire/loadreport.go
@@ -36,7 +36,7 @@
 	if waiting < 0 {
 		waiting = inFlight
 	}
-	return policy.LoadReport{Present: waiting >= 0 || busy >= 0, Waiting: max(waiting, 0), Busy: max(busy, 0)}
+	return policy.LoadReport{Present: waiting >= 0 || busy >= 0, Waiting: max(waiting, 0), Utilization: max(busy, 0)}
 }
 
 // parseLoadFigure reads digits with at most one point, none of what else a float may be.
--- a/internal/httpwire/loadreport_test.go
+++ b/internal/httpwire/loadreport_test.go
@@ -30,7 +30,7 @@
 		{"queue=inf", -1, -1},
 	} {
 		t.Run(c.report, func(t *testing.T) {
-			want := policy.LoadReport{Present: c.waiting >= 0 || c.busy >= 0, Waiting: max(c.waiting, 0), Busy: max(c.busy, 0)}
+			want := policy.LoadReport{Present: c.waiting >= 0 || c.busy >= 0, Waiting: max(c.waiting, 0), Utilization: max(c.busy, 0)}
 			if got := parseLoadReport(c.report); got != want {
 				t.Errorf("%q: %+v, want %+v", c.report, got, want)
 			}
--- a/internal/httpwire/notices.go
+++ b/internal/httpwire/notices.go
@@ -25,8 +25,8 @@
 // errUnreadableNotice ends a stream: what can't be read is noise, and the connection of no further use.
 var errUnreadableNotice = errors.New("a notice that can't be read")
 
-// Listen follows the notices until ctx ends.
-func (p *Platform) Listen(ctx context.Context) {
+// WatchReleases follows the notices until ctx ends.
+func (p *Platform) WatchReleases(ctx context.Context) {
 	keepStream(ctx, streamConfig{
 		read:         p.readNotices,
 		moved:        p.moved,
--- a/internal/httpwire/platform.go
+++ b/internal/httpwire/platform.go
@@ -91,7 +91,7 @@
 		Response: response,
 		Cap:      state.cap,
 		Age:      state.ageMs,
-		Known:    true,
+		HasState: true,
 	})
 	logrus.WithFields(logrus.Fields{
 		"release": state.release,
--- a/internal/httpwire/streams_test.go
+++ b/internal/httpwire/streams_test.go
@@ -66,7 +66,7 @@
 	synctest.Wait()
 	opened := len(log.paths) >= 3 && log.paths[0] == "/discovery/hosts?watch=1&after=1" &&
 		log.paths[1] == "/discovery/hosts?watch=1&after=5"
-	if !opened || a.discovery.Address("u") != "b:1" {
+	if !opened || a.discovery.BackendAddress("u") != "b:1" {
 		t.Fatalf("asked %q", log.paths)
 	}
 	if silent := log.at[1].Sub(from); silent < watchSilence || silent > watchSilence+time.Second {
@@ -87,7 +87,7 @@
 		drain(conn)
 	}})
 	ctx, cancel := context.WithCancel(t.Context())
-	go p.Listen(ctx)
+	go p.WatchReleases(ctx)
 	time.Sleep(6 * time.Second)
 	cancel()
 	synctest.Wait()
@@ -116,7 +116,7 @@
 					drain(conn)
 				}})
 				ctx, cancel := context.WithCancel(t.Context())
-				go p.Listen(ctx)
+				go p.WatchReleases(ctx)
 				time.Sleep(2 * time.Second)
 				if n := opened.Load(); n < 3 || n > 9 {
 					t.Errorf("%q: opened %d times in 2 s", c.text, n)
@@ -181,7 +181,7 @@
 		p := a.newPlatform(n)
 		ctx, cancel := context.WithCancel(t.Context())
 		go a.discovery.Run(ctx)
-		go p.Listen(ctx)
+		go p.WatchReleases(ctx)
 		for _, c := range []struct {
 			name string
 			move func()
--- a/internal/httpwire/upstream.go
+++ b/internal/httpwire/upstream.go
@@ -24,8 +24,8 @@
 	Dial    Dial
 	Sockets *Sockets // the budget that connections to backends share with those of clients
 
-	// Address is where a backend listens; empty: the backend is not in the endpoint list.
-	Address func(backend string) string
+	// BackendAddress is where a backend listens; empty: the backend is not in the endpoint list.
+	BackendAddress func(backend string) string
 
 	ConnectTimeout time.Duration // for a connection to come up
 
@@ -59,7 +59,7 @@
 	config.Sockets.closeIdleBackend = conns.closeIdlest
 	return &Upstream{
 		core:            config.Core,
-		address:         config.Address,
+		address:         config.BackendAddress,
 		conns:           conns,
 		loadOnResponses: config.LoadOnResponses,
 		loadOnProbes:    config.LoadOnProbes,
--- a/internal/httpwire/upstream_crossings_test.go
+++ b/internal/httpwire/upstream_crossings_test.go
@@ -152,7 +152,7 @@
 		waitUntil(func() bool { return l.core.Counts().ClientGone == 1 })
 	}
 	rollBack := func(_ *testing.T, l *loopback, _ *peerConn) {
-		l.core.UpdateRelease(policy.ReleaseUpdate{Release: 1, Phase: policy.RollingBack, Cap: 0, Known: true})
+		l.core.UpdateRelease(policy.ReleaseUpdate{Release: 1, Phase: policy.RollingBack, Cap: 0, HasState: true})
 	}
 	for _, c := range []lateConn{
 		{"the address is left", true, leaveAddress, false, false},
@@ -167,7 +167,7 @@
 func (c lateConn) run(t *testing.T) {
 	backend, asked, up := newFakeBackend(t), make(chan bool), make(chan bool)
 	l := newLoopback(t, backend.address(), gatedDial(asked, up), c.cancelAllowed)
-	l.core.UpdateRelease(policy.ReleaseUpdate{Release: 1, Phase: policy.RollingOut, Cap: 1, Known: true})
+	l.core.UpdateRelease(policy.ReleaseUpdate{Release: 1, Phase: policy.RollingOut, Cap: 1, HasState: true})
 	client := l.dialFront()
 	send(client, requestWithID("r1"))
 	<-asked
--- a/internal/httpwire/writer.go
+++ b/internal/httpwire/writer.go
@@ -57,7 +57,7 @@
 
 // writeStatus writes an answer of the front's own.
 func (r responseWriter) writeStatus(status int, text string) (written bool) {
-	if !r.request.Intercepted() {
+	if !r.request.HasInterceptors() {
 		http.Error(r.writer, text, status)
 		return true
 	}
@@ -70,7 +70,7 @@
 
 // flush sends what the server still holds back, where an interceptor wants to know whether it went.
 func (r responseWriter) flush() (sent bool) {
-	return !r.request.Intercepted() || http.NewResponseController(r.writer).Flush() == nil
+	return !r.request.HasInterceptors() || http.NewResponseController(r.writer).Flush() == nil
 }
 
 // writeBadInput answers a request that has not the form of one and ends its connection: nothing more is read there, neither a
--- a/internal/record/recorder/audit.go
+++ b/internal/record/recorder/audit.go
@@ -22,7 +22,7 @@
 // Audit reads an instance's spool, or every instance's where none is named, and the store where there is one. A spool that
 // an instance works in is read as far as it is written. found is called with each finding, progress with the rows read so
 // far. An error says that the audit is not complete.
-func Audit(ctx context.Context, table Table, instance string, found func(Finding), progress func(rows int)) error {
+func Audit(ctx context.Context, table Config, instance string, found func(Finding), progress func(rows int)) error {
 	instances := []string{instance}
 	if instance == "" {
 		var err error
@@ -57,7 +57,7 @@
 		if !running {
 			found(Finding{true, instance, err.Error()})
 		}
-		opened = spool.View(spool.Disk{}, directory, instance)
+		opened = spool.OpenReadOnly(spool.Disk{}, directory, instance)
 	}
 	defer opened.Close()
 	for _, incarnation := range opened.Incarnations() {
--- a/internal/record/recorder/bench_test.go
+++ b/internal/record/recorder/bench_test.go
@@ -17,7 +17,7 @@
 	} {
 		for _, atOnce := range []int{1, 64} {
 			b.Run(fmt.Sprintf("%s/%d at once", c.name, atOnce), func(b *testing.B) {
-				table := Default()
+				table := DefaultConfig()
 				table.Mode, table.Sync, table.Directory, table.MaxSpoolBytes = c.mode, c.sync, b.TempDir(), 64<<30
 				benchmarkAnswer(b, table, atOnce)
 			})
@@ -25,7 +25,7 @@
 	}
 }
 
-func benchmarkAnswer(b *testing.B, table Table, atOnce int) {
+func benchmarkAnswer(b *testing.B, table Config, atOnce int) {
 	b.Helper()
 	r, err := New(testOptions(table))
 	if err != nil {
--- a/internal/record/recorder/check.go
+++ b/internal/record/recorder/check.go
@@ -19,11 +19,11 @@
 // complaint is called with a setting that can't be: its key, its value, what it is and what would be right.
 type complaint = func(key string, value any, what, right string)
 
-// Check calls wrong for each field that can't be or that contradicts another: its key, its value, what it is and what
+// Validate calls wrong for each field that can't be or that contradicts another: its key, its value, what it is and what
 // would be right.
-func (t Table) Check(wrong func(key string, value any, what, right string)) {
+func (t Config) Validate(wrong func(key string, value any, what, right string)) {
 	t.checkWords(wrong)
-	if !t.On() {
+	if !t.Enabled() {
 		return
 	}
 	t.checkMode(wrong)
@@ -32,7 +32,7 @@
 	t.Store.check(wrong)
 }
 
-func (t Table) checkWords(wrong complaint) {
+func (t Config) checkWords(wrong complaint) {
 	for _, field := range []struct {
 		key, value string
 		words      []string
@@ -49,7 +49,7 @@
 	}
 }
 
-func (t Table) checkMode(wrong complaint) {
+func (t Config) checkMode(wrong complaint) {
 	if t.Mode == "spool" && t.Directory == "" {
 		wrong("record.directory", t.Directory, "needed by mode = \"spool\"", `"/var/lib/onyxgate/spool"`)
 	}
@@ -58,7 +58,7 @@
 	}
 }
 
-func (t Table) checkSizes(wrong complaint) {
+func (t Config) checkSizes(wrong complaint) {
 	if t.MaxSegmentBytes < minSegmentBytes {
 		wrong("record.segment", t.MaxSegmentBytes, "too small for a write", `"4MiB"`)
 	}
@@ -74,7 +74,7 @@
 	}
 }
 
-func (t Table) checkTimes(wrong complaint) {
+func (t Config) checkTimes(wrong complaint) {
 	if t.syncs() && t.CommitDelay.Ms() <= t.GroupWait.Ms() {
 		wrong("record.patience", t.CommitDelay, "no longer than group_wait, so nothing would be durable in time", `"250ms"`)
 	}
@@ -83,7 +83,7 @@
 	}
 }
 
-func (s StoreTable) check(wrong complaint) {
+func (s StoreConfig) check(wrong complaint) {
 	if s.MaxBatchRows < 1 || s.MaxBatchRows > maxBatchRows {
 		wrong("record.store.batch", s.MaxBatchRows, "not between 1 and 5000", "500")
 	}
@@ -98,7 +98,7 @@
 	}
 }
 
-func (s StoreTable) checkPostgres(wrong complaint) {
+func (s StoreConfig) checkPostgres(wrong complaint) {
 	if _, err := s.Open(); err != nil {
 		wrong("record.store.address", s.Address, err.Error(), `"db.internal:5432"`)
 	}
--- a/internal/record/recorder/exporter.go
+++ b/internal/record/recorder/exporter.go
@@ -30,7 +30,7 @@
 type exporter struct {
 	spool    *spool.Spool
 	instance string
-	table    StoreTable
+	table    StoreConfig
 	store    *sqlstore.Store   // nil: there is none
 	now      func() float64    // ms
 	segment  func() uint64     // the one that the running incarnation is written to, which must stay
@@ -71,7 +71,7 @@
 	return e, nil
 }
 
-func newExporter(from *spool.Spool, table StoreTable, store *sqlstore.Store, now func() float64, seed uint64) *exporter {
+func newExporter(from *spool.Spool, table StoreConfig, store *sqlstore.Store, now func() float64, seed uint64) *exporter {
 	random := rand.New(rand.NewPCG(seed, schedulerStream))
 	return &exporter{
 		spool: from, instance: from.Instance, table: table, store: store, now: now, onFreed: func(int64) {},
@@ -138,7 +138,7 @@
 	}
 	n = min(n, len(from.rows))
 	batch = sqlstore.Batch{
-		Instance: e.instance, Incarnation: from.incarnation, Place: from.place, Rows: from.rows[:n:n],
+		Instance: e.instance, Incarnation: from.incarnation, DirID: from.place, Rows: from.rows[:n:n],
 	}
 	if n == len(from.rows) {
 		batch.Through, batch.Closed = from.through, from.done
--- a/internal/record/recorder/helper_test.go
+++ b/internal/record/recorder/helper_test.go
@@ -23,7 +23,7 @@
 
 func span(d time.Duration) units.Span { return units.Span(d) }
 
-func testOptions(table Table) Options {
+func testOptions(table Config) Options {
 	return Options{Settings: table, Instance: "n1", Classes: []string{"p"}, Now: clock(), Seed: 1}
 }
 
@@ -57,7 +57,7 @@
 }
 
 // openStore opens the store of the settings until the test ends.
-func openStore(t *testing.T, table Table) *sqlstore.Store {
+func openStore(t *testing.T, table Config) *sqlstore.Store {
 	t.Helper()
 	store, err := table.Store.Open()
 	if err != nil {
--- a/internal/record/recorder/recorder.go
+++ b/internal/record/recorder/recorder.go
@@ -21,7 +21,7 @@
 
 // Options are what a recorder is made with.
 type Options struct {
-	Settings Table
+	Settings Config
 	Instance string         // its name, which must be the same after a restart
 	Classes  []string       // names of request classes, by number
 	Now      func() float64 // the instance's clock (ms)
@@ -30,7 +30,7 @@
 
 // Recorder keeps one instance's record. It is a core.Interceptor; its methods may be called from any goroutine.
 type Recorder struct {
-	table    Table
+	table    Config
 	now      func() float64 // ms
 	classes  []string       // names, by number
 	spool    *spool.Spool
@@ -188,8 +188,8 @@
 	r.wakeWriter()
 }
 
-// Closed does nothing: a request that ended without an answer has no entry.
-func (r *Recorder) Closed(float64) {}
+// Abandoned does nothing: a request that ended without an answer has no entry.
+func (r *Recorder) Abandoned(float64) {}
 
 // Status are the figures of the record now.
 type Status struct {
--- a/internal/record/recorder/recorder_test.go
+++ b/internal/record/recorder/recorder_test.go
@@ -16,7 +16,7 @@
 )
 
 // onMemory makes a recorder on a file system that fails as it is told.
-func onMemory(t *testing.T, files *memfs.FS, table Table) *Recorder {
+func onMemory(t *testing.T, files *memfs.FS, table Config) *Recorder {
 	t.Helper()
 	r, err := newOn(files, "root", testOptions(table))
 	if err != nil {
@@ -53,7 +53,7 @@
 					}
 					return bytes, nil
 				}
-				table := Default()
+				table := DefaultConfig()
 				table.Mode, table.StallAfter = "spool", span(5*time.Second)
 				r := onMemory(t, files, table)
 				stop := start(r)
@@ -80,7 +80,7 @@
 // expectOneAnswered: however it went, the entry is there, once, with its end.
 func expectOneAnswered(t *testing.T, files spool.FS, incarnation string) {
 	t.Helper()
-	reader := spool.View(files, "root", "n1").Read(incarnation, true)
+	reader := spool.OpenReadOnly(files, "root", "n1").Read(incarnation, true)
 	rows := rowsOfIncarnation(t, reader)
 	if defects := reader.Replay.Defects; len(defects) > 0 {
 		t.Errorf("defects %v", defects)
@@ -109,7 +109,7 @@
 		}
 		return bytes, nil
 	}
-	table := Default()
+	table := DefaultConfig()
 	table.Mode, table.MaxQueuedBytes, table.WhenFull = "spool", 64<<10, policy
 	r := onMemory(t, files, table)
 	stop := start(r)
@@ -129,7 +129,7 @@
 		t.Error("rejected after the disk is back")
 	}
 	stop()
-	reader := spool.View(files, "root", "n1").Read(r.writer.Incarnation, true)
+	reader := spool.OpenReadOnly(files, "root", "n1").Read(r.writer.Incarnation, true)
 	recorded, gaps := 0, 0
 	for _, row := range rowsOfIncarnation(t, reader) {
 		if row.Gap != nil {
--- a/internal/record/recorder/ship.go
+++ b/internal/record/recorder/ship.go
@@ -23,7 +23,7 @@
 
 // Ship sends all that an instance's directory holds, for an instance that does not run; progress is called after each
 // batch. Errors wrap spool.ErrLocked, spool.ErrCopied, ErrNoStore, and are *RefusedError where the store refuses.
-func Ship(ctx context.Context, table Table, instance string, progress func(exported, inDoubt uint64)) error {
+func Ship(ctx context.Context, table Config, instance string, progress func(exported, inDoubt uint64)) error {
 	opened, err := spool.Open(spool.Disk{}, table.Directory, instance)
 	if err != nil {
 		return err
--- a/internal/record/recorder/ship_test.go
+++ b/internal/record/recorder/ship_test.go
@@ -22,7 +22,7 @@
 const answersOfLife = 300
 
 // live runs an instance without a store and leaves its spool.
-func live(t *testing.T, table Table, life int) {
+func live(t *testing.T, table Config, life int) {
 	t.Helper()
 	table.Store.Kind = "none"
 	r, err := New(testOptions(table))
@@ -47,7 +47,7 @@
 // What earlier lives left goes to the store once, however many exporters come and wherever they were killed.
 func TestShip(t *testing.T) {
 	dir := t.TempDir()
-	table := Default()
+	table := DefaultConfig()
 	table.Mode, table.Directory = "spool", filepath.Join(dir, "spool")
 	table.MaxSegmentBytes, table.MaxWriteBytes = 64<<10, 4<<10
 	table.Store.Kind, table.Store.Path, table.Store.MaxBatchRows = "sqlite", filepath.Join(dir, "r.db"), 70
@@ -101,7 +101,7 @@
 // An incarnation that another place exports is refused by the store, and its files stay.
 func TestForeign(t *testing.T) {
 	dir := t.TempDir()
-	table := Default()
+	table := DefaultConfig()
 	table.Mode, table.Directory = "spool", filepath.Join(dir, "spool")
 	table.Store.Kind, table.Store.Path = "sqlite", filepath.Join(dir, "r.db")
 	incarnation := oneEntry(t, table.Directory)
@@ -109,7 +109,7 @@
 	if err := store.Migrate(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	elsewhere := sqlstore.Batch{Instance: "n1", Incarnation: incarnation, Place: "elsewhere"}
+	elsewhere := sqlstore.Batch{Instance: "n1", Incarnation: incarnation, DirID: "elsewhere"}
 	if _, err := store.Put(t.Context(), elsewhere); err != nil {
 		t.Fatal(err)
 	}
@@ -118,7 +118,7 @@
 	if !errors.As(err, &refused) || refused.Result != record.ExportForeign || !strings.Contains(err.Error(), "foreign") {
 		t.Errorf("shipped: %v", err)
 	}
-	if left := spool.View(spool.Disk{}, table.Directory, "n1"); left.Bytes() == 0 {
+	if left := spool.OpenReadOnly(spool.Disk{}, table.Directory, "n1"); left.Bytes() == 0 {
 		t.Error("its files are gone")
 	}
 }
@@ -151,7 +151,7 @@
 
 // Where there is nothing to send to, that is said.
 func TestShipWithoutStore(t *testing.T) {
-	table := Default()
+	table := DefaultConfig()
 	table.Mode, table.Directory = "spool", t.TempDir()
 	if err := Ship(t.Context(), table, "n1", func(uint64, uint64) {}); !errors.Is(err, ErrNoStore) {
 		t.Errorf("without a store: %v", err)
@@ -161,7 +161,7 @@
 // An earlier incarnation that can't be read stays as it is, and those after it go to the store.
 func TestShipUnreadable(t *testing.T) {
 	dir := t.TempDir()
-	table := Default()
+	table := DefaultConfig()
 	table.Mode, table.Directory = "spool", filepath.Join(dir, "spool")
 	table.Store.Kind, table.Store.Path = "sqlite", filepath.Join(dir, "r.db")
 	whole, mixed := oneEntry(t, table.Directory), oneEntry(t, table.Directory)
@@ -183,7 +183,7 @@
 			t.Errorf("a row of the unreadable incarnation is in the store: %+v", row)
 		}
 	}
-	if left := spool.View(spool.Disk{}, table.Directory, "n1").Incarnations(); !slices.Equal(left, []string{mixed}) {
+	if left := spool.OpenReadOnly(spool.Disk{}, table.Directory, "n1").Incarnations(); !slices.Equal(left, []string{mixed}) {
 		t.Errorf("incarnations %v left, want %v", left, mixed)
 	}
 }
--- a/internal/record/recorder/stored_test.go
+++ b/internal/record/recorder/stored_test.go
@@ -61,13 +61,13 @@
 // copyStoredData makes a spool and a store that the program takes for its own. A spool names the directory in which it was
 // made, and a store the directory from which an incarnation is shipped, so that a copy is refused. Here the copy is the only
 // one that is ever used, so both get the name of the place at which it stands, and the check itself stays in force.
-func copyStoredData(t *testing.T) Table {
+func copyStoredData(t *testing.T) Config {
 	t.Helper()
 	dir := t.TempDir()
 	if err := os.CopyFS(dir, os.DirFS(storedData)); err != nil {
 		t.Fatal(err)
 	}
-	table := Default()
+	table := DefaultConfig()
 	table.Mode, table.Directory = "spool", filepath.Join(dir, "spool")
 	table.Store.Kind, table.Store.Path, table.Store.MaxBatchRows = "sqlite", filepath.Join(dir, "record.db"), 7
 	table.Store.BatchWait = units.Span(10 * time.Millisecond)
@@ -81,7 +81,7 @@
 		t.Fatalf("owner files %v, %v", owners, err)
 	}
 	for _, file := range owners {
-		place, err := spool.Disk{}.Place(filepath.Dir(file))
+		place, err := spool.Disk{}.DirID(filepath.Dir(file))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -171,7 +171,7 @@
 	})
 }
 
-func shipStoredData(t *testing.T, table Table, expected map[string]storedInstance) {
+func shipStoredData(t *testing.T, table Config, expected map[string]storedInstance) {
 	t.Helper()
 	store := openStore(t, table)
 	for instance, want := range expected {
@@ -181,7 +181,7 @@
 		checkStored(t, store, instance, want)
 	}
 	for instance, left := range map[string]int{"n1": 0, "n2": 1} { // a damaged incarnation's files stay
-		if in := spool.View(spool.Disk{}, table.Directory, instance).Incarnations(); len(in) != left {
+		if in := spool.OpenReadOnly(spool.Disk{}, table.Directory, instance).Incarnations(); len(in) != left {
 			t.Errorf("%s: incarnations %v left in the spool, want %d", instance, in, left)
 		}
 	}
@@ -208,7 +208,7 @@
 	}
 }
 
-func audit(t *testing.T, table Table, instance string) (found []Finding) {
+func audit(t *testing.T, table Config, instance string) (found []Finding) {
 	t.Helper()
 	if err := Audit(t.Context(), table, instance, func(f Finding) { found = append(found, f) }, func(int) {}); err != nil {
 		t.Fatal(err)
--- a/internal/record/recorder/table.go
+++ b/internal/record/recorder/table.go
@@ -13,25 +13,25 @@
 	"onyxgate/internal/units"
 )
 
-// Table is [record].
-type Table struct {
-	Mode            string     `toml:"mode" comment:"off; spool: durable before the answer; memory: no disk, gives up what a kill takes"`
-	Directory       string     `toml:"directory" comment:"of the spool; every instance has its own under it"`
-	Sync            string     `toml:"sync" comment:"group: synced before the answer; none: survives a kill, not a loss of power"`
-	GroupWait       units.Span `toml:"group_wait" comment:"an entry waits so long for others to be synced with"`
-	MaxWriteBytes   units.Size `toml:"group_bytes"`
-	MaxSegmentBytes units.Size `toml:"segment"`
-	MaxSpoolBytes   units.Size `toml:"budget" comment:"of the spool on disk, or in memory"`
-	MaxQueuedBytes  units.Size `toml:"room" comment:"of entries that wait in memory for the disk"`
-	CommitDelay     units.Span `toml:"patience" comment:"an answer waits so long for its sync"`
-	Reserve         units.Span `toml:"reserve" comment:"kept back of each client's time for it"`
-	StallAfter      units.Span `toml:"stall" comment:"a write that takes longer means that the disk stands still"`
-	WhenFull        string     `toml:"when_full" comment:"keep-serving: a gap says what is missing; decline: new requests are rejected"`
-	Store           StoreTable `toml:"store"`
+// Config is [record].
+type Config struct {
+	Mode            string      `toml:"mode" comment:"off; spool: durable before the answer; memory: no disk, gives up what a kill takes"`
+	Directory       string      `toml:"directory" comment:"of the spool; every instance has its own under it"`
+	Sync            string      `toml:"sync" comment:"group: synced before the answer; none: survives a kill, not a loss of power"`
+	GroupWait       units.Span  `toml:"group_wait" comment:"an entry waits so long for others to be synced with"`
+	MaxWriteBytes   units.Size  `toml:"group_bytes"`
+	MaxSegmentBytes units.Size  `toml:"segment"`
+	MaxSpoolBytes   units.Size  `toml:"budget" comment:"of the spool on disk, or in memory"`
+	MaxQueuedBytes  units.Size  `toml:"room" comment:"of entries that wait in memory for the disk"`
+	CommitDelay     units.Span  `toml:"patience" comment:"an answer waits so long for its sync"`
+	Reserve         units.Span  `toml:"reserve" comment:"kept back of each client's time for it"`
+	StallAfter      units.Span  `toml:"stall" comment:"a write that takes longer means that the disk stands still"`
+	WhenFull        string      `toml:"when_full" comment:"keep-serving: a gap says what is missing; decline: new requests are rejected"`
+	Store           StoreConfig `toml:"store"`
 }
 
-// StoreTable is [record.store].
-type StoreTable struct {
+// StoreConfig is [record.store].
+type StoreConfig struct {
 	Kind           string     `toml:"kind" comment:"sqlite, postgres, or none: the spool waits for 'onyxgate record ship'"`
 	Path           string     `toml:"path" comment:"of sqlite's file"`
 	Address        string     `toml:"address" comment:"of the PostgreSQL server, host:port"`
@@ -46,27 +46,27 @@
 	BytesPerSecond units.Size `toml:"bytes_a_second"`
 }
 
-// Default is what holds where nothing is said.
-func Default() Table {
-	return Table{
+// DefaultConfig is what holds where nothing is said.
+func DefaultConfig() Config {
+	return Config{
 		Mode: "off", Sync: "group", GroupWait: 0, MaxWriteBytes: 256 << 10, MaxSegmentBytes: 4 << 20,
 		MaxSpoolBytes: 256 << 20, MaxQueuedBytes: 2 << 20, CommitDelay: units.Span(250 * time.Millisecond),
 		Reserve: units.Span(40 * time.Millisecond), StallAfter: units.Span(200 * time.Millisecond), WhenFull: "keep-serving",
-		Store: StoreTable{
+		Store: StoreConfig{
 			Kind: "none", TLS: "verify-full", MaxBatchRows: 500, BatchWait: units.Span(200 * time.Millisecond),
 			BatchTimeout: units.Span(5 * time.Second), BytesPerSecond: 4 << 20,
 		},
 	}
 }
 
-// On tells whether anything is recorded.
-func (t Table) On() bool { return t.Mode != "off" }
+// Enabled tells whether anything is recorded.
+func (t Config) Enabled() bool { return t.Mode != "off" }
 
 // syncs tells whether an answer waits for its entry to be synced.
-func (t Table) syncs() bool { return t.Mode == "spool" && t.Sync == "group" }
+func (t Config) syncs() bool { return t.Mode == "spool" && t.Sync == "group" }
 
 // Open opens the store that is named; nil where there is none. Nothing is connected or read before the first use.
-func (s StoreTable) Open() (*sqlstore.Store, error) {
+func (s StoreConfig) Open() (*sqlstore.Store, error) {
 	switch s.Kind {
 	case "sqlite":
 		return sqlite.Open(s.Path, time.Duration(s.BatchTimeout)/2)
@@ -80,7 +80,7 @@
 }
 
 // ledgerOptions are what these settings say to the ledger of an incarnation, while the spool holds spoolBytes already.
-func (t Table) ledgerOptions(instance, incarnation string, spoolBytes int64) record.LedgerOptions {
+func (t Config) ledgerOptions(instance, incarnation string, spoolBytes int64) record.LedgerOptions {
 	policy := record.KeepServing
 	if t.WhenFull == "decline" {
 		policy = record.RejectRequests
--- a/internal/record/spool/damage_test.go
+++ b/internal/record/spool/damage_test.go
@@ -112,7 +112,7 @@
 		for i, content := range [][]byte{one, two} {
 			writeFile(t, files, spool.Join("root", "n1", "i", spool.SegmentName(uint64(i+1))), content)
 		}
-		reader := spool.View(files, "root", "n1").Read("i", true)
+		reader := spool.OpenReadOnly(files, "root", "n1").Read("i", true)
 		ends := 0
 		for calls, more := 0, true; more; calls++ {
 			if calls > 100 {
--- a/internal/record/spool/disk.go
+++ b/internal/record/spool/disk.go
@@ -67,8 +67,8 @@
 	return file, nil
 }
 
-// Place is the directory's device and inode, which a copy does not share.
-func (Disk) Place(dir string) (string, error) {
+// DirID is the directory's device and inode, which a copy does not share.
+func (Disk) DirID(dir string) (string, error) {
 	info, err := os.Stat(dir)
 	if err != nil {
 		return "", err
--- a/internal/record/spool/fs.go
+++ b/internal/record/spool/fs.go
@@ -21,8 +21,8 @@
 	SyncDir(dir string) error
 	// Lock holds a file until the closer is closed. It fails with ErrLocked where another process holds it.
 	Lock(name string) (io.Closer, error)
-	// Place is one word by which a copy of a directory is told from the directory.
-	Place(dir string) (string, error)
+	// DirID is one word by which a copy of a directory is told from the directory.
+	DirID(dir string) (string, error)
 }
 
 // FileInfo is a file or a directory as List finds it.
--- a/internal/record/spool/helper_test.go
+++ b/internal/record/spool/helper_test.go
@@ -91,7 +91,7 @@
 // readAll reads an incarnation that nobody writes: the final state of each request.
 func readAll(t *testing.T, files spool.FS, name string) (*spool.Reader, map[string]record.State) {
 	t.Helper()
-	reader := spool.View(files, "root", "n1").Read(name, true)
+	reader := spool.OpenReadOnly(files, "root", "n1").Read(name, true)
 	states := map[string]record.State{}
 	for more := true; more; {
 		var rows []record.Row
--- a/internal/record/spool/memory.go
+++ b/internal/record/spool/memory.go
@@ -108,8 +108,8 @@
 	return nil
 }
 
-// Place is the same for all: nothing in memory can be copied.
-func (m *Memory) Place(string) (string, error) { return "memory", nil }
+// DirID is the same for all: nothing in memory can be copied.
+func (m *Memory) DirID(string) (string, error) { return "memory", nil }
 
 func (f *memoryFile) size() int64 {
 	f.mu.Lock()
--- a/internal/record/spool/owner.go
+++ b/internal/record/spool/owner.go
@@ -28,7 +28,7 @@
 // checkOwner refuses a directory that was copied here: its original may still be written.
 func (s *Spool) checkOwner(incarnation string) error {
 	dir := join(s.dir, incarnation)
-	place, err := s.fs.Place(dir)
+	place, err := s.fs.DirID(dir)
 	if err != nil {
 		return err
 	}
@@ -72,7 +72,7 @@
 // Adopt makes directories that were moved here on purpose usable; the caller answers for the originals being gone. Errors
 // wrap ErrLocked.
 func Adopt(files FS, root, instance string) (adopted []string, err error) {
-	s := View(files, root, instance)
+	s := OpenReadOnly(files, root, instance)
 	lock, err := files.Lock(join(s.dir, lockName))
 	if err != nil {
 		return nil, err
@@ -93,7 +93,7 @@
 
 func (s *Spool) writeOwner(incarnation string) error {
 	dir := join(s.dir, incarnation)
-	place, err := s.fs.Place(dir)
+	place, err := s.fs.DirID(dir)
 	if err != nil {
 		return err
 	}
--- a/internal/record/spool/spool.go
+++ b/internal/record/spool/spool.go
@@ -24,7 +24,7 @@
 
 // Open takes an instance's directory, alone. Errors wrap ErrLocked and ErrCopied.
 func Open(files FS, root, instance string) (*Spool, error) {
-	s := View(files, root, instance)
+	s := OpenReadOnly(files, root, instance)
 	if err := files.MkdirAll(s.dir); err != nil {
 		return nil, err
 	}
@@ -42,8 +42,8 @@
 	return s, nil
 }
 
-// View looks at a directory without taking it.
-func View(files FS, root, instance string) *Spool {
+// OpenReadOnly looks at a directory without taking it.
+func OpenReadOnly(files FS, root, instance string) *Spool {
 	return &Spool{fs: files, dir: join(root, url.PathEscape(instance)), Instance: instance}
 }
 
--- a/internal/record/sqlstore/helper_test.go
+++ b/internal/record/sqlstore/helper_test.go
@@ -73,7 +73,7 @@
 }
 
 func batch(from, to uint64, through uint64) sqlstore.Batch {
-	b := sqlstore.Batch{Instance: "n1", Incarnation: "i1", Place: "here", Through: through}
+	b := sqlstore.Batch{Instance: "n1", Incarnation: "i1", DirID: "here", Through: through}
 	for n := from; n <= to; n++ {
 		b.Rows = append(b.Rows, record.Row{State: record.StateAnswered, Entry: record.Entry{
 			Ordinal: n, RequestID: fmt.Sprint("t'\"\\", n),
--- a/internal/record/sqlstore/put.go
+++ b/internal/record/sqlstore/put.go
@@ -14,7 +14,7 @@
 
 // Batch is what is stored at once.
 type Batch struct {
-	Instance, Incarnation, Place string
+	Instance, Incarnation, DirID string
 	Rows                         []record.Row
 	Through                      uint64 // everything up to it has become final
 	Closed                       bool   // and nothing will follow
@@ -47,14 +47,14 @@
 // is another place's.
 func claim(ctx context.Context, tx Tx, batch Batch) error {
 	if _, err := tx.Exec(ctx, NameClaim+`insert into onyxgate_incarnation (incarnation, agent, place, through, closed)
-		values ($1, $2, $3, 0, 0) on conflict do nothing`, batch.Incarnation, batch.Instance, batch.Place); err != nil {
+		values ($1, $2, $3, 0, 0) on conflict do nothing`, batch.Incarnation, batch.Instance, batch.DirID); err != nil {
 		return err
 	}
 	through, closed := int64(batch.Through), int64(0)
 	if batch.Closed {
 		closed = 1
 	}
-	if _, err := tx.Exec(ctx, NameThrough+`update onyxgate_incarnation set
+	if _, err := tx.Exec(ctx, NameUpdateThrough+`update onyxgate_incarnation set
 		through = case when through < $1 then $2 else through end, closed = case when closed < $3 then $4 else closed end
 		where incarnation = $5`, through, through, closed, closed, batch.Incarnation); err != nil {
 		return err
@@ -64,8 +64,8 @@
 		[]any{batch.Incarnation}, &place); err != nil {
 		return err
 	}
-	if place != batch.Place {
-		return fmt.Errorf("%w: %s, not %s", ErrForeign, place, batch.Place)
+	if place != batch.DirID {
+		return fmt.Errorf("%w: %s, not %s", ErrForeign, place, batch.DirID)
 	}
 	return nil
 }
@@ -81,12 +81,12 @@
 		}
 	}
 	if len(entries) > 0 {
-		if bytes, err = insert(ctx, tx, NamePut+s.insertText("onyxgate_entry", entryColumns), entries); err != nil {
+		if bytes, err = insert(ctx, tx, NameInsertEntries+s.insertText("onyxgate_entry", entryColumns), entries); err != nil {
 			return 0, err
 		}
 	}
 	if len(gaps) > 0 {
-		more, err := insert(ctx, tx, NameGaps+s.insertText("onyxgate_gap", gapColumns), gaps)
+		more, err := insert(ctx, tx, NameInsertGaps+s.insertText("onyxgate_gap", gapColumns), gaps)
 		if err != nil {
 			return 0, err
 		}
--- a/internal/record/sqlstore/query.go
+++ b/internal/record/sqlstore/query.go
@@ -72,7 +72,7 @@
 
 // Gaps calls each with the gaps of an instance, or of all where none is named; an error of each ends it.
 func (s *Store) Gaps(ctx context.Context, instance string, each func(GapRow) error) error {
-	text, args := NameMissed+`select agent, incarnation, n, settled, declined, voided, unknown, from_ms, to_ms, cause
+	text, args := NameSelectGaps+`select agent, incarnation, n, settled, declined, voided, unknown, from_ms, to_ms, cause
 		from onyxgate_gap`, []any{}
 	if instance != "" {
 		text, args = text+" where agent = $1", append(args, instance)
--- a/internal/record/sqlstore/sqlstore_test.go
+++ b/internal/record/sqlstore/sqlstore_test.go
@@ -51,7 +51,7 @@
 		put(t, store, b)
 	}
 	other := batch(31, 32, 32)
-	other.Place = "elsewhere"
+	other.DirID = "elsewhere"
 	_, err := store.Put(t.Context(), other)
 	if !errors.Is(err, sqlstore.ErrForeign) || store.Classify(err) != record.ExportForeign {
 		t.Errorf("from another place: %v", err)
--- a/internal/record/sqlstore/store.go
+++ b/internal/record/sqlstore/store.go
@@ -67,17 +67,17 @@
 
 // Each statement begins with its name, by which operators find it in their store's own views.
 const (
-	NameVersion = "/* onyxgate version */ "
-	NameMigrate = "/* onyxgate migrate */ "
-	NameClaim   = "/* onyxgate claim */ "
-	NameOwner   = "/* onyxgate owner */ "
-	NamePut     = "/* onyxgate put */ "
-	NameGaps    = "/* onyxgate gaps */ "
-	NameThrough = "/* onyxgate through */ "
-	NameSelect  = "/* onyxgate select */ "
-	NameMissed  = "/* onyxgate missed */ "
-	NameCount   = "/* onyxgate count */ "
-	NamePrune   = "/* onyxgate prune */ "
+	NameVersion       = "/* onyxgate version */ "
+	NameMigrate       = "/* onyxgate migrate */ "
+	NameClaim         = "/* onyxgate claim */ "
+	NameOwner         = "/* onyxgate owner */ "
+	NameInsertEntries = "/* onyxgate put */ "
+	NameInsertGaps    = "/* onyxgate gaps */ "
+	NameUpdateThrough = "/* onyxgate through */ "
+	NameSelect        = "/* onyxgate select */ "
+	NameSelectGaps    = "/* onyxgate missed */ "
+	NameCount         = "/* onyxgate count */ "
+	NamePrune         = "/* onyxgate prune */ "
 )
 
 // ErrForeign says that another place exports the same incarnation.
--- a/internal/simadapter/events.go
+++ b/internal/simadapter/events.go
@@ -84,7 +84,7 @@
 func (e event) endpoints() error {
 	form := e.fields.Get("form").Str
 	if form == "X" {
-		e.instance.policy.OnEndpointsFailed(e.now)
+		e.instance.policy.OnDiscoveryFailed(e.now)
 		return nil
 	}
 	slot := e.fields.Get("slot").Int()
@@ -118,7 +118,7 @@
 	}
 	e.instance.policy.OnAttemptResult(e.now, policy.AttemptResult{
 		RequestID: e.text("request-id"), Attempt: e.number("copy"), Status: attemptStatuses[outcome],
-		Final: e.fields.Get("final").Bool(), Took: e.milliseconds("took-us"), Load: readLoad(e.fields.Get("feedback")),
+		Final: e.fields.Get("final").Bool(), Elapsed: e.milliseconds("took-us"), Load: readLoad(e.fields.Get("feedback")),
 	})
 	return nil
 }
@@ -135,7 +135,7 @@
 
 func (e event) probeResult() error {
 	e.instance.policy.OnProbeResult(e.now, policy.ProbeResult{
-		Backend: e.text("appliance"), OK: e.number("how") == 1, Took: e.milliseconds("took-us"),
+		Backend: e.text("appliance"), OK: e.number("how") == 1, Elapsed: e.milliseconds("took-us"),
 		Load: readLoad(e.fields.Get("feedback")),
 	})
 	return nil
@@ -161,7 +161,7 @@
 	}
 	e.instance.policy.OnReleaseUpdate(e.now, policy.ReleaseUpdate{
 		Release: policy.ReleaseID(e.fields.Get("ver").Int()), Stage: e.number("wave"), Phase: phases[phase],
-		Cap: e.fields.Get("ceiling").Num, Age: e.milliseconds("old-us"), Response: response, Known: status == 1,
+		Cap: e.fields.Get("ceiling").Num, Age: e.milliseconds("old-us"), Response: response, HasState: status == 1,
 	})
 	return nil
 }
--- a/internal/simadapter/values.go
+++ b/internal/simadapter/values.go
@@ -76,5 +76,5 @@
 	if value := fields.Get("busy"); value.Type == gjson.Number {
 		busy = value.Num
 	}
-	return policy.LoadReport{Present: waiting >= 0 || busy >= 0, Waiting: max(waiting, 0), Busy: max(busy, 0)}
+	return policy.LoadReport{Present: waiting >= 0 || busy >= 0, Waiting: max(waiting, 0), Utilization: max(busy, 0)}
 }
--- a/internal/siteconfig/instance.go
+++ b/internal/siteconfig/instance.go
@@ -17,9 +17,9 @@
 		ConcurrentAttempts: limits.Get("parallel-tries").Bool(), CancelAllowed: CancelAllowed(settings),
 		MaxOpenRequests: lowerLimit(maxOpenRequests, MaxOpenRequests(settings)), MaxRetryAfter: maxRetryAfter(limits),
 		PeerMessages: limits.Get("peers").Bool(), ProbesAllowed: limits.Get("probes").Bool(), ProbePrice: tariffs.Get("probe").Num,
-		Zone: int(settings.Get("zone").Int()), CrossZonePrice: tariffs.Get("cross-zone").Num > 0,
+		Zone: int(settings.Get("zone").Int()), CrossZoneCharged: tariffs.Get("cross-zone").Num > 0,
 		Discovery: policy.DiscoveryConfig{
-			OnDemand: OnDemandDiscovery(settings), RefreshInterval: Milliseconds(settings.Get("contract.ask-every-us")),
+			SubscriptionRequired: OnDemandDiscovery(settings), RefreshInterval: Milliseconds(settings.Get("contract.ask-every-us")),
 		},
 		SlowStart: slowStartConfig(settings.Get("contract")),
 		Exposure:  exposureConfig(settings.Get("family-info")),
--- a/internal/siteconfig/siteconfig_test.go
+++ b/internal/siteconfig/siteconfig_test.go
@@ -116,12 +116,12 @@
 "key-ttl-us":8000,"streamed":true}]}`
 	want := policy.Config{
 		Seed: 7, Index: 2, Instances: 9, MaxAttempts: 5, ConcurrentAttempts: true, CancelAllowed: true, MaxRetryAfter: 2,
-		PeerMessages: true, ProbesAllowed: true, ProbePrice: 0.5, Zone: 1, CrossZonePrice: true,
+		PeerMessages: true, ProbesAllowed: true, ProbePrice: 0.5, Zone: 1, CrossZoneCharged: true,
 		Classes: []policy.RequestClass{{
 			LatencyObjective: 1, ObjectivePerWork: 1.5, Timeout: 2, Value: 4, LateValue: 0.5, Semantics: policy.Idempotent,
 			DedupScope: policy.DedupZone, DedupWindow: 8, Streamed: true,
 		}},
-		Discovery: policy.DiscoveryConfig{OnDemand: true, RefreshInterval: 3},
+		Discovery: policy.DiscoveryConfig{SubscriptionRequired: true, RefreshInterval: 3},
 		SlowStart: policy.SlowStartConfig{InitialCapacity: 0.3, WarmUp: 4, OverloadFactor: 3, OverloadWindow: 5},
 		Exposure:  policy.ExposureConfig{FreeAttempts: 2, Caps: []float64{0.1, 1}, Window: 6, GuardedStages: 1, PerClass: true, KeyAffinity: true},
 		Rollout:   policy.RolloutConfig{Stages: []float64{0.2, 1}, Control: policy.ControlTimed, RollbackVotes: 3, VoteLifetime: 7},
--- a/internal/sources/explain.go
+++ b/internal/sources/explain.go
@@ -6,9 +6,9 @@
 
 // Statement is what one source says of a backend.
 type Statement struct {
-	Source string  `json:"source"` // discovery or srv
-	Says   string  `json:"says"`
-	At     float64 `json:"at_ms"` // when it said so
+	Source     string  `json:"source"` // discovery or srv
+	Detail     string  `json:"says"`
+	ReportedAt float64 `json:"at_ms"` // when it said so
 }
 
 // Explain returns what each source says of a backend that the fleet has, or had.
--- a/internal/sources/host/host.go
+++ b/internal/sources/host/host.go
@@ -25,12 +25,12 @@
 
 // Options are what a host is made with.
 type Options struct {
-	Config    Config
-	Fleet     Fleet
-	OnLeft    func(address string) // called when a backend left an address, or another one took it over
-	Instance  int                  // this instance's number, from 0
-	Instances int                  // in the fleet
-	Seed      uint64               // of what is drawn by chance
+	Config            Config
+	Fleet             Fleet
+	OnAddressReleased func(address string) // called when a backend left an address, or another one took it over
+	Instance          int                  // this instance's number, from 0
+	Instances         int                  // in the fleet
+	Seed              uint64               // of what is drawn by chance
 }
 
 // Counts are what has been since the start.
@@ -38,7 +38,7 @@
 	Lookups, FailedLookups, NegativeAnswers, Questions uint64
 	Changes                                            uint64                   // that the core took
 	ChangesByRule                                      [sources.NumRules]uint64 // the same, in the order of sources.Rules
-	Running, Known                                     int                      // backends now: in the state running, in any
+	Running, Backends                                  int                      // backends now: in the state running, in any
 	Doubt                                              [2]string                // why discovery and SRV are doubted; empty: they are not
 }
 
@@ -65,7 +65,7 @@
 	h := &Host{
 		config:   o.Config,
 		fleet:    o.Fleet,
-		onLeft:   o.OnLeft,
+		onLeft:   o.OnAddressReleased,
 		merger:   sources.New(),
 		pacer:    sources.NewLookupPacer(len(o.Config.DNS.Servers), o.Config.DNS.MaxLookupsPerSecond, random),
 		resolver: dns.New(dial, random, time.Duration(o.Config.DNS.Timeout)),
@@ -135,8 +135,8 @@
 	return left
 }
 
-// OnDiscovery takes an update of discovery, and the addresses of its endpoints in the same order.
-func (h *Host) OnDiscovery(update policy.EndpointUpdate, addresses []string) {
+// OnDiscoveryUpdate takes an update of discovery, and the addresses of its endpoints in the same order.
+func (h *Host) OnDiscoveryUpdate(update policy.EndpointUpdate, addresses []string) {
 	entries := make([]sources.Entry, len(update.Endpoints))
 	for i, e := range update.Endpoints {
 		entries[i] = sources.Entry{Endpoint: e, Address: addresses[i]}
@@ -147,8 +147,8 @@
 	h.apply(changes, updateOrigin{cached: update.Cached, fromDiscovery: true})
 }
 
-// OnDiscoveryLost notes that discovery's stream broke.
-func (h *Host) OnDiscoveryLost() {
+// OnDiscoveryDisconnected notes that discovery's stream broke.
+func (h *Host) OnDiscoveryDisconnected() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.merger.MarkDoubtful(sources.Discovery, "silent")
@@ -160,6 +160,6 @@
 	defer h.mu.Unlock()
 	counts := h.counts
 	counts.Doubt = h.merger.Doubt
-	counts.Running, counts.Known = h.merger.Fleet().Running, h.merger.Fleet().Len()
+	counts.Running, counts.Backends = h.merger.Fleet().Running, h.merger.Fleet().Len()
 	return counts
 }
--- a/internal/sources/host/host_test.go
+++ b/internal/sources/host/host_test.go
@@ -121,7 +121,7 @@
 	config.StateFile = stateFile
 	config.DNS.Name, config.DNS.Servers, config.DNS.Timeout = "_r._tcp.x", []string{"s:1"}, units.Span(100*time.Millisecond)
 	h := &testHost{fleet: newFleet()}
-	h.Host = New(Options{Config: config, Fleet: h.fleet, OnLeft: func(string) {}, Instances: 1, Seed: seed})
+	h.Host = New(Options{Config: config, Fleet: h.fleet, OnAddressReleased: func(string) {}, Instances: 1, Seed: seed})
 	return h
 }
 
@@ -139,13 +139,13 @@
 // discover reports a state of the backends from one number to another, as discovery would.
 func (h *testHost) discover(from, to int, state policy.EndpointState) {
 	endpoints, addresses := listed(from, to, state)
-	h.OnDiscovery(policy.EndpointUpdate{Endpoints: endpoints}, addresses)
+	h.OnDiscoveryUpdate(policy.EndpointUpdate{Endpoints: endpoints}, addresses)
 }
 
 // discoverKnown reports the list of the configuration.
 func (h *testHost) discoverKnown(from, to int) {
 	endpoints, addresses := listed(from, to, policy.EndpointRunning)
-	h.OnDiscovery(policy.EndpointUpdate{Endpoints: endpoints, Snapshot: true, Cached: true}, addresses)
+	h.OnDiscoveryUpdate(policy.EndpointUpdate{Endpoints: endpoints, Snapshot: true, Cached: true}, addresses)
 }
 
 // Sources that flap against each other every 100 ms: no storm at the core, nothing lost, and what ended stays ended over a
@@ -239,7 +239,7 @@
 	config.Subset = SubsetConfig{Size: 20, LeastPerGroup: 2}
 	left := 0
 	h := &testHost{fleet: newFleet()}
-	h.Host = New(Options{Config: config, Fleet: h.fleet, OnLeft: func(string) { left++ }, Instance: 3, Instances: 10, Seed: 1})
+	h.Host = New(Options{Config: config, Fleet: h.fleet, OnAddressReleased: func(string) { left++ }, Instance: 3, Instances: 10, Seed: 1})
 	checkSize := func(when string) {
 		t.Helper()
 		if len(h.fleet.has) < 20 || len(h.fleet.has) > 24 {
@@ -247,7 +247,7 @@
 		}
 	}
 	endpoints, addresses := listed(0, 500, policy.EndpointRunning)
-	h.OnDiscovery(policy.EndpointUpdate{Endpoints: endpoints, Snapshot: true}, addresses)
+	h.OnDiscoveryUpdate(policy.EndpointUpdate{Endpoints: endpoints, Snapshot: true}, addresses)
 	checkSize("at the start")
 	for i := range 500 {
 		h.discover(i, i+1, policy.EndpointDraining)
--- a/internal/sources/host/statefile.go
+++ b/internal/sources/host/statefile.go
@@ -16,10 +16,10 @@
 
 // State is what the state file holds. Its JSON keys are read by operators' scripts and by later versions.
 type State struct {
-	WrittenAt float64        `json:"at_ms"` // Unix ms
-	Doubt     [2]string      `json:"doubt"` // of discovery, of SRV; empty: none
-	Backends  []BackendState `json:"appliances"`
-	Memory    sources.Memory `json:"memory"`
+	WrittenAt float64             `json:"at_ms"` // Unix ms
+	Doubt     [2]string           `json:"doubt"` // of discovery, of SRV; empty: none
+	Backends  []BackendState      `json:"appliances"`
+	Merger    sources.MergerState `json:"memory"`
 }
 
 // BackendState is one backend with what each source says of it.
@@ -55,7 +55,7 @@
 		return
 	}
 	if !failpoint.Defect("forget-drains") {
-		h.apply(h.merger.Restore(h.fleet.Now(), saved.Memory), updateOrigin{cached: true})
+		h.apply(h.merger.Restore(h.fleet.Now(), saved.Merger), updateOrigin{cached: true})
 	}
 }
 
@@ -77,7 +77,7 @@
 func (h *Host) state() State {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	s := State{WrittenAt: h.fleet.Now(), Doubt: h.merger.Doubt, Memory: h.merger.Snapshot()}
+	s := State{WrittenAt: h.fleet.Now(), Doubt: h.merger.Doubt, Merger: h.merger.Snapshot()}
 	for id, e := range h.merger.Fleet().All() {
 		s.Backends = append(s.Backends, BackendState{
 			ID: id, Address: e.Address, State: sources.StateName(e.State), Release: int(e.Release), Weight: e.Weight, Rule: e.Rule,
--- a/internal/sources/persist.go
+++ b/internal/sources/persist.go
@@ -7,9 +7,9 @@
 	"slices"
 )
 
-// Memory is what a merger should know again after a restart: without it SRV could bring back, before discovery has spoken,
+// MergerState is what a merger should know again after a restart: without it SRV could bring back, before discovery has spoken,
 // what had drained.
-type Memory struct {
+type MergerState struct {
 	Retired map[string]float64 `json:"ended"` // by address, Unix ms
 	SRV     []SavedObservation `json:"srv"`   // in the order of addresses
 }
@@ -22,8 +22,8 @@
 }
 
 // Snapshot returns the merger's memory.
-func (m *Merger) Snapshot() Memory {
-	memory := Memory{Retired: map[string]float64{}}
+func (m *Merger) Snapshot() MergerState {
+	memory := MergerState{Retired: map[string]float64{}}
 	for address, at := range allOf(m.retired) {
 		memory.Retired[address] = at
 	}
@@ -36,7 +36,7 @@
 
 // Restore gives a new merger the memory of an earlier one and returns the changes for the core. What was last named too
 // long ago is left out.
-func (m *Merger) Restore(now float64, memory Memory) (changes []Entry) {
+func (m *Merger) Restore(now float64, memory MergerState) (changes []Entry) {
 	for address, at := range memory.Retired {
 		// A later time means that the clock was set back: the address would stay closed for as long.
 		m.retired = m.retired.Set(address, min(at, now))
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -20,7 +20,7 @@
 func (inst *Instance) admit(req *request, arrived Request) {
 	req.objectiveAt = inst.objectiveAt(req, arrived)
 	req.value = inst.classes[req.class].Value
-	if inst.quotas.Over(req.tenant, req.arrivedAt) {
+	if inst.quotas.OverQuota(req.tenant, req.arrivedAt) {
 		req.value *= inst.overQuotaValue
 	}
 	inst.meanValue += (req.value - inst.meanValue) * max(meanStep, 1/inst.requestsTaken)
--- a/policy/admission/admission.go
+++ b/policy/admission/admission.go
@@ -33,8 +33,8 @@
 	return q
 }
 
-// Over counts a tenant's request and says whether it is over the quota. A tenant without a quota is never over it.
-func (q *Quotas) Over(tenant int, now float64) bool {
+// OverQuota counts a tenant's request and says whether it is over the quota. A tenant without a quota is never over it.
+func (q *Quotas) OverQuota(tenant int, now float64) bool {
 	if tenant >= len(q.buckets) {
 		return false
 	}
@@ -49,8 +49,8 @@
 }
 
 const (
-	// FullAdmission is the admission probability from which every request is taken: a late answer now and then is no overload.
-	FullAdmission = 0.75
+	// FullAdmissionThreshold is the admission probability from which every request is taken: a late answer now and then is no overload.
+	FullAdmissionThreshold = 0.75
 	// recoveryTime (ms) is in which an overload is forgotten when no answers come at all.
 	recoveryTime = 20000
 	// decrease is the part of the probability that a certain sign of overload takes off, increase what an answer in time adds.
@@ -85,7 +85,7 @@
 
 // Admits draws whether a request goes on, with a higher probability for one of more value. It draws one random number.
 func (t *Throttle) Admits(value, meanValue, now float64, rng *rand.Rand) bool {
-	return rng.Float64() < math.Pow(t.Probability(now)/FullAdmission, meanValue/max(value, minValue))
+	return rng.Float64() < math.Pow(t.Probability(now)/FullAdmissionThreshold, meanValue/max(value, minValue))
 }
 
 const (
--- a/policy/admission/admission_test.go
+++ b/policy/admission/admission_test.go
@@ -23,7 +23,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			quotas, within := NewQuotas([]float64{0.02}, 2), 0
 			for k := range 1000 {
-				if !quotas.Over(tc.tenant, 10_000+float64(k)*tc.gap) {
+				if !quotas.OverQuota(tc.tenant, 10_000+float64(k)*tc.gap) {
 					within++
 				}
 			}
--- a/policy/affinity_test.go
+++ b/policy/affinity_test.go
@@ -10,7 +10,7 @@
 func startWithAffinity(backends int, limit float64) (*Instance, *recordingPort) {
 	inst, port := startInstance(RequestClass{}, backends)
 	inst.configureExposure(ExposureConfig{FreeAttempts: 2, Caps: []float64{limit, 1}, KeyAffinity: true})
-	inst.OnReleaseUpdate(2, ReleaseUpdate{Release: 1, Stage: 2, Phase: Released, Cap: 1, Known: true})
+	inst.OnReleaseUpdate(2, ReleaseUpdate{Release: 1, Stage: 2, Phase: Released, Cap: 1, HasState: true})
 	return inst, port
 }
 
@@ -31,23 +31,23 @@
 
 // rollOut sends an update by which a release rolls out with a cap of 1.
 func rollOut(inst *Instance, now float64, release ReleaseID) {
-	inst.OnReleaseUpdate(now, ReleaseUpdate{Release: release, Phase: RollingOut, Cap: 1, Known: true})
+	inst.OnReleaseUpdate(now, ReleaseUpdate{Release: release, Phase: RollingOut, Cap: 1, HasState: true})
 }
 
 // rollBack sends an update by which a release rolls back.
 func rollBack(inst *Instance, now float64, release ReleaseID) {
-	inst.OnReleaseUpdate(now, ReleaseUpdate{Release: release, Phase: RollingBack, Cap: 0, Known: true})
+	inst.OnReleaseUpdate(now, ReleaseUpdate{Release: release, Phase: RollingBack, Cap: 0, HasState: true})
 }
 
 // withdraw sends two updates by which a release rolls out and is withdrawn.
 func withdraw(inst *Instance, now float64, release ReleaseID) {
 	rollOut(inst, now, release)
-	inst.OnReleaseUpdate(now+1, ReleaseUpdate{Release: release, Phase: Withdrawn, Cap: 0, Known: true})
+	inst.OnReleaseUpdate(now+1, ReleaseUpdate{Release: release, Phase: Withdrawn, Cap: 0, HasState: true})
 }
 
 // finish sends an update by which a release is released.
 func finish(inst *Instance, now float64, release ReleaseID) {
-	inst.OnReleaseUpdate(now, ReleaseUpdate{Release: release, Stage: 1, Phase: Released, Cap: 1, Known: true})
+	inst.OnReleaseUpdate(now, ReleaseUpdate{Release: release, Stage: 1, Phase: Released, Cap: 1, HasState: true})
 }
 
 // announcedThenListed, listedOnly and withdrawnThenListed are what comes before a key's first answer in TestAffinityCrossings: backend x is
@@ -76,7 +76,7 @@
 	rollOut(inst, 25, 3)
 	inst.OnEndpoints(26, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, State: EndpointDraining}, {ID: "y", Release: 3, Weight: 1}}})
 	inst.OnRequest(30, Request{ID: "t2", Key: "k", TimeLeft: 4000})
-	inst.OnAttemptResult(31, AttemptResult{RequestID: "t2", Status: StatusServed, Final: true, Took: 1})
+	inst.OnAttemptResult(31, AttemptResult{RequestID: "t2", Status: StatusServed, Final: true, Elapsed: 1})
 	rollBack(inst, 32, 3)
 }
 
@@ -99,7 +99,7 @@
 		{"rolls back, update after the list", announcedThenListed, func(inst *Instance) { rollBack(inst, 25, 2) }, true},
 		{"rolls back, and a response from its rollout comes late", announcedThenListed, func(inst *Instance) {
 			rollBack(inst, 25, 2)
-			inst.OnReleaseUpdate(26, ReleaseUpdate{Release: 2, Phase: RollingOut, Response: VoteCounted, Cap: 1, Known: true})
+			inst.OnReleaseUpdate(26, ReleaseUpdate{Release: 2, Phase: RollingOut, Response: VoteCounted, Cap: 1, HasState: true})
 		}, true},
 		{"the later of two rolls back", func(inst *Instance) {
 			rollOut(inst, 3, 2)
@@ -116,7 +116,7 @@
 			if got := attemptedBackend(port.take()); got != "x" {
 				t.Fatalf("first %q", got)
 			}
-			inst.OnAttemptResult(15, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Took: 5})
+			inst.OnAttemptResult(15, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Elapsed: 5})
 			if tc.after != nil {
 				tc.after(inst)
 			}
@@ -137,7 +137,7 @@
 	inst.OnRequest(10, Request{ID: "t", Key: "k", TimeLeft: 4000})
 	expect(t, "first", attemptedBackend(port.take()), "a")
 	inst.OnEndpoints(12, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 2, Weight: 1}}})
-	inst.OnAttemptResult(15, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Took: 5})
+	inst.OnAttemptResult(15, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Elapsed: 5})
 	inst.OnEndpoints(16, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 2, Weight: 1, State: EndpointDraining}, {ID: "b", Release: 1, Weight: 1}}})
 	inst.OnRequest(20, Request{ID: "u", Key: "k", TimeLeft: 4000})
 	expect(t, "the key again, with only the earlier release there", attemptedBackend(port.take()), "")
@@ -148,12 +148,12 @@
 // With the next release announced, the one before still binds the keys that it has answered, and no others.
 func TestKeysOfReleaseBefore(t *testing.T) {
 	inst, port := startWithAffinity(1, 1)
-	inst.OnReleaseUpdate(3, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 1, Known: true})
+	inst.OnReleaseUpdate(3, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 1, HasState: true})
 	inst.OnEndpoints(4, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1, State: EndpointDraining}, {ID: "x", Release: 2, Weight: 1}}})
 	inst.OnRequest(10, Request{ID: "t", Key: "k", TimeLeft: 4000})
-	inst.OnAttemptResult(15, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Took: 5})
-	inst.OnReleaseUpdate(20, ReleaseUpdate{Release: 2, Stage: 1, Phase: Released, Cap: 1, Known: true})
-	inst.OnReleaseUpdate(21, ReleaseUpdate{Release: 3, Phase: RollingOut, Cap: 1, Known: true})
+	inst.OnAttemptResult(15, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Elapsed: 5})
+	inst.OnReleaseUpdate(20, ReleaseUpdate{Release: 2, Stage: 1, Phase: Released, Cap: 1, HasState: true})
+	inst.OnReleaseUpdate(21, ReleaseUpdate{Release: 3, Phase: RollingOut, Cap: 1, HasState: true})
 	inst.OnEndpoints(22, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1}, {ID: "x", Release: 2, Weight: 1, State: EndpointDraining}}})
 	port.take()
 	for key, want := range map[string]string{"k": "", "other": "a"} {
@@ -180,7 +180,7 @@
 		{"a later release answers the key", func(inst *Instance) {
 			inst.OnEndpoints(11, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1, State: EndpointDraining}, {ID: "x", Release: 2, Weight: 1}}})
 			inst.OnRequest(12, Request{ID: "other", Key: "k", TimeLeft: 4000})
-			inst.OnAttemptResult(13, AttemptResult{RequestID: "other", Status: StatusServed, Final: true, Took: 1})
+			inst.OnAttemptResult(13, AttemptResult{RequestID: "other", Status: StatusServed, Final: true, Elapsed: 1})
 			inst.OnEndpoints(14, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1}}})
 		}, false, false},
 		{"an attempt at a later release is open", func(inst *Instance) {
@@ -190,7 +190,7 @@
 		}, false, false},
 		{"rolling out, nothing", func(*Instance) {}, true, true},
 		{"its release rolls back", func(inst *Instance) {
-			inst.OnReleaseUpdate(11, ReleaseUpdate{Release: 2, Phase: RollingBack, Cap: 0, Known: true})
+			inst.OnReleaseUpdate(11, ReleaseUpdate{Release: 2, Phase: RollingBack, Cap: 0, HasState: true})
 		}, false, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -198,7 +198,7 @@
 			want := "a"
 			if tc.rollingOut {
 				want = "x"
-				inst.OnReleaseUpdate(3, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 1, Known: true})
+				inst.OnReleaseUpdate(3, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 1, HasState: true})
 				inst.OnEndpoints(4, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1, State: EndpointDraining}, {ID: "x", Release: 2, Weight: 1}}})
 			}
 			inst.OnRequest(10, Request{ID: "t", Key: "k", TimeLeft: 4000})
@@ -217,10 +217,10 @@
 		inst := New(&recordingPort{}, Config{Seed: seed, Index: index, Instances: 2})
 		inst.configureClasses(Config{Classes: []RequestClass{{LatencyObjective: 1000, Timeout: 4000, Value: 1}}, MaxAttempts: 5, ConcurrentAttempts: true, CancelAllowed: true})
 		inst.configureExposure(ExposureConfig{FreeAttempts: 2, Caps: []float64{0.5, 1}, KeyAffinity: true})
-		inst.OnReleaseUpdate(1, ReleaseUpdate{Release: 2, Phase: Withdrawn, Cap: 0, Known: true})
+		inst.OnReleaseUpdate(1, ReleaseUpdate{Release: 2, Phase: Withdrawn, Cap: 0, HasState: true})
 		inst.OnEndpoints(2, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1}, {ID: "x", Release: 3, Weight: 1}}, Snapshot: true})
 		if announced {
-			inst.OnReleaseUpdate(3, ReleaseUpdate{Release: 3, Phase: RollingOut, Cap: 0.5, Known: true})
+			inst.OnReleaseUpdate(3, ReleaseUpdate{Release: 3, Phase: RollingOut, Cap: 0.5, HasState: true})
 		}
 		for k := range 64 {
 			req := &request{key: fmt.Sprint(k), affinityKey: 1}
@@ -252,14 +252,14 @@
 	}{{"a", "u", true}, {"x", "u", false}, {"u", "x", true}, {"u", "a", false}, {"u", "u", false}} {
 		t.Run(tc.first+" has answered, "+tc.then+" is there", func(t *testing.T) {
 			inst, port := startWithAffinity(1, 1)
-			inst.OnReleaseUpdate(3, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 1, Known: true})
+			inst.OnReleaseUpdate(3, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 1, HasState: true})
 			only(inst, 4, "")
 			drawn := inst.rolloutDraw(&request{key: "k", affinityKey: 1})
 			only(inst, 5, tc.first)
 			expect(t, "drawn", inst.rolloutDraw(&request{key: "k", affinityKey: 1}), drawn)
 			inst.OnRequest(10, Request{ID: "t", Key: "k", TimeLeft: 4000})
 			expect(t, "first", attemptedBackend(port.take()), tc.first)
-			inst.OnAttemptResult(15, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Took: 5})
+			inst.OnAttemptResult(15, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Elapsed: 5})
 			only(inst, 20, tc.then)
 			inst.OnRequest(30, Request{ID: "v", Key: "k", TimeLeft: 4000})
 			expect(t, "serves the key", attemptedBackend(port.take()) == tc.then, tc.serves)
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -14,7 +14,7 @@
 	inst.openAttempts--
 	inst.retryQueuedAt = inst.now // there may be room for a queued request
 	inst.reportLoad(attempt.backend, result.Load)
-	inst.learnFromAttempt(req, attempt, result.Status, result.Took)
+	inst.learnFromAttempt(req, attempt, result.Status, result.Elapsed)
 	inst.continueRequest(req, attempt)
 }
 
--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -14,7 +14,7 @@
 		t.Run(fmt.Sprint("status ", status), func(t *testing.T) {
 			inst, port := startInstance(RequestClass{}, 1)
 			inst.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
-			inst.OnAttemptResult(11, AttemptResult{RequestID: "t", Status: status, Took: 1})
+			inst.OnAttemptResult(11, AttemptResult{RequestID: "t", Status: status, Elapsed: 1})
 			expect(t, "sent, and not again at once", port.take(), "[submit t a]")
 			failing, recovered := attemptsAtFailing(status)
 			if failing > 8 || recovered < 5 {
@@ -35,12 +35,12 @@
 			if len(did) == 0 {
 				break
 			}
-			served := AttemptResult{RequestID: id, Attempt: attempt, Status: StatusServed, Final: true, Took: 9}
+			served := AttemptResult{RequestID: id, Attempt: attempt, Status: StatusServed, Final: true, Elapsed: 9}
 			atFailing := strings.HasSuffix(did[0], " a")
 			switch {
 			case atFailing && k < 300:
 				failing++
-				inst.OnAttemptResult(now+1, AttemptResult{RequestID: id, Attempt: attempt, Status: status, Took: 1})
+				inst.OnAttemptResult(now+1, AttemptResult{RequestID: id, Attempt: attempt, Status: status, Elapsed: 1})
 			case atFailing:
 				recovered++
 				inst.OnAttemptResult(now+9, served)
@@ -64,7 +64,7 @@
 				inst.now = float64(10 + 1000*k)
 				inst.OnRequest(inst.now, Request{ID: fmt.Sprint(k), TimeLeft: 4000})
 				if len(inst.requests[fmt.Sprint(k)].attempts) > 0 {
-					inst.OnAttemptResult(inst.now+1, AttemptResult{RequestID: fmt.Sprint(k), Status: tc.status, Final: true, Took: 1})
+					inst.OnAttemptResult(inst.now+1, AttemptResult{RequestID: fmt.Sprint(k), Status: tc.status, Final: true, Elapsed: 1})
 				}
 			}
 			expect(t, "the limit fell", inst.endpoints.At(0).Limit < concurrency.InitialLimit, tc.falls)
@@ -92,7 +92,7 @@
 			inst.endpoints.At(0).Limit = 1.5
 			was := inst.endpoints.At(0).Limit
 			inst.OnTimer(2+tc.took, 0)
-			inst.OnAttemptResult(2+tc.took, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Took: tc.took})
+			inst.OnAttemptResult(2+tc.took, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Elapsed: tc.took})
 			port.take()
 			if got := inst.endpoints.At(0).Limit; got < was != tc.lowers || got > was != tc.raises {
 				t.Errorf("the limit went from %.1f to %.1f", was, got)
--- a/policy/config.go
+++ b/policy/config.go
@@ -33,8 +33,8 @@
 	ProbesAllowed bool
 	ProbePrice    float64 // of one probe, as a part of one request's value
 
-	Zone           int  // that the instance runs in
-	CrossZonePrice bool // attempts at backends in other zones cost something
+	Zone             int  // that the instance runs in
+	CrossZoneCharged bool // attempts at backends in other zones cost something
 
 	Discovery DiscoveryConfig
 	SlowStart SlowStartConfig
@@ -45,8 +45,8 @@
 
 // DiscoveryConfig says how endpoints become known.
 type DiscoveryConfig struct {
-	OnDemand        bool    // changes come only to instances that have asked for them
-	RefreshInterval float64 // ms: an instance without a subscription counts as knowing what was listed this long ago
+	SubscriptionRequired bool    // changes come only to instances that have asked for them
+	RefreshInterval      float64 // ms: an instance without a subscription counts as knowing what was listed this long ago
 }
 
 // SlowStartConfig says what a backend can take after its start.
@@ -114,10 +114,10 @@
 		peerMessages:    c.PeerMessages,
 		probing:         probing{allowed: c.ProbesAllowed, price: c.ProbePrice},
 		zone:            c.Zone,
-		crossZonePrice:  c.CrossZonePrice,
+		crossZonePrice:  c.CrossZoneCharged,
 
 		endpoints: endpoints.NewTable(),
-		discovery: discovery{onDemand: c.Discovery.OnDemand, refreshInterval: c.Discovery.RefreshInterval},
+		discovery: discovery{onDemand: c.Discovery.SubscriptionRequired, refreshInterval: c.Discovery.RefreshInterval},
 		requests:  map[string]*request{},
 
 		admission:         admission.NewThrottle(),
@@ -159,7 +159,7 @@
 	if len(c.Caps) > 0 {
 		firstCap = c.Caps[0]
 	}
-	inst.releases = release.NewBook(firstCap)
+	inst.releases = release.NewRegistry(firstCap)
 	inst.allowance = exposure.NewAllowance(c.FreeAttempts, len(inst.classes))
 }
 
--- a/policy/decision_bench_test.go
+++ b/policy/decision_bench_test.go
@@ -21,7 +21,7 @@
 			inst.configureClasses(Config{Classes: []RequestClass{{LatencyObjective: 1000, Timeout: 4000, Value: 1}}, MaxAttempts: 5, ConcurrentAttempts: true, CancelAllowed: true})
 			inst.configureExposure(ExposureConfig{FreeAttempts: 2, Caps: []float64{0.1, 0.5, 1}, PerClass: true, KeyAffinity: true})
 			inst.configureRollout(RolloutConfig{Stages: []float64{0.1, 0.5, 1}, Control: ControlMajority, RollbackVotes: 1, VoteLifetime: 4000})
-			inst.OnReleaseUpdate(1, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.1, Known: true})
+			inst.OnReleaseUpdate(1, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.1, HasState: true})
 			var list []Endpoint
 			for i := range n {
 				id := ReleaseID(1)
@@ -42,7 +42,7 @@
 				now := 10 + float64(k)*0.5
 				request := ids[k&4095]
 				inst.OnRequest(now, Request{ID: request, Key: keys[(k*7)&4095], TimeLeft: 4000})
-				inst.OnAttemptResult(now+0.2, AttemptResult{RequestID: request, Status: StatusServed, Final: true, Took: 10})
+				inst.OnAttemptResult(now+0.2, AttemptResult{RequestID: request, Status: StatusServed, Final: true, Elapsed: 10})
 			}
 		})
 	}
--- a/policy/discovery.go
+++ b/policy/discovery.go
@@ -50,7 +50,7 @@
 	backend := inst.endpoints.At(index)
 	if backend.IsNewProcess(listed) {
 		start := slowstart.Start{ListedStart: listed.StartedAt, FirstList: !inst.discovery.heard, ClockStepped: inst.discovery.clockStepped}
-		backend.StartProcess(start.Believed(inst.now), inst.now)
+		backend.ResetForNewProcess(start.UpSince(inst.now), inst.now)
 		inst.evaluator.ResetBackend(index)
 		if inst.instances >= manyInstances && listed.StartedAt > 0 {
 			// With an empty budget each of many instances would wait long for its first request; with a full one all would send at once.
--- a/policy/discovery_test.go
+++ b/policy/discovery_test.go
@@ -29,14 +29,14 @@
 	inst, port := startInstance(RequestClass{}, 1)
 	inst.discovery.onDemand, inst.discovery.refreshInterval = true, 10000
 	inst.OnTimer(2, 0)
-	inst.OnEndpointsFailed(3)
+	inst.OnDiscoveryFailed(3)
 	expect(t, "subscribed once", port.take(), "[subscribe]")
 	var attempts []float64 // ms
 	for now := 3.0; now < 60000; now += 5 {
 		inst.OnTimer(now, inst.timers.token)
 		if len(port.take()) > 0 {
 			attempts = append(attempts, now)
-			inst.OnEndpointsFailed(now)
+			inst.OnDiscoveryFailed(now)
 		}
 	}
 	for k := 1; k < len(attempts); k++ {
--- a/policy/endpoints/endpoints.go
+++ b/policy/endpoints/endpoints.go
@@ -64,7 +64,7 @@
 	// What was learned of the process that runs there now.
 	Limit            concurrency.Limit
 	Ejection         concurrency.Ejection
-	Answers          health.Record
+	Health           health.Record
 	Load             balance.Load
 	SlowStart        slowstart.Budget
 	LatencyInflation float64 // mean of latency over the class's usual one
@@ -75,9 +75,9 @@
 	return b.StartedAt != listed.StartedAt || b.Release != listed.Release
 }
 
-// StartProcess forgets what was learned of the former process. upSince is since when the new one has been up.
-func (b *Backend) StartProcess(upSince, now float64) {
-	b.Answers, b.LatencyInflation, b.SlowStart = health.Record{}, 1, slowstart.NewBudget(0, now)
+// ResetForNewProcess forgets what was learned of the former process. upSince is since when the new one has been up.
+func (b *Backend) ResetForNewProcess(upSince, now float64) {
+	b.Health, b.LatencyInflation, b.SlowStart = health.Record{}, 1, slowstart.NewBudget(0, now)
 	b.Ejection, b.Load, b.Limit = concurrency.Ejection{}, balance.Load{}, concurrency.InitialLimit
 	b.UpSince = upSince
 }
@@ -118,8 +118,8 @@
 	return index, found
 }
 
-// Indexed is how many ids and how many hashes can be found.
-func (t *Table) Indexed() (ids, hashes int) { return len(t.byID), len(t.byHash) }
+// IndexSizes is how many ids and how many hashes can be found.
+func (t *Table) IndexSizes() (ids, hashes int) { return len(t.byID), len(t.byHash) }
 
 // RemoveAll removes every backend, since a snapshot names those that are there.
 func (t *Table) RemoveAll(now float64) {
@@ -142,7 +142,7 @@
 		t.backends = append(t.backends, Backend{State: Removed})
 	}
 	backend := &t.backends[index]
-	backend.ID, backend.OpenAttempts, backend.Answers, backend.StartedAt, backend.Release = id, 0, health.Record{}, neverStarted, 0
+	backend.ID, backend.OpenAttempts, backend.Health, backend.StartedAt, backend.Release = id, 0, health.Record{}, neverStarted, 0
 	t.byID[id], t.byHash[gossip.BackendHash(id)] = index, index
 	return index, reused
 }
--- a/policy/endpoints/endpoints_test.go
+++ b/policy/endpoints/endpoints_test.go
@@ -48,17 +48,17 @@
 	table := NewTable()
 	index, _ := table.Add("a", 1)
 	b := table.At(index)
-	b.StartProcess(0, 1)
-	b.Answers.Add(500, false)
+	b.ResetForNewProcess(0, 1)
+	b.Health.Add(500, false)
 	b.Limit.OnSample(false, 3, 1)
 	b.LatencyInflation = 4
-	b.StartProcess(900, 1000)
+	b.ResetForNewProcess(900, 1000)
 	if b.Limit != concurrency.InitialLimit || b.LatencyInflation != 1 || b.UpSince != 900 {
 		t.Errorf("after a restart: limit %v, inflation %v, up since %v", b.Limit, b.LatencyInflation, b.UpSince)
 	}
 	var fresh Backend
-	if b.Answers != fresh.Answers {
-		t.Errorf("after a restart: answers %v", b.Answers)
+	if b.Health != fresh.Health {
+		t.Errorf("after a restart: answers %v", b.Health)
 	}
 }
 
@@ -103,7 +103,7 @@
 				t.Errorf("index %d, reused %v, want %v", index, reused, tc.want)
 			}
 			_, found := table.Find("b7")
-			if ids, hashes := table.Indexed(); found == tc.want || ids != table.Len() || hashes != table.Len() {
+			if ids, hashes := table.IndexSizes(); found == tc.want || ids != table.Len() || hashes != table.Len() {
 				t.Errorf("the old id is found: %v; %d ids and %d hashes of %d entries", found, ids, hashes, table.Len())
 			}
 		})
--- a/policy/events.go
+++ b/policy/events.go
@@ -23,7 +23,7 @@
 	inst.now = now
 	if !inst.started {
 		inst.started = true
-		inst.allowance.HoldUntil(now + inst.exposureConfig.Window)
+		inst.allowance.StartEmptyUntil(now + inst.exposureConfig.Window)
 	}
 }
 
@@ -50,8 +50,8 @@
 	inst.applyRules()
 }
 
-// OnEndpointsFailed takes notice that a call for the endpoint list failed or the subscription broke.
-func (inst *Instance) OnEndpointsFailed(now float64) {
+// OnDiscoveryFailed takes notice that a call for the endpoint list failed or the subscription broke.
+func (inst *Instance) OnDiscoveryFailed(now float64) {
 	inst.beginEvent(now)
 	inst.scheduleWatchRetry()
 	inst.applyRules()
@@ -145,7 +145,7 @@
 	if update.Response != NotAVote {
 		inst.onVoteResponse(update.Response)
 	}
-	if update.Response == NotAVote || update.Known {
+	if update.Response == NotAVote || update.HasState {
 		state := release.Update{Release: update.Release, Stage: update.Stage, Phase: update.Phase, Cap: update.Cap}
 		inst.applyReleaseUpdate(state, update.Age, update.Response)
 	}
--- a/policy/evidence_test.go
+++ b/policy/evidence_test.go
@@ -17,13 +17,13 @@
 	}{{"running", false, 1}, {"stalled", true, 0}} {
 		t.Run(tc.name, func(t *testing.T) {
 			inst, port := startInstance(RequestClass{}, 1)
-			inst.OnReleaseUpdate(2, ReleaseUpdate{Release: 1, Phase: RollingOut, Cap: 1, Known: true})
+			inst.OnReleaseUpdate(2, ReleaseUpdate{Release: 1, Phase: RollingOut, Cap: 1, HasState: true})
 			inst.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
 			port.take()
 			for now := 20.0; now < 900 && !tc.stalled; now += 20 {
 				inst.OnTimer(now, inst.timers.token)
 			}
-			inst.OnAttemptResult(900, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Took: 890})
+			inst.OnAttemptResult(900, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Elapsed: 890})
 			expect(t, "outcomes", inst.evaluator.OutcomeCount(verdict.Candidate), tc.want)
 		})
 	}
@@ -34,9 +34,9 @@
 	sender, port := startInstance(RequestClass{}, 3)
 	sender.instances, sender.index = 300, 7
 	sender.peerMessages = true
-	sender.OnReleaseUpdate(2, ReleaseUpdate{Release: 1, Phase: RollingOut, Cap: 1, Known: true})
+	sender.OnReleaseUpdate(2, ReleaseUpdate{Release: 1, Phase: RollingOut, Cap: 1, HasState: true})
 	sender.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
-	sender.OnAttemptResult(60, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Took: 50})
+	sender.OnAttemptResult(60, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Elapsed: 50})
 	var message []byte
 	for _, did := range port.take() {
 		if !strings.HasPrefix(did, "tell 0 ") {
@@ -59,7 +59,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			receiver, _ := startInstance(RequestClass{}, 3)
-			receiver.OnReleaseUpdate(2, ReleaseUpdate{Release: 1, Phase: RollingOut, Cap: 1, Known: true})
+			receiver.OnReleaseUpdate(2, ReleaseUpdate{Release: 1, Phase: RollingOut, Cap: 1, HasState: true})
 			receiver.OnMessage(70, tc.message)
 			expect(t, "outcomes", receiver.evaluator.OutcomeCount(verdict.Candidate), tc.want)
 		})
@@ -75,15 +75,15 @@
 		baseline, candidate int // outcomes in evidence
 	}{
 		{"the newest", func(inst *Instance) {
-			inst.OnReleaseUpdate(5, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.5, Known: true})
+			inst.OnReleaseUpdate(5, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.5, HasState: true})
 		}, 2, 0, 1},
 		{"the one before", func(inst *Instance) {
-			inst.OnReleaseUpdate(5, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.5, Known: true})
+			inst.OnReleaseUpdate(5, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.5, HasState: true})
 		}, 1, 1, 0},
 		{"its first update is to come", func(*Instance) {}, 2, 0, 0},
 		{"it was withdrawn, and the next one announced", func(inst *Instance) {
-			inst.OnReleaseUpdate(5, ReleaseUpdate{Release: 2, Phase: Withdrawn, Cap: 0, Known: true})
-			inst.OnReleaseUpdate(6, ReleaseUpdate{Release: 3, Phase: RollingOut, Cap: 0.5, Known: true})
+			inst.OnReleaseUpdate(5, ReleaseUpdate{Release: 2, Phase: Withdrawn, Cap: 0, HasState: true})
+			inst.OnReleaseUpdate(6, ReleaseUpdate{Release: 3, Phase: RollingOut, Cap: 0.5, HasState: true})
 		}, 2, 0, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/policy/exposure.go
+++ b/policy/exposure.go
@@ -20,16 +20,16 @@
 
 // ReleaseStatus is what is known of releases and exposure now.
 type ReleaseStatus struct {
-	Newest     release.Record
-	RollingOut ReleaseID // the newest running release under a cap; 0: none
-	Keys       int       // remembered, with the releases that answered them
-	Skipped    SkippedBackends
+	Newest       release.Record
+	RollingOut   ReleaseID // the newest running release under a cap; 0: none
+	AffinityKeys int       // remembered, with the releases that answered them
+	Skipped      SkippedBackends
 }
 
 // ReleaseStatus is the state of releases for logs and metrics. It changes nothing.
 func (inst *Instance) ReleaseStatus() ReleaseStatus {
 	newest, _ := inst.releases.Newest()
-	return ReleaseStatus{Newest: newest, RollingOut: inst.fleet.rolloutRelease, Keys: inst.affinity.Len(), Skipped: inst.skipped}
+	return ReleaseStatus{Newest: newest, RollingOut: inst.fleet.rolloutRelease, AffinityKeys: inst.affinity.Len(), Skipped: inst.skipped}
 }
 
 // underCap says whether a release is under a cap.
@@ -40,15 +40,15 @@
 
 // oldestAllowedRelease is the earliest release that may serve a request, by its key.
 func (inst *Instance) oldestAllowedRelease(req *request) ReleaseID {
-	if now := inst.affinity.Changes() + 1; req.affinityChange != now {
-		req.oldestRelease, req.affinityChange = inst.affinity.Floor(req.affinityKey), now
+	if now := inst.affinity.Version() + 1; req.affinityChange != now {
+		req.oldestRelease, req.affinityChange = inst.affinity.OldestAllowed(req.affinityKey), now
 	}
 	return req.oldestRelease
 }
 
 // withinExposureCap guards the rule on exposure for one attempt of a request at a backend.
 func (inst *Instance) withinExposureCap(req *request, backend *endpoints.Backend) bool {
-	if inst.releases.ServesAs(backend.Release) < inst.oldestAllowedRelease(req) {
+	if inst.releases.OldestIfUnknown(backend.Release) < inst.oldestAllowedRelease(req) {
 		inst.skipped.Affinity++
 		return false
 	}
@@ -87,8 +87,8 @@
 // may have been either that answered.
 func (inst *Instance) bindKey(req *request, attempt *attempt) {
 	for _, id := range [...]ReleaseID{attempt.release, inst.endpoints.At(attempt.backend).Release} {
-		if to := inst.releases.BindsAs(id); !inst.releases.IsClosed(to) {
-			inst.affinity.Bind(req.affinityKey, to)
+		if to := inst.releases.LatestIfUnknown(id); !inst.releases.IsClosed(to) {
+			inst.affinity.RecordAnswer(req.affinityKey, to)
 		}
 	}
 }
@@ -103,7 +103,7 @@
 	attempt := &req.attempts[number]
 	backend := inst.endpoints.At(attempt.backend)
 	asDecided := backend.State == EndpointRunning && backend.Release == attempt.release
-	if !asDecided || inst.releases.ServesAs(attempt.release) < inst.oldestAllowedRelease(req) {
+	if !asDecided || inst.releases.OldestIfUnknown(attempt.release) < inst.oldestAllowedRelease(req) {
 		return false
 	}
 	limit, limited := inst.releases.Cap(attempt.release)
--- a/policy/exposure/affinity.go
+++ b/policy/exposure/affinity.go
@@ -53,8 +53,8 @@
 	return &Affinity{answered: map[release.ID]*keySet{}, pending: map[release.ID]map[Key]int{}, maxKeys: maxKeys}
 }
 
-// Floor is the earliest release that may serve a key; 0: any.
-func (a *Affinity) Floor(key Key) (release release.ID) {
+// OldestAllowed is the earliest release that may serve a key; 0: any.
+func (a *Affinity) OldestAllowed(key Key) (release release.ID) {
 	if key == 0 {
 		return 0
 	}
@@ -72,8 +72,8 @@
 	return release
 }
 
-// Changes counts what may have moved a floor: as long as it is the same, so is every floor.
-func (a *Affinity) Changes() uint64 { return a.changes }
+// Version counts what may have moved a floor: as long as it is the same, so is every floor.
+func (a *Affinity) Version() uint64 { return a.changes }
 
 // AttemptStarted notes an open attempt at a release: its answer may bind the key before it is seen here.
 func (a *Affinity) AttemptStarted(key Key, release release.ID) {
@@ -99,8 +99,8 @@
 	a.changes++
 }
 
-// Bind notes that a release has answered a key.
-func (a *Affinity) Bind(key Key, release release.ID) {
+// RecordAnswer notes that a release has answered a key.
+func (a *Affinity) RecordAnswer(key Key, release release.ID) {
 	if key == 0 {
 		return
 	}
@@ -118,8 +118,8 @@
 	}
 }
 
-// ReleaseKeys frees the keys that a release has bound: it is rolled back.
-func (a *Affinity) ReleaseKeys(release release.ID) {
+// ForgetRelease frees the keys that a release has bound: it is rolled back.
+func (a *Affinity) ForgetRelease(release release.ID) {
 	delete(a.answered, release)
 	delete(a.pending, release)
 	a.changes++
@@ -150,8 +150,8 @@
 	return n
 }
 
-// Pending is how many keys have open attempts.
-func (a *Affinity) Pending() (n int) {
+// PendingKeys is how many keys have open attempts.
+func (a *Affinity) PendingKeys() (n int) {
 	for _, keys := range a.pending {
 		n += len(keys)
 	}
--- a/policy/exposure/allowance.go
+++ b/policy/exposure/allowance.go
@@ -17,8 +17,8 @@
 	return &Allowance{free: free, lanes: max(lanes, 1), balances: map[release.ID][]float64{}}
 }
 
-// HoldUntil keeps the free attempts back until a time (ms): the process before this one may have used them inside the same window.
-func (a *Allowance) HoldUntil(until float64) { a.from = until }
+// StartEmptyUntil keeps the free attempts back until a time (ms): the process before this one may have used them inside the same window.
+func (a *Allowance) StartEmptyUntil(until float64) { a.from = until }
 
 // balance is the balance of a release, by lane. It starts with the free attempts on first use.
 func (a *Allowance) balance(release release.ID, now float64) []float64 {
@@ -57,8 +57,8 @@
 	}
 }
 
-// Forget drops the balances of releases before one.
-func (a *Allowance) Forget(before release.ID) {
+// ForgetBefore drops the balances of releases before one.
+func (a *Allowance) ForgetBefore(before release.ID) {
 	for release := range a.balances {
 		if release < before {
 			delete(a.balances, release)
--- a/policy/exposure/exposure_test.go
+++ b/policy/exposure/exposure_test.go
@@ -16,24 +16,24 @@
 		want release.ID
 	}{
 		{"nothing seen", func(*Affinity) {}, 0},
-		{"answered", func(f *Affinity) { f.Bind(k, 3) }, 3},
-		{"answered by two, the earlier last", func(f *Affinity) { f.Bind(k, 3); f.Bind(k, 2) }, 3},
-		{"the later one is rolled back", func(f *Affinity) { f.Bind(k, 2); f.Bind(k, 3); f.ReleaseKeys(3) }, 2},
+		{"answered", func(f *Affinity) { f.RecordAnswer(k, 3) }, 3},
+		{"answered by two, the earlier last", func(f *Affinity) { f.RecordAnswer(k, 3); f.RecordAnswer(k, 2) }, 3},
+		{"the later one is rolled back", func(f *Affinity) { f.RecordAnswer(k, 2); f.RecordAnswer(k, 3); f.ForgetRelease(3) }, 2},
 		{"an attempt is open", func(f *Affinity) { f.AttemptStarted(k, 3) }, 3},
 		{"it has ended", func(f *Affinity) { f.AttemptStarted(k, 3); f.AttemptEnded(k, 3) }, 0},
 		{"one of two has ended", func(f *Affinity) { f.AttemptStarted(k, 3); f.AttemptStarted(k, 3); f.AttemptEnded(k, 3) }, 3},
 		{"the later of two has ended", func(f *Affinity) { f.AttemptStarted(k, 2); f.AttemptStarted(k, 3); f.AttemptEnded(k, 3) }, 2},
-		{"open as its release is rolled back", func(f *Affinity) { f.AttemptStarted(k, 3); f.ReleaseKeys(3); f.AttemptEnded(k, 3) }, 0},
-		{"forgotten: no earlier one than the last of them", func(f *Affinity) { f.Bind(k, 2); f.Bind(k, 1); f.ForgetBefore(3) }, 2},
-		{"forgotten, and another key", func(f *Affinity) { f.Bind(KeyOf("other"), 2); f.ForgetBefore(3) }, 2},
+		{"open as its release is rolled back", func(f *Affinity) { f.AttemptStarted(k, 3); f.ForgetRelease(3); f.AttemptEnded(k, 3) }, 0},
+		{"forgotten: no earlier one than the last of them", func(f *Affinity) { f.RecordAnswer(k, 2); f.RecordAnswer(k, 1); f.ForgetBefore(3) }, 2},
+		{"forgotten, and another key", func(f *Affinity) { f.RecordAnswer(KeyOf("other"), 2); f.ForgetBefore(3) }, 2},
 		{"an attempt is open as its release is forgotten", func(f *Affinity) { f.AttemptStarted(k, 2); f.ForgetBefore(3) }, 2},
-		{"another key", func(f *Affinity) { f.Bind(KeyOf("other"), 3); f.AttemptStarted(KeyOf("other"), 3) }, 0},
-		{"no key", func(f *Affinity) { f.Bind(KeyOf(""), 3); f.AttemptStarted(KeyOf(""), 3) }, 0},
+		{"another key", func(f *Affinity) { f.RecordAnswer(KeyOf("other"), 3); f.AttemptStarted(KeyOf("other"), 3) }, 0},
+		{"no key", func(f *Affinity) { f.RecordAnswer(KeyOf(""), 3); f.AttemptStarted(KeyOf(""), 3) }, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			affinity := NewAffinity()
 			tc.do(affinity)
-			if got := affinity.Floor(k); got != tc.want {
+			if got := affinity.OldestAllowed(k); got != tc.want {
 				t.Errorf("floor %d, want %d", got, tc.want)
 			}
 		})
@@ -45,10 +45,10 @@
 	affinity := NewAffinity()
 	affinity.maxKeys = 3
 	for _, key := range []string{"a", "b", "c", "d"} {
-		affinity.Bind(KeyOf(key), 2)
+		affinity.RecordAnswer(KeyOf(key), 2)
 	}
 	for _, key := range []string{"a", "d", "never"} {
-		if affinity.Floor(KeyOf(key)) != 2 {
+		if affinity.OldestAllowed(KeyOf(key)) != 2 {
 			t.Errorf("%s may go to an earlier release", key)
 		}
 	}
@@ -68,7 +68,7 @@
 	t.Helper()
 	chance := rand.New(rand.NewPCG(seed, 1))
 	allowance := NewAllowance(2, 1)
-	allowance.HoldUntil(hold)
+	allowance.StartEmptyUntil(hold)
 	allowance.Allows(3, 0, 1000) // its balance starts
 	limit, allowed := 0.5, free
 	for requests := range 400 {
--- a/policy/exposure_test.go
+++ b/policy/exposure_test.go
@@ -28,7 +28,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			inst, port := startInstance(RequestClass{LatencyObjective: 1000, Timeout: 4000, Value: 1, Semantics: tc.semantics}, 4)
 			inst.configureExposure(ExposureConfig{FreeAttempts: 2, Caps: []float64{0.1, 0.5, 1}, GuardedStages: tc.guarded})
-			inst.OnReleaseUpdate(2, ReleaseUpdate{Release: tc.update, Phase: tc.phase, Cap: tc.limit, Known: true})
+			inst.OnReleaseUpdate(2, ReleaseUpdate{Release: tc.update, Phase: tc.phase, Cap: tc.limit, HasState: true})
 			inst.OnEndpoints(3, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, Weight: 1}, {ID: "y", Release: 2, Weight: 1}, {ID: "z", Release: 2, Weight: 4}}})
 			n := 0
 			for k := range 100 {
@@ -39,7 +39,7 @@
 						n++
 					}
 				}
-				inst.OnAttemptResult(now+10, AttemptResult{RequestID: id, Status: StatusServed, Final: true, Took: 10})
+				inst.OnAttemptResult(now+10, AttemptResult{RequestID: id, Status: StatusServed, Final: true, Elapsed: 10})
 			}
 			if n > tc.most || n < tc.least {
 				t.Errorf("%d attempts, want %d to %d", n, tc.least, tc.most)
@@ -57,13 +57,13 @@
 		t.Run(tc.phase.String(), func(t *testing.T) {
 			inst, port := startInstance(RequestClass{}, 1)
 			inst.configureExposure(ExposureConfig{FreeAttempts: 2, Caps: []float64{1}, KeyAffinity: true})
-			inst.OnReleaseUpdate(2, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 1, Known: true})
+			inst.OnReleaseUpdate(2, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 1, HasState: true})
 			inst.OnEndpoints(3, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, Weight: 1}, {ID: "a", Release: 1, State: EndpointDraining, Weight: 1}}})
 			inst.OnRequest(10, Request{ID: "t", Key: "k", TimeLeft: 4000})
-			inst.OnAttemptResult(20, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Took: 10})
+			inst.OnAttemptResult(20, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Elapsed: 10})
 			expect(t, "first", port.take(), "[submit t x]")
 			inst.OnEndpoints(30, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, State: EndpointDraining, Weight: 1}, {ID: "a", Release: 1, Weight: 1}}})
-			inst.OnReleaseUpdate(31, ReleaseUpdate{Release: 2, Phase: tc.phase, Cap: 1, Known: true})
+			inst.OnReleaseUpdate(31, ReleaseUpdate{Release: 2, Phase: tc.phase, Cap: 1, HasState: true})
 			inst.OnRequest(40, Request{ID: "u", Key: "k", TimeLeft: 4000})
 			expect(t, "goes to the earlier release", len(port.take()) == 1, tc.open)
 		})
@@ -92,12 +92,12 @@
 		t.Run(fmt.Sprintf("status %d, %s", tc.status, tc.phase), func(t *testing.T) {
 			inst, port := startInstance(RequestClass{}, 1)
 			inst.configureExposure(ExposureConfig{FreeAttempts: 2, Caps: []float64{1}, KeyAffinity: true})
-			inst.OnReleaseUpdate(2, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 1, Known: true})
+			inst.OnReleaseUpdate(2, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 1, HasState: true})
 			inst.OnEndpoints(3, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, Weight: 1}, {ID: "a", Release: 1, State: EndpointDraining, Weight: 1}}})
 			inst.OnRequest(10, Request{ID: "t", Key: "k", TimeLeft: 400})
-			inst.OnReleaseUpdate(15, ReleaseUpdate{Release: 2, Phase: tc.phase, Cap: 1, Known: true})
+			inst.OnReleaseUpdate(15, ReleaseUpdate{Release: 2, Phase: tc.phase, Cap: 1, HasState: true})
 			if tc.status != 0 {
-				inst.OnAttemptResult(20, AttemptResult{RequestID: "t", Status: tc.status, Final: true, Took: 10})
+				inst.OnAttemptResult(20, AttemptResult{RequestID: "t", Status: tc.status, Final: true, Elapsed: 10})
 			}
 			expect(t, "first", port.take()[0], "submit t x")
 			inst.OnEndpoints(30, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, State: EndpointDraining, Weight: 1}, {ID: "a", Release: 1, Weight: 1}}})
@@ -128,12 +128,12 @@
 		}},
 		{"draining", func(inst *Instance, _ *request) { inst.endpoints.At(0).State = EndpointDraining }},
 		{"its release rolls back", func(inst *Instance, _ *request) {
-			inst.OnReleaseUpdate(3, ReleaseUpdate{Release: 1, Stage: 1, Phase: RollingBack, Cap: 0, Known: true})
+			inst.OnReleaseUpdate(3, ReleaseUpdate{Release: 1, Stage: 1, Phase: RollingBack, Cap: 0, HasState: true})
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			inst, _ := startInstance(RequestClass{}, 1)
-			inst.OnReleaseUpdate(2, ReleaseUpdate{Release: 1, Stage: 1, Phase: RollingOut, Cap: 0.5, Known: true})
+			inst.OnReleaseUpdate(2, ReleaseUpdate{Release: 1, Stage: 1, Phase: RollingOut, Cap: 0.5, HasState: true})
 			req := &request{deadline: 100, relativeWork: 1}
 			expect(t, "may send before", inst.maySendTo(req, 0), true)
 			tc.breach(inst, req)
--- a/policy/exposurerule_test.go
+++ b/policy/exposurerule_test.go
@@ -119,7 +119,7 @@
 	response := VoteResponse(rapid.IntRange(0, 1).Draw(run.t, "response"))
 	limit := [...]float64{RollingOut: 0.5, RollingBack: 0, Released: 1, Withdrawn: 0}[phase]
 	limit = run.rule.update(release, phase, limit)
-	run.inst.OnReleaseUpdate(run.now, ReleaseUpdate{Release: release, Phase: phase, Response: response, Cap: limit, Known: true})
+	run.inst.OnReleaseUpdate(run.now, ReleaseUpdate{Release: release, Phase: phase, Response: response, Cap: limit, HasState: true})
 }
 
 // sendRequest sends a request with one of a few keys.
@@ -153,7 +153,7 @@
 	if status == StatusServed && !run.rule.closed(release) {
 		run.rule.answered[run.key[id]] = append(run.rule.answered[run.key[id]], release)
 	}
-	run.inst.OnAttemptResult(run.now, AttemptResult{RequestID: id, Attempt: attempt, Status: status, Final: status == StatusServed, Took: 10})
+	run.inst.OnAttemptResult(run.now, AttemptResult{RequestID: id, Attempt: attempt, Status: status, Final: status == StatusServed, Elapsed: 10})
 }
 
 // checkAttempts checks what the instance has sent since the last call.
--- a/policy/fleet.go
+++ b/policy/fleet.go
@@ -88,7 +88,7 @@
 	}
 	for id, n := range counts { // the order does not matter: at most one has more than half
 		if 2*n > earlier {
-			inst.releases.MarkPrevailing(id)
+			inst.releases.InferReleased(id)
 		}
 	}
 }
@@ -113,5 +113,5 @@
 // recordAnswer counts an answer for its backend and for the fleet.
 func (inst *Instance) recordAnswer(backend *endpoints.Backend, inTime bool) {
 	inst.answers.Add(inst.now, inTime)
-	backend.Answers.Add(inst.now, inTime)
+	backend.Health.Add(inst.now, inTime)
 }
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -29,7 +29,7 @@
 func (inst *Instance) broadcastSummaries() {
 	inst.broadcastAt = inst.now + broadcastInterval
 	for _, message := range inst.summaries.Encode(inst.now, maxMessageBytes) {
-		for evaluator := range min(verdict.Evaluators, inst.instances) {
+		for evaluator := range min(verdict.EvaluatorCount, inst.instances) {
 			if evaluator != inst.index {
 				inst.port.SendMessage(evaluator, message)
 			}
--- a/policy/helper_test.go
+++ b/policy/helper_test.go
@@ -79,5 +79,5 @@
 
 // loadReportOf is a report of two figures, of which one below 0 is missing.
 func loadReportOf(waiting, busy float64) LoadReport {
-	return LoadReport{Present: waiting >= 0 || busy >= 0, Waiting: max(waiting, 0), Busy: max(busy, 0)}
+	return LoadReport{Present: waiting >= 0 || busy >= 0, Waiting: max(waiting, 0), Utilization: max(busy, 0)}
 }
--- a/policy/instance.go
+++ b/policy/instance.go
@@ -72,7 +72,7 @@
 
 	// Releases and exposure.
 	exposureConfig ExposureConfig
-	releases       *release.Book
+	releases       *release.Registry
 	allowance      *exposure.Allowance
 	affinity       *exposure.Affinity
 	skipped        SkippedBackends
--- a/policy/messages.go
+++ b/policy/messages.go
@@ -94,9 +94,9 @@
 
 // LoadReport is what a backend says of its load. The zero value stands for no report.
 type LoadReport struct {
-	Present bool
-	Waiting float64 // requests that wait at the backend
-	Busy    float64 // share of its capacity in use, 0 to 1
+	Present     bool
+	Waiting     float64 // requests that wait at the backend
+	Utilization float64 // share of its capacity in use, 0 to 1
 }
 
 // AttemptResult is the end of one attempt.
@@ -105,7 +105,7 @@
 	Attempt   int // counted from 0 in each request
 	Status    AttemptStatus
 	Final     bool    // the request has its answer by this attempt or had it before
-	Took      float64 // ms since the attempt was sent
+	Elapsed   float64 // ms since the attempt was sent
 	Load      LoadReport
 }
 
@@ -113,7 +113,7 @@
 type ProbeResult struct {
 	Backend string
 	OK      bool
-	Took    float64 // ms
+	Elapsed float64 // ms
 	Load    LoadReport
 }
 
@@ -142,7 +142,7 @@
 	Cap      float64 // share of the requests taken that may go to the release, 0 to 1
 	Age      float64 // ms for which the release has been in this state
 	Response VoteResponse
-	Known    bool // the fields above Response are set; the response to a vote may be all there is
+	HasState bool // the fields above Response are set; the response to a vote may be all there is
 }
 
 // Verdict is what a vote says of a release.
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -88,7 +88,7 @@
 		if inst.rng.Float64()*inst.fleet.maxCapacity > inst.capacityOf(backend) || req.triedAt(index) || !fits(index) {
 			return false
 		}
-		return !health.DrawUnhealthy(&backend.Answers, &inst.answers, inst.now, inst.rng)
+		return !health.DrawUnhealthy(&backend.Health, &inst.answers, inst.now, inst.rng)
 	}
 	return balance.LeastLoaded(inst.fleet.candidates[arm], inst.rng, accepts, fits, inst.loadOf)
 }
--- a/policy/prevailingrelease_test.go
+++ b/policy/prevailingrelease_test.go
@@ -30,9 +30,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			inst, _ := startInstance(RequestClass{}, 0)
-			inst.OnReleaseUpdate(2, ReleaseUpdate{Release: 1, Stage: 2, Phase: Released, Cap: 1, Known: true})
-			inst.OnReleaseUpdate(3, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.1, Known: true})
-			inst.OnReleaseUpdate(4, ReleaseUpdate{Release: 3, Phase: RollingOut, Cap: 0.1, Known: true})
+			inst.OnReleaseUpdate(2, ReleaseUpdate{Release: 1, Stage: 2, Phase: Released, Cap: 1, HasState: true})
+			inst.OnReleaseUpdate(3, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.1, HasState: true})
+			inst.OnReleaseUpdate(4, ReleaseUpdate{Release: 3, Phase: RollingOut, Cap: 0.1, HasState: true})
 			var list []Endpoint
 			add := func(count int, release ReleaseID, state EndpointState) {
 				for k := range count {
--- a/policy/probes.go
+++ b/policy/probes.go
@@ -79,6 +79,6 @@
 // reportLoad takes what a backend says of its load.
 func (inst *Instance) reportLoad(index int, report LoadReport) {
 	if report.Present {
-		inst.endpoints.At(index).Load = balance.NewLoad(report.Waiting, report.Busy, inst.now)
+		inst.endpoints.At(index).Load = balance.NewLoad(report.Waiting, report.Utilization, inst.now)
 	}
 }
--- a/policy/probes_test.go
+++ b/policy/probes_test.go
@@ -30,7 +30,7 @@
 			}
 			last := strings.Fields(probed[len(probed)-1])[1]
 			if tc.answer {
-				inst.OnProbeResult(12, ProbeResult{Backend: last, OK: tc.ok, Took: 2})
+				inst.OnProbeResult(12, ProbeResult{Backend: last, OK: tc.ok, Elapsed: 2})
 			}
 			got := fmt.Sprint(port.take())
 			if tc.want != "" && got != "[submit t "+last+"]" || tc.want == "" && got != "[]" {
--- a/policy/release/release.go
+++ b/policy/release/release.go
@@ -54,18 +54,18 @@
 	Superseded bool
 }
 
-// Change says what an update did.
-type Change uint8
+// UpdateResult says what an update did.
+type UpdateResult uint8
 
 // What an update did.
 const (
-	StaleUpdate Change = iota // it would have moved the release back, and was ignored
-	NoChange                  // the record says the same already
-	Moved                     // the record has changed
+	StaleUpdate UpdateResult = iota // it would have moved the release back, and was ignored
+	NoChange                        // the record says the same already
+	Changed                         // the record has changed
 )
 
-// Book is the records of all releases.
-type Book struct {
+// Registry is the records of all releases.
+type Registry struct {
 	records  map[ID]*Record
 	newest   ID      // announced; valid if known is set
 	known    bool    // a release was announced
@@ -73,13 +73,13 @@
 	firstCap float64 // share of the requests taken, in the first stage
 }
 
-// NewBook is an empty book; a release without an update has the cap of the first stage, a share of the requests taken.
-func NewBook(firstCap float64) *Book {
-	return &Book{records: map[ID]*Record{}, firstCap: firstCap}
+// NewRegistry is an empty book; a release without an update has the cap of the first stage, a share of the requests taken.
+func NewRegistry(firstCap float64) *Registry {
+	return &Registry{records: map[ID]*Record{}, firstCap: firstCap}
 }
 
 // Newest is the newest announced release's record, and whether there is one.
-func (b *Book) Newest() (Record, bool) {
+func (b *Registry) Newest() (Record, bool) {
 	if !b.known {
 		return Record{}, false
 	}
@@ -87,18 +87,18 @@
 }
 
 // SetOldestListed notes the oldest release that is listed: as long as none is announced, that one counts as what the fleet runs.
-func (b *Book) SetOldestListed(release ID) { b.oldest = release }
+func (b *Registry) SetOldestListed(release ID) { b.oldest = release }
 
-// ServesAs is the release that decides which keys a backend may serve: its own, or the oldest listed one where that is unknown.
-func (b *Book) ServesAs(release ID) ID {
+// OldestIfUnknown is the release that decides which keys a backend may serve: its own, or the oldest listed one where that is unknown.
+func (b *Registry) OldestIfUnknown(release ID) ID {
 	if release == Unknown {
 		return b.oldest
 	}
 	return release
 }
 
-// BindsAs is the release to which an answer of a backend binds its key: its own, or the latest known one where that is unknown.
-func (b *Book) BindsAs(release ID) ID {
+// LatestIfUnknown is the release to which an answer of a backend binds its key: its own, or the latest known one where that is unknown.
+func (b *Registry) LatestIfUnknown(release ID) ID {
 	if release != Unknown {
 		return release
 	}
@@ -110,7 +110,7 @@
 }
 
 // Record is a copy of what is known of a release.
-func (b *Book) Record(release ID) Record {
+func (b *Registry) Record(release ID) Record {
 	if r := b.records[release]; r != nil {
 		return *r
 	}
@@ -122,19 +122,19 @@
 }
 
 // before says of a release without a record whether the fleet ran it before the newest one came: it is what is being replaced.
-func (b *Book) before(release ID) bool {
+func (b *Registry) before(release ID) bool {
 	return b.known && release < b.newest || !b.known && release <= b.oldest
 }
 
 // Apply takes an update and says what it did to its release's record.
-func (b *Book) Apply(u Update) Change {
+func (b *Registry) Apply(u Update) UpdateResult {
 	r := b.records[u.Release]
 	if r == nil || !r.Announced {
 		b.announce(u)
-		return Moved
+		return Changed
 	}
 	change := r.move(u)
-	if change == Moved && r.Superseded {
+	if change == Changed && r.Superseded {
 		r.supersede()
 	}
 	return change
@@ -142,7 +142,7 @@
 
 // OnListed notes that a backend of a release is listed. early says that the release is later than the newest announced one and was not
 // known before: its first update is still to come.
-func (b *Book) OnListed(release ID) (early bool) {
+func (b *Registry) OnListed(release ID) (early bool) {
 	if release == Unknown || b.records[release] != nil || !b.known || release <= b.newest {
 		return false
 	}
@@ -151,7 +151,7 @@
 }
 
 // announce takes a release's first update. It supersedes every earlier release that has not ended.
-func (b *Book) announce(u Update) {
+func (b *Registry) announce(u Update) {
 	r := &Record{Update: u, Announced: true}
 	if u.Phase == Withdrawn {
 		r.Cap = 0
@@ -170,7 +170,7 @@
 }
 
 // move takes a later update of the same release.
-func (r *Record) move(u Update) Change {
+func (r *Record) move(u Update) UpdateResult {
 	switch from, to := r.Phase.rank(), u.Phase.rank(); {
 	case to < from, to == from && u.Phase == RollingOut && u.Stage < r.Stage:
 		return StaleUpdate
@@ -179,7 +179,7 @@
 			return NoChange
 		}
 		r.Cap = u.Cap
-		return Moved
+		return Changed
 	}
 	if u.Phase == RollingBack {
 		u.Cap = min(u.Cap, r.Cap) // a cap never rises during a rollback
@@ -188,7 +188,7 @@
 		u.Cap = 0
 	}
 	r.Update = u
-	return Moved
+	return Changed
 }
 
 // supersede takes the announcement of a later release. No more updates are to be expected on this one: where it was rolling back it counts
@@ -200,16 +200,16 @@
 	}
 }
 
-// MarkPrevailing notes that a superseded release runs on most of the backends of earlier releases. So it was released and that update was
+// InferReleased notes that a superseded release runs on most of the backends of earlier releases. So it was released and that update was
 // missed: one that is rolled back never gets there.
-func (b *Book) MarkPrevailing(release ID) {
+func (b *Registry) InferReleased(release ID) {
 	if r := b.records[release]; r != nil && r.Superseded && r.Phase == RollingOut {
 		r.Phase, r.Cap, r.Superseded = Released, 1, false
 	}
 }
 
 // Cap is the share of the requests taken that may go to a release, and whether that is limited at all.
-func (b *Book) Cap(release ID) (limit float64, limited bool) {
+func (b *Registry) Cap(release ID) (limit float64, limited bool) {
 	r := b.records[release]
 	switch {
 	case r != nil && r.Phase == Released, r == nil && b.before(release):
@@ -221,18 +221,18 @@
 }
 
 // IsClosed says whether a release is rolling back or withdrawn: its answers bind no key.
-func (b *Book) IsClosed(release ID) bool {
+func (b *Registry) IsClosed(release ID) bool {
 	p := b.Record(release).Phase
 	return p == RollingBack || p == Withdrawn
 }
 
 // IsEvaluated says whether outcomes of a release are evidence: it is the newest one, or an earlier one without a cap.
-func (b *Book) IsEvaluated(release ID) bool {
+func (b *Registry) IsEvaluated(release ID) bool {
 	return b.known && (release == b.newest || release < b.newest && b.Record(release).Phase == Released)
 }
 
 // Baseline is the newest released release before the newest announced one; 0: none is known.
-func (b *Book) Baseline() (base ID) {
+func (b *Registry) Baseline() (base ID) {
 	for release, r := range b.records {
 		if release < b.newest && r.Phase == Released {
 			base = max(base, release)
--- a/policy/release/release_test.go
+++ b/policy/release/release_test.go
@@ -21,36 +21,36 @@
 		stage   int
 		limit   float64
 		limited bool
-		last    Change
+		last    UpdateResult
 	}{
-		{"rolling out", []Update{released(1), rollingOut(2, 0, 0.1)}, 2, RollingOut, 0, 0.1, true, Moved},
-		{"the next stage", []Update{rollingOut(2, 0, 0.1), rollingOut(2, 1, 0.5)}, 2, RollingOut, 1, 0.5, true, Moved},
+		{"rolling out", []Update{released(1), rollingOut(2, 0, 0.1)}, 2, RollingOut, 0, 0.1, true, Changed},
+		{"the next stage", []Update{rollingOut(2, 0, 0.1), rollingOut(2, 1, 0.5)}, 2, RollingOut, 1, 0.5, true, Changed},
 		{"a stage before, late", []Update{rollingOut(2, 1, 0.5), rollingOut(2, 0, 0.1)}, 2, RollingOut, 1, 0.5, true, StaleUpdate},
 		{"the same update again", []Update{rollingOut(2, 1, 0.5), rollingOut(2, 1, 0.5)}, 2, RollingOut, 1, 0.5, true, NoChange},
-		{"a lower cap in a stage", []Update{rollingOut(2, 1, 0.5), rollingOut(2, 1, 0.3)}, 2, RollingOut, 1, 0.3, true, Moved},
+		{"a lower cap in a stage", []Update{rollingOut(2, 1, 0.5), rollingOut(2, 1, 0.3)}, 2, RollingOut, 1, 0.3, true, Changed},
 		{"a higher cap in a stage", []Update{rollingOut(2, 1, 0.3), rollingOut(2, 1, 0.5)}, 2, RollingOut, 1, 0.3, true, NoChange},
-		{"released", []Update{rollingOut(2, 1, 0.5), released(2)}, 2, Released, 2, 1, false, Moved},
+		{"released", []Update{rollingOut(2, 1, 0.5), released(2)}, 2, Released, 2, 1, false, Changed},
 		{"rolling out, late, when released", []Update{released(2), rollingOut(2, 1, 0.5)}, 2, Released, 2, 1, false, StaleUpdate},
-		{"released, then rolled back", []Update{released(2), rollingBack(2, 0.2)}, 2, RollingBack, 0, 0.2, true, Moved},
+		{"released, then rolled back", []Update{released(2), rollingBack(2, 0.2)}, 2, RollingBack, 0, 0.2, true, Changed},
 		{"released, late, when rolling back", []Update{rollingBack(2, 0.2), released(2)}, 2, RollingBack, 0, 0.2, true, StaleUpdate},
 		{"rolling out, late, when rolling back", []Update{rollingOut(2, 0, 0.1), rollingBack(2, 0), rollingOut(2, 0, 0.1)}, 2, RollingBack, 0, 0, true, StaleUpdate},
-		{"a cap that rises during the rollback", []Update{rollingOut(2, 0, 0.1), rollingBack(2, 0.2)}, 2, RollingBack, 0, 0.1, true, Moved},
+		{"a cap that rises during the rollback", []Update{rollingOut(2, 0, 0.1), rollingBack(2, 0.2)}, 2, RollingBack, 0, 0.1, true, Changed},
 		{"a cap that falls during the rollback", []Update{released(2), rollingBack(2, 0.2), rollingBack(2, 0), rollingBack(2, 0.2)}, 2, RollingBack, 0, 0, true, NoChange},
-		{"withdrawn", []Update{rollingOut(2, 0, 0.1), rollingBack(2, 0), withdrawn(2)}, 2, Withdrawn, 0, 0, true, Moved},
+		{"withdrawn", []Update{rollingOut(2, 0, 0.1), rollingBack(2, 0), withdrawn(2)}, 2, Withdrawn, 0, 0, true, Changed},
 		{"rolling back, late, when withdrawn", []Update{withdrawn(2), rollingBack(2, 0.2)}, 2, Withdrawn, 0, 0, true, StaleUpdate},
-		{"withdrawn, and the next one is announced", []Update{withdrawn(2), rollingOut(3, 0, 0.1)}, 2, Withdrawn, 0, 0, true, Moved},
-		{"rolling back, and the next one is announced", []Update{rollingBack(2, 0.2), rollingOut(3, 0, 0.1)}, 2, Withdrawn, 0, 0, true, Moved},
-		{"rolling out, and the next one is announced", []Update{rollingOut(2, 0, 0.2), rollingOut(3, 0, 0.1)}, 2, RollingOut, 0, 0.2, true, Moved},
-		{"its release comes late", []Update{rollingOut(2, 0, 0.2), rollingOut(3, 0, 0.1), released(2)}, 2, Released, 2, 1, false, Moved},
-		{"its rollback comes late", []Update{rollingOut(2, 0, 0.2), rollingOut(3, 0, 0.1), rollingBack(2, 0.2)}, 2, Withdrawn, 0, 0, true, Moved},
-		{"announced after the next one", []Update{rollingOut(3, 0, 0.1), rollingOut(2, 0, 0.2)}, 2, RollingOut, 0, 0.2, true, Moved},
+		{"withdrawn, and the next one is announced", []Update{withdrawn(2), rollingOut(3, 0, 0.1)}, 2, Withdrawn, 0, 0, true, Changed},
+		{"rolling back, and the next one is announced", []Update{rollingBack(2, 0.2), rollingOut(3, 0, 0.1)}, 2, Withdrawn, 0, 0, true, Changed},
+		{"rolling out, and the next one is announced", []Update{rollingOut(2, 0, 0.2), rollingOut(3, 0, 0.1)}, 2, RollingOut, 0, 0.2, true, Changed},
+		{"its release comes late", []Update{rollingOut(2, 0, 0.2), rollingOut(3, 0, 0.1), released(2)}, 2, Released, 2, 1, false, Changed},
+		{"its rollback comes late", []Update{rollingOut(2, 0, 0.2), rollingOut(3, 0, 0.1), rollingBack(2, 0.2)}, 2, Withdrawn, 0, 0, true, Changed},
+		{"announced after the next one", []Update{rollingOut(3, 0, 0.1), rollingOut(2, 0, 0.2)}, 2, RollingOut, 0, 0.2, true, Changed},
 		{"an update on the one before", []Update{released(2), rollingOut(3, 0, 0.1), released(2)}, 3, RollingOut, 0, 0.1, true, NoChange},
-		{"no update, an earlier one", []Update{rollingOut(3, 0, 0.1)}, 2, Released, 0, 1, false, Moved},
-		{"no update, a later one", []Update{withdrawn(2)}, 3, RollingOut, 0, 0.08, true, Moved},
+		{"no update, an earlier one", []Update{rollingOut(3, 0, 0.1)}, 2, Released, 0, 1, false, Changed},
+		{"no update, a later one", []Update{withdrawn(2)}, 3, RollingOut, 0, 0.08, true, Changed},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			book := NewBook(0.08)
-			var last Change
+			book := NewRegistry(0.08)
+			var last UpdateResult
 			for _, update := range tc.updates {
 				last = book.Apply(update)
 			}
@@ -67,7 +67,7 @@
 // A release that is listed before its first update counts as in the first stage, and one that was listed and never got an update is not
 // opened by the announcement of a later one.
 func TestListed(t *testing.T) {
-	b := NewBook(0.08)
+	b := NewRegistry(0.08)
 	if b.OnListed(7) {
 		t.Error("before any update every release counts as early")
 	}
@@ -84,11 +84,11 @@
 	if limit, limited := b.Cap(3); !limited || limit != 0.08 {
 		t.Errorf("no update on it, with 4 announced: cap %v, limited %v", limit, limited)
 	}
-	b.MarkPrevailing(3)
+	b.InferReleased(3)
 	if _, limited := b.Cap(3); limited {
 		t.Error("it runs on most backends, and is still limited")
 	}
-	b.MarkPrevailing(2)
+	b.InferReleased(2)
 	if limit, limited := b.Cap(2); !limited || limit != 0 {
 		t.Error("a withdrawn release was opened by running on most backends")
 	}
@@ -96,7 +96,7 @@
 
 // Before any update the oldest listed release is what the fleet runs, and later ones count as in the first stage.
 func TestNothingAnnounced(t *testing.T) {
-	b := NewBook(0.08)
+	b := NewRegistry(0.08)
 	b.SetOldestListed(4)
 	if _, limited := b.Cap(4); limited {
 		t.Error("the release that the fleet runs is limited")
@@ -107,7 +107,7 @@
 }
 
 // checkBook compares a book with what each release's own updates say: the furthest phase of each, the newest, and the withdrawn.
-func checkBook(t *rapid.T, book *Book, furthest map[ID]Phase, newest ID) {
+func checkBook(t *rapid.T, book *Registry, furthest map[ID]Phase, newest ID) {
 	if record, known := book.Newest(); !known || record.Release != newest {
 		t.Fatalf("newest is %d, not %d", record.Release, newest)
 	}
@@ -125,7 +125,7 @@
 // goes back, a withdrawn release stays closed, and the newest stays the newest.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		book, furthest, newest := NewBook(0.08), map[ID]Phase{}, ID(0)
+		book, furthest, newest := NewRegistry(0.08), map[ID]Phase{}, ID(0)
 		for range rapid.IntRange(1, 40).Draw(t, "updates") {
 			update := Update{
 				Release: ID(rapid.IntRange(1, 4).Draw(t, "release")),
--- a/policy/releases.go
+++ b/policy/releases.go
@@ -22,27 +22,27 @@
 	before, known := inst.releases.Newest()
 	change := inst.releases.Apply(update)
 	inst.logUpdate(update, change, by)
-	if change != release.Moved {
+	if change != release.Changed {
 		return
 	}
 	inst.fleet.dueAt = inst.now
 	if inst.releases.IsClosed(update.Release) {
-		inst.affinity.ReleaseKeys(update.Release)
+		inst.affinity.ForgetRelease(update.Release)
 	}
 	newest, _ := inst.releases.Newest()
 	if !known || newest.Release != before.Release {
 		inst.startRollout(newest.Release)
 		inst.affinity.ForgetBefore(inst.releases.Baseline())
-		inst.allowance.Forget(inst.releases.Baseline())
+		inst.allowance.ForgetBefore(inst.releases.Baseline())
 	}
 	inst.evaluator.SetState(newest.Stage, newest.Phase, inst.now-age)
 }
 
 // logUpdate writes a line for each update that changes something or is stale.
-func (inst *Instance) logUpdate(update release.Update, change release.Change, by VoteResponse) {
+func (inst *Instance) logUpdate(update release.Update, change release.UpdateResult, by VoteResponse) {
 	line := fmt.Sprintf("release %d: stage %d, %s, cap %.2f, by %s", update.Release, update.Stage, update.Phase, update.Cap, by)
 	switch change {
-	case release.Moved:
+	case release.Changed:
 		inst.port.Log(line)
 	case release.StaleUpdate:
 		known := inst.releases.Record(update.Release)
--- a/policy/replay_test.go
+++ b/policy/replay_test.go
@@ -76,7 +76,7 @@
 		release, stage, phase, response := ReleaseID(1+s.rng.IntN(5)), s.rng.IntN(3), Phase(s.rng.IntN(4)), VoteResponse(s.rng.IntN(5))
 		limit := []float64{0.5, 0, 1, 0}[phase]
 		known := s.rng.IntN(3) > 0
-		s.inst.OnReleaseUpdate(now, ReleaseUpdate{Release: release, Stage: stage, Phase: phase, Response: response, Cap: limit, Age: s.rng.Float64() * 100, Known: known})
+		s.inst.OnReleaseUpdate(now, ReleaseUpdate{Release: release, Stage: stage, Phase: phase, Response: response, Cap: limit, Age: s.rng.Float64() * 100, HasState: known})
 		return fmt.Sprint("news ", release, stage, int(phase), int(response), known)
 	case 2, 3, 4, 5, 6, 7:
 		s.ids++
@@ -92,7 +92,7 @@
 		id, attempt := s.request(), s.rng.IntN(3)
 		status := []AttemptStatus{StatusServed, StatusServed, StatusServed, StatusServed, StatusErrored, StatusRejected, StatusTimedOut, StatusConnectFailed, StatusReset, StatusCanceled, StatusNotSent}[s.rng.IntN(11)]
 		took, waiting := s.rng.Float64()*300, float64(s.rng.IntN(4)-1)
-		s.inst.OnAttemptResult(now, AttemptResult{RequestID: id, Attempt: attempt, Status: status, Final: status == StatusServed, Took: took, Load: loadReportOf(waiting, waiting/2)})
+		s.inst.OnAttemptResult(now, AttemptResult{RequestID: id, Attempt: attempt, Status: status, Final: status == StatusServed, Elapsed: took, Load: loadReportOf(waiting, waiting/2)})
 		return fmt.Sprint("outcome ", id, attempt, int(status), took, waiting)
 	case 15:
 		id := s.request()
@@ -100,7 +100,7 @@
 		return "hangup " + id
 	case 16:
 		id := s.backend()
-		s.inst.OnProbeResult(now, ProbeResult{Backend: id, OK: s.rng.IntN(3) > 0, Took: s.rng.Float64() * 50, Load: loadReportOf(float64(s.rng.IntN(4)-1), -1)})
+		s.inst.OnProbeResult(now, ProbeResult{Backend: id, OK: s.rng.IntN(3) > 0, Elapsed: s.rng.Float64() * 50, Load: loadReportOf(float64(s.rng.IntN(4)-1), -1)})
 		return "probed " + id
 	case 17:
 		if len(s.port.sent) > 0 {
@@ -117,7 +117,7 @@
 			s.inst.OnClockStep(now)
 			return "clock stepped"
 		case 1:
-			s.inst.OnEndpointsFailed(now)
+			s.inst.OnDiscoveryFailed(now)
 			return "list failed"
 		case 2:
 			s.inst.OnPlatformCounts(now)
@@ -138,7 +138,7 @@
 	r := s.inst.ReleaseStatus()
 	newest := r.Newest
 	s.port.add("releases %d %d %d %v %v %v", newest.Release, newest.Stage, newest.Phase, newest.Cap, newest.Announced, newest.Superseded)
-	s.port.add("releases %d %d %d %d %d", r.RollingOut, r.Keys, r.Skipped.Closed, r.Skipped.CapReached, r.Skipped.Affinity)
+	s.port.add("releases %d %d %d %d %d", r.RollingOut, r.AffinityKeys, r.Skipped.Closed, r.Skipped.CapReached, r.Skipped.Affinity)
 }
 
 // configured is an instance with a configuration drawn from the schedule's seed.
--- a/policy/rollout_test.go
+++ b/policy/rollout_test.go
@@ -34,7 +34,7 @@
 			}
 			add(tc.new, 3, EndpointRunning)
 			inst.OnEndpoints(5, EndpointUpdate{Endpoints: list, Snapshot: true})
-			inst.OnReleaseUpdate(10, ReleaseUpdate{Release: 3, Phase: RollingOut, Cap: 0.1, Known: true})
+			inst.OnReleaseUpdate(10, ReleaseUpdate{Release: 3, Phase: RollingOut, Cap: 0.1, HasState: true})
 			expect(t, "places", inst.places, tc.want)
 		})
 	}
--- a/policy/routing.go
+++ b/policy/routing.go
@@ -64,7 +64,7 @@
 	if !inst.choosesByProbes(req) {
 		return false
 	}
-	giveUp := inst.unprobedAdmission.Probability(inst.now) >= admission.FullAdmission && inst.rng.Float64() < 2*inst.probing.failureShare-1
+	giveUp := inst.unprobedAdmission.Probability(inst.now) >= admission.FullAdmissionThreshold && inst.rng.Float64() < 2*inst.probing.failureShare-1
 	worthIt := inst.probing.allowed && probesPerRound*inst.probing.price <= maxProbePrice
 	probing := worthIt && req.probeRounds < maxProbeRounds && !giveUp
 	req.unprobed = req.unprobed || !probing
@@ -150,7 +150,7 @@
 	if inst.warmUpProgress(backend) < 1 {
 		backend.SlowStart.Spend(req.relativeWork)
 	}
-	bindsTo := inst.releases.BindsAs(backend.Release)
+	bindsTo := inst.releases.LatestIfUnknown(backend.Release)
 	req.attempts = append(req.attempts, attempt{
 		backend: index, release: backend.Release, bindsTo: bindsTo, sentAt: inst.now, dueAt: inst.latencyDeadline(req), open: true,
 	})
--- a/policy/routing_test.go
+++ b/policy/routing_test.go
@@ -38,7 +38,7 @@
 				inst.rng.IntN(draws + 1)
 				inst.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
 				first := port.take()[0]
-				inst.OnAttemptResult(10+tc.after, AttemptResult{RequestID: "t", Status: tc.status, Took: tc.after})
+				inst.OnAttemptResult(10+tc.after, AttemptResult{RequestID: "t", Status: tc.status, Elapsed: tc.after})
 				for now := 10 + tc.after; len(port.did) == 0 && now < 5000; now += 10 {
 					inst.OnTimer(now, inst.timers.token)
 				}
@@ -68,7 +68,7 @@
 				inst.OnTimer(now, inst.timers.token)
 			}
 			expect(t, "at the deadline", port.take(), tc.want)
-			inst.OnAttemptResult(520, AttemptResult{RequestID: "t", Status: StatusTimedOut, Final: true, Took: 510})
+			inst.OnAttemptResult(520, AttemptResult{RequestID: "t", Status: StatusTimedOut, Final: true, Elapsed: 510})
 			inst.OnClientGone(521, "t")
 			expect(t, "afterwards", port.take(), "[]")
 			expect(t, "open requests", len(inst.requests), 0)
@@ -146,7 +146,7 @@
 		if backends.inst.requests[answer.request] == nil {
 			continue
 		}
-		backends.inst.OnAttemptResult(now, AttemptResult{RequestID: answer.request, Attempt: answer.attempt, Status: StatusServed, Final: true, Took: 20})
+		backends.inst.OnAttemptResult(now, AttemptResult{RequestID: answer.request, Attempt: answer.attempt, Status: StatusServed, Final: true, Elapsed: 20})
 		if k, _ := strconv.Atoi(answer.request); k > 500 {
 			backends.served++
 		}
@@ -160,7 +160,7 @@
 		switch fields[0] {
 		case "revoke":
 			id := fields[1]
-			backends.inst.OnAttemptResult(now, AttemptResult{RequestID: id, Attempt: backends.attempts[id] - 1, Status: StatusCanceled, Took: 150})
+			backends.inst.OnAttemptResult(now, AttemptResult{RequestID: id, Attempt: backends.attempts[id] - 1, Status: StatusCanceled, Elapsed: 150})
 		case "submit":
 			backends.accept(now, fields[1])
 		}
--- a/policy/slowstart/slowstart.go
+++ b/policy/slowstart/slowstart.go
@@ -36,12 +36,12 @@
 	ClockStepped bool    // a step of the wall clock was seen since the process started
 }
 
-// Believed is since when a backend has been up for certain. The listed start was read from a wall clock, which may have been stepped, as may
+// UpSince is since when a backend has been up for certain. The listed start was read from a wall clock, which may have been stepped, as may
 // ours; the process's own time runs evenly. A fresh backend must never pass for a warm one. So the listed start is believed only while no
 // step of the clock was seen, and only where it can be true of a backend that has just been listed. Otherwise the backend counts as up
 // since now, which is later than its start by the list's delay and never too early. A process's first list is believed: there is
 // nothing else to go by.
-func (s Start) Believed(now float64) float64 {
+func (s Start) UpSince(now float64) float64 {
 	switch {
 	case s.ListedStart <= 0:
 		return 0
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -56,7 +56,7 @@
 // A start that is listed in the future keeps no stage waiting for it.
 func TestFutureStartVotes(t *testing.T) {
 	inst, _ := startInstance(RequestClass{}, 3)
-	inst.OnReleaseUpdate(10, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.5, Known: true})
+	inst.OnReleaseUpdate(10, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.5, HasState: true})
 	inst.OnEndpoints(1000, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, Weight: 1, StartedAt: 3600_000}}})
 	count, lastStart := inst.newestReleaseBackends()
 	expect(t, "backends", count, 1)
@@ -76,7 +76,7 @@
 			for k := range 400 {
 				id, now := fmt.Sprint("w", k), 10+float64(k)*5
 				inst.OnRequest(now, Request{ID: id, TimeLeft: 4000})
-				inst.OnAttemptResult(now+4, AttemptResult{RequestID: id, Status: StatusServed, Final: true, Took: 50})
+				inst.OnAttemptResult(now+4, AttemptResult{RequestID: id, Status: StatusServed, Final: true, Elapsed: 50})
 			}
 			inst.OnEndpoints(2100, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 1, Weight: 1, StartedAt: 2050}}})
 			port.take()
@@ -87,7 +87,7 @@
 				for _, did := range port.take() {
 					if strings.HasSuffix(did, " x") {
 						attempts++
-						inst.OnAttemptResult(now+4, AttemptResult{RequestID: strings.Fields(did)[1], Status: StatusServed, Final: true, Took: 50})
+						inst.OnAttemptResult(now+4, AttemptResult{RequestID: strings.Fields(did)[1], Status: StatusServed, Final: true, Elapsed: 50})
 					}
 				}
 			}
--- a/policy/turnover_test.go
+++ b/policy/turnover_test.go
@@ -22,13 +22,13 @@
 			inst.OnEndpoints(now, EndpointUpdate{Endpoints: []Endpoint{{ID: fmt.Sprint("x", k-200), State: EndpointRemoved}}})
 		}
 		if k%400 == 0 {
-			inst.OnReleaseUpdate(now, ReleaseUpdate{Release: release, Phase: Released, Cap: 1, Known: true})
+			inst.OnReleaseUpdate(now, ReleaseUpdate{Release: release, Phase: Released, Cap: 1, HasState: true})
 		}
 		id := fmt.Sprint(k)
 		inst.OnRequest(now, Request{ID: id, Key: "key" + id, TimeLeft: 400})
 		for _, did := range port.take() {
 			if strings.HasPrefix(did, "submit "+id+" ") {
-				inst.OnAttemptResult(now+2, AttemptResult{RequestID: id, Status: StatusServed, Final: true, Took: 2})
+				inst.OnAttemptResult(now+2, AttemptResult{RequestID: id, Status: StatusServed, Final: true, Elapsed: 2})
 			}
 		}
 	}
@@ -44,13 +44,13 @@
 	inst, port := startInstance(RequestClass{}, 3)
 	inst.configureExposure(ExposureConfig{FreeAttempts: 2, Caps: []float64{1}, KeyAffinity: true})
 	playTurnover(inst, port)
-	ids, hashes := inst.endpoints.Indexed()
+	ids, hashes := inst.endpoints.IndexSizes()
 	for _, tc := range []struct {
 		name      string
 		got, most int
 	}{
 		{"requests", len(inst.requests), 0},
-		{"keys with open attempts", inst.affinity.Pending(), 0},
+		{"keys with open attempts", inst.affinity.PendingKeys(), 0},
 		{"keys bound", inst.affinity.Len(), 3 * 400},
 		{"keys counted", len(inst.popularKeys), maxCountedKeys + 1},
 		{"backends", inst.endpoints.Len(), 1000},
@@ -79,11 +79,11 @@
 	backend, _ := inst.endpoints.Find("y")
 	b := inst.endpoints.At(backend)
 	for range 5 {
-		b.Answers.Add(now, true)
-		b.Answers.Add(now, false)
+		b.Health.Add(now, true)
+		b.Health.Add(now, false)
 		b.Ejection.OnFailure(now, inst.rng)
 	}
 	b.LatencyInflation, b.Load, b.Limit = 4, balance.NewLoad(7, 0, now), 1
 	inst.OnEndpoints(now+1, EndpointUpdate{Endpoints: []Endpoint{{ID: "y", Release: 501, Weight: 1}}})
-	expect(t, "learned", []any{b.Answers, b.LatencyInflation, b.Ejection, b.Load, b.Limit}, "[{0 0 0} 1 {0 0} {0 0} 4]")
+	expect(t, "learned", []any{b.Health, b.LatencyInflation, b.Ejection, b.Load, b.Limit}, "[{0 0 0} 1 {0 0} {0 0} 4]")
 }
--- a/policy/verdict/evaluator.go
+++ b/policy/verdict/evaluator.go
@@ -21,9 +21,9 @@
 	// stagePlacesMargin is how many backends fewer than its share of the places a stage may have: rounding errors.
 	stagePlacesMargin = 0.01
 
-	// Evaluators is how many instances, the first by index, get every instance's outcomes where instances may send each other
+	// EvaluatorCount is how many instances, the first by index, get every instance's outcomes where instances may send each other
 	// messages, and evaluate for all.
-	Evaluators = 3
+	EvaluatorCount = 3
 	// soloEvaluationDelay (ms) is how long the other instances leave a promotion to the evaluators.
 	soloEvaluationDelay = 2000
 
@@ -57,7 +57,7 @@
 
 // isEvaluator tells whether this instance evaluates for all. It is always the same few, since what came before a rollout counts
 // too. The others evaluate by what they see themselves, and step in where the evaluators stay silent.
-func (f Fleet) isEvaluator() bool { return !f.PeerMessages || f.Index < Evaluators }
+func (f Fleet) isEvaluator() bool { return !f.PeerMessages || f.Index < EvaluatorCount }
 
 // Evaluator is what an instance knows and wants of the newest release.
 type Evaluator struct {
@@ -236,7 +236,7 @@
 func errorProbability(rollbackVotes int, fleet Fleet) float64 {
 	evaluating := fleet.Instances
 	if fleet.PeerMessages && fleet.isEvaluator() {
-		evaluating = min(evaluating, Evaluators)
+		evaluating = min(evaluating, EvaluatorCount)
 	}
 	wrongVotes := distuv.Gamma{Alpha: float64(rollbackVotes), Beta: 1}.Quantile(fleetErrorProbability)
 	return min(wrongVotes/float64(evaluating), maxErrorProbability)
--- a/policy/verdict/evaluator_test.go
+++ b/policy/verdict/evaluator_test.go
@@ -40,10 +40,10 @@
 		{"good, released", ControlMajority, 0, release.Released, false, 5000, nil, NoVerdict},
 		{"good, rolling back", ControlMajority, 0, release.RollingBack, false, 5000, nil, NoVerdict},
 		{"good, its last backend started late", ControlMajority, 0, release.RollingOut, false, 5000, func(f *Fleet) { f.LastCandidateStart = 3000 }, NoVerdict},
-		{"good, not an evaluator", ControlMajority, 0, release.RollingOut, false, 5000, func(f *Fleet) { f.PeerMessages, f.Index = true, Evaluators }, NoVerdict},
-		{"good, not an evaluator, later", ControlMajority, 0, release.RollingOut, false, 5000 + soloEvaluationDelay, func(f *Fleet) { f.PeerMessages, f.Index = true, Evaluators }, Promote},
-		{"good, the last evaluator", ControlMajority, 0, release.RollingOut, false, 5000, func(f *Fleet) { f.PeerMessages, f.Index = true, Evaluators-1 }, Promote},
-		{"good, high index without messages", ControlMajority, 0, release.RollingOut, false, 5000, func(f *Fleet) { f.Index = Evaluators }, Promote},
+		{"good, not an evaluator", ControlMajority, 0, release.RollingOut, false, 5000, func(f *Fleet) { f.PeerMessages, f.Index = true, EvaluatorCount }, NoVerdict},
+		{"good, not an evaluator, later", ControlMajority, 0, release.RollingOut, false, 5000 + soloEvaluationDelay, func(f *Fleet) { f.PeerMessages, f.Index = true, EvaluatorCount }, Promote},
+		{"good, the last evaluator", ControlMajority, 0, release.RollingOut, false, 5000, func(f *Fleet) { f.PeerMessages, f.Index = true, EvaluatorCount-1 }, Promote},
+		{"good, high index without messages", ControlMajority, 0, release.RollingOut, false, 5000, func(f *Fleet) { f.Index = EvaluatorCount }, Promote},
 		{"bad", ControlMajority, 0, release.RollingOut, true, 2000, nil, Rollback},
 		{"bad, by time", ControlTimed, 0, release.RollingOut, true, 2000, nil, Rollback},
 		{"bad, released", ControlMajority, 2, release.Released, true, 2000, func(f *Fleet) { f.CandidateBackends = 10 }, Rollback},
@@ -199,7 +199,7 @@
 		{"one vote of hundreds", 1, Fleet{Instances: 400}, 0.0001, 0.00011},
 		{"many votes of hundreds: the greatest", 43, Fleet{Instances: 540}, maxErrorProbability, maxErrorProbability},
 		{"an evaluator of hundreds: three look", 1, Fleet{Instances: 400, PeerMessages: true}, 0.0133, 0.0137},
-		{"not an evaluator", 1, Fleet{Instances: 400, PeerMessages: true, Index: Evaluators}, 0.0001, 0.00011},
+		{"not an evaluator", 1, Fleet{Instances: 400, PeerMessages: true, Index: EvaluatorCount}, 0.0001, 0.00011},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := errorProbability(c.votes, c.fleet); got < c.low || got > c.top {
--- a/policy/verdict/votes.go
+++ b/policy/verdict/votes.go
@@ -35,8 +35,8 @@
 	return !accepted || now >= b.renewAt
 }
 
-// Vote is the desired verdict, for the caller to send now. No vote is due until OnVoteResponse.
-func (e *Evaluator) Vote() Vote {
+// BeginVote is the desired verdict, for the caller to send now. No vote is due until OnVoteResponse.
+func (e *Evaluator) BeginVote() Vote {
 	e.ballot.pending = true
 	e.ballot.sent = Vote{Release: e.release, Stage: e.stage, Verdict: e.desired}
 	return e.ballot.sent
--- a/policy/verdict/votes_test.go
+++ b/policy/verdict/votes_test.go
@@ -64,7 +64,7 @@
 			e, random := rollingOut(1), seeded()
 			for range 100 {
 				e.desired, e.ballot = Promote, ballot{}
-				expect(t, "vote", e.Vote(), Vote{Release: 2, Stage: 1, Verdict: Promote})
+				expect(t, "vote", e.BeginVote(), Vote{Release: 2, Stage: 1, Verdict: Promote})
 				expect(t, "pending", e.VotePending(), true)
 				expect(t, "due while it is out", e.VoteDue(1e9), false)
 				retryAt, retry := e.OnVoteResponse(10000, c.response, random)
@@ -88,7 +88,7 @@
 			t.Run(fmt.Sprint("response ", int(response), ", newest release ", newest), func(t *testing.T) {
 				e, random, same := rollingOut(1), seeded(), seeded()
 				e.desired = Promote
-				e.Vote()
+				e.BeginVote()
 				if newest > 2 {
 					e.StartRollout(10, newest, false, Fleet{Instances: 2})
 				} else {
@@ -105,7 +105,7 @@
 func TestVoteOnReleaseBefore(t *testing.T) {
 	e := rollingOut(0)
 	e.desired = Promote
-	expect(t, "vote", e.Vote().Release, 2)
+	expect(t, "vote", e.BeginVote().Release, 2)
 	e.StartRollout(7, 3, false, Fleet{Instances: 2})
 	e.SetState(0, release.RollingOut, 7)
 	retryAt, retry := e.OnVoteResponse(8, VoteCounted, seeded())
@@ -114,5 +114,5 @@
 	expect(t, "newest", e.Release(), 3)
 	e.desired = Promote
 	expect(t, "due", e.VoteDue(9), true)
-	expect(t, "vote on release 3", e.Vote(), Vote{Release: 3, Stage: 0, Verdict: Promote})
+	expect(t, "vote on release 3", e.BeginVote(), Vote{Release: 3, Stage: 0, Verdict: Promote})
 }
--- a/policy/votes.go
+++ b/policy/votes.go
@@ -11,7 +11,7 @@
 func (inst *Instance) voteDue() bool { return inst.evaluator.VoteDue(inst.now) }
 
 func (inst *Instance) sendVote() {
-	vote := inst.evaluator.Vote()
+	vote := inst.evaluator.BeginVote()
 	inst.port.SendVote(vote.Release, vote.Verdict, vote.Stage)
 	if vote.Verdict == verdict.Rollback { // the others have no reason to tell; the live transport logs each vote
 		inst.port.Log(fmt.Sprintf("rollback vote: release %d, stage %d: %s", vote.Release, vote.Stage, inst.evaluator.RollbackReason()))
--- a/policy/votes_test.go
+++ b/policy/votes_test.go
@@ -50,7 +50,7 @@
 
 // play sends a request each 10 ms, for 19 s.
 func (platform *votingPlatform) play() {
-	platform.inst.OnReleaseUpdate(900, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.3, Known: true})
+	platform.inst.OnReleaseUpdate(900, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.3, HasState: true})
 	platform.inst.OnEndpoints(1001, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, Weight: 1, StartedAt: 1000}}})
 	for k := range 1900 {
 		now := 1010 + float64(k)*10
@@ -71,11 +71,11 @@
 		}
 		response := platform.responses[min(platform.votes, len(platform.responses)-1)]
 		platform.votes++
-		platform.inst.OnReleaseUpdate(now, ReleaseUpdate{Release: 2, Phase: RollingOut, Response: response, Cap: 0.3, Age: now - 900, Known: response == VoteCounted})
+		platform.inst.OnReleaseUpdate(now, ReleaseUpdate{Release: 2, Phase: RollingOut, Response: response, Cap: 0.3, Age: now - 900, HasState: response == VoteCounted})
 	case strings.HasPrefix(did, "submit "+id+" x") && platform.failEvery > 0 && k%platform.failEvery == 0:
-		platform.inst.OnAttemptResult(now+5, AttemptResult{RequestID: id, Status: StatusErrored, Final: true, Took: 5})
+		platform.inst.OnAttemptResult(now+5, AttemptResult{RequestID: id, Status: StatusErrored, Final: true, Elapsed: 5})
 	case strings.HasPrefix(did, "submit"):
-		platform.inst.OnAttemptResult(now+5, AttemptResult{RequestID: id, Status: StatusServed, Final: true, Took: 50 + float64(k*37%101)})
+		platform.inst.OnAttemptResult(now+5, AttemptResult{RequestID: id, Status: StatusServed, Final: true, Elapsed: 50 + float64(k*37%101)})
 	}
 }
 
@@ -89,14 +89,14 @@
 			inst.addEvidence(release, 0, verdict.Outcome{EndedAt: now, Latency: 5, Failed: true, Backend: backend})
 		}
 	}
-	inst.OnReleaseUpdate(5, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.5, Known: true})
+	inst.OnReleaseUpdate(5, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.5, HasState: true})
 	failing(6, "x", 2)
 	inst.OnTimer(6+evaluationInterval, 0)
 	if did := fmt.Sprint(port.take()); !strings.Contains(did, "vote 2 3 0") {
 		t.Fatalf("no vote: %s", did)
 	}
-	inst.OnReleaseUpdate(300, ReleaseUpdate{Release: 3, Phase: RollingOut, Cap: 0.5, Known: true})
-	inst.OnReleaseUpdate(301, ReleaseUpdate{Release: 2, Phase: RollingOut, Response: VoteCounted, Cap: 0.5, Known: true})
+	inst.OnReleaseUpdate(300, ReleaseUpdate{Release: 3, Phase: RollingOut, Cap: 0.5, HasState: true})
+	inst.OnReleaseUpdate(301, ReleaseUpdate{Release: 2, Phase: RollingOut, Response: VoteCounted, Cap: 0.5, HasState: true})
 	expect(t, "newest", inst.evaluator.Release(), 3)
 	if did := fmt.Sprint(port.take()); strings.Contains(did, "vote") {
 		t.Errorf("voted on release 3 before anything was seen of it: %s", did)
