--- a/policy/admission.go
+++ b/policy/admission.go
@@ -17,14 +17,14 @@
 )
 
 // admit sets the latency objective and value of a new request and counts it for the exposure cap and the cancellation budget.
-func (inst *Instance) admit(req *request, arrived Request) {
-	req.objectiveAt = inst.objectiveAt(req, arrived)
+func (inst *Instance) admit(req *request, incoming Request) {
+	req.objectiveDeadline = inst.objectiveDeadline(req, incoming)
 	req.value = inst.classes[req.class].Value
 	if inst.quotas.OverQuota(req.tenant, req.arrivedAt) {
 		req.value *= inst.overQuotaValue
 	}
-	inst.meanValue += (req.value - inst.meanValue) * max(meanStep, 1/inst.requestsTaken)
-	inst.allowance.OnRequest(inst.exposureLane(req.class), inst.releases)
+	inst.meanValue += (req.value - inst.meanValue) * max(meanSmoothing, 1/inst.requestCount)
+	inst.allowance.OnRequest(inst.allowanceIndex(req.class), inst.releases)
 	inst.pending = append(inst.pending, req)
 	inst.cancellationBudget = min(inst.cancellationBudget+cancellationsPerRequest, maxCancellations)
 	inst.schedule(req.deadline-finalAnswerMargin, req)
@@ -32,22 +32,22 @@
 
 // objectiveAt is until when an answer has the full value. For a repeat that time began with the first try: how long ago that was shows
 // in its time left, which is less than usual.
-func (inst *Instance) objectiveAt(req *request, arrived Request) float64 {
+func (inst *Instance) objectiveDeadline(req *request, incoming Request) float64 {
 	class, longest := &inst.classes[req.class], &inst.latencies[req.class].longestTimeLeft
-	at := req.arrivedAt + class.LatencyObjective + class.ObjectivePerWork*arrived.Work
-	*longest = max(*longest, arrived.TimeLeft)
-	if arrived.Retry && arrived.TimeLeft < *longest-minRepeatGap {
-		at -= class.Timeout - arrived.TimeLeft
+	deadline := req.arrivedAt + class.LatencyObjective + class.ObjectivePerWork*incoming.Work
+	*longest = max(*longest, incoming.TimeLeft)
+	if incoming.Retry && incoming.TimeLeft < *longest-minRepeatGap {
+		deadline -= class.Timeout - incoming.TimeLeft
 	}
-	return min(at, req.deadline)
+	return min(deadline, req.deadline)
 }
 
 // learnWork takes a request's work as the client estimates it.
-func (inst *Instance) learnWork(req *request, work float64) {
+func (inst *Instance) recordWork(req *request, work float64) {
 	if inst.meanWork == 0 {
 		inst.meanWork = work
 	}
-	inst.meanWork += meanStep * (work - inst.meanWork)
+	inst.meanWork += meanSmoothing * (work - inst.meanWork)
 	req.relativeWork, req.workDivisor = work/inst.meanWork, work
 }
 
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -7,7 +7,7 @@
 )
 
 // Late answers lower the admission probability, for requests of low value first; it recovers with time, and no class is locked out for good.
-func TestOverload(t *testing.T) {
+func TestAdmissionUnderOverload(t *testing.T) {
 	inst, port := startInstance(RequestClass{}, 3)
 	inst.instances = 300
 	for range 8 {
@@ -32,5 +32,5 @@
 	}
 	inst.latencies[0].mean = 5000 // past the latency objective of 1000
 	inst.OnRequest(inst.now, Request{ID: "t", TimeLeft: 4000})
-	expect(t, "sent all the same", strings.HasPrefix(fmt.Sprint(port.take()), "[submit t"), true)
+	expect(t, "sent all the same", strings.HasPrefix(fmt.Sprint(port.takeActions()), "[submit t"), true)
 }
--- a/policy/affinity_test.go
+++ b/policy/affinity_test.go
@@ -15,8 +15,8 @@
 }
 
 // attemptedBackend is the backend to which the last attempt among some actions goes; empty: there is none.
-func attemptedBackend(did []string) (backend string) {
-	for _, line := range did {
+func attemptedBackend(actions []string) (backend string) {
+	for _, line := range actions {
 		if strings.HasPrefix(line, "submit ") {
 			backend = line[strings.LastIndexByte(line, ' ')+1:]
 		}
@@ -25,7 +25,7 @@
 }
 
 // list lists one backend.
-func list(inst *Instance, now float64, id string, release ReleaseID, state EndpointState) {
+func updateEndpoint(inst *Instance, now float64, id string, release ReleaseID, state EndpointState) {
 	inst.OnEndpoints(now, EndpointUpdate{Endpoints: []Endpoint{{ID: id, Release: release, Weight: 1, State: state}}})
 }
 
@@ -46,7 +46,7 @@
 }
 
 // finish sends an update by which a release is released.
-func finish(inst *Instance, now float64, release ReleaseID) {
+func markReleased(inst *Instance, now float64, release ReleaseID) {
 	inst.OnReleaseUpdate(now, ReleaseUpdate{Release: release, Stage: 1, Phase: Released, Cap: 1, HasState: true})
 }
 
@@ -54,19 +54,19 @@
 // there to give it, of release 2 or 3.
 func announcedThenListed(inst *Instance) {
 	rollOut(inst, 5, 2)
-	list(inst, 6, "x", 2, EndpointRunning)
+	updateEndpoint(inst, 6, "x", 2, EndpointRunning)
 }
 
-func listedOnly(inst *Instance) { list(inst, 6, "x", 2, EndpointRunning) }
+func listedOnly(inst *Instance) { updateEndpoint(inst, 6, "x", 2, EndpointRunning) }
 
 func withdrawnThenListed(inst *Instance) {
 	withdraw(inst, 3, 2)
-	list(inst, 6, "x", 3, EndpointRunning)
+	updateEndpoint(inst, 6, "x", 3, EndpointRunning)
 }
 
 // onlyReleaseTwoListed: release 2 is released, and no earlier one is listed for a while.
 func onlyReleaseTwoListed(inst *Instance) {
-	finish(inst, 25, 2)
+	markReleased(inst, 25, 2)
 	inst.OnEndpoints(26, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, Weight: 1}}, Snapshot: true})
 	inst.OnTimer(26+2*aggregatesInterval, 0)
 }
@@ -81,12 +81,12 @@
 }
 
 // A key that a release has answered, or may be answering, goes to no earlier one, whichever came first, the list or the update.
-func TestAffinityCrossings(t *testing.T) {
+func TestAffinityEventOrders(t *testing.T) {
 	for _, tc := range []struct {
-		name   string
-		before func(inst *Instance) // up to the first answer: only x is there to give it
-		after  func(inst *Instance) // then, before the key comes again: only a is there
-		open   bool                 // a may serve the key
+		name            string
+		before          func(inst *Instance) // up to the first answer: only x is there to give it
+		after           func(inst *Instance) // then, before the key comes again: only a is there
+		servedByEarlier bool                 // a may serve the key
 	}{
 		{"update, list", announcedThenListed, nil, false},
 		{"list, no update", listedOnly, nil, false},
@@ -103,17 +103,17 @@
 		}, true},
 		{"the later of two rolls back", func(inst *Instance) {
 			rollOut(inst, 3, 2)
-			finish(inst, 4, 2)
-			list(inst, 6, "x", 2, EndpointRunning)
+			markReleased(inst, 4, 2)
+			updateEndpoint(inst, 6, "x", 2, EndpointRunning)
 		}, releaseThreeRollsBack, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			inst, port := startWithAffinity(1, 1)
-			list(inst, 2, "a", 1, EndpointDraining)
+			updateEndpoint(inst, 2, "a", 1, EndpointDraining)
 			tc.before(inst)
 			// The first of a process's attempts at a release under a cap needs no more than the free ones.
 			inst.OnRequest(10, Request{ID: "t", Key: "k", TimeLeft: 4000})
-			if got := attemptedBackend(port.take()); got != "x" {
+			if got := attemptedBackend(port.takeActions()); got != "x" {
 				t.Fatalf("first %q", got)
 			}
 			inst.OnAttemptResult(15, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Elapsed: 5})
@@ -121,32 +121,32 @@
 				tc.after(inst)
 			}
 			inst.OnEndpoints(1000, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1}, {ID: "x", Release: 2, State: EndpointRemoved}, {ID: "y", Release: 3, State: EndpointRemoved}}})
-			port.take()
+			port.takeActions()
 			inst.OnRequest(1001, Request{ID: "u", Key: "k", TimeLeft: 4000})
-			if got := attemptedBackend(port.take()); (got == "a") != tc.open {
-				t.Errorf("the key goes to %q, open %v", got, tc.open)
+			if got := attemptedBackend(port.takeActions()); (got == "a") != tc.servedByEarlier {
+				t.Errorf("the key goes to %q, open %v", got, tc.servedByEarlier)
 			}
 		})
 	}
 }
 
 // A backend returns with another release while an attempt there is open: either release may have answered.
-func TestAnswerAcrossReleases(t *testing.T) {
+func TestAffinityReleaseChangedDuringAttempt(t *testing.T) {
 	inst, port := startWithAffinity(2, 1)
 	inst.OnEndpoints(3, EndpointUpdate{Endpoints: []Endpoint{{ID: "b", State: EndpointRemoved}}})
 	inst.OnRequest(10, Request{ID: "t", Key: "k", TimeLeft: 4000})
-	expect(t, "first", attemptedBackend(port.take()), "a")
+	expect(t, "first", attemptedBackend(port.takeActions()), "a")
 	inst.OnEndpoints(12, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 2, Weight: 1}}})
 	inst.OnAttemptResult(15, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Elapsed: 5})
 	inst.OnEndpoints(16, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 2, Weight: 1, State: EndpointDraining}, {ID: "b", Release: 1, Weight: 1}}})
 	inst.OnRequest(20, Request{ID: "u", Key: "k", TimeLeft: 4000})
-	expect(t, "the key again, with only the earlier release there", attemptedBackend(port.take()), "")
+	expect(t, "the key again, with only the earlier release there", attemptedBackend(port.takeActions()), "")
 	inst.OnRequest(21, Request{ID: "v", Key: "other", TimeLeft: 4000})
-	expect(t, "another key", attemptedBackend(port.take()), "b")
+	expect(t, "another key", attemptedBackend(port.takeActions()), "b")
 }
 
 // With the next release announced, the one before still binds the keys that it has answered, and no others.
-func TestKeysOfReleaseBefore(t *testing.T) {
+func TestAffinityOfPreviousRelease(t *testing.T) {
 	inst, port := startWithAffinity(1, 1)
 	inst.OnReleaseUpdate(3, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 1, HasState: true})
 	inst.OnEndpoints(4, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1, State: EndpointDraining}, {ID: "x", Release: 2, Weight: 1}}})
@@ -155,10 +155,10 @@
 	inst.OnReleaseUpdate(20, ReleaseUpdate{Release: 2, Stage: 1, Phase: Released, Cap: 1, HasState: true})
 	inst.OnReleaseUpdate(21, ReleaseUpdate{Release: 3, Phase: RollingOut, Cap: 1, HasState: true})
 	inst.OnEndpoints(22, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1}, {ID: "x", Release: 2, Weight: 1, State: EndpointDraining}}})
-	port.take()
+	port.takeActions()
 	for key, want := range map[string]string{"k": "", "other": "a"} {
 		inst.OnRequest(30, Request{ID: key, Key: key, TimeLeft: 4000})
-		expect(t, key, attemptedBackend(port.take()), want)
+		expect(t, key, attemptedBackend(port.takeActions()), want)
 	}
 }
 
@@ -202,7 +202,7 @@
 				inst.OnEndpoints(4, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1, State: EndpointDraining}, {ID: "x", Release: 2, Weight: 1}}})
 			}
 			inst.OnRequest(10, Request{ID: "t", Key: "k", TimeLeft: 4000})
-			if got := attemptedBackend(port.take()); got != want {
+			if got := attemptedBackend(port.takeActions()); got != want {
 				t.Fatalf("first %q", got)
 			}
 			tc.meanwhile(inst)
@@ -224,7 +224,7 @@
 		}
 		for k := range 64 {
 			req := &request{key: fmt.Sprint(k), affinityKey: 1}
-			set += fmt.Sprintf("%t ", inst.rolloutDraw(req) < 0.5)
+			set += fmt.Sprintf("%t ", inst.rolloutPosition(req) < 0.5)
 		}
 		return set
 	}
@@ -236,7 +236,7 @@
 
 // A backend whose release no source names may run any: its answers bind a key as the latest release's would, it serves only keys that the
 // oldest release may, and the rollout's keys are not drawn anew for it.
-func TestUnknownRelease(t *testing.T) {
+func TestAffinityOfUnknownRelease(t *testing.T) {
 	only := func(inst *Instance, now float64, id string) {
 		list := []Endpoint{{ID: "a", Release: 1, Weight: 1}, {ID: "x", Release: 2, Weight: 1}, {ID: "u", Release: UnknownRelease, Weight: 1}}
 		for k := range list {
@@ -254,15 +254,15 @@
 			inst, port := startWithAffinity(1, 1)
 			inst.OnReleaseUpdate(3, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 1, HasState: true})
 			only(inst, 4, "")
-			drawn := inst.rolloutDraw(&request{key: "k", affinityKey: 1})
+			drawn := inst.rolloutPosition(&request{key: "k", affinityKey: 1})
 			only(inst, 5, tc.first)
-			expect(t, "drawn", inst.rolloutDraw(&request{key: "k", affinityKey: 1}), drawn)
+			expect(t, "drawn", inst.rolloutPosition(&request{key: "k", affinityKey: 1}), drawn)
 			inst.OnRequest(10, Request{ID: "t", Key: "k", TimeLeft: 4000})
-			expect(t, "first", attemptedBackend(port.take()), tc.first)
+			expect(t, "first", attemptedBackend(port.takeActions()), tc.first)
 			inst.OnAttemptResult(15, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Elapsed: 5})
 			only(inst, 20, tc.then)
 			inst.OnRequest(30, Request{ID: "v", Key: "k", TimeLeft: 4000})
-			expect(t, "serves the key", attemptedBackend(port.take()) == tc.then, tc.serves)
+			expect(t, "serves the key", attemptedBackend(port.takeActions()) == tc.then, tc.serves)
 		})
 	}
 }
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -9,36 +9,36 @@
 	attempt.open, attempt.notRun = false, result.Status.provesNotRun()
 	req.openAttempts--
 	req.ended = req.ended || result.Final
-	inst.affinity.AttemptEnded(req.affinityKey, attempt.bindsTo)
+	inst.affinity.AttemptEnded(req.affinityKey, attempt.affinityRelease)
 	inst.endpoints.At(attempt.backend).OpenAttempts--
 	inst.openAttempts--
-	inst.retryQueuedAt = inst.now // there may be room for a queued request
-	inst.reportLoad(attempt.backend, result.Load)
-	inst.learnFromAttempt(req, attempt, result.Status, result.Elapsed)
+	inst.queueRetryAt = inst.now // there may be room for a queued request
+	inst.recordLoadReport(attempt.backend, result.Load)
+	inst.recordAttemptEnd(req, attempt, result.Status, result.Elapsed)
 	inst.continueRequest(req, attempt)
 }
 
 // learnFromAttempt draws the conclusions from an attempt's end. took is in ms, infinite where it is not known.
-func (inst *Instance) learnFromAttempt(req *request, attempt *attempt, status AttemptStatus, took float64) {
+func (inst *Instance) recordAttemptEnd(req *request, attempt *attempt, status AttemptStatus, elapsed float64) {
 	served := status == StatusServed
-	inTime := served && inst.now <= attempt.dueAt
+	inTime := served && inst.now <= attempt.lateAt
 	inst.updateEjection(attempt, status)
 	if served && inst.now == inst.resumedAt {
 		// What took so long may be this instance's own stall: it says nothing of the backend, the load or the release.
-		took, inTime = math.Inf(1), true
+		elapsed, inTime = math.Inf(1), true
 	}
 	inst.signalOverload(req, attempt, status, inTime)
-	inst.sampleAnswer(attempt, status, inTime)
+	inst.recordOutcome(attempt, status, inTime)
 	if served {
-		inst.learnLatency(inst.endpoints.At(attempt.backend), req, took)
+		inst.recordLatency(inst.endpoints.At(attempt.backend), req, elapsed)
 	}
 	// An answer that broke on its way, or came when nobody read it, has bound its key all the same.
 	if status != StatusErrored && !attempt.notRun {
-		inst.bindKey(req, attempt)
+		inst.recordKeyAffinity(req, attempt)
 	}
-	isEvidence := !math.IsInf(took, 1) && !attempt.notRun && status != StatusCanceled
+	isEvidence := !math.IsInf(elapsed, 1) && !attempt.notRun && status != StatusCanceled
 	if inst.evaluator.Announced() && isEvidence {
-		inst.recordEvidence(attempt, req, status, took)
+		inst.recordEvidence(attempt, req, status, elapsed)
 	}
 }
 
@@ -53,7 +53,7 @@
 		req.probeRounds, req.unprobed = 0, false
 		inst.pending = append(inst.pending, req)
 	default:
-		inst.answerFinally(req)
+		inst.rejectOrFail(req)
 	}
 }
 
@@ -85,19 +85,19 @@
 
 // sampleAnswer counts an attempt's end in its backend's record and as a sample for its concurrency limit, once. What breaks on the way says
 // nothing of the load there, and a canceled attempt nothing at all.
-func (inst *Instance) sampleAnswer(attempt *attempt, status AttemptStatus, inTime bool) {
+func (inst *Instance) recordOutcome(attempt *attempt, status AttemptStatus, inTime bool) {
 	if status == StatusCanceled || status == StatusNotSent || attempt.countedLate {
 		return
 	}
-	inst.recordAnswer(inst.endpoints.At(attempt.backend), inTime)
+	inst.recordHealth(inst.endpoints.At(attempt.backend), inTime)
 	broke := status == StatusConnectFailed || status == StatusErrored || status == StatusReset
 	if !broke {
-		inst.sampleLimit(attempt.backend, inTime)
+		inst.updateConcurrencyLimit(attempt.backend, inTime)
 	}
 }
 
 // sampleLimit moves a backend's concurrency limit and the sum of all limits.
-func (inst *Instance) sampleLimit(index int, inTime bool) {
+func (inst *Instance) updateConcurrencyLimit(index int, inTime bool) {
 	backend := inst.endpoints.At(index)
 	inst.fleet.concurrencyLimit += backend.Limit.OnSample(inTime, backend.OpenAttempts, inst.instances)
 }
@@ -118,14 +118,14 @@
 // would feed an overload.
 func (inst *Instance) handleOverdueAttempt(req *request, number int) {
 	attempt := &req.attempts[number]
-	late := inst.now >= attempt.dueAt
-	if !late && !inst.isLost(req, attempt) {
+	late := inst.now >= attempt.lateAt
+	if !late && !inst.shouldCancelLost(req, attempt) {
 		return
 	}
 	attempt.countedLate = true
-	inst.recordAnswer(inst.endpoints.At(attempt.backend), false)
+	inst.recordHealth(inst.endpoints.At(attempt.backend), false)
 	if late {
-		inst.sampleLimit(attempt.backend, false)
+		inst.updateConcurrencyLimit(attempt.backend, false)
 		return
 	}
 	attempt.canceled, inst.cancellationBudget = true, inst.cancellationBudget-1
@@ -133,8 +133,8 @@
 }
 
 // isLost says whether an attempt has outlasted nearly all answers and can be replaced in time.
-func (inst *Instance) isLost(req *request, attempt *attempt) bool {
-	outlasted := inst.now >= inst.givenUpAt(req.class, attempt.sentAt)
+func (inst *Instance) shouldCancelLost(req *request, attempt *attempt) bool {
+	outlasted := inst.now >= inst.presumedLostAt(req.class, attempt.sentAt)
 	mayReplace := len(req.attempts) < inst.maxAttempts && inst.cancellationBudget >= 1
-	return outlasted && mayReplace && inst.now+inst.expectedLatency(req) < req.objectiveAt
+	return outlasted && mayReplace && inst.now+inst.expectedLatency(req) < req.objectiveDeadline
 }
--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -9,13 +9,13 @@
 )
 
 // A backend that fails at once gets hardly any attempts, and gets them again when it recovers.
-func TestQuickFailures(t *testing.T) {
+func TestEjection(t *testing.T) {
 	for _, status := range []AttemptStatus{StatusRejected, StatusConnectFailed, StatusErrored} {
 		t.Run(fmt.Sprint("status ", status), func(t *testing.T) {
 			inst, port := startInstance(RequestClass{}, 1)
 			inst.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
 			inst.OnAttemptResult(11, AttemptResult{RequestID: "t", Status: status, Elapsed: 1})
-			expect(t, "sent, and not again at once", port.take(), "[submit t a]")
+			expect(t, "sent, and not again at once", port.takeActions(), "[submit t a]")
 			failing, recovered := attemptsAtFailing(status)
 			if failing > 8 || recovered < 5 {
 				t.Errorf("%d attempts while it failed, %d after", failing, recovered)
@@ -31,12 +31,12 @@
 		id, now := fmt.Sprint(k), 10+float64(k)*10
 		inst.OnRequest(now, Request{ID: id, TimeLeft: 4000})
 		for attempt := range 5 {
-			did := port.take()
-			if len(did) == 0 {
+			actions := port.takeActions()
+			if len(actions) == 0 {
 				break
 			}
 			served := AttemptResult{RequestID: id, Attempt: attempt, Status: StatusServed, Final: true, Elapsed: 9}
-			atFailing := strings.HasSuffix(did[0], " a")
+			atFailing := strings.HasSuffix(actions[0], " a")
 			switch {
 			case atFailing && k < 300:
 				failing++
@@ -53,7 +53,7 @@
 }
 
 // Connections that break on the way do not lower a backend's concurrency limit; late answers and rejections do.
-func TestBroken(t *testing.T) {
+func TestConcurrencyLimitByStatus(t *testing.T) {
 	for _, tc := range []struct {
 		status AttemptStatus
 		falls  bool
@@ -73,11 +73,11 @@
 }
 
 // A backend's limit goes by its own time, not by how long a request waited here before it was placed.
-func TestBlame(t *testing.T) {
+func TestConcurrencyLimitIgnoresQueueing(t *testing.T) {
 	for _, tc := range []struct {
-		name           string
-		waited, took   float64
-		lowers, raises bool
+		name            string
+		waited, elapsed float64
+		lowers, raises  bool
 	}{
 		{"in time", 0, 300, false, true},
 		{"late by the wait here", 950, 100, false, true},
@@ -87,13 +87,13 @@
 		t.Run(tc.name, func(t *testing.T) {
 			inst, port := startInstance(RequestClass{}, 1)
 			inst.OnRequest(2, Request{ID: "t", TimeLeft: 4000})
-			inst.requests["t"].objectiveAt -= tc.waited
-			inst.requests["t"].attempts[0].dueAt = inst.latencyDeadline(inst.requests["t"])
+			inst.requests["t"].objectiveDeadline -= tc.waited
+			inst.requests["t"].attempts[0].lateAt = inst.latencyDeadline(inst.requests["t"])
 			inst.endpoints.At(0).Limit = 1.5
 			was := inst.endpoints.At(0).Limit
-			inst.OnTimer(2+tc.took, 0)
-			inst.OnAttemptResult(2+tc.took, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Elapsed: tc.took})
-			port.take()
+			inst.OnTimer(2+tc.elapsed, 0)
+			inst.OnAttemptResult(2+tc.elapsed, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Elapsed: tc.elapsed})
+			port.takeActions()
 			if got := inst.endpoints.At(0).Limit; got < was != tc.lowers || got > was != tc.raises {
 				t.Errorf("the limit went from %.1f to %.1f", was, got)
 			}
--- a/policy/config.go
+++ b/policy/config.go
@@ -78,9 +78,9 @@
 
 // Errors of Config.Validate.
 var (
-	ErrNoClasses   = errors.New("no request class")
-	ErrClassTimes  = errors.New("a class needs a latency objective and a timeout above 0")
-	ErrMaxAttempts = errors.New("a request needs at least one attempt")
+	ErrNoClasses          = errors.New("no request class")
+	ErrInvalidClassTimes  = errors.New("a class needs a latency objective and a timeout above 0")
+	ErrInvalidMaxAttempts = errors.New("a request needs at least one attempt")
 )
 
 // Validate says what can't be used, as errors that errors.Is finds.
@@ -90,11 +90,11 @@
 	}
 	for i, class := range c.Classes {
 		if class.LatencyObjective <= 0 || class.Timeout <= 0 {
-			return fmt.Errorf("class %d, %v ms and %v ms: %w", i, class.LatencyObjective, class.Timeout, ErrClassTimes)
+			return fmt.Errorf("class %d, %v ms and %v ms: %w", i, class.LatencyObjective, class.Timeout, ErrInvalidClassTimes)
 		}
 	}
 	if c.MaxAttempts < 1 {
-		return fmt.Errorf("%d attempts: %w", c.MaxAttempts, ErrMaxAttempts)
+		return fmt.Errorf("%d attempts: %w", c.MaxAttempts, ErrInvalidMaxAttempts)
 	}
 	return nil
 }
@@ -109,15 +109,15 @@
 		// Not by the seed: a process that starts anew draws the same keys for a release that rolls out.
 		salt: uint64(c.Index+1) << 32,
 
-		maxOpenRequests: math.Inf(1),
-		maxRetryAfter:   c.MaxRetryAfter,
-		peerMessages:    c.PeerMessages,
-		probing:         probing{allowed: c.ProbesAllowed, price: c.ProbePrice},
-		zone:            c.Zone,
-		crossZonePrice:  c.CrossZoneCharged,
+		maxOpenRequests:  math.Inf(1),
+		maxRetryAfter:    c.MaxRetryAfter,
+		peerMessages:     c.PeerMessages,
+		probing:          probing{allowed: c.ProbesAllowed, price: c.ProbePrice},
+		zone:             c.Zone,
+		crossZoneCharged: c.CrossZoneCharged,
 
 		endpoints: endpoints.NewTable(),
-		discovery: discovery{onDemand: c.Discovery.SubscriptionRequired, refreshInterval: c.Discovery.RefreshInterval},
+		discovery: discovery{subscriptionRequired: c.Discovery.SubscriptionRequired, refreshInterval: c.Discovery.RefreshInterval},
 		requests:  map[string]*request{},
 
 		admission:         admission.NewThrottle(),
@@ -125,8 +125,8 @@
 		popularKeys:       map[string]float64{},
 		affinity:          exposure.NewAffinity(),
 
-		retryQueuedAt: math.Inf(1),
-		timers:        timers{armedAt: math.Inf(1)},
+		queueRetryAt: math.Inf(1),
+		timers:       timers{armedAt: math.Inf(1)},
 	}
 	inst.evaluateAt = math.Inf(1)
 	if c.MaxOpenRequests > 0 {
--- a/policy/decision_bench_test.go
+++ b/policy/decision_bench_test.go
@@ -9,7 +9,7 @@
 type discardingPort struct{ recordingPort }
 
 func (port *discardingPort) SendAttempt(_, backend string, _ float64) {
-	port.did = append(port.did[:0], backend)
+	port.actions = append(port.actions[:0], backend)
 }
 
 // One decision, from a request to the end of its attempt, with so many backends, of which one in ten has a release that rolls out.
--- a/policy/discovery.go
+++ b/policy/discovery.go
@@ -8,13 +8,13 @@
 
 // discovery is where the endpoint list comes from and how far it can be relied on.
 type discovery struct {
-	onDemand        bool    // changes come only after a subscription
-	refreshInterval float64 // ms
-	watching        bool    // subscribed, as far as is known
-	watchDueAt      float64 // ms, when to subscribe
-	failures        float64 // in a row
-	heard           bool    // a list other than the cached one that the process started with has come
-	clockStepped    bool    // the wall clock was, since the start
+	subscriptionRequired bool    // changes come only after a subscription
+	refreshInterval      float64 // ms
+	subscribed           bool    // subscribed, as far as is known
+	watchDueAt           float64 // ms, when to subscribe
+	consecutiveFailures  float64 // in a row
+	listReceived         bool    // a list other than the cached one that the process started with has come
+	clockStepped         bool    // the wall clock was, since the start
 }
 
 const (
@@ -24,20 +24,20 @@
 )
 
 func (inst *Instance) watchDue() bool {
-	return inst.discovery.onDemand && !inst.discovery.watching && inst.now >= inst.discovery.watchDueAt
+	return inst.discovery.subscriptionRequired && !inst.discovery.subscribed && inst.now >= inst.discovery.watchDueAt
 }
 
 func (inst *Instance) watchEndpoints() {
 	inst.port.WatchEndpoints()
-	inst.discovery.watching = true // until a failure comes
+	inst.discovery.subscribed = true // until a failure comes
 }
 
 // scheduleWatchRetry: a failure does not say which call it was, so the subscription is made again, after a longer pause each time, and
 // scattered over the instances.
 func (inst *Instance) scheduleWatchRetry() {
 	d := &inst.discovery
-	share := min(firstWatchRetry*math.Pow(2, d.failures), maxWatchRetry) * (1 + inst.rng.Float64())
-	d.watching, d.watchDueAt, d.failures = false, inst.now+d.refreshInterval*share, d.failures+1
+	share := min(firstWatchRetry*math.Pow(2, d.consecutiveFailures), maxWatchRetry) * (1 + inst.rng.Float64())
+	d.subscribed, d.watchDueAt, d.consecutiveFailures = false, inst.now+d.refreshInterval*share, d.consecutiveFailures+1
 	inst.schedule(d.watchDueAt, nil)
 }
 
@@ -49,7 +49,7 @@
 	}
 	backend := inst.endpoints.At(index)
 	if backend.IsNewProcess(listed) {
-		start := slowstart.Start{ListedStart: listed.StartedAt, FirstList: !inst.discovery.heard, ClockStepped: inst.discovery.clockStepped}
+		start := slowstart.Start{ListedStart: listed.StartedAt, FirstList: !inst.discovery.listReceived, ClockStepped: inst.discovery.clockStepped}
 		backend.ResetForNewProcess(start.UpSince(inst.now), inst.now)
 		inst.evaluator.ResetBackend(index)
 		if inst.instances >= manyInstances && listed.StartedAt > 0 {
--- a/policy/discovery_test.go
+++ b/policy/discovery_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // Nothing goes to a backend that drains, was removed or is missing from a snapshot.
-func TestList(t *testing.T) {
+func TestEndpointStates(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
 		listed   Endpoint
@@ -19,7 +19,7 @@
 			inst, port := startInstance(RequestClass{}, 1)
 			inst.OnEndpoints(5, EndpointUpdate{Endpoints: []Endpoint{tc.listed}, Snapshot: tc.snapshot})
 			inst.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
-			expect(t, "actions", port.take(), tc.want)
+			expect(t, "actions", port.takeActions(), tc.want)
 		})
 	}
 }
@@ -27,14 +27,14 @@
 // After failures the subscription is made again, with growing pauses and within the refresh interval of 10 s.
 func TestWatchRetries(t *testing.T) {
 	inst, port := startInstance(RequestClass{}, 1)
-	inst.discovery.onDemand, inst.discovery.refreshInterval = true, 10000
+	inst.discovery.subscriptionRequired, inst.discovery.refreshInterval = true, 10000
 	inst.OnTimer(2, 0)
 	inst.OnDiscoveryFailed(3)
-	expect(t, "subscribed once", port.take(), "[subscribe]")
+	expect(t, "subscribed once", port.takeActions(), "[subscribe]")
 	var attempts []float64 // ms
 	for now := 3.0; now < 60000; now += 5 {
 		inst.OnTimer(now, inst.timers.token)
-		if len(port.take()) > 0 {
+		if len(port.takeActions()) > 0 {
 			attempts = append(attempts, now)
 			inst.OnDiscoveryFailed(now)
 		}
--- a/policy/events.go
+++ b/policy/events.go
@@ -44,9 +44,9 @@
 		inst.applyEndpoint(listed)
 	}
 	if !update.Cached {
-		inst.discovery.failures, inst.discovery.heard = 0, true
+		inst.discovery.consecutiveFailures, inst.discovery.listReceived = 0, true
 	}
-	inst.fleet.dueAt = now
+	inst.fleet.refreshAt = now
 	inst.applyRules()
 }
 
@@ -67,25 +67,25 @@
 }
 
 // OnRequest takes a request. It ends with SendAttempt and that attempt's final result, with Reject or with Fail.
-func (inst *Instance) OnRequest(now float64, arrived Request) {
+func (inst *Instance) OnRequest(now float64, incoming Request) {
 	inst.beginEvent(now)
 	req := &request{
-		id: arrived.ID, key: arrived.Key, class: arrived.Class, tenant: arrived.Tenant,
-		arrivedAt: now, deadline: now + arrived.TimeLeft, relativeWork: 1, workDivisor: 1,
+		id: incoming.ID, key: incoming.Key, class: incoming.Class, tenant: incoming.Tenant,
+		arrivedAt: now, deadline: now + incoming.TimeLeft, relativeWork: 1, workDivisor: 1,
 	}
-	if arrived.Work > 0 {
-		inst.learnWork(req, arrived.Work)
+	if incoming.Work > 0 {
+		inst.recordWork(req, incoming.Work)
 	}
-	inst.requestsTaken++
+	inst.requestCount++
 	if inst.exposureConfig.KeyAffinity {
-		req.affinityKey = exposure.KeyOf(arrived.Key)
-		inst.countKey(arrived.Key)
+		req.affinityKey = exposure.KeyOf(incoming.Key)
+		inst.countKey(incoming.Key)
 	}
-	if !arrived.Retry {
+	if !incoming.Retry {
 		inst.arrivals.Add(now)
 	}
-	inst.requests[arrived.ID] = req
-	inst.admit(req, arrived)
+	inst.requests[incoming.ID] = req
+	inst.admit(req, incoming)
 	inst.applyRules()
 }
 
@@ -116,7 +116,7 @@
 	if !known {
 		return
 	}
-	inst.recordAnswer(inst.endpoints.At(index), false)
+	inst.recordHealth(inst.endpoints.At(index), false)
 	inst.evaluator.MarkFailed(class, index, now-age)
 }
 
@@ -168,12 +168,12 @@
 }
 
 // OnShutdown takes notice that the instance ends at a time (ms): every open request has its final answer by then.
-func (inst *Instance) OnShutdown(now, by float64) {
+func (inst *Instance) OnShutdown(now, shutdownAt float64) {
 	inst.beginEvent(now)
 	for _, id := range slices.Sorted(maps.Keys(inst.requests)) {
-		if req := inst.requests[id]; !req.ended && req.deadline > by {
-			req.deadline, req.objectiveAt = by, min(req.objectiveAt, by)
-			inst.schedule(by-finalAnswerMargin, req)
+		if req := inst.requests[id]; !req.ended && req.deadline > shutdownAt {
+			req.deadline, req.objectiveDeadline = shutdownAt, min(req.objectiveDeadline, shutdownAt)
+			inst.schedule(shutdownAt-finalAnswerMargin, req)
 		}
 	}
 	inst.applyRules()
--- a/policy/evidence.go
+++ b/policy/evidence.go
@@ -8,10 +8,10 @@
 // This file owns which attempts become evidence on a release, the instance's own ones and those in messages of others.
 
 // recordEvidence takes the end of an own attempt as evidence, and queues it for the evaluators.
-func (inst *Instance) recordEvidence(attempt *attempt, req *request, status AttemptStatus, took float64) {
+func (inst *Instance) recordEvidence(attempt *attempt, req *request, status AttemptStatus, elapsed float64) {
 	outcome := verdict.Outcome{
 		EndedAt:          inst.now,
-		Latency:          took / req.workDivisor,
+		Latency:          elapsed / req.workDivisor,
 		Failed:           status == StatusErrored || status == StatusReset,
 		ConnectionBroken: status == StatusReset,
 		Backend:          attempt.backend,
@@ -39,7 +39,7 @@
 	})
 }
 
-func (inst *Instance) addEvidence(of ReleaseID, class int, outcome verdict.Outcome) {
+func (inst *Instance) addEvidence(id ReleaseID, class int, outcome verdict.Outcome) {
 	warm := inst.warmUpProgress(inst.endpoints.At(outcome.Backend)) >= 1
-	inst.evaluator.Record(of, class, outcome, warm, inst.releases.IsEvaluated(of))
+	inst.evaluator.Record(id, class, outcome, warm, inst.releases.IsEvaluated(id))
 }
--- a/policy/evidence_test.go
+++ b/policy/evidence_test.go
@@ -9,7 +9,7 @@
 )
 
 // An end that is noticed after the instance itself stood still says nothing of the backend or the release.
-func TestStandstill(t *testing.T) {
+func TestStallIsNoEvidence(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		stalled bool
@@ -19,7 +19,7 @@
 			inst, port := startInstance(RequestClass{}, 1)
 			inst.OnReleaseUpdate(2, ReleaseUpdate{Release: 1, Phase: RollingOut, Cap: 1, HasState: true})
 			inst.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
-			port.take()
+			port.takeActions()
 			for now := 20.0; now < 900 && !tc.stalled; now += 20 {
 				inst.OnTimer(now, inst.timers.token)
 			}
@@ -30,7 +30,7 @@
 }
 
 // Outcomes from other instances count like own ones; what cannot be read is ignored.
-func TestMessages(t *testing.T) {
+func TestPeerMessages(t *testing.T) {
 	sender, port := startInstance(RequestClass{}, 3)
 	sender.instances, sender.index = 300, 7
 	sender.peerMessages = true
@@ -38,12 +38,12 @@
 	sender.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
 	sender.OnAttemptResult(60, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Elapsed: 50})
 	var message []byte
-	for _, did := range port.take() {
-		if !strings.HasPrefix(did, "tell 0 ") {
+	for _, action := range port.takeActions() {
+		if !strings.HasPrefix(action, "tell 0 ") {
 			continue
 		}
-		if _, err := fmt.Sscanf(did, "tell 0 %x", &message); err != nil {
-			t.Fatalf("%s: %v", did, err)
+		if _, err := fmt.Sscanf(action, "tell 0 %x", &message); err != nil {
+			t.Fatalf("%s: %v", action, err)
 		}
 	}
 	for _, tc := range []struct {
--- a/policy/exposure.go
+++ b/policy/exposure.go
@@ -33,21 +33,21 @@
 }
 
 // underCap says whether a release is under a cap.
-func (inst *Instance) underCap(id ReleaseID) bool {
+func (inst *Instance) isCapped(id ReleaseID) bool {
 	_, limited := inst.releases.Cap(id)
 	return limited
 }
 
 // oldestAllowedRelease is the earliest release that may serve a request, by its key.
 func (inst *Instance) oldestAllowedRelease(req *request) ReleaseID {
-	if now := inst.affinity.Version() + 1; req.affinityChange != now {
-		req.oldestRelease, req.affinityChange = inst.affinity.OldestAllowed(req.affinityKey), now
+	if version := inst.affinity.Version() + 1; req.affinityVersion != version {
+		req.oldestRelease, req.affinityVersion = inst.affinity.OldestAllowed(req.affinityKey), version
 	}
 	return req.oldestRelease
 }
 
 // withinExposureCap guards the rule on exposure for one attempt of a request at a backend.
-func (inst *Instance) withinExposureCap(req *request, backend *endpoints.Backend) bool {
+func (inst *Instance) passesExposureChecks(req *request, backend *endpoints.Backend) bool {
 	if inst.releases.OldestIfUnknown(backend.Release) < inst.oldestAllowedRelease(req) {
 		inst.skipped.Affinity++
 		return false
@@ -60,7 +60,7 @@
 		inst.skipped.Closed++
 		return false
 	}
-	if !inst.allowance.Allows(backend.Release, inst.exposureLane(req.class), inst.now) {
+	if !inst.allowance.Allows(backend.Release, inst.allowanceIndex(req.class), inst.now) {
 		inst.skipped.CapReached++
 		return false
 	}
@@ -76,7 +76,7 @@
 }
 
 // exposureLane is the lane of the allowance in which a class counts.
-func (inst *Instance) exposureLane(class int) int {
+func (inst *Instance) allowanceIndex(class int) int {
 	if inst.exposureConfig.PerClass {
 		return class
 	}
@@ -85,10 +85,10 @@
 
 // bindKey notes that a release may have answered a request's key. Where the backend was listed with another release meanwhile, it
 // may have been either that answered.
-func (inst *Instance) bindKey(req *request, attempt *attempt) {
+func (inst *Instance) recordKeyAffinity(req *request, attempt *attempt) {
 	for _, id := range [...]ReleaseID{attempt.release, inst.endpoints.At(attempt.backend).Release} {
-		if to := inst.releases.LatestIfUnknown(id); !inst.releases.IsClosed(to) {
-			inst.affinity.RecordAnswer(req.affinityKey, to)
+		if target := inst.releases.LatestIfUnknown(id); !inst.releases.IsClosed(target) {
+			inst.affinity.RecordAnswer(req.affinityKey, target)
 		}
 	}
 }
@@ -102,8 +102,8 @@
 	}
 	attempt := &req.attempts[number]
 	backend := inst.endpoints.At(attempt.backend)
-	asDecided := backend.State == EndpointRunning && backend.Release == attempt.release
-	if !asDecided || inst.releases.OldestIfUnknown(attempt.release) < inst.oldestAllowedRelease(req) {
+	unchanged := backend.State == EndpointRunning && backend.Release == attempt.release
+	if !unchanged || inst.releases.OldestIfUnknown(attempt.release) < inst.oldestAllowedRelease(req) {
 		return false
 	}
 	limit, limited := inst.releases.Cap(attempt.release)
@@ -129,5 +129,5 @@
 			delete(inst.popularKeys, key)
 		}
 	}
-	inst.requestsTaken /= 2
+	inst.requestCount /= 2
 }
--- a/policy/exposure_test.go
+++ b/policy/exposure_test.go
@@ -7,7 +7,7 @@
 )
 
 // No more attempts than the free ones and the cap's share of the requests go to a release that rolls out.
-func TestExposure(t *testing.T) {
+func TestExposureCap(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
 		limit       float64
@@ -34,8 +34,8 @@
 			for k := range 100 {
 				id, now := fmt.Sprint(k), 10+float64(k)*20
 				inst.OnRequest(now, Request{ID: id, TimeLeft: 4000})
-				for _, did := range port.take() {
-					if strings.ContainsAny(did[len(did)-1:], "xyz") {
+				for _, action := range port.takeActions() {
+					if strings.ContainsAny(action[len(action)-1:], "xyz") {
 						n++
 					}
 				}
@@ -49,10 +49,10 @@
 }
 
 // A key that a release under a cap has answered goes to no earlier release until that release is rolled back.
-func TestKeysStay(t *testing.T) {
+func TestAffinityUntilRollback(t *testing.T) {
 	for _, tc := range []struct {
-		phase Phase
-		open  bool // an earlier release may serve the key
+		phase           Phase
+		servedByEarlier bool // an earlier release may serve the key
 	}{{RollingOut, false}, {Released, false}, {RollingBack, true}, {Withdrawn, true}} {
 		t.Run(tc.phase.String(), func(t *testing.T) {
 			inst, port := startInstance(RequestClass{}, 1)
@@ -61,22 +61,22 @@
 			inst.OnEndpoints(3, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, Weight: 1}, {ID: "a", Release: 1, State: EndpointDraining, Weight: 1}}})
 			inst.OnRequest(10, Request{ID: "t", Key: "k", TimeLeft: 4000})
 			inst.OnAttemptResult(20, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Elapsed: 10})
-			expect(t, "first", port.take(), "[submit t x]")
+			expect(t, "first", port.takeActions(), "[submit t x]")
 			inst.OnEndpoints(30, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, State: EndpointDraining, Weight: 1}, {ID: "a", Release: 1, Weight: 1}}})
 			inst.OnReleaseUpdate(31, ReleaseUpdate{Release: 2, Phase: tc.phase, Cap: 1, HasState: true})
 			inst.OnRequest(40, Request{ID: "u", Key: "k", TimeLeft: 4000})
-			expect(t, "goes to the earlier release", len(port.take()) == 1, tc.open)
+			expect(t, "goes to the earlier release", len(port.takeActions()) == 1, tc.servedByEarlier)
 		})
 	}
 }
 
 // An attempt binds its key whether its answer was read or not, and while it may still come. One that failed or never ran binds nothing, nor
 // does one that ends after its release began to roll back.
-func TestKeysUnread(t *testing.T) {
+func TestAffinityByStatus(t *testing.T) {
 	for _, tc := range []struct {
-		status AttemptStatus // 0: still open
-		phase  Phase
-		open   bool // an earlier release may serve the key
+		status          AttemptStatus // 0: still open
+		phase           Phase
+		servedByEarlier bool // an earlier release may serve the key
 	}{
 		{StatusServed, RollingOut, false},
 		{StatusReset, RollingOut, false},
@@ -99,19 +99,19 @@
 			if tc.status != 0 {
 				inst.OnAttemptResult(20, AttemptResult{RequestID: "t", Status: tc.status, Final: true, Elapsed: 10})
 			}
-			expect(t, "first", port.take()[0], "submit t x")
+			expect(t, "first", port.takeActions()[0], "submit t x")
 			inst.OnEndpoints(30, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, State: EndpointDraining, Weight: 1}, {ID: "a", Release: 1, Weight: 1}}})
 			inst.OnRequest(40, Request{ID: "u", Key: "k", TimeLeft: 4000})
-			expect(t, "goes to the earlier release", len(port.take()) == 1, tc.open)
+			expect(t, "goes to the earlier release", len(port.takeActions()) == 1, tc.servedByEarlier)
 		})
 	}
 }
 
 // maySendTo by itself, whatever the rules above it do: each case is one step beyond one condition.
-func TestGuard(t *testing.T) {
+func TestMaySendTo(t *testing.T) {
 	for _, tc := range []struct {
-		name   string
-		breach func(inst *Instance, req *request)
+		name    string
+		violate func(inst *Instance, req *request)
 	}{
 		{"not idempotent, may have run", func(inst *Instance, req *request) {
 			inst.classes[0].Semantics = NonIdempotent
@@ -136,7 +136,7 @@
 			inst.OnReleaseUpdate(2, ReleaseUpdate{Release: 1, Stage: 1, Phase: RollingOut, Cap: 0.5, HasState: true})
 			req := &request{deadline: 100, relativeWork: 1}
 			expect(t, "may send before", inst.maySendTo(req, 0), true)
-			tc.breach(inst, req)
+			tc.violate(inst, req)
 			expect(t, "may send after", inst.maySendTo(req, 0), false)
 		})
 	}
--- a/policy/fleet.go
+++ b/policy/fleet.go
@@ -13,7 +13,7 @@
 // fleetAggregates are sums over the running backends, as of the last refresh. Pairs are for the stable releases and for those that roll out,
 // in this order (stableArm, rolloutArm).
 type fleetAggregates struct {
-	dueAt            float64  // ms, when they are taken again
+	refreshAt        float64  // ms, when they are taken again
 	candidates       [2][]int // backends by index
 	capacity         [2]float64
 	concurrencyLimit float64   // sum of the backends' limits
@@ -31,13 +31,13 @@
 
 func otherArm(arm int) int { return stableArm + rolloutArm - arm }
 
-func (inst *Instance) aggregatesDue() bool { return inst.now >= inst.fleet.dueAt }
+func (inst *Instance) aggregatesDue() bool { return inst.now >= inst.fleet.refreshAt }
 
 // refreshAggregates sums over the fleet what placing a request needs.
 func (inst *Instance) refreshAggregates() {
 	fleet := &inst.fleet
 	stable, rollout := fleet.candidates[stableArm][:0], fleet.candidates[rolloutArm][:0]
-	*fleet = fleetAggregates{dueAt: inst.now + aggregatesInterval, candidates: [2][]int{stable, rollout}}
+	*fleet = fleetAggregates{refreshAt: inst.now + aggregatesInterval, candidates: [2][]int{stable, rollout}}
 	inst.inferReleased()
 	for index := range inst.endpoints.Len() {
 		if backend := inst.endpoints.At(index); backend.State == EndpointRunning {
@@ -99,7 +99,7 @@
 // capacityOf is what a backend can take, as far as is known: its weight, less while it warms up, is slow or is in another zone.
 func (inst *Instance) capacityOf(backend *endpoints.Backend) float64 {
 	capacity := backend.Weight * inst.warmUpProgress(backend) / backend.LatencyInflation
-	if inst.crossZonePrice && backend.Zone != inst.zone {
+	if inst.crossZoneCharged && backend.Zone != inst.zone {
 		capacity /= crossZonePenalty
 	}
 	return capacity
@@ -111,7 +111,7 @@
 }
 
 // recordAnswer counts an answer for its backend and for the fleet.
-func (inst *Instance) recordAnswer(backend *endpoints.Backend, inTime bool) {
-	inst.answers.Add(inst.now, inTime)
+func (inst *Instance) recordHealth(backend *endpoints.Backend, inTime bool) {
+	inst.fleetHealth.Add(inst.now, inTime)
 	backend.Health.Add(inst.now, inTime)
 }
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -13,10 +13,10 @@
 )
 
 // queueSummary queues an attempt's outcome for the evaluators.
-func (inst *Instance) queueSummary(outcome verdict.Outcome, of ReleaseID, class int) {
+func (inst *Instance) queueSummary(outcome verdict.Outcome, id ReleaseID, class int) {
 	inst.summaries.Add(gossip.Summary{
 		BackendHash:      gossip.BackendHash(inst.endpoints.At(outcome.Backend).ID),
-		Release:          int(of),
+		Release:          int(id),
 		Class:            class,
 		Failed:           outcome.Failed,
 		ConnectionBroken: outcome.ConnectionBroken,
--- a/policy/helper_test.go
+++ b/policy/helper_test.go
@@ -7,10 +7,10 @@
 
 // recordingPort is a port that keeps the instance's actions, a line for each. The lines' words are those of the recordings in testdata, which
 // stay as they are: submit is an attempt, decline a reject, void a fail, revoke a cancellation and tell a message.
-type recordingPort struct{ did []string }
+type recordingPort struct{ actions []string }
 
 func (port *recordingPort) add(format string, args ...any) {
-	port.did = append(port.did, fmt.Sprintf(format, args...))
+	port.actions = append(port.actions, fmt.Sprintf(format, args...))
 }
 
 func (port *recordingPort) SendAttempt(request, backend string, _ float64) {
@@ -44,10 +44,10 @@
 func (port *recordingPort) Log(string) {}
 
 // take returns the actions since the last call.
-func (port *recordingPort) take() []string {
-	did := port.did
-	port.did = nil
-	return did
+func (port *recordingPort) takeActions() []string {
+	actions := port.actions
+	port.actions = nil
+	return actions
 }
 
 // startInstance starts an instance with one class and backends of release 1 named a, b, c and so on, in two zones and cells by turns.
@@ -78,6 +78,6 @@
 }
 
 // loadReportOf is a report of two figures, of which one below 0 is missing.
-func loadReportOf(waiting, busy float64) LoadReport {
-	return LoadReport{Present: waiting >= 0 || busy >= 0, Waiting: max(waiting, 0), Utilization: max(busy, 0)}
+func loadReportOf(waiting, utilization float64) LoadReport {
+	return LoadReport{Present: waiting >= 0 || utilization >= 0, Waiting: max(waiting, 0), Utilization: max(utilization, 0)}
 }
--- a/policy/instance.go
+++ b/policy/instance.go
@@ -37,11 +37,11 @@
 	cancelAllowed      bool
 	maxOpenRequests    float64
 	maxRetryAfter      float64 // ms
-	crossZonePrice     bool
+	crossZoneCharged   bool
 	requests           map[string]*request
 	pending            []*request // a rule has yet to look at these
 	retryQueue         []*request // no backend could take these, oldest first
-	retryQueuedAt      float64    // ms, when the queue is tried again
+	queueRetryAt       float64    // ms, when the queue is tried again
 	cancellationBudget float64    // attempts that may still be canceled for taking too long
 
 	timers    timers
@@ -56,13 +56,13 @@
 	overQuotaValue    float64
 	meanValue         float64
 	meanWork          float64
-	requestsTaken     float64 // halved whenever the counts of popular keys are
+	requestCount      float64 // halved whenever the counts of popular keys are
 
 	// Backends.
 	endpoints    *endpoints.Table
 	discovery    discovery
 	fleet        fleetAggregates
-	answers      health.Record // of all backends together
+	fleetHealth  health.Record // of all backends together
 	slowStart    slowstart.Config
 	throughput   slowstart.Throughput // of warm backends
 	latencies    []classLatency       // by class
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -9,7 +9,7 @@
 const (
 	// meanStep is the weight of one answer in a mean latency, work or value; backendStep that in the figures of one backend, which
 	// sees fewer answers.
-	meanStep, backendStep = 0.02, 0.1
+	meanSmoothing, backendSmoothing = 0.02, 0.1
 	// maxLatencyInflation bounds what one answer counts, as times the usual latency: a single one must not shut out its backend.
 	maxLatencyInflation = 10
 	// tailQuantile is the share of the answers that come within the tail latency. An attempt that takes tailMultiple times the tail
@@ -27,37 +27,37 @@
 }
 
 // learnLatency takes the latency of an answer.
-func (inst *Instance) learnLatency(backend *endpoints.Backend, req *request, took float64) {
-	if math.IsInf(took, 1) {
+func (inst *Instance) recordLatency(backend *endpoints.Backend, req *request, elapsed float64) {
+	if math.IsInf(elapsed, 1) {
 		return
 	}
 	latency := &inst.latencies[req.class]
-	moveMean(&latency.mean, took)
-	inst.learnTail(req.class, took)
-	moveMean(&inst.meanLatency, took)
-	backend.LatencyInflation += backendStep * (min(took/max(latency.mean, 1), maxLatencyInflation) - backend.LatencyInflation)
+	updateMean(&latency.mean, elapsed)
+	inst.updateTailLatency(req.class, elapsed)
+	updateMean(&inst.meanLatency, elapsed)
+	backend.LatencyInflation += backendSmoothing * (min(elapsed/max(latency.mean, 1), maxLatencyInflation) - backend.LatencyInflation)
 	if inst.fleet.warmWeight > 0 && inst.warmUpProgress(backend) >= 1 {
 		inst.throughput.Add(req.relativeWork/inst.fleet.warmWeight, inst.now)
 	}
 }
 
 // moveMean moves an exponential mean, which starts with its first value.
-func moveMean(mean *float64, value float64) {
+func updateMean(mean *float64, value float64) {
 	if *mean == 0 {
 		*mean = value
 	}
-	*mean += meanStep * (value - *mean)
+	*mean += meanSmoothing * (value - *mean)
 }
 
 // learnTail moves the tail latency up for each answer beyond it and down for the others, by steps that balance where tailQuantile of the
 // answers stay within it. It stays infinite where a lost attempt could not be replaced.
-func (inst *Instance) learnTail(class int, took float64) {
+func (inst *Instance) updateTailLatency(class int, elapsed float64) {
 	tail := &inst.latencies[class].tail
 	replaceable := inst.cancelAllowed && inst.classes[class].Semantics != NonIdempotent
 	if math.IsInf(*tail, 1) && replaceable {
-		*tail = maxLatencyInflation * took
+		*tail = maxLatencyInflation * elapsed
 	}
-	if took > *tail {
+	if elapsed > *tail {
 		*tail *= math.Exp(tailUpdateStep * tailQuantile)
 	} else {
 		*tail *= math.Exp(-tailUpdateStep * (1 - tailQuantile))
@@ -65,6 +65,6 @@
 }
 
 // givenUpAt is when an attempt sent at a time is taken for lost.
-func (inst *Instance) givenUpAt(class int, sentAt float64) float64 {
+func (inst *Instance) presumedLostAt(class int, sentAt float64) float64 {
 	return sentAt + tailMultiple*inst.latencies[class].tail
 }
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -21,21 +21,21 @@
 	// lowValueLimitShare is the part of the concurrency limits that requests below the mean value may use.
 	lowValueLimitShare = 0.6
 	// minOpenPerBackend and minOpenInAll are open attempts that are always allowed, at one backend and at all together.
-	minOpenPerBackend, minOpenInAll = 1, 2
+	minOpenPerBackend, minOpenTotal = 1, 2
 )
 
 // rolloutShare is the part of the requests for the releases that roll out: their backends' share of the capacity, within the cap.
 func (inst *Instance) rolloutShare() float64 {
-	limit, all := inst.fleet.rolloutCap*capUtilization, inst.fleet.capacity[stableArm]+inst.fleet.capacity[rolloutArm]
+	limit, total := inst.fleet.rolloutCap*capUtilization, inst.fleet.capacity[stableArm]+inst.fleet.capacity[rolloutArm]
 	if limit >= capUtilization {
 		limit = 1
 	}
 	// Where the earlier backends stay in the last stage, those of the new release get what their places would, at no more load
 	// for each.
 	if inst.inLastStage() {
-		all = min(all, inst.placesWeight)
+		total = min(total, inst.placesWeight)
 	}
-	return min(inst.fleet.capacity[rolloutArm]/max(all, minCapacity), limit)
+	return min(inst.fleet.capacity[rolloutArm]/max(total, minCapacity), limit)
 }
 
 // inLastStage says whether the rollout is in the stage over all places. Earlier backends that stay are idle in it, so that latencies are
@@ -47,18 +47,18 @@
 // pickBackend draws the arm (stable or rollout) and then chooses a backend in it, or in the other one where there is none; -1: none may
 // take the request.
 func (inst *Instance) pickBackend(req *request) int {
-	failedInRollout := len(req.attempts) > 0 && inst.underCap(req.attempts[len(req.attempts)-1].release)
+	failedInRollout := len(req.attempts) > 0 && inst.isCapped(req.attempts[len(req.attempts)-1].release)
 	arm := stableArm
-	if !failedInRollout && inst.rolloutDraw(req) < inst.rolloutShare() {
+	if !failedInRollout && inst.rolloutPosition(req) < inst.rolloutShare() {
 		arm = rolloutArm
 	}
-	unbound := req.affinityKey != 0 && inst.fleet.rolloutCap < 1 && inst.oldestAllowedRelease(req) < inst.fleet.rolloutRelease
-	if unbound && inst.isPopular(req.key) {
+	unassigned := req.affinityKey != 0 && inst.fleet.rolloutCap < 1 && inst.oldestAllowedRelease(req) < inst.fleet.rolloutRelease
+	if unassigned && inst.isPopular(req.key) {
 		arm = stableArm
 	}
 	index := inst.pickCandidate(req, arm)
-	staysUnbound := unbound && arm == stableArm // in the other arm its key would be bound without having been drawn
-	if index >= 0 || staysUnbound {
+	stayInStable := unassigned && arm == stableArm // in the other arm its key would be bound without having been drawn
+	if index >= 0 || stayInStable {
 		return index
 	}
 	return inst.pickCandidate(req, otherArm(arm))
@@ -66,12 +66,12 @@
 
 // isPopular says whether a key has more of the requests than may be bound to a release under a cap.
 func (inst *Instance) isPopular(key string) bool {
-	return inst.popularKeys[key] > minPopularRequests+maxKeyShareOfCap*inst.fleet.rolloutCap*inst.requestsTaken
+	return inst.popularKeys[key] > minPopularRequests+maxKeyShareOfCap*inst.fleet.rolloutCap*inst.requestCount
 }
 
 // rolloutDraw is a request's position in [0,1): by its key where keys stay with a release. A rollout's keys are the same ones from the first
 // listing of its release on: before its first update, after it and in a process that starts anew.
-func (inst *Instance) rolloutDraw(req *request) float64 {
+func (inst *Instance) rolloutPosition(req *request) float64 {
 	if req.affinityKey != 0 {
 		return balance.KeyPosition(req.key, inst.salt^uint64(max(inst.fleet.rolloutRelease, inst.evaluator.Release())))
 	}
@@ -80,17 +80,17 @@
 
 // pickCandidate chooses a backend in one arm, with a probability by its capacity and then by its load.
 func (inst *Instance) pickCandidate(req *request, arm int) int {
-	fits := func(index int) bool {
+	eligible := func(index int) bool {
 		return inst.hasCapacity(req, inst.endpoints.At(index)) && inst.maySendTo(req, index)
 	}
 	accepts := func(index int) bool {
 		backend := inst.endpoints.At(index)
-		if inst.rng.Float64()*inst.fleet.maxCapacity > inst.capacityOf(backend) || req.triedAt(index) || !fits(index) {
+		if inst.rng.Float64()*inst.fleet.maxCapacity > inst.capacityOf(backend) || req.hasTried(index) || !eligible(index) {
 			return false
 		}
-		return !health.DrawUnhealthy(&backend.Health, &inst.answers, inst.now, inst.rng)
+		return !health.DrawUnhealthy(&backend.Health, &inst.fleetHealth, inst.now, inst.rng)
 	}
-	return balance.LeastLoaded(inst.fleet.candidates[arm], inst.rng, accepts, fits, inst.loadOf)
+	return balance.LeastLoaded(inst.fleet.candidates[arm], inst.rng, accepts, eligible, inst.loadOf)
 }
 
 // loadOf is a backend's load for its capacity: the instance's own open attempts. In a small fleet the reported load is added; in a large one
@@ -111,8 +111,8 @@
 	if req.value < inst.meanValue {
 		share = lowValueLimitShare
 	}
-	here, inAll := max(float64(backend.Limit)*share, minOpenPerBackend), max(inst.fleet.concurrencyLimit*share, minOpenInAll)
-	return !backend.Ejection.Active(inst.now) && float64(backend.OpenAttempts) < here && float64(inst.openAttempts) < inAll
+	backendLimit, totalLimit := max(float64(backend.Limit)*share, minOpenPerBackend), max(inst.fleet.concurrencyLimit*share, minOpenTotal)
+	return !backend.Ejection.Active(inst.now) && float64(backend.OpenAttempts) < backendLimit && float64(inst.openAttempts) < totalLimit
 }
 
 // maySendTo guards every attempt: the limits on attempts, the rule on repeats, the exposure cap and the slow start.
@@ -120,7 +120,7 @@
 	backend := inst.endpoints.At(index)
 	// A draining backend gets nothing, though the platform would still allow it for a while.
 	return inst.mayAttempt(req) && backend.State == EndpointRunning && inst.mayRepeatAt(req, backend) &&
-		inst.withinExposureCap(req, backend) && inst.allowsWarmingUp(req, backend)
+		inst.passesExposureChecks(req, backend) && inst.allowsSlowStart(req, backend)
 }
 
 // mayAttempt says whether a request may have one more attempt.
@@ -165,12 +165,12 @@
 
 // allowsWarmingUp keeps to the slow-start budget of a backend that is not warm: by its progress, a part of what warm backends are seen to
 // serve. Where none is seen, a backend counts as serving one request at a time, shared by all instances.
-func (inst *Instance) allowsWarmingUp(req *request, backend *endpoints.Backend) bool {
+func (inst *Instance) allowsSlowStart(req *request, backend *endpoints.Backend) bool {
 	progress := inst.warmUpProgress(backend)
 	if progress >= 1 {
 		return true
 	}
-	seen := inst.throughput.PerWeight() * backend.Weight
+	observed := inst.throughput.PerWeight() * backend.Weight
 	latency := cmp.Or(inst.meanLatency, inst.classes[req.class].LatencyObjective)
-	return backend.SlowStart.Allows(&inst.slowStart, progress, max(seen, 1/(latency*float64(inst.instances))), inst.now)
+	return backend.SlowStart.Allows(&inst.slowStart, progress, max(observed, 1/(latency*float64(inst.instances))), inst.now)
 }
--- a/policy/placement_test.go
+++ b/policy/placement_test.go
@@ -7,7 +7,7 @@
 )
 
 // Many instances that see little each must not crowd on the backends of the highest weight, nor on those that report no load.
-func TestDraw(t *testing.T) {
+func TestPickBackendDistribution(t *testing.T) {
 	for _, tc := range []struct {
 		name         string
 		weight, load float64 // of backend a; the others have weight 1 and report 0.8
@@ -15,7 +15,7 @@
 	}{{"alike", 1, 0.8, 150, 250}, {"of a higher weight", 1.5, 0.8, 220, 340}, {"reports no load", 1, 0, 150, 250}} {
 		t.Run(tc.name, func(t *testing.T) {
 			inst, _ := startInstance(RequestClass{}, 5)
-			inst.instances, inst.endpoints.At(0).Weight, inst.fleet.dueAt = 300, tc.weight, 0
+			inst.instances, inst.endpoints.At(0).Weight, inst.fleet.refreshAt = 300, tc.weight, 0
 			inst.OnTimer(2, 0)
 			for backend, load := range []float64{tc.load, 0.8, 0.8, 0.8, 0.8} {
 				inst.endpoints.At(backend).Load = balance.NewLoad(load, 0, 2)
--- a/policy/probes.go
+++ b/policy/probes.go
@@ -47,13 +47,13 @@
 // endProbe takes a probe's result. Failures in other zones count for nothing: the way there may be at fault.
 func (inst *Instance) endProbe(index int, result ProbeResult) {
 	if inst.endpoints.At(index).Zone == inst.zone {
-		inst.probing.failureShare -= backendStep * inst.probing.failureShare
+		inst.probing.failureShare -= backendSmoothing * inst.probing.failureShare
 		if !result.OK {
-			inst.probing.failureShare += backendStep
+			inst.probing.failureShare += backendSmoothing
 		}
 	}
 	if result.OK {
-		inst.reportLoad(index, result.Load)
+		inst.recordLoadReport(index, result.Load)
 		inst.placeAfterProbe(index)
 	}
 }
@@ -61,7 +61,7 @@
 // placeAfterProbe gives the backend that has answered to the first request that waits for it.
 func (inst *Instance) placeAfterProbe(index int) {
 	req := inst.probedRequest(index)
-	if req != nil && inst.now < req.objectiveAt && inst.maySendTo(req, index) {
+	if req != nil && inst.now < req.objectiveDeadline && inst.maySendTo(req, index) {
 		inst.placeRequest(req, index)
 	}
 }
@@ -77,7 +77,7 @@
 }
 
 // reportLoad takes what a backend says of its load.
-func (inst *Instance) reportLoad(index int, report LoadReport) {
+func (inst *Instance) recordLoadReport(index int, report LoadReport) {
 	if report.Present {
 		inst.endpoints.At(index).Load = balance.NewLoad(report.Waiting, report.Utilization, inst.now)
 	}
--- a/policy/probes_test.go
+++ b/policy/probes_test.go
@@ -24,7 +24,7 @@
 			inst.instances = 300
 			inst.probing.allowed, inst.probing.price = true, 0.01
 			inst.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
-			probed := port.take()
+			probed := port.takeActions()
 			if len(probed) == 0 || !strings.HasPrefix(probed[0], "probe") {
 				t.Fatalf("no probe: %v", probed)
 			}
@@ -32,14 +32,14 @@
 			if tc.answer {
 				inst.OnProbeResult(12, ProbeResult{Backend: last, OK: tc.ok, Elapsed: 2})
 			}
-			got := fmt.Sprint(port.take())
+			got := fmt.Sprint(port.takeActions())
 			if tc.want != "" && got != "[submit t "+last+"]" || tc.want == "" && got != "[]" {
 				t.Errorf("after the probe: %s", got)
 			}
 			inst.OnTimer(140, inst.timers.token) // a second round
 			inst.OnTimer(270, inst.timers.token)
-			if did := port.take(); tc.later != "" && (len(did) == 0 || !strings.HasPrefix(did[len(did)-1], tc.later)) {
-				t.Errorf("later: %v", did)
+			if actions := port.takeActions(); tc.later != "" && (len(actions) == 0 || !strings.HasPrefix(actions[len(actions)-1], tc.later)) {
+				t.Errorf("later: %v", actions)
 			}
 		})
 	}
@@ -56,8 +56,8 @@
 			inst.instances = manyInstances
 			inst.probing.allowed, inst.probing.price = true, tc.price
 			inst.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
-			if did := port.take(); len(did) == 0 || !strings.HasPrefix(did[0], tc.first) {
-				t.Errorf("%v", did)
+			if actions := port.takeActions(); len(actions) == 0 || !strings.HasPrefix(actions[0], tc.first) {
+				t.Errorf("%v", actions)
 			}
 		})
 	}
--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -6,7 +6,7 @@
 )
 
 // The same events give the same actions, another seed others; the generator's sequence is known.
-func TestChance(t *testing.T) {
+func TestDeterminism(t *testing.T) {
 	generator := multiplyWithCarry{x: 1, carry: 0}
 	expect(t, "generator", []uint64{generator.next(), generator.next(), generator.next()}, []uint64{4294957665, 92756161, 18591715})
 	run := func(seed uint64) string {
@@ -17,7 +17,7 @@
 		for k := range 50 {
 			inst.OnRequest(float64(k), Request{ID: fmt.Sprint(k), TimeLeft: 4000})
 		}
-		return fmt.Sprint(port.did)
+		return fmt.Sprint(port.actions)
 	}
 	expect(t, "same seed", run(7), run(7))
 	expect(t, "another seed differs", run(7) != run(8), true)
--- a/policy/releases.go
+++ b/policy/releases.go
@@ -18,14 +18,14 @@
 }
 
 // applyReleaseUpdate takes the state of a release; age is how long (ms) it has been in that state.
-func (inst *Instance) applyReleaseUpdate(update release.Update, age float64, by VoteResponse) {
+func (inst *Instance) applyReleaseUpdate(update release.Update, age float64, source VoteResponse) {
 	before, known := inst.releases.Newest()
 	change := inst.releases.Apply(update)
-	inst.logUpdate(update, change, by)
+	inst.logUpdate(update, change, source)
 	if change != release.Changed {
 		return
 	}
-	inst.fleet.dueAt = inst.now
+	inst.fleet.refreshAt = inst.now
 	if inst.releases.IsClosed(update.Release) {
 		inst.affinity.ForgetRelease(update.Release)
 	}
@@ -39,8 +39,8 @@
 }
 
 // logUpdate writes a line for each update that changes something or is stale.
-func (inst *Instance) logUpdate(update release.Update, change release.UpdateResult, by VoteResponse) {
-	line := fmt.Sprintf("release %d: stage %d, %s, cap %.2f, by %s", update.Release, update.Stage, update.Phase, update.Cap, by)
+func (inst *Instance) logUpdate(update release.Update, change release.UpdateResult, source VoteResponse) {
+	line := fmt.Sprintf("release %d: stage %d, %s, cap %.2f, by %s", update.Release, update.Stage, update.Phase, update.Cap, source)
 	switch change {
 	case release.Changed:
 		inst.port.Log(line)
--- a/policy/replay_test.go
+++ b/policy/replay_test.go
@@ -17,8 +17,8 @@
 }
 
 func (p *replayPort) flush() {
-	for _, did := range p.take() {
-		p.recorder.Effect(did)
+	for _, action := range p.takeActions() {
+		p.recorder.Effect(action)
 	}
 }
 
@@ -91,9 +91,9 @@
 	case 8, 9, 10, 11, 12, 13, 14:
 		id, attempt := s.request(), s.rng.IntN(3)
 		status := []AttemptStatus{StatusServed, StatusServed, StatusServed, StatusServed, StatusErrored, StatusRejected, StatusTimedOut, StatusConnectFailed, StatusReset, StatusCanceled, StatusNotSent}[s.rng.IntN(11)]
-		took, waiting := s.rng.Float64()*300, float64(s.rng.IntN(4)-1)
-		s.inst.OnAttemptResult(now, AttemptResult{RequestID: id, Attempt: attempt, Status: status, Final: status == StatusServed, Elapsed: took, Load: loadReportOf(waiting, waiting/2)})
-		return fmt.Sprint("outcome ", id, attempt, int(status), took, waiting)
+		elapsed, waiting := s.rng.Float64()*300, float64(s.rng.IntN(4)-1)
+		s.inst.OnAttemptResult(now, AttemptResult{RequestID: id, Attempt: attempt, Status: status, Final: status == StatusServed, Elapsed: elapsed, Load: loadReportOf(waiting, waiting/2)})
+		return fmt.Sprint("outcome ", id, attempt, int(status), elapsed, waiting)
 	case 15:
 		id := s.request()
 		s.inst.OnClientGone(now, id)
@@ -156,8 +156,8 @@
 	inst.peerMessages = s.rng.IntN(2) == 0
 	inst.probing.allowed, inst.probing.price = s.rng.IntN(2) == 0, 0.01
 	inst.maxRetryAfter = 2000
-	inst.zone, inst.crossZonePrice = s.rng.IntN(2), s.rng.IntN(2) == 0
-	inst.discovery.onDemand, inst.discovery.refreshInterval = s.rng.IntN(2) == 0, 10000
+	inst.zone, inst.crossZoneCharged = s.rng.IntN(2), s.rng.IntN(2) == 0
+	inst.discovery.subscriptionRequired, inst.discovery.refreshInterval = s.rng.IntN(2) == 0, 10000
 	inst.configureSlowStart(SlowStartConfig{InitialCapacity: 0.4, WarmUp: 5000, OverloadFactor: 3, OverloadWindow: 1000})
 	inst.configureExposure(ExposureConfig{FreeAttempts: 2, Caps: []float64{0.1, 0.5, 1}, GuardedStages: s.rng.IntN(2), PerClass: s.rng.IntN(2) == 0, KeyAffinity: s.rng.IntN(3) > 0})
 	inst.exposureConfig.Window = float64(s.rng.IntN(2) * 3000)
--- a/policy/rollout.go
+++ b/policy/rollout.go
@@ -20,11 +20,11 @@
 func (inst *Instance) evaluate() {
 	inst.evaluateAt = inst.now + evaluationInterval
 	inst.schedule(inst.evaluateAt, nil)
-	inst.evaluator.Evaluate(inst.now, inst.surroundings())
+	inst.evaluator.Evaluate(inst.now, inst.fleetView())
 }
 
 // surroundings is the instance's surroundings as an evaluation needs them.
-func (inst *Instance) surroundings() verdict.Fleet {
+func (inst *Instance) fleetView() verdict.Fleet {
 	backends, lastStart := inst.newestReleaseBackends()
 	return verdict.Fleet{
 		Instances:          inst.instances,
@@ -56,7 +56,7 @@
 	previousReleased := inst.evaluator.Announced() && inst.releases.Record(inst.evaluator.Release()).Phase == Released
 	inst.decayPopularKeys()
 	inst.countPlaces(newest)
-	inst.evaluator.StartRollout(inst.now, newest, previousReleased, inst.surroundings())
+	inst.evaluator.StartRollout(inst.now, newest, previousReleased, inst.fleetView())
 	inst.evaluateAt = inst.now
 }
 
--- a/policy/routing.go
+++ b/policy/routing.go
@@ -12,7 +12,7 @@
 const (
 	// openRequestsBeforeReject is the part of the open requests that the instance can hold from which one that finds no place is rejected at
 	// once: more would take its last connections, and then it could not even reject.
-	openRequestsBeforeReject = 0.6
+	immediateRejectShare = 0.6
 	// maxQueueMisses is how many queued requests in a row may find no place before the rest wait on.
 	maxQueueMisses = 4
 	// queueRetryInterval (ms) is between two tries of the queue.
@@ -31,9 +31,9 @@
 func (inst *Instance) route() {
 	req := inst.pending[0]
 	inst.dropPending()
-	probing := inst.probesFirst(req)
+	probing := inst.decideProbing(req)
 	if !inst.isWorthSending(req) || !inst.passesThrottles(req) {
-		inst.answerFinally(req)
+		inst.rejectOrFail(req)
 		return
 	}
 	if probing {
@@ -45,8 +45,8 @@
 	switch {
 	case index >= 0:
 		inst.placeRequest(req, index)
-	case isNew && float64(len(inst.requests)) > openRequestsBeforeReject*inst.maxOpenRequests:
-		inst.answerFinally(req)
+	case isNew && float64(len(inst.requests)) > immediateRejectShare*inst.maxOpenRequests:
+		inst.rejectOrFail(req)
 	case !req.queued:
 		inst.enqueue(req)
 	}
@@ -54,19 +54,19 @@
 
 // choosesByProbes says whether a request's place is chosen in the way of a large fleet. A request from the queue goes by open attempts: it has
 // waited for room at a backend, and that is there now.
-func (inst *Instance) choosesByProbes(req *request) bool {
+func (inst *Instance) usesProbing(req *request) bool {
 	return inst.instances >= manyInstances && !req.queued
 }
 
 // probesFirst says whether a request is probed for, and notes on the request where it goes on without. Probes that fail while requests are
 // served are given up, more often the more of them fail.
-func (inst *Instance) probesFirst(req *request) bool {
-	if !inst.choosesByProbes(req) {
+func (inst *Instance) decideProbing(req *request) bool {
+	if !inst.usesProbing(req) {
 		return false
 	}
-	giveUp := inst.unprobedAdmission.Probability(inst.now) >= admission.FullAdmissionThreshold && inst.rng.Float64() < 2*inst.probing.failureShare-1
-	worthIt := inst.probing.allowed && probesPerRound*inst.probing.price <= maxProbePrice
-	probing := worthIt && req.probeRounds < maxProbeRounds && !giveUp
+	skipProbes := inst.unprobedAdmission.Probability(inst.now) >= admission.FullAdmissionThreshold && inst.rng.Float64() < 2*inst.probing.failureShare-1
+	affordable := inst.probing.allowed && probesPerRound*inst.probing.price <= maxProbePrice
+	probing := affordable && req.probeRounds < maxProbeRounds && !skipProbes
 	req.unprobed = req.unprobed || !probing
 	return probing
 }
@@ -77,7 +77,7 @@
 	if len(req.attempts) >= inst.maxAttempts {
 		return false
 	}
-	inTime := inst.now+inst.expectedLatency(req) < req.objectiveAt
+	inTime := inst.now+inst.expectedLatency(req) < req.objectiveDeadline
 	hasLateValue := inst.classes[req.class].LateValue > 0 && len(req.attempts) > 0
 	waitedTooLong := len(req.attempts) == 0 && inst.now >= inst.queueDeadline(req)
 	return (inTime || hasLateValue) && !waitedTooLong
@@ -85,7 +85,7 @@
 
 // passesThrottles draws whether the throttles admit a request: that of all on its first routing, that of the unprobed each time.
 func (inst *Instance) passesThrottles(req *request) bool {
-	first := inst.choosesByProbes(req) && req.probeRounds == 0
+	first := inst.usesProbing(req) && req.probeRounds == 0
 	if first && !inst.admission.Admits(req.value, inst.meanValue, inst.now, inst.rng) {
 		return false
 	}
@@ -97,18 +97,18 @@
 func (inst *Instance) enqueue(req *request) {
 	req.queued = true
 	inst.retryQueue = append(inst.retryQueue, req)
-	giveUpAt := min(req.objectiveAt-inst.expectedLatency(req), inst.queueDeadline(req))
-	inst.schedule(max(giveUpAt, inst.now+queueRetryInterval), req)
+	expiresAt := min(req.objectiveDeadline-inst.expectedLatency(req), inst.queueDeadline(req))
+	inst.schedule(max(expiresAt, inst.now+queueRetryInterval), req)
 }
 
 func (inst *Instance) queueDue() bool {
-	return inst.now >= inst.retryQueuedAt && len(inst.retryQueue) > 0
+	return inst.now >= inst.queueRetryAt && len(inst.retryQueue) > 0
 }
 
 // retryQueued routes the requests that have waited longest, once the end of an attempt, the endpoint list or the passing of a little time may
 // have made room. Oldest first, or newer ones would keep them waiting past their objective.
-func (inst *Instance) retryQueued() {
-	inst.retryQueuedAt = math.Inf(1)
+func (inst *Instance) retryQueuedRequests() {
+	inst.queueRetryAt = math.Inf(1)
 	waiting, misses := inst.retryQueue, 0
 	inst.retryQueue = nil
 	for len(waiting) > 0 && misses < maxQueueMisses {
@@ -126,8 +126,8 @@
 	}
 	inst.retryQueue = slices.Insert(waiting, 0, inst.retryQueue...)
 	if len(inst.retryQueue) > 0 {
-		inst.retryQueuedAt = inst.now + queueRetryInterval
-		inst.schedule(inst.retryQueuedAt, nil)
+		inst.queueRetryAt = inst.now + queueRetryInterval
+		inst.schedule(inst.queueRetryAt, nil)
 	}
 }
 
@@ -135,28 +135,28 @@
 func (inst *Instance) placeRequest(req *request, index int) {
 	req.queued = false
 	inst.sendAttempt(req, index)
-	inst.schedule(req.attempts[len(req.attempts)-1].dueAt, req)
-	if givenUpAt := inst.givenUpAt(req.class, inst.now); givenUpAt < req.objectiveAt {
-		inst.schedule(givenUpAt, req)
+	inst.schedule(req.attempts[len(req.attempts)-1].lateAt, req)
+	if presumedLostAt := inst.presumedLostAt(req.class, inst.now); presumedLostAt < req.objectiveDeadline {
+		inst.schedule(presumedLostAt, req)
 	}
 }
 
 // sendAttempt sends an attempt; the caller has asked maySendTo.
 func (inst *Instance) sendAttempt(req *request, index int) {
 	backend := inst.endpoints.At(index)
-	if inst.underCap(backend.Release) {
-		inst.allowance.Use(backend.Release, inst.exposureLane(req.class), inst.now)
+	if inst.isCapped(backend.Release) {
+		inst.allowance.Use(backend.Release, inst.allowanceIndex(req.class), inst.now)
 	}
 	if inst.warmUpProgress(backend) < 1 {
 		backend.SlowStart.Spend(req.relativeWork)
 	}
-	bindsTo := inst.releases.LatestIfUnknown(backend.Release)
+	affinityRelease := inst.releases.LatestIfUnknown(backend.Release)
 	req.attempts = append(req.attempts, attempt{
-		backend: index, release: backend.Release, bindsTo: bindsTo, sentAt: inst.now, dueAt: inst.latencyDeadline(req), open: true,
+		backend: index, release: backend.Release, affinityRelease: affinityRelease, sentAt: inst.now, lateAt: inst.latencyDeadline(req), open: true,
 	})
 	req.openAttempts++
-	if !inst.releases.IsClosed(bindsTo) {
-		inst.affinity.AttemptStarted(req.affinityKey, bindsTo)
+	if !inst.releases.IsClosed(affinityRelease) {
+		inst.affinity.AttemptStarted(req.affinityKey, affinityRelease)
 	}
 	backend.OpenAttempts++
 	inst.openAttempts++
@@ -166,11 +166,11 @@
 // latencyDeadline is after which time an answer is late by its backend's doing. What the request has waited here is not: where few backends
 // may serve a key, all its requests come to them at the last moment, and their limits would fall until nothing gets there.
 func (inst *Instance) latencyDeadline(req *request) float64 {
-	return max(req.objectiveAt, inst.now+minAttemptShare*inst.classes[req.class].LatencyObjective)
+	return max(req.objectiveDeadline, inst.now+minAttemptShare*inst.classes[req.class].LatencyObjective)
 }
 
 // answerFinally gives a request its one final answer: it is rejected where no backend can have run it or a repeat does no harm, else failed.
-func (inst *Instance) answerFinally(req *request) {
+func (inst *Instance) rejectOrFail(req *request) {
 	if req.ended {
 		return
 	}
--- a/policy/routing_test.go
+++ b/policy/routing_test.go
@@ -9,7 +9,7 @@
 )
 
 // What follows the end of a first attempt: the rule on repeats.
-func TestEffects(t *testing.T) {
+func TestRepeats(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
 		semantics Semantics
@@ -37,12 +37,12 @@
 				inst, port := startInstance(class, 8)
 				inst.rng.IntN(draws + 1)
 				inst.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
-				first := port.take()[0]
+				first := port.takeActions()[0]
 				inst.OnAttemptResult(10+tc.after, AttemptResult{RequestID: "t", Status: tc.status, Elapsed: tc.after})
-				for now := 10 + tc.after; len(port.did) == 0 && now < 5000; now += 10 {
+				for now := 10 + tc.after; len(port.actions) == 0 && now < 5000; now += 10 {
 					inst.OnTimer(now, inst.timers.token)
 				}
-				got := port.take()
+				got := port.takeActions()
 				if len(got) != 1 || !strings.HasPrefix(got[0], tc.want) {
 					t.Fatalf("got %v, want %s", got, tc.want)
 				}
@@ -55,7 +55,7 @@
 }
 
 // Every request gets one final answer before its deadline, whatever its semantics, and nothing after it.
-func TestLastMoment(t *testing.T) {
+func TestAnswerAtDeadline(t *testing.T) {
 	for _, tc := range []struct {
 		semantics Semantics
 		want      string
@@ -63,14 +63,14 @@
 		t.Run(fmt.Sprint("semantics ", tc.semantics), func(t *testing.T) {
 			inst, port := startInstance(RequestClass{LatencyObjective: 1000, Timeout: 4000, Value: 1, Semantics: tc.semantics, DedupWindow: 9000}, 2)
 			inst.OnRequest(10, Request{ID: "t", TimeLeft: 500})
-			port.take()
+			port.takeActions()
 			for now := 15.0; now < 510; now += 5 {
 				inst.OnTimer(now, inst.timers.token)
 			}
-			expect(t, "at the deadline", port.take(), tc.want)
+			expect(t, "at the deadline", port.takeActions(), tc.want)
 			inst.OnAttemptResult(520, AttemptResult{RequestID: "t", Status: StatusTimedOut, Final: true, Elapsed: 510})
 			inst.OnClientGone(521, "t")
-			expect(t, "afterwards", port.take(), "[]")
+			expect(t, "afterwards", port.takeActions(), "[]")
 			expect(t, "open requests", len(inst.requests), 0)
 		})
 	}
@@ -86,14 +86,14 @@
 				if len(inst.timers.queue) > 0 && inst.timers.queue[0].at <= now {
 					inst.OnTimer(now, inst.timers.token)
 				}
-				if len(port.did) > 0 {
-					if took := now - 10; took > tc.after+queueRetryInterval || took < tc.after-queueRetryInterval {
-						t.Errorf("rejected after %.0f ms", took)
+				if len(port.actions) > 0 {
+					if elapsed := now - 10; elapsed > tc.after+queueRetryInterval || elapsed < tc.after-queueRetryInterval {
+						t.Errorf("rejected after %.0f ms", elapsed)
 					}
 					break
 				}
 			}
-			expect(t, "actions", port.take(), "[decline t]")
+			expect(t, "actions", port.takeActions(), "[decline t]")
 		})
 	}
 }
@@ -111,8 +111,8 @@
 			rejected := 0
 			for k := range tc.taken {
 				inst.OnRequest(2+float64(k)/1000, Request{ID: fmt.Sprint(k), TimeLeft: 4000})
-				for _, did := range port.take() {
-					if did == fmt.Sprintf("decline %d", k) {
+				for _, action := range port.takeActions() {
+					if action == fmt.Sprintf("decline %d", k) {
 						rejected++
 					}
 				}
@@ -124,15 +124,15 @@
 
 // lossyBackends answer each attempt after 20 ms, but lose some first attempts of the requests from 501 on.
 type lossyBackends struct {
-	inst     *Instance
-	port     *recordingPort
-	lost     int            // of 100 requests: whose first attempt is never answered
-	attempts map[string]int // by request
-	coming   []comingAnswer // in order
-	served   int            // requests from 501 on
+	inst      *Instance
+	port      *recordingPort
+	lost      int                 // of 100 requests: whose first attempt is never answered
+	attempts  map[string]int      // by request
+	scheduled []scheduledResponse // in order
+	served    int                 // requests from 501 on
 }
 
-type comingAnswer struct {
+type scheduledResponse struct {
 	at      float64 // ms
 	request string
 	attempt int
@@ -140,9 +140,9 @@
 
 // answer gives the answers that are due.
 func (backends *lossyBackends) answer(now float64) {
-	for len(backends.coming) > 0 && backends.coming[0].at <= now {
-		answer := backends.coming[0]
-		backends.coming = backends.coming[1:]
+	for len(backends.scheduled) > 0 && backends.scheduled[0].at <= now {
+		answer := backends.scheduled[0]
+		backends.scheduled = backends.scheduled[1:]
 		if backends.inst.requests[answer.request] == nil {
 			continue
 		}
@@ -154,9 +154,9 @@
 }
 
 // take takes the instance's actions, also those that follow from a cancellation.
-func (backends *lossyBackends) take(now float64) {
-	for did := backends.port.take(); len(did) > 0; did = append(did[1:], backends.port.take()...) {
-		fields := strings.Fields(did[0])
+func (backends *lossyBackends) handleActions(now float64) {
+	for actions := backends.port.takeActions(); len(actions) > 0; actions = append(actions[1:], backends.port.takeActions()...) {
+		fields := strings.Fields(actions[0])
 		switch fields[0] {
 		case "revoke":
 			id := fields[1]
@@ -174,12 +174,12 @@
 	k, _ := strconv.Atoi(id)
 	isLost := k > 500 && attempt == 0 && k*backends.lost/100 != (k-1)*backends.lost/100
 	if !isLost {
-		backends.coming = append(backends.coming, comingAnswer{now + 20, id, attempt})
+		backends.scheduled = append(backends.scheduled, scheduledResponse{now + 20, id, attempt})
 	}
 }
 
 // An attempt that outlasts nearly all answers is canceled and the request tried elsewhere, where that may be; no more than a part of them.
-func TestLostAnswers(t *testing.T) {
+func TestLostResponses(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
 		semantics   Semantics
@@ -200,7 +200,7 @@
 				}
 				backends.answer(now)
 				inst.OnTimer(now, inst.timers.token)
-				backends.take(now)
+				backends.handleActions(now)
 			}
 			if backends.served < tc.least || backends.served > tc.most {
 				t.Errorf("%d of 100 served, want %d to %d", backends.served, tc.least, tc.most)
--- a/policy/rules.go
+++ b/policy/rules.go
@@ -11,17 +11,17 @@
 // above it applying: a pending request that reaches "route" has not ended and has time left. The order enters every decision.
 var rules = []rule{
 	{"refresh aggregates", (*Instance).aggregatesDue, (*Instance).refreshAggregates},
-	{"fire timer", (*Instance).timerDue, (*Instance).timerFired},
+	{"fire timer", (*Instance).timerDue, (*Instance).fireTimer},
 	{"drop ended request", (*Instance).pendingEnded, (*Instance).dropPending},
-	{"answer at deadline", (*Instance).pendingAtDeadline, (*Instance).answerPending},
+	{"answer at deadline", (*Instance).pendingAtDeadline, (*Instance).rejectOrFailPending},
 	{"route", (*Instance).pendingWithoutAttempt, (*Instance).route},
-	{"retry queued requests", (*Instance).queueDue, (*Instance).retryQueued},
+	{"retry queued requests", (*Instance).queueDue, (*Instance).retryQueuedRequests},
 	{"handle overdue attempts", (*Instance).hasPending, (*Instance).handleOverdue},
 	{"watch endpoints", (*Instance).watchDue, (*Instance).watchEndpoints},
 	{"evaluate rollout", (*Instance).evaluationDue, (*Instance).evaluate},
 	{"broadcast outcomes", (*Instance).broadcastDue, (*Instance).broadcastSummaries},
 	{"vote", (*Instance).voteDue, (*Instance).sendVote},
-	{"arm timer", (*Instance).timerUnarmed, (*Instance).armTimer},
+	{"arm timer", (*Instance).timerNeedsArming, (*Instance).armTimer},
 }
 
 // applyRules ends every event: it applies rules until the condition of none is true.
@@ -47,7 +47,7 @@
 	return inst.hasPending() && inst.pending[0].openAttempts == 0
 }
 
-func (inst *Instance) answerPending() { inst.answerFinally(inst.pending[0]) }
+func (inst *Instance) rejectOrFailPending() { inst.rejectOrFail(inst.pending[0]) }
 
 func (inst *Instance) dropPending() { inst.pending = inst.pending[1:] }
 
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -11,13 +11,13 @@
 func TestClockStepped(t *testing.T) {
 	const hour, now = 3600_000.0, 7200_000.0
 	for _, tc := range []struct {
-		name    string
-		listed  bool    // after a first list
-		stepped bool    // a step of our clock was seen
-		start   float64 // ms, as listed now
-		at      float64 // ms, when the progress is read
-		minimum float64
-		maximum float64
+		name         string
+		hadFirstList bool    // after a first list
+		stepSeen     bool    // a step of our clock was seen
+		start        float64 // ms, as listed now
+		at           float64 // ms, when the progress is read
+		least        float64
+		most         float64
 	}{
 		{"no step", true, false, now - 500, now, 0.4, 0.5},
 		{"no step, up for two seconds", true, false, now - 2_000, now, 0.6, 0.7},
@@ -36,25 +36,25 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			inst, _ := startInstance(RequestClass{}, 0)
-			inst.discovery.heard = false
-			if tc.listed {
+			inst.discovery.listReceived = false
+			if tc.hadFirstList {
 				inst.OnEndpoints(1, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1}}, Snapshot: true})
 			}
-			if tc.stepped {
+			if tc.stepSeen {
 				inst.OnClockStep(2)
 			}
 			inst.OnEndpoints(now, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 1, Weight: 1, StartedAt: tc.start}}})
 			inst.OnTimer(tc.at, 0)
 			backend, _ := inst.endpoints.Find("x")
-			if got := inst.warmUpProgress(inst.endpoints.At(backend)); got < tc.minimum-1e-9 || got > tc.maximum+1e-9 {
-				t.Errorf("%.2f of its capacity, want %.2f to %.2f", got, tc.minimum, tc.maximum)
+			if got := inst.warmUpProgress(inst.endpoints.At(backend)); got < tc.least-1e-9 || got > tc.most+1e-9 {
+				t.Errorf("%.2f of its capacity, want %.2f to %.2f", got, tc.least, tc.most)
 			}
 		})
 	}
 }
 
 // A start that is listed in the future keeps no stage waiting for it.
-func TestFutureStartVotes(t *testing.T) {
+func TestFutureStartTime(t *testing.T) {
 	inst, _ := startInstance(RequestClass{}, 3)
 	inst.OnReleaseUpdate(10, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.5, HasState: true})
 	inst.OnEndpoints(1000, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, Weight: 1, StartedAt: 3600_000}}})
@@ -79,15 +79,15 @@
 				inst.OnAttemptResult(now+4, AttemptResult{RequestID: id, Status: StatusServed, Final: true, Elapsed: 50})
 			}
 			inst.OnEndpoints(2100, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 1, Weight: 1, StartedAt: 2050}}})
-			port.take()
+			port.takeActions()
 			attempts := 0
 			for k := range tc.requests {
 				id, now := fmt.Sprint(k), 2101+float64(k)*5
 				inst.OnRequest(now, Request{ID: id, TimeLeft: 4000})
-				for _, did := range port.take() {
-					if strings.HasSuffix(did, " x") {
+				for _, action := range port.takeActions() {
+					if strings.HasSuffix(action, " x") {
 						attempts++
-						inst.OnAttemptResult(now+4, AttemptResult{RequestID: strings.Fields(did)[1], Status: StatusServed, Final: true, Elapsed: 50})
+						inst.OnAttemptResult(now+4, AttemptResult{RequestID: strings.Fields(action)[1], Status: StatusServed, Final: true, Elapsed: 50})
 					}
 				}
 			}
@@ -110,9 +110,9 @@
 		inst.OnEndpoints(1, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 1, Weight: 1, StartedAt: 1}}, Snapshot: true})
 		for _, now := range []float64{5, 1000} {
 			inst.OnRequest(now, Request{ID: fmt.Sprint(now), TimeLeft: 300})
-			attempts[now] += len(port.take())
+			attempts[now] += len(port.takeActions())
 			inst.OnClientGone(now, fmt.Sprint(now))
-			port.take()
+			port.takeActions()
 		}
 	}
 	// Where no warm backend is seen, the budget is by one request a second, times overload factor, initial capacity and margin.
--- a/policy/timers.go
+++ b/policy/timers.go
@@ -3,7 +3,7 @@
 import "container/heap"
 
 // minTimer (ms) is the shortest timer that is set: the host counts in microseconds.
-const minTimer = 0.001
+const minTimerDelay = 0.001
 
 // timer is a time at which a request comes back to the rules; without a request it only makes the rules run.
 type timer struct {
@@ -50,19 +50,19 @@
 	return len(inst.timers.queue) > 0 && inst.timers.queue[0].at <= inst.now
 }
 
-func (inst *Instance) timerFired() {
+func (inst *Instance) fireTimer() {
 	if req := heap.Pop(&inst.timers.queue).(timer).request; req != nil && !req.ended {
 		inst.pending = append(inst.pending, req)
 	}
 }
 
 // timerUnarmed: the port's timer would fire after the next one is due.
-func (inst *Instance) timerUnarmed() bool {
+func (inst *Instance) timerNeedsArming() bool {
 	return len(inst.timers.queue) > 0 && inst.timers.queue[0].at < inst.timers.armedAt
 }
 
 func (inst *Instance) armTimer() {
 	inst.timers.token++
 	inst.timers.armedAt = inst.timers.queue[0].at
-	inst.port.SetTimer(max(inst.timers.armedAt-inst.now, minTimer), inst.timers.token)
+	inst.port.SetTimer(max(inst.timers.armedAt-inst.now, minTimerDelay), inst.timers.token)
 }
--- a/policy/turnover_test.go
+++ b/policy/turnover_test.go
@@ -16,7 +16,7 @@
 		now += 4
 		release := ReleaseID(1 + k/400)
 		if k%20 == 0 {
-			list(inst, now, fmt.Sprint("x", k), release, EndpointRunning)
+			updateEndpoint(inst, now, fmt.Sprint("x", k), release, EndpointRunning)
 		}
 		if k%20 == 0 && k >= 200 {
 			inst.OnEndpoints(now, EndpointUpdate{Endpoints: []Endpoint{{ID: fmt.Sprint("x", k-200), State: EndpointRemoved}}})
@@ -26,8 +26,8 @@
 		}
 		id := fmt.Sprint(k)
 		inst.OnRequest(now, Request{ID: id, Key: "key" + id, TimeLeft: 400})
-		for _, did := range port.take() {
-			if strings.HasPrefix(did, "submit "+id+" ") {
+		for _, action := range port.takeActions() {
+			if strings.HasPrefix(action, "submit "+id+" ") {
 				inst.OnAttemptResult(now+2, AttemptResult{RequestID: id, Status: StatusServed, Final: true, Elapsed: 2})
 			}
 		}
@@ -40,7 +40,7 @@
 }
 
 // Requests, keys, backends and releases that come and go leave nothing behind.
-func TestTurnover(t *testing.T) {
+func TestStateIsBounded(t *testing.T) {
 	inst, port := startInstance(RequestClass{}, 3)
 	inst.configureExposure(ExposureConfig{FreeAttempts: 2, Caps: []float64{1}, KeyAffinity: true})
 	playTurnover(inst, port)
@@ -70,7 +70,7 @@
 }
 
 // Nothing that was learned of a backend is believed of another release's process with the same id.
-func TestProcessReplaced(t *testing.T) {
+func TestProcessReplacedResetsBackend(t *testing.T) {
 	inst, port := startInstance(RequestClass{}, 3)
 	inst.configureExposure(ExposureConfig{FreeAttempts: 2, Caps: []float64{1}, KeyAffinity: true})
 	now := playTurnover(inst, port)
--- a/policy/votes_test.go
+++ b/policy/votes_test.go
@@ -55,32 +55,32 @@
 	for k := range 1900 {
 		now := 1010 + float64(k)*10
 		platform.inst.OnRequest(now, Request{ID: fmt.Sprint(k), TimeLeft: 4000})
-		for _, did := range platform.port.take() {
-			platform.answer(now, k, did)
+		for _, action := range platform.port.takeActions() {
+			platform.answer(now, k, action)
 		}
 	}
 }
 
 // answer answers one action: a vote, or an attempt for the request of a number.
-func (platform *votingPlatform) answer(now float64, k int, did string) {
+func (platform *votingPlatform) answer(now float64, k int, action string) {
 	id := fmt.Sprint(k)
 	switch {
-	case strings.HasPrefix(did, "vote"):
+	case strings.HasPrefix(action, "vote"):
 		if platform.votes == 0 {
-			platform.first, platform.firstAt = did, now
+			platform.first, platform.firstAt = action, now
 		}
 		response := platform.responses[min(platform.votes, len(platform.responses)-1)]
 		platform.votes++
 		platform.inst.OnReleaseUpdate(now, ReleaseUpdate{Release: 2, Phase: RollingOut, Response: response, Cap: 0.3, Age: now - 900, HasState: response == VoteCounted})
-	case strings.HasPrefix(did, "submit "+id+" x") && platform.failEvery > 0 && k%platform.failEvery == 0:
+	case strings.HasPrefix(action, "submit "+id+" x") && platform.failEvery > 0 && k%platform.failEvery == 0:
 		platform.inst.OnAttemptResult(now+5, AttemptResult{RequestID: id, Status: StatusErrored, Final: true, Elapsed: 5})
-	case strings.HasPrefix(did, "submit"):
+	case strings.HasPrefix(action, "submit"):
 		platform.inst.OnAttemptResult(now+5, AttemptResult{RequestID: id, Status: StatusServed, Final: true, Elapsed: 50 + float64(k*37%101)})
 	}
 }
 
 // A response to a vote on the release before says nothing of a vote on the one that was announced meanwhile.
-func TestVoteOnReleaseBefore(t *testing.T) {
+func TestVoteResponseForPreviousRelease(t *testing.T) {
 	inst, port := startWithAffinity(1, 0.5)
 	failing := func(now float64, id string, release ReleaseID) {
 		inst.OnEndpoints(now, EndpointUpdate{Endpoints: []Endpoint{{ID: id, Release: release, Weight: 1}}})
@@ -92,19 +92,19 @@
 	inst.OnReleaseUpdate(5, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.5, HasState: true})
 	failing(6, "x", 2)
 	inst.OnTimer(6+evaluationInterval, 0)
-	if did := fmt.Sprint(port.take()); !strings.Contains(did, "vote 2 3 0") {
-		t.Fatalf("no vote: %s", did)
+	if actions := fmt.Sprint(port.takeActions()); !strings.Contains(actions, "vote 2 3 0") {
+		t.Fatalf("no vote: %s", actions)
 	}
 	inst.OnReleaseUpdate(300, ReleaseUpdate{Release: 3, Phase: RollingOut, Cap: 0.5, HasState: true})
 	inst.OnReleaseUpdate(301, ReleaseUpdate{Release: 2, Phase: RollingOut, Response: VoteCounted, Cap: 0.5, HasState: true})
 	expect(t, "newest", inst.evaluator.Release(), 3)
-	if did := fmt.Sprint(port.take()); strings.Contains(did, "vote") {
-		t.Errorf("voted on release 3 before anything was seen of it: %s", did)
+	if actions := fmt.Sprint(port.takeActions()); strings.Contains(actions, "vote") {
+		t.Errorf("voted on release 3 before anything was seen of it: %s", actions)
 	}
 	// Had the response counted for release 3, its rollback vote would be accepted already and none would go out.
 	failing(302, "y", 3)
 	inst.OnTimer(302+evaluationInterval, 0)
-	if did := fmt.Sprint(port.take()); !strings.Contains(did, "vote 3 3 0") {
-		t.Errorf("no vote on release 3: %s", did)
+	if actions := fmt.Sprint(port.takeActions()); !strings.Contains(actions, "vote 3 3 0") {
+		t.Errorf("no vote on release 3: %s", actions)
 	}
 }
