--- a/policy/affinity_test.go
+++ b/policy/affinity_test.go
@@ -213,7 +213,7 @@
 
 // The keys of a rollout are the same ones before its first update, after it and in the process that follows, and others for another instance.
 func TestRolloutKeys(t *testing.T) {
-	drawn := func(seed uint64, index int, announced bool) (set string) {
+	selectedKeys := func(seed uint64, index int, announced bool) (set string) {
 		inst := New(&recordingPort{}, Config{Seed: seed, Index: index, Instances: 2})
 		inst.configureClasses(Config{Classes: []RequestClass{{LatencyObjective: 1000, Timeout: 4000, Value: 1}}, MaxAttempts: 5, ConcurrentAttempts: true, CancelAllowed: true})
 		inst.configureExposure(ExposureConfig{FreeAttempts: 2, Caps: []float64{0.5, 1}, KeyAffinity: true})
@@ -228,16 +228,16 @@
 		}
 		return set
 	}
-	early := drawn(7, 0, false)
-	expect(t, "after the update", drawn(7, 0, true), early)
-	expect(t, "in the next process", drawn(8, 0, true), early)
-	expect(t, "another instance's are others", drawn(7, 1, true) != early, true)
+	early := selectedKeys(7, 0, false)
+	expect(t, "after the update", selectedKeys(7, 0, true), early)
+	expect(t, "in the next process", selectedKeys(8, 0, true), early)
+	expect(t, "another instance's are others", selectedKeys(7, 1, true) != early, true)
 }
 
 // A backend whose release no source names may run any: its answers bind a key as the latest release's would, it serves only keys that the
 // oldest release may, and the rollout's keys are not drawn anew for it.
 func TestAffinityOfUnknownRelease(t *testing.T) {
-	only := func(inst *Instance, now float64, id string) {
+	listOnly := func(inst *Instance, now float64, id string) {
 		list := []Endpoint{{ID: "a", Release: 1, Weight: 1}, {ID: "x", Release: 2, Weight: 1}, {ID: "u", Release: UnknownRelease, Weight: 1}}
 		for k := range list {
 			if list[k].ID != id {
@@ -253,14 +253,14 @@
 		t.Run(tc.first+" has answered, "+tc.then+" is there", func(t *testing.T) {
 			inst, port := startWithAffinity(1, 1)
 			inst.OnReleaseUpdate(3, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 1, HasState: true})
-			only(inst, 4, "")
-			drawn := inst.rolloutPosition(&request{key: "k", affinityKey: 1})
-			only(inst, 5, tc.first)
-			expect(t, "drawn", inst.rolloutPosition(&request{key: "k", affinityKey: 1}), drawn)
+			listOnly(inst, 4, "")
+			position := inst.rolloutPosition(&request{key: "k", affinityKey: 1})
+			listOnly(inst, 5, tc.first)
+			expect(t, "drawn", inst.rolloutPosition(&request{key: "k", affinityKey: 1}), position)
 			inst.OnRequest(10, Request{ID: "t", Key: "k", TimeLeft: 4000})
 			expect(t, "first", attemptedBackend(port.takeActions()), tc.first)
 			inst.OnAttemptResult(15, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Elapsed: 5})
-			only(inst, 20, tc.then)
+			listOnly(inst, 20, tc.then)
 			inst.OnRequest(30, Request{ID: "v", Key: "k", TimeLeft: 4000})
 			expect(t, "serves the key", attemptedBackend(port.takeActions()) == tc.then, tc.serves)
 		})
--- a/policy/replay_test.go
+++ b/policy/replay_test.go
@@ -142,7 +142,7 @@
 }
 
 // configured is an instance with a configuration drawn from the schedule's seed.
-func configured(s *schedule) *Instance {
+func newRandomInstance(s *schedule) *Instance {
 	instances := []int{1, 2, 8, 40, 300}[s.rng.IntN(5)]
 	inst := New(s.port, Config{Seed: s.rng.Uint64(), Index: s.rng.IntN(min(instances, 4)), Instances: instances})
 	classes := []RequestClass{
@@ -182,7 +182,7 @@
 			return
 		}
 		s := &schedule{rng: rand.New(rand.NewPCG(seed, 2)), port: &replayPort{recorder: recorder}, now: from}
-		s.inst = configured(s)
+		s.inst = newRandomInstance(s)
 		recorder.Event(fmt.Sprint("schedule ", seed))
 		for range 1200 {
 			s.now += s.rng.ExpFloat64() * 15
--- a/policy/votes_test.go
+++ b/policy/votes_test.go
@@ -82,7 +82,7 @@
 // A response to a vote on the release before says nothing of a vote on the one that was announced meanwhile.
 func TestVoteResponseForPreviousRelease(t *testing.T) {
 	inst, port := startWithAffinity(1, 0.5)
-	failing := func(now float64, id string, release ReleaseID) {
+	addFailures := func(now float64, id string, release ReleaseID) {
 		inst.OnEndpoints(now, EndpointUpdate{Endpoints: []Endpoint{{ID: id, Release: release, Weight: 1}}})
 		backend, _ := inst.endpoints.Find(id)
 		for range 20 {
@@ -90,7 +90,7 @@
 		}
 	}
 	inst.OnReleaseUpdate(5, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.5, HasState: true})
-	failing(6, "x", 2)
+	addFailures(6, "x", 2)
 	inst.OnTimer(6+evaluationInterval, 0)
 	if actions := fmt.Sprint(port.takeActions()); !strings.Contains(actions, "vote 2 3 0") {
 		t.Fatalf("no vote: %s", actions)
@@ -102,7 +102,7 @@
 		t.Errorf("voted on release 3 before anything was seen of it: %s", actions)
 	}
 	// Had the response counted for release 3, its rollback vote would be accepted already and none would go out.
-	failing(302, "y", 3)
+	addFailures(302, "y", 3)
 	inst.OnTimer(302+evaluationInterval, 0)
 	if actions := fmt.Sprint(port.takeActions()); !strings.Contains(actions, "vote 3 3 0") {
 		t.Errorf("no vote on release 3: %s", actions)
