--- a/policy/admission.go
+++ b/policy/admission.go
@@ -1,22 +1,26 @@
 package policy
 
 const (
-	// maxQueueShare is the part of a request's time that it may wait without ever having been sent: its client then still has time
-	// to try elsewhere.
+	// maxQueueShare is the share of a request's time that it may spend queued without having been sent. After that it
+	// is rejected while its client still has time to try elsewhere.
 	maxQueueShare = 0.45
-	// maxExpectedLatencyShare bounds the expected latency, as a part of the latency objective. Without a bound, a class that gets no more
-	// requests would keep the figure of its worst hour for good.
+	// maxExpectedLatencyShare bounds the expected latency to a share of the latency objective. Without the bound, a
+	// class that no longer gets requests would keep its worst latency estimate forever.
 	maxExpectedLatencyShare = 0.5
-	// timeoutOverloadSignal is how sure a sign of overload a timeout is: the answer may as well have been lost on the way.
+	// timeoutOverloadSignal is the weight of a timeout as an overload signal. It is below 1 because the response may
+	// also have been lost in the network.
 	timeoutOverloadSignal = 0.3
-	// minRepeatGap (ms): a repeat has at least so much less time left than the most that any request of its class had.
+	// minRepeatGap (ms) is how much less time a repeat must have left than the longest time left seen in its class, to
+	// be recognized as a later try.
 	minRepeatGap = 1
-	// cancellationsPerRequest is what each request adds to the cancellation budget, maxCancellations its bound: cancellations
-	// add attempts, and too many of them would feed an overload.
+	// cancellationsPerRequest is the amount that each request adds to the cancellation budget, and maxCancellations is
+	// the budget's upper bound. Cancellations lead to additional attempts, and too many of them would worsen an
+	// overload.
 	cancellationsPerRequest, maxCancellations = 0.1, 20
 )
 
-// admit sets the latency objective and value of a new request and counts it for the exposure cap and the cancellation budget.
+// admit sets the latency objective and value of a new request and counts it for the exposure cap and the cancellation
+// budget.
 func (inst *Instance) admit(req *request, incoming Request) {
 	req.objectiveDeadline = inst.objectiveDeadline(req, incoming)
 	req.value = inst.classes[req.class].Value
@@ -30,8 +34,8 @@
 	inst.schedule(req.deadline-finalAnswerMargin, req)
 }
 
-// objectiveAt is until when an answer has the full value. For a repeat that time began with the first try: how long ago that was shows
-// in its time left, which is less than usual.
+// objectiveDeadline returns the time until which a response has the full value. For a repeat, the objective counts from
+// the client's first try. The time that has passed since then is the timeout of the class minus the time left.
 func (inst *Instance) objectiveDeadline(req *request, incoming Request) float64 {
 	class, longest := &inst.classes[req.class], &inst.latencies[req.class].longestTimeLeft
 	deadline := req.arrivedAt + class.LatencyObjective + class.ObjectivePerWork*incoming.Work
@@ -42,7 +46,7 @@
 	return min(deadline, req.deadline)
 }
 
-// learnWork takes a request's work as the client estimates it.
+// recordWork sets a request's work to the client's estimate and updates the mean.
 func (inst *Instance) recordWork(req *request, work float64) {
 	if inst.meanWork == 0 {
 		inst.meanWork = work
@@ -51,18 +55,19 @@
 	req.relativeWork, req.workDivisor = work/inst.meanWork, work
 }
 
-// queueDeadline is until when a request may wait in the queue without ever having been sent.
+// queueDeadline returns the time until which a request may stay queued without having been sent.
 func (inst *Instance) queueDeadline(req *request) float64 {
 	return req.arrivedAt + maxQueueShare*(req.deadline-req.arrivedAt)
 }
 
-// expectedLatency is how long an answer usually takes (ms).
+// expectedLatency returns the latency to expect of an attempt, in ms.
 func (inst *Instance) expectedLatency(req *request) float64 {
 	return min(inst.latencies[req.class].mean, maxExpectedLatencyShare*inst.classes[req.class].LatencyObjective)
 }
 
-// onOverloadSignal moves the admission probability of all requests, and for an unprobed one that of the unprobed: unanswered probes may be
-// lost or wait in queues, and only requests that went on without them show which.
+// onOverloadSignal updates the admission probability of all requests and, if the request was unprobed, also that of
+// unprobed requests. Unanswered probes may be lost or queued. Only the requests sent without a probe result show which
+// is the case.
 func (inst *Instance) onOverloadSignal(unprobed bool, overload float64) {
 	inst.admission.OnSignal(overload, inst.now)
 	if unprobed {
@@ -70,5 +75,5 @@
 	}
 }
 
-// arrivalRate is how many requests that are no repeats arrive in 3 s.
+// arrivalRate returns the number of requests that arrive in 3 s, not counting repeats.
 func (inst *Instance) arrivalRate() float64 { return inst.arrivals.PerWindow(inst.now) }
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// Late answers lower the admission probability, for requests of low value first; it recovers with time, and no class is locked out for good.
+// Overload signals lower the admission probability, more for requests of low value. It recovers over time, and a class
+// whose mean latency exceeds its objective still gets requests.
 func TestAdmissionUnderOverload(t *testing.T) {
 	inst, port := startInstance(RequestClass{}, 3)
 	inst.instances = 300
@@ -25,12 +26,12 @@
 	}
 	inst.now += 60000
 	if recovered := inst.admission.Probability(inst.now); overloaded > 0.1 || recovered < 0.9 {
-		t.Errorf("admission probability %.2f, then %.2f", overloaded, recovered)
+		t.Errorf("admission probability = %.2f after overload signals, want at most 0.1; %.2f after 60 s, want at least 0.9", overloaded, recovered)
 	}
 	if highValue <= lowValue {
-		t.Errorf("of 1000 each, %d of high value and %d of low value are admitted", highValue, lowValue)
+		t.Errorf("admitted %d of 1000 requests of high value and %d of 1000 of low value, want more of high value", highValue, lowValue)
 	}
-	inst.latencies[0].mean = 5000 // past the latency objective of 1000
+	inst.latencies[0].mean = 5000 // above the latency objective of 1000
 	inst.OnRequest(inst.now, Request{ID: "t", TimeLeft: 4000})
-	expect(t, "sent all the same", strings.HasPrefix(fmt.Sprint(port.takeActions()), "[submit t"), true)
+	expect(t, "request sent in spite of the mean latency", strings.HasPrefix(fmt.Sprint(port.takeActions()), "[submit t"), true)
 }
--- a/policy/affinity_test.go
+++ b/policy/affinity_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// startWithAffinity starts an instance with key affinity, with backends of release 1, which is released, and a cap for the first stage.
+// startWithAffinity starts an instance with key affinity and the given cap for the first stage. Its backends run
+// release 1, which is released.
 func startWithAffinity(backends int, limit float64) (*Instance, *recordingPort) {
 	inst, port := startInstance(RequestClass{}, backends)
 	inst.configureExposure(ExposureConfig{FreeAttempts: 2, Caps: []float64{limit, 1}, KeyAffinity: true})
@@ -14,7 +15,7 @@
 	return inst, port
 }
 
-// attemptedBackend is the backend to which the last attempt among some actions goes; empty: there is none.
+// attemptedBackend returns the backend of the last attempt among some actions, or "".
 func attemptedBackend(actions []string) (backend string) {
 	for _, line := range actions {
 		if strings.HasPrefix(line, "submit ") {
@@ -24,34 +25,34 @@
 	return backend
 }
 
-// list lists one backend.
+// updateEndpoint sends an update of the endpoint list with one backend.
 func updateEndpoint(inst *Instance, now float64, id string, release ReleaseID, state EndpointState) {
 	inst.OnEndpoints(now, EndpointUpdate{Endpoints: []Endpoint{{ID: id, Release: release, Weight: 1, State: state}}})
 }
 
-// rollOut sends an update by which a release rolls out with a cap of 1.
+// rollOut sends an update: the release is rolling out with a cap of 1.
 func rollOut(inst *Instance, now float64, release ReleaseID) {
 	inst.OnReleaseUpdate(now, ReleaseUpdate{Release: release, Phase: RollingOut, Cap: 1, HasState: true})
 }
 
-// rollBack sends an update by which a release rolls back.
+// rollBack sends an update: the release is rolling back.
 func rollBack(inst *Instance, now float64, release ReleaseID) {
 	inst.OnReleaseUpdate(now, ReleaseUpdate{Release: release, Phase: RollingBack, Cap: 0, HasState: true})
 }
 
-// withdraw sends two updates by which a release rolls out and is withdrawn.
+// withdraw sends two updates: the release is rolling out, then it is withdrawn.
 func withdraw(inst *Instance, now float64, release ReleaseID) {
 	rollOut(inst, now, release)
 	inst.OnReleaseUpdate(now+1, ReleaseUpdate{Release: release, Phase: Withdrawn, Cap: 0, HasState: true})
 }
 
-// finish sends an update by which a release is released.
+// markReleased sends an update: the release is released.
 func markReleased(inst *Instance, now float64, release ReleaseID) {
 	inst.OnReleaseUpdate(now, ReleaseUpdate{Release: release, Stage: 1, Phase: Released, Cap: 1, HasState: true})
 }
 
-// announcedThenListed, listedOnly and withdrawnThenListed are what comes before a key's first answer in TestAffinityCrossings: backend x is
-// there to give it, of release 2 or 3.
+// announcedThenListed, listedOnly and withdrawnThenListed are the events before the first response for a key in
+// TestAffinityEventOrders. They list backend x, which sends that response, with release 2 or 3.
 func announcedThenListed(inst *Instance) {
 	rollOut(inst, 5, 2)
 	updateEndpoint(inst, 6, "x", 2, EndpointRunning)
@@ -64,14 +65,14 @@
 	updateEndpoint(inst, 6, "x", 3, EndpointRunning)
 }
 
-// onlyReleaseTwoListed: release 2 is released, and no earlier one is listed for a while.
+// onlyReleaseTwoListed releases release 2, after which no earlier release is listed for a while.
 func onlyReleaseTwoListed(inst *Instance) {
 	markReleased(inst, 25, 2)
 	inst.OnEndpoints(26, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, Weight: 1}}, Snapshot: true})
 	inst.OnTimer(26+2*aggregatesInterval, 0)
 }
 
-// releaseThreeRollsBack: release 3 answers the key too, and rolls back.
+// releaseThreeRollsBack lets release 3 serve the key as well and then rolls it back.
 func releaseThreeRollsBack(inst *Instance) {
 	rollOut(inst, 25, 3)
 	inst.OnEndpoints(26, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, State: EndpointDraining}, {ID: "y", Release: 3, Weight: 1}}})
@@ -80,28 +81,29 @@
 	rollBack(inst, 32, 3)
 }
 
-// A key that a release has answered, or may be answering, goes to no earlier one, whichever came first, the list or the update.
+// A key that a release has served, or may be serving, is not sent to an earlier release, whether the endpoint list or
+// the release update arrives first.
 func TestAffinityEventOrders(t *testing.T) {
 	for _, tc := range []struct {
 		name            string
-		before          func(inst *Instance) // up to the first answer: only x is there to give it
-		after           func(inst *Instance) // then, before the key comes again: only a is there
+		before          func(inst *Instance) // events before the first response; only x can send it
+		after           func(inst *Instance) // events between the first and second request for the key; only a can serve the second
 		servedByEarlier bool                 // a may serve the key
 	}{
 		{"update, list", announcedThenListed, nil, false},
 		{"list, no update", listedOnly, nil, false},
 		{"list, then update", listedOnly, func(inst *Instance) { rollOut(inst, 25, 2) }, false},
-		{"the one before withdrawn, list, no update", withdrawnThenListed, nil, false},
-		{"the one before withdrawn, list, then update", withdrawnThenListed, func(inst *Instance) { rollOut(inst, 25, 3) }, false},
-		{"another update on the one before, that it rolls back", withdrawnThenListed, func(inst *Instance) { rollBack(inst, 25, 2) }, false},
-		{"two unannounced", listedOnly, func(inst *Instance) { rollOut(inst, 25, 3) }, false},
-		{"released, and an earlier one's fresh backend before the update", announcedThenListed, onlyReleaseTwoListed, false},
-		{"rolls back, update after the list", announcedThenListed, func(inst *Instance) { rollBack(inst, 25, 2) }, true},
-		{"rolls back, and a response from its rollout comes late", announcedThenListed, func(inst *Instance) {
+		{"previous withdrawn, list, no update", withdrawnThenListed, nil, false},
+		{"previous withdrawn, list, then update", withdrawnThenListed, func(inst *Instance) { rollOut(inst, 25, 3) }, false},
+		{"previous withdrawn, list, then previous rolls back", withdrawnThenListed, func(inst *Instance) { rollBack(inst, 25, 2) }, false},
+		{"two unannounced releases", listedOnly, func(inst *Instance) { rollOut(inst, 25, 3) }, false},
+		{"released, then a new backend of an earlier release", announcedThenListed, onlyReleaseTwoListed, false},
+		{"list, then rollback", announcedThenListed, func(inst *Instance) { rollBack(inst, 25, 2) }, true},
+		{"rollback, then a late vote response from the rollout", announcedThenListed, func(inst *Instance) {
 			rollBack(inst, 25, 2)
 			inst.OnReleaseUpdate(26, ReleaseUpdate{Release: 2, Phase: RollingOut, Response: VoteCounted, Cap: 1, HasState: true})
 		}, true},
-		{"the later of two rolls back", func(inst *Instance) {
+		{"the later of two releases rolls back", func(inst *Instance) {
 			rollOut(inst, 3, 2)
 			markReleased(inst, 4, 2)
 			updateEndpoint(inst, 6, "x", 2, EndpointRunning)
@@ -111,10 +113,10 @@
 			inst, port := startWithAffinity(1, 1)
 			updateEndpoint(inst, 2, "a", 1, EndpointDraining)
 			tc.before(inst)
-			// The first of a process's attempts at a release under a cap needs no more than the free ones.
+			// The free attempts suffice for the first attempt at a release under a cap.
 			inst.OnRequest(10, Request{ID: "t", Key: "k", TimeLeft: 4000})
 			if got := attemptedBackend(port.takeActions()); got != "x" {
-				t.Fatalf("first %q", got)
+				t.Fatalf("backend of the first request = %q, want \"x\"", got)
 			}
 			inst.OnAttemptResult(15, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Elapsed: 5})
 			if tc.after != nil {
@@ -124,28 +126,29 @@
 			port.takeActions()
 			inst.OnRequest(1001, Request{ID: "u", Key: "k", TimeLeft: 4000})
 			if got := attemptedBackend(port.takeActions()); (got == "a") != tc.servedByEarlier {
-				t.Errorf("the key goes to %q, open %v", got, tc.servedByEarlier)
+				t.Errorf("backend of the second request = %q; served by a: want %v", got, tc.servedByEarlier)
 			}
 		})
 	}
 }
 
-// A backend returns with another release while an attempt there is open: either release may have answered.
+// A backend is listed with another release while an attempt at it is open: either release may have served the key.
 func TestAffinityReleaseChangedDuringAttempt(t *testing.T) {
 	inst, port := startWithAffinity(2, 1)
 	inst.OnEndpoints(3, EndpointUpdate{Endpoints: []Endpoint{{ID: "b", State: EndpointRemoved}}})
 	inst.OnRequest(10, Request{ID: "t", Key: "k", TimeLeft: 4000})
-	expect(t, "first", attemptedBackend(port.takeActions()), "a")
+	expect(t, "backend of the first request", attemptedBackend(port.takeActions()), "a")
 	inst.OnEndpoints(12, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 2, Weight: 1}}})
 	inst.OnAttemptResult(15, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Elapsed: 5})
 	inst.OnEndpoints(16, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 2, Weight: 1, State: EndpointDraining}, {ID: "b", Release: 1, Weight: 1}}})
 	inst.OnRequest(20, Request{ID: "u", Key: "k", TimeLeft: 4000})
-	expect(t, "the key again, with only the earlier release there", attemptedBackend(port.takeActions()), "")
+	expect(t, "backend of a second request with the key, while only the earlier release is running", attemptedBackend(port.takeActions()), "")
 	inst.OnRequest(21, Request{ID: "v", Key: "other", TimeLeft: 4000})
-	expect(t, "another key", attemptedBackend(port.takeActions()), "b")
+	expect(t, "backend of a request with another key", attemptedBackend(port.takeActions()), "b")
 }
 
-// With the next release announced, the one before still binds the keys that it has answered, and no others.
+// After the next release has been announced, the previous one still has affinity to the keys that it has served, and to
+// no others.
 func TestAffinityOfPreviousRelease(t *testing.T) {
 	inst, port := startWithAffinity(1, 1)
 	inst.OnReleaseUpdate(3, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 1, HasState: true})
@@ -162,22 +165,22 @@
 	}
 }
 
-// An attempt may still go out when its connection is up, unless what came meanwhile forbids it.
+// MaySend allows an attempt whose connection was established late, unless an event in the meantime forbids it.
 func TestMaySend(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
 		meanwhile  func(inst *Instance)
 		want       bool
-		rollingOut bool // the attempt is at a release that rolls out
+		rollingOut bool // the attempt goes to a release that is rolling out
 	}{
-		{"nothing", func(*Instance) {}, true, false},
-		{"its backend drains", func(inst *Instance) {
+		{"no event", func(*Instance) {}, true, false},
+		{"backend drains", func(inst *Instance) {
 			inst.OnEndpoints(11, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1, State: EndpointDraining}}})
 		}, false, false},
-		{"its backend has another release", func(inst *Instance) {
+		{"backend listed with another release", func(inst *Instance) {
 			inst.OnEndpoints(11, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 2, Weight: 1}}})
 		}, false, false},
-		{"a later release answers the key", func(inst *Instance) {
+		{"a later release serves the key", func(inst *Instance) {
 			inst.OnEndpoints(11, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1, State: EndpointDraining}, {ID: "x", Release: 2, Weight: 1}}})
 			inst.OnRequest(12, Request{ID: "other", Key: "k", TimeLeft: 4000})
 			inst.OnAttemptResult(13, AttemptResult{RequestID: "other", Status: StatusServed, Final: true, Elapsed: 1})
@@ -188,8 +191,8 @@
 			inst.OnRequest(12, Request{ID: "other", Key: "k", TimeLeft: 4000})
 			inst.OnEndpoints(14, EndpointUpdate{Endpoints: []Endpoint{{ID: "a", Release: 1, Weight: 1}}})
 		}, false, false},
-		{"rolling out, nothing", func(*Instance) {}, true, true},
-		{"its release rolls back", func(inst *Instance) {
+		{"rolling out, no event", func(*Instance) {}, true, true},
+		{"rolling out, then rolls back", func(inst *Instance) {
 			inst.OnReleaseUpdate(11, ReleaseUpdate{Release: 2, Phase: RollingBack, Cap: 0, HasState: true})
 		}, false, true},
 	} {
@@ -203,15 +206,16 @@
 			}
 			inst.OnRequest(10, Request{ID: "t", Key: "k", TimeLeft: 4000})
 			if got := attemptedBackend(port.takeActions()); got != want {
-				t.Fatalf("first %q", got)
+				t.Fatalf("backend of the first request = %q, want %q", got, want)
 			}
 			tc.meanwhile(inst)
-			expect(t, "may send", inst.MaySend("t", 0), tc.want)
+			expect(t, "MaySend", inst.MaySend("t", 0), tc.want)
 		})
 	}
 }
 
-// The keys of a rollout are the same ones before its first update, after it and in the process that follows, and others for another instance.
+// A rollout gets the same keys before its first update, after it and after a restart of the process. Another instance
+// selects other keys.
 func TestRolloutKeys(t *testing.T) {
 	selectedKeys := func(seed uint64, index int, announced bool) (set string) {
 		inst := New(&recordingPort{}, Config{Seed: seed, Index: index, Instances: 2})
@@ -229,13 +233,13 @@
 		return set
 	}
 	early := selectedKeys(7, 0, false)
-	expect(t, "after the update", selectedKeys(7, 0, true), early)
-	expect(t, "in the next process", selectedKeys(8, 0, true), early)
-	expect(t, "another instance's are others", selectedKeys(7, 1, true) != early, true)
+	expect(t, "keys after the update", selectedKeys(7, 0, true), early)
+	expect(t, "keys after a restart", selectedKeys(8, 0, true), early)
+	expect(t, "another instance selects other keys", selectedKeys(7, 1, true) != early, true)
 }
 
-// A backend whose release no source names may run any: its answers bind a key as the latest release's would, it serves only keys that the
-// oldest release may, and the rollout's keys are not drawn anew for it.
+// A backend with an unknown release may run any release. Its responses give keys affinity to the latest release, it
+// serves only keys that the oldest release may serve, and it does not change the selection of keys for the rollout.
 func TestAffinityOfUnknownRelease(t *testing.T) {
 	listOnly := func(inst *Instance, now float64, id string) {
 		list := []Endpoint{{ID: "a", Release: 1, Weight: 1}, {ID: "x", Release: 2, Weight: 1}, {ID: "u", Release: UnknownRelease, Weight: 1}}
@@ -250,19 +254,19 @@
 		first, then string
 		serves      bool
 	}{{"a", "u", true}, {"x", "u", false}, {"u", "x", true}, {"u", "a", false}, {"u", "u", false}} {
-		t.Run(tc.first+" has answered, "+tc.then+" is there", func(t *testing.T) {
+		t.Run(tc.first+" has served, "+tc.then+" is running", func(t *testing.T) {
 			inst, port := startWithAffinity(1, 1)
 			inst.OnReleaseUpdate(3, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 1, HasState: true})
 			listOnly(inst, 4, "")
 			position := inst.rolloutPosition(&request{key: "k", affinityKey: 1})
 			listOnly(inst, 5, tc.first)
-			expect(t, "drawn", inst.rolloutPosition(&request{key: "k", affinityKey: 1}), position)
+			expect(t, "rollout position of the key", inst.rolloutPosition(&request{key: "k", affinityKey: 1}), position)
 			inst.OnRequest(10, Request{ID: "t", Key: "k", TimeLeft: 4000})
-			expect(t, "first", attemptedBackend(port.takeActions()), tc.first)
+			expect(t, "backend of the first request", attemptedBackend(port.takeActions()), tc.first)
 			inst.OnAttemptResult(15, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Elapsed: 5})
 			listOnly(inst, 20, tc.then)
 			inst.OnRequest(30, Request{ID: "v", Key: "k", TimeLeft: 4000})
-			expect(t, "serves the key", attemptedBackend(port.takeActions()) == tc.then, tc.serves)
+			expect(t, "second backend serves the key", attemptedBackend(port.takeActions()) == tc.then, tc.serves)
 		})
 	}
 }
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -2,9 +2,7 @@
 
 import "math"
 
-// This file owns the ends of attempts: what each says of its backend, the load and the release, and how the request goes on.
-
-// endAttempt takes the end of an open attempt.
+// endAttempt handles the end of an open attempt.
 func (inst *Instance) endAttempt(req *request, attempt *attempt, result AttemptResult) {
 	attempt.open, attempt.notRun = false, result.Status.provesNotRun()
 	req.openAttempts--
@@ -18,13 +16,15 @@
 	inst.continueRequest(req, attempt)
 }
 
-// learnFromAttempt draws the conclusions from an attempt's end. took is in ms, infinite where it is not known.
+// recordAttemptEnd updates the backend, overload, latency and release state from the end of an attempt. elapsed is in
+// ms and infinite if unknown.
 func (inst *Instance) recordAttemptEnd(req *request, attempt *attempt, status AttemptStatus, elapsed float64) {
 	served := status == StatusServed
 	inTime := served && inst.now <= attempt.lateAt
 	inst.updateEjection(attempt, status)
 	if served && inst.now == inst.resumedAt {
-		// What took so long may be this instance's own stall: it says nothing of the backend, the load or the release.
+		// The delay may have been this instance's own stall, so it does not count against the backend, the overload
+		// signal or the release.
 		elapsed, inTime = math.Inf(1), true
 	}
 	inst.signalOverload(req, attempt, status, inTime)
@@ -32,7 +32,8 @@
 	if served {
 		inst.recordLatency(inst.endpoints.At(attempt.backend), req, elapsed)
 	}
-	// An answer that broke on its way, or came when nobody read it, has bound its key all the same.
+	// A backend that has run the attempt may have handled the key, even if its response was truncated or nobody read
+	// it.
 	if status != StatusErrored && !attempt.notRun {
 		inst.recordKeyAffinity(req, attempt)
 	}
@@ -42,7 +43,8 @@
 	}
 }
 
-// continueRequest ends a request that has its answer, and lets one without an open attempt go on where it may run again.
+// continueRequest ends a request that has its response. A request without an open attempt is routed again if it may run
+// again; otherwise it is rejected or failed.
 func (inst *Instance) continueRequest(req *request, attempt *attempt) {
 	mayRunAgain := attempt.notRun || inst.classes[req.class].Semantics != NonIdempotent
 	switch {
@@ -57,7 +59,7 @@
 	}
 }
 
-// updateEjection ejects a backend that fails quickly.
+// updateEjection records the result of an attempt for the ejection of backends that fail quickly.
 func (inst *Instance) updateEjection(attempt *attempt, status AttemptStatus) {
 	ejection := &inst.endpoints.At(attempt.backend).Ejection
 	switch status {
@@ -68,7 +70,8 @@
 	}
 }
 
-// signalOverload takes an attempt's end as a sign of overload or of none. Ends in other zones are no sign: the way there may be at fault.
+// signalOverload derives an overload signal from the end of an attempt. Attempts in other zones are ignored, because
+// the path there may be at fault.
 func (inst *Instance) signalOverload(req *request, attempt *attempt, status AttemptStatus, inTime bool) {
 	if inst.endpoints.At(attempt.backend).Zone != inst.zone {
 		return
@@ -83,8 +86,9 @@
 	}
 }
 
-// sampleAnswer counts an attempt's end in its backend's record and as a sample for its concurrency limit, once. What breaks on the way says
-// nothing of the load there, and a canceled attempt nothing at all.
+// recordOutcome adds the end of an attempt to the health records and, as a sample, to the backend's concurrency limit.
+// It does so once for each attempt. A broken connection is not a sample for the limit, since it says nothing about the
+// load of the backend. An attempt that was canceled or never sent is not counted at all.
 func (inst *Instance) recordOutcome(attempt *attempt, status AttemptStatus, inTime bool) {
 	if status == StatusCanceled || status == StatusNotSent || attempt.countedLate {
 		return
@@ -96,13 +100,13 @@
 	}
 }
 
-// sampleLimit moves a backend's concurrency limit and the sum of all limits.
+// updateConcurrencyLimit updates a backend's concurrency limit and the sum of all limits.
 func (inst *Instance) updateConcurrencyLimit(index int, inTime bool) {
 	backend := inst.endpoints.At(index)
 	inst.fleet.concurrencyLimit += backend.Limit.OnSample(inTime, backend.OpenAttempts, inst.instances)
 }
 
-// handleOverdue takes the first pending request's attempts that are late or taken for lost.
+// handleOverdue handles the attempts of the first pending request that are late or presumed lost.
 func (inst *Instance) handleOverdue() {
 	req := inst.pending[0]
 	inst.dropPending()
@@ -113,9 +117,10 @@
 	}
 }
 
-// handleOverdueAttempt counts a late attempt against its backend at once, and cancels one that is taken for lost while there is time to try
-// elsewhere: answers get lost on any way. No second copy goes out beside it, and the cancellation budget keeps such retries few: both
-// would feed an overload.
+// handleOverdueAttempt counts a late attempt against its backend immediately. It cancels an attempt that is presumed
+// lost, if there is still time to try elsewhere: responses can get lost on any path. Both a concurrent second attempt
+// and many such retries would worsen an overload, so the lost attempt is canceled first and the cancellation budget
+// limits the number of retries.
 func (inst *Instance) handleOverdueAttempt(req *request, number int) {
 	attempt := &req.attempts[number]
 	late := inst.now >= attempt.lateAt
@@ -132,7 +137,8 @@
 	inst.port.CancelAttempt(req.id, number)
 }
 
-// isLost says whether an attempt has outlasted nearly all answers and can be replaced in time.
+// shouldCancelLost reports whether an attempt has been open longer than nearly all responses take and can be replaced
+// in time.
 func (inst *Instance) shouldCancelLost(req *request, attempt *attempt) bool {
 	outlasted := inst.now >= inst.presumedLostAt(req.class, attempt.sentAt)
 	mayReplace := len(req.attempts) < inst.maxAttempts && inst.cancellationBudget >= 1
--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -8,23 +8,24 @@
 	"onyxgate/policy/concurrency"
 )
 
-// A backend that fails at once gets hardly any attempts, and gets them again when it recovers.
+// A backend that fails quickly gets hardly any attempts until it recovers.
 func TestEjection(t *testing.T) {
 	for _, status := range []AttemptStatus{StatusRejected, StatusConnectFailed, StatusErrored} {
 		t.Run(fmt.Sprint("status ", status), func(t *testing.T) {
 			inst, port := startInstance(RequestClass{}, 1)
 			inst.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
 			inst.OnAttemptResult(11, AttemptResult{RequestID: "t", Status: status, Elapsed: 1})
-			expect(t, "sent, and not again at once", port.takeActions(), "[submit t a]")
+			expect(t, "actions after a failure", port.takeActions(), "[submit t a]")
 			failing, recovered := attemptsAtFailing(status)
 			if failing > 8 || recovered < 5 {
-				t.Errorf("%d attempts while it failed, %d after", failing, recovered)
+				t.Errorf("attempts at the failing backend = %d, want at most 8; after its recovery = %d, want at least 5", failing, recovered)
 			}
 		})
 	}
 }
 
-// attemptsAtFailing counts the attempts at one of four backends, which fails the first 300 of 900 requests and then serves again.
+// attemptsAtFailing counts the attempts at one of four backends, which fails attempts of the first 300 of 900 requests
+// and serves all later ones.
 func attemptsAtFailing(status AttemptStatus) (failing, recovered int) {
 	inst, port := startInstance(RequestClass{}, 4)
 	for k := range 900 {
@@ -52,7 +53,7 @@
 	return failing, recovered
 }
 
-// Connections that break on the way do not lower a backend's concurrency limit; late answers and rejections do.
+// Broken connections do not lower a backend's concurrency limit; timeouts and rejections do.
 func TestConcurrencyLimitByStatus(t *testing.T) {
 	for _, tc := range []struct {
 		status AttemptStatus
@@ -67,12 +68,13 @@
 					inst.OnAttemptResult(inst.now+1, AttemptResult{RequestID: fmt.Sprint(k), Status: tc.status, Final: true, Elapsed: 1})
 				}
 			}
-			expect(t, "the limit fell", inst.endpoints.At(0).Limit < concurrency.InitialLimit, tc.falls)
+			expect(t, "concurrency limit lowered", inst.endpoints.At(0).Limit < concurrency.InitialLimit, tc.falls)
 		})
 	}
 }
 
-// A backend's limit goes by its own time, not by how long a request waited here before it was placed.
+// The concurrency limit of a backend depends on the duration of its attempts, not on the time that a request was queued
+// in the instance.
 func TestConcurrencyLimitIgnoresQueueing(t *testing.T) {
 	for _, tc := range []struct {
 		name            string
@@ -80,8 +82,8 @@
 		lowers, raises  bool
 	}{
 		{"in time", 0, 300, false, true},
-		{"late by the wait here", 950, 100, false, true},
-		{"slow after a wait", 950, 400, true, false},
+		{"late because of queueing", 950, 100, false, true},
+		{"slow after queueing", 950, 400, true, false},
 		{"slow", 0, 1100, true, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -95,7 +97,7 @@
 			inst.OnAttemptResult(2+tc.elapsed, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Elapsed: tc.elapsed})
 			port.takeActions()
 			if got := inst.endpoints.At(0).Limit; got < was != tc.lowers || got > was != tc.raises {
-				t.Errorf("the limit went from %.1f to %.1f", was, got)
+				t.Errorf("concurrency limit changed from %.1f to %.1f; want lowered %v, raised %v", was, got, tc.lowers, tc.raises)
 			}
 		})
 	}
--- a/policy/config.go
+++ b/policy/config.go
@@ -1,7 +1,5 @@
 package policy
 
-// This file owns what an instance is given once, at its start: the deployment's settings in the terms of the decisions.
-
 import (
 	"errors"
 	"fmt"
@@ -15,26 +13,26 @@
 	"onyxgate/policy/verdict"
 )
 
-// Config is all that an instance is given at its start. Times are in ms, prices and values in any one unit. Validate says
-// what can't be used; New takes it as it is.
+// Config is the configuration of an instance, which does not change after the start. Times are in ms; prices and values
+// share one arbitrary unit. New does not validate it; call Validate first.
 type Config struct {
-	Seed      uint64 // of the instance's random numbers
+	Seed      uint64 // seed of the instance's random number generator
 	Index     int    // of the instance in the fleet, from 0
 	Instances int    // in the fleet; less than 1 counts as 1
 
 	Classes            []RequestClass
-	MaxAttempts        int     // for one request
+	MaxAttempts        int     // per request
 	ConcurrentAttempts bool    // a request may have two attempts open at the same time
 	CancelAllowed      bool    // an open attempt may be canceled
-	MaxOpenRequests    int     // that the instance can hold, by its connections or its memory; 0: any number
-	MaxRetryAfter      float64 // ms, the longest wait that clients accept
+	MaxOpenRequests    int     // limit set by the instance's connections or memory; 0: unlimited
+	MaxRetryAfter      float64 // ms, the longest Retry-After that clients accept
 
-	PeerMessages  bool // instances may send each other messages
+	PeerMessages  bool // instances may send messages to each other
 	ProbesAllowed bool
-	ProbePrice    float64 // of one probe, as a part of one request's value
+	ProbePrice    float64 // cost of one probe, as a share of the value of one request
 
-	Zone             int  // that the instance runs in
-	CrossZoneCharged bool // attempts at backends in other zones cost something
+	Zone             int  // zone in which the instance runs
+	CrossZoneCharged bool // attempts at backends in other zones have a cost
 
 	Discovery DiscoveryConfig
 	SlowStart SlowStartConfig
@@ -43,70 +41,70 @@
 	Tenants   TenantConfig
 }
 
-// DiscoveryConfig says how endpoints become known.
+// DiscoveryConfig configures how the instance gets the endpoint list.
 type DiscoveryConfig struct {
-	SubscriptionRequired bool    // changes come only to instances that have asked for them
-	RefreshInterval      float64 // ms: an instance without a subscription counts as knowing what was listed this long ago
+	SubscriptionRequired bool    // changes are only sent to subscribers
+	RefreshInterval      float64 // ms; without a subscription, the instance is taken to know the list as it was this long ago
 }
 
-// SlowStartConfig says what a backend can take after its start.
+// SlowStartConfig describes how much load a backend can take after its start.
 type SlowStartConfig = slowstart.Config
 
-// ExposureConfig limits how much of the traffic may go to a release that is rolling out.
+// ExposureConfig limits the share of the traffic that may go to a release while it is rolled out.
 type ExposureConfig struct {
-	FreeAttempts  float64   // in any window, beside the share
-	Caps          []float64 // share of the requests taken, for each stage
+	FreeAttempts  float64   // allowed in any window in addition to the share
+	Caps          []float64 // share of the received requests, by stage
 	Window        float64   // ms over which attempts are counted
-	GuardedStages int       // below this stage only safe requests may go there
-	PerClass      bool      // each class counts for itself
-	KeyAffinity   bool      // a key that a release has served goes to no earlier one
+	GuardedStages int       // in stages below this one the release gets only safe requests
+	PerClass      bool      // count each class separately
+	KeyAffinity   bool      // a key that a release has served is not sent to an earlier release
 }
 
-// RolloutConfig says what promotes a release or rolls it back.
+// RolloutConfig configures how a release is promoted or rolled back.
 type RolloutConfig struct {
-	Stages        []float64 // share of the places that get the release, for each stage
+	Stages        []float64 // share of the places that run the release, by stage
 	Control       RolloutControl
-	RollbackVotes int     // that roll a release back; less than 1 counts as 1
+	RollbackVotes int     // number of votes that roll a release back; less than 1 counts as 1
 	VoteLifetime  float64 // ms
 }
 
-// TenantConfig limits what each tenant may use at full value.
+// TenantConfig limits the requests that each tenant may send at full value.
 type TenantConfig struct {
-	Quotas         []float64 // requests per ms, by all instances together
-	OverQuotaValue float64   // value of a request over its quota, as a part of its class's
+	Quotas         []float64 // requests per ms, over all instances
+	OverQuotaValue float64   // value of a request over quota, as a share of the value of its class
 }
 
-// Errors of Config.Validate.
+// Errors returned by Config.Validate.
 var (
-	ErrNoClasses          = errors.New("no request class")
-	ErrInvalidClassTimes  = errors.New("a class needs a latency objective and a timeout above 0")
-	ErrInvalidMaxAttempts = errors.New("a request needs at least one attempt")
+	ErrNoClasses          = errors.New("no request classes configured")
+	ErrInvalidClassTimes  = errors.New("latency objective and timeout must be greater than 0")
+	ErrInvalidMaxAttempts = errors.New("at least one attempt per request is required")
 )
 
-// Validate says what can't be used, as errors that errors.Is finds.
+// Validate reports the first invalid setting. The returned error matches one of the errors above (errors.Is).
 func (c Config) Validate() error {
 	if len(c.Classes) == 0 {
 		return ErrNoClasses
 	}
 	for i, class := range c.Classes {
 		if class.LatencyObjective <= 0 || class.Timeout <= 0 {
-			return fmt.Errorf("class %d, %v ms and %v ms: %w", i, class.LatencyObjective, class.Timeout, ErrInvalidClassTimes)
+			return fmt.Errorf("class %d: latency objective %v ms, timeout %v ms: %w", i, class.LatencyObjective, class.Timeout, ErrInvalidClassTimes)
 		}
 	}
 	if c.MaxAttempts < 1 {
-		return fmt.Errorf("%d attempts: %w", c.MaxAttempts, ErrInvalidMaxAttempts)
+		return fmt.Errorf("max attempts %d: %w", c.MaxAttempts, ErrInvalidMaxAttempts)
 	}
 	return nil
 }
 
-// New makes an instance that acts through a port. Its decisions follow from the configuration and the events alone.
+// New returns an instance that acts through port. Its decisions depend only on the configuration and the events.
 func New(port Port, c Config) *Instance {
 	inst := &Instance{
 		port:      port,
 		rng:       NewRand(c.Seed),
 		index:     c.Index,
 		instances: max(c.Instances, 1),
-		// Not by the seed: a process that starts anew draws the same keys for a release that rolls out.
+		// Independent of the seed, so that a restarted process selects the same keys for a rollout.
 		salt: uint64(c.Index+1) << 32,
 
 		maxOpenRequests:  math.Inf(1),
@@ -168,7 +166,7 @@
 	inst.configureEvaluator()
 }
 
-// configureEvaluator starts the evaluation of releases anew, with the classes and the rollout's settings as they are now.
+// configureEvaluator creates a new evaluator from the current classes and rollout settings.
 func (inst *Instance) configureEvaluator() {
 	c := inst.rolloutConfig
 	inst.evaluator = verdict.New(verdict.Settings{
--- a/policy/decision_bench_test.go
+++ b/policy/decision_bench_test.go
@@ -5,14 +5,15 @@
 	"testing"
 )
 
-// discardingPort is a port that keeps only the last attempt.
+// discardingPort is a port that keeps only the backend of the last attempt.
 type discardingPort struct{ recordingPort }
 
 func (port *discardingPort) SendAttempt(_, backend string, _ float64) {
 	port.actions = append(port.actions[:0], backend)
 }
 
-// One decision, from a request to the end of its attempt, with so many backends, of which one in ten has a release that rolls out.
+// BenchmarkDecision measures the decisions for one request, up to the end of its attempt, for several numbers of
+// backends. One backend in ten has a release that is rolling out.
 func BenchmarkDecision(b *testing.B) {
 	for _, n := range []int{10, 200, 3200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/policy/discovery.go
+++ b/policy/discovery.go
@@ -6,20 +6,21 @@
 	"onyxgate/policy/slowstart"
 )
 
-// discovery is where the endpoint list comes from and how far it can be relied on.
+// discovery is the state of the endpoint list's source.
 type discovery struct {
-	subscriptionRequired bool    // changes come only after a subscription
+	subscriptionRequired bool    // changes are only sent to subscribers
 	refreshInterval      float64 // ms
-	subscribed           bool    // subscribed, as far as is known
+	subscribed           bool    // subscribed, as far as known
 	watchDueAt           float64 // ms, when to subscribe
-	consecutiveFailures  float64 // in a row
-	listReceived         bool    // a list other than the cached one that the process started with has come
-	clockStepped         bool    // the wall clock was, since the start
+	consecutiveFailures  float64
+	listReceived         bool // a list other than the one cached at startup has been received
+	clockStepped         bool // the wall clock has been stepped since startup
 }
 
 const (
-	// firstWatchRetry and maxWatchRetry are pauses after one failure and after many, as parts of the refresh interval: well before
-	// the instance would count as knowing what it was not sent.
+	// firstWatchRetry and maxWatchRetry are the shortest and longest delay before a retry, as shares of the refresh
+	// interval. Both are well below 1, because after a whole interval the instance is taken to know changes that it was
+	// not sent.
 	firstWatchRetry, maxWatchRetry = 0.02, 0.3
 )
 
@@ -29,11 +30,11 @@
 
 func (inst *Instance) watchEndpoints() {
 	inst.port.WatchEndpoints()
-	inst.discovery.subscribed = true // until a failure comes
+	inst.discovery.subscribed = true // until a failure is reported
 }
 
-// scheduleWatchRetry: a failure does not say which call it was, so the subscription is made again, after a longer pause each time, and
-// scattered over the instances.
+// scheduleWatchRetry schedules a new subscription after a failure, with exponential backoff and jitter. A failure does
+// not identify the call that failed, so the subscription is always renewed.
 func (inst *Instance) scheduleWatchRetry() {
 	d := &inst.discovery
 	share := min(firstWatchRetry*math.Pow(2, d.consecutiveFailures), maxWatchRetry) * (1 + inst.rng.Float64())
@@ -41,7 +42,7 @@
 	inst.schedule(d.watchDueAt, nil)
 }
 
-// applyEndpoint takes one backend as listed.
+// applyEndpoint applies the listed state of one backend.
 func (inst *Instance) applyEndpoint(listed Endpoint) {
 	index, known := inst.endpoints.Find(listed.ID)
 	if !known {
@@ -53,7 +54,8 @@
 		backend.ResetForNewProcess(start.UpSince(inst.now), inst.now)
 		inst.evaluator.ResetBackend(index)
 		if inst.instances >= manyInstances && listed.StartedAt > 0 {
-			// With an empty budget each of many instances would wait long for its first request; with a full one all would send at once.
+			// In a large fleet, an empty budget would delay the first request of every instance for long, and a full
+			// one would let all instances send at once. A random budget avoids both.
 			backend.SlowStart = slowstart.NewBudget(inst.rng.Float64(), inst.now)
 		}
 	}
@@ -63,7 +65,8 @@
 	backend.Update(listed, inst.now)
 }
 
-// addEndpoint makes an entry for a new backend. Evidence on the backend whose entry it takes is dropped, since it goes by that index.
+// addEndpoint adds a new backend and returns its index. If the index belonged to an earlier backend, the evidence on
+// that backend is dropped, because evidence refers to backends by index.
 func (inst *Instance) addEndpoint(id string) int {
 	index, reused := inst.endpoints.Add(id, inst.now)
 	if reused {
--- a/policy/events.go
+++ b/policy/events.go
@@ -10,12 +10,12 @@
 	"onyxgate/policy/release"
 )
 
-// This file owns the events: one method for each, which notes what came and then applies the rules.
+// The On methods handle one event each: they update the state and then apply the rules.
 
-// stallThreshold (ms): a timer that comes this late shows that the instance itself stood still.
+// stallThreshold (ms) is the delay of a timer from which the instance itself is assumed to have stalled.
 const stallThreshold = 60
 
-// beginEvent sets the time of an event. The instance's own timers show whether it stood still before it.
+// beginEvent sets the time of the current event. An overdue timer shows that the instance stalled before it.
 func (inst *Instance) beginEvent(now float64) {
 	if len(inst.timers.queue) > 0 && now-inst.timers.queue[0].at > stallThreshold {
 		inst.resumedAt = now
@@ -27,14 +27,14 @@
 	}
 }
 
-// OnClockStep takes notice that the wall clock was stepped since this process started.
+// OnClockStep handles a step of the wall clock since the process started.
 func (inst *Instance) OnClockStep(now float64) {
 	inst.beginEvent(now)
 	inst.discovery.clockStepped = true
 	inst.applyRules()
 }
 
-// OnEndpoints takes a watch event; a snapshot removes the backends that it does not name.
+// OnEndpoints handles an update of the endpoint list. A snapshot removes the backends that it does not contain.
 func (inst *Instance) OnEndpoints(now float64, update EndpointUpdate) {
 	inst.beginEvent(now)
 	if update.Snapshot {
@@ -50,14 +50,15 @@
 	inst.applyRules()
 }
 
-// OnDiscoveryFailed takes notice that a call for the endpoint list failed or the subscription broke.
+// OnDiscoveryFailed handles a failed request for the endpoint list or a broken subscription.
 func (inst *Instance) OnDiscoveryFailed(now float64) {
 	inst.beginEvent(now)
 	inst.scheduleWatchRetry()
 	inst.applyRules()
 }
 
-// OnMessage takes another instance's outcome summaries; what it can't read or does not know is ignored.
+// OnMessage handles outcome summaries from another instance. Malformed summaries and those of unknown backends or
+// classes are ignored.
 func (inst *Instance) OnMessage(now float64, message []byte) {
 	inst.beginEvent(now)
 	for _, summary := range gossip.Decode(now, message) {
@@ -66,7 +67,8 @@
 	inst.applyRules()
 }
 
-// OnRequest takes a request. It ends with SendAttempt and that attempt's final result, with Reject or with Fail.
+// OnRequest handles a new request. The request ends with the final result of an attempt, or with a call of Reject or
+// Fail.
 func (inst *Instance) OnRequest(now float64, incoming Request) {
 	inst.beginEvent(now)
 	req := &request{
@@ -89,8 +91,8 @@
 	inst.applyRules()
 }
 
-// OnStreamStarted takes notice that an attempt's answer streams to the client. No deadline ends the request any more, whichever of its
-// attempts streams. An id that is not open is ignored.
+// OnStreamStarted handles the start of a streamed response to the client. From then on the request has no deadline,
+// whichever of its attempts is streaming. Requests that are not open are ignored.
 func (inst *Instance) OnStreamStarted(now float64, id string, _ int) {
 	inst.beginEvent(now)
 	if req := inst.requests[id]; req != nil {
@@ -99,7 +101,7 @@
 	inst.applyRules()
 }
 
-// OnAttemptResult takes the end of one attempt; one that is not open is ignored.
+// OnAttemptResult handles the end of one attempt. Attempts that are not open are ignored.
 func (inst *Instance) OnAttemptResult(now float64, result AttemptResult) {
 	inst.beginEvent(now)
 	if req := inst.requests[result.RequestID]; req != nil && req.isOpen(result.Attempt) {
@@ -108,8 +110,8 @@
 	inst.applyRules()
 }
 
-// OnWrongAnswer takes notice that an answer of a backend to a request of a class was wrong, age ms after it was sent: the outcome that was
-// seen here is corrected. A backend that is not known is ignored.
+// OnWrongAnswer corrects the recorded outcome of an attempt: the backend's response to a request of the given class,
+// sent age ms ago, was wrong. Unknown backends are ignored.
 func (inst *Instance) OnWrongAnswer(now float64, backendID string, class int, age float64) {
 	inst.beginEvent(now)
 	index, known := inst.endpoints.Find(backendID)
@@ -120,7 +122,7 @@
 	inst.evaluator.MarkFailed(class, index, now-age)
 }
 
-// OnClientGone takes notice that a request's client has gone; an id that is not open is ignored.
+// OnClientGone handles a client that disconnected. Requests that are not open are ignored.
 func (inst *Instance) OnClientGone(now float64, id string) {
 	inst.beginEvent(now)
 	if req := inst.requests[id]; req != nil && !req.ended {
@@ -129,7 +131,7 @@
 	inst.applyRules()
 }
 
-// OnProbeResult takes the end of a load probe.
+// OnProbeResult handles the end of a load probe.
 func (inst *Instance) OnProbeResult(now float64, result ProbeResult) {
 	inst.beginEvent(now)
 	if index, known := inst.endpoints.Find(result.Backend); known {
@@ -139,7 +141,7 @@
 	inst.applyRules()
 }
 
-// OnReleaseUpdate takes the state of a release, or the response to a vote, which may hold one too.
+// OnReleaseUpdate handles the state of a release, or the response to a vote, which may contain such a state too.
 func (inst *Instance) OnReleaseUpdate(now float64, update ReleaseUpdate) {
 	inst.beginEvent(now)
 	if update.Response != NotAVote {
@@ -152,13 +154,13 @@
 	inst.applyRules()
 }
 
-// OnPlatformCounts takes the platform's own figures. Votes go by the outcomes that the instance has seen itself, so these figures decide
-// nothing.
+// OnPlatformCounts handles the platform's own counts. They have no effect, because votes are based on the outcomes that
+// the instance has seen itself.
 func (inst *Instance) OnPlatformCounts(now float64) {
 	inst.beginEvent(now)
 }
 
-// OnTimer takes a timer that was set through the Port, by its token.
+// OnTimer handles a timer that was set through the Port; token identifies it.
 func (inst *Instance) OnTimer(now float64, token uint64) {
 	inst.beginEvent(now)
 	if token == inst.timers.token {
@@ -167,7 +169,8 @@
 	inst.applyRules()
 }
 
-// OnShutdown takes notice that the instance ends at a time (ms): every open request has its final answer by then.
+// OnShutdown announces that the instance shuts down at shutdownAt (ms). Every open request gets its final answer before
+// that time.
 func (inst *Instance) OnShutdown(now, shutdownAt float64) {
 	inst.beginEvent(now)
 	for _, id := range slices.Sorted(maps.Keys(inst.requests)) {
--- a/policy/evidence.go
+++ b/policy/evidence.go
@@ -5,9 +5,7 @@
 	"onyxgate/policy/verdict"
 )
 
-// This file owns which attempts become evidence on a release, the instance's own ones and those in messages of others.
-
-// recordEvidence takes the end of an own attempt as evidence, and queues it for the evaluators.
+// recordEvidence records the end of one of this instance's attempts as evidence and queues it for the evaluators.
 func (inst *Instance) recordEvidence(attempt *attempt, req *request, status AttemptStatus, elapsed float64) {
 	outcome := verdict.Outcome{
 		EndedAt:          inst.now,
@@ -22,8 +20,8 @@
 	}
 }
 
-// mergeSummary takes another instance's outcome as if it were an own one. One of a backend or class that is not known here,
-// or that comes before any release is announced, is ignored.
+// mergeSummary records an outcome received from another instance like one of this instance. Outcomes of unknown
+// backends or classes are ignored, and so are all outcomes before a release has been announced.
 func (inst *Instance) mergeSummary(summary gossip.Summary) {
 	index, known := inst.endpoints.FindHash(summary.BackendHash)
 	if !known || summary.Class >= len(inst.classes) || !inst.evaluator.Announced() {
--- a/policy/evidence_test.go
+++ b/policy/evidence_test.go
@@ -8,7 +8,8 @@
 	"onyxgate/policy/verdict"
 )
 
-// An end that is noticed after the instance itself stood still says nothing of the backend or the release.
+// If the instance stalled, the duration of an attempt that ended meanwhile is no evidence against the backend or the
+// release.
 func TestStallIsNoEvidence(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
@@ -29,7 +30,8 @@
 	}
 }
 
-// Outcomes from other instances count like own ones; what cannot be read is ignored.
+// Outcomes received from other instances count as evidence like those of this instance; malformed and unknown ones are
+// ignored.
 func TestPeerMessages(t *testing.T) {
 	sender, port := startInstance(RequestClass{}, 3)
 	sender.instances, sender.index = 300, 7
@@ -43,7 +45,7 @@
 			continue
 		}
 		if _, err := fmt.Sscanf(action, "tell 0 %x", &message); err != nil {
-			t.Fatalf("%s: %v", action, err)
+			t.Fatalf("message to instance 0 in action %q: %v", action, err)
 		}
 	}
 	for _, tc := range []struct {
@@ -51,9 +53,9 @@
 		message []byte
 		want    int // outcomes in evidence
 	}{
-		{"whole", message, 1},
-		{"cut short", message[:9], 0},
-		{"nothing", nil, 0},
+		{"complete", message, 1},
+		{"truncated", message[:9], 0},
+		{"empty", nil, 0},
 		{"unknown backend", append([]byte{1, 2, 3, 4}, message[4:]...), 0},
 		{"unknown class", append(append([]byte{}, message[:6]...), append([]byte{9}, message[7:]...)...), 0},
 	} {
@@ -66,7 +68,8 @@
 	}
 }
 
-// What a release does is evidence on itself alone: one whose first update is still to come or that was withdrawn counts for no other.
+// An outcome is evidence only on the release of its backend: outcomes of releases that are withdrawn or not yet
+// announced count for no other release.
 func TestEvidenceByRelease(t *testing.T) {
 	for _, tc := range []struct {
 		name                string
@@ -74,14 +77,14 @@
 		release             ReleaseID
 		baseline, candidate int // outcomes in evidence
 	}{
-		{"the newest", func(inst *Instance) {
+		{"newest release", func(inst *Instance) {
 			inst.OnReleaseUpdate(5, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.5, HasState: true})
 		}, 2, 0, 1},
-		{"the one before", func(inst *Instance) {
+		{"previous release", func(inst *Instance) {
 			inst.OnReleaseUpdate(5, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.5, HasState: true})
 		}, 1, 1, 0},
-		{"its first update is to come", func(*Instance) {}, 2, 0, 0},
-		{"it was withdrawn, and the next one announced", func(inst *Instance) {
+		{"before its first update", func(*Instance) {}, 2, 0, 0},
+		{"withdrawn, next release announced", func(inst *Instance) {
 			inst.OnReleaseUpdate(5, ReleaseUpdate{Release: 2, Phase: Withdrawn, Cap: 0, HasState: true})
 			inst.OnReleaseUpdate(6, ReleaseUpdate{Release: 3, Phase: RollingOut, Cap: 0.5, HasState: true})
 		}, 2, 0, 0},
@@ -91,7 +94,7 @@
 			tc.updates(inst)
 			inst.addEvidence(tc.release, 0, verdict.Outcome{EndedAt: 10, Latency: 5})
 			got := []int{inst.evaluator.OutcomeCount(verdict.Baseline), inst.evaluator.OutcomeCount(verdict.Candidate)}
-			expect(t, "outcomes", got, []int{tc.baseline, tc.candidate})
+			expect(t, "baseline and candidate outcomes", got, []int{tc.baseline, tc.candidate})
 		})
 	}
 }
--- a/policy/exposure.go
+++ b/policy/exposure.go
@@ -5,40 +5,40 @@
 	"onyxgate/policy/release"
 )
 
-// This file owns what may go to which release: every question is asked of the release that an attempt goes to, with its own record,
-// never of "the newest" when another is meant.
+// The checks below always use the state of the release that an attempt goes to, which is not necessarily the newest
+// release.
 
-// maxCountedKeys bounds the memory for counts of keys.
+// maxCountedKeys bounds the memory used for request counts by key.
 const maxCountedKeys = 1 << 14
 
-// SkippedBackends counts the backends that were skipped for a request, by the reason.
+// SkippedBackends counts the backends that were skipped when requests were routed, by reason.
 type SkippedBackends struct {
-	Closed     int // the release rolls back, was withdrawn or is guarded from the request's class
+	Closed     int // the release is rolling back or withdrawn, or its stage is guarded and the request is not safe
 	CapReached int // the allowance is used up
-	Affinity   int // the request's key belongs to a later release
+	Affinity   int // the request's key has affinity to a later release
 }
 
-// ReleaseStatus is what is known of releases and exposure now.
+// ReleaseStatus is the current state of releases and exposure.
 type ReleaseStatus struct {
 	Newest       release.Record
 	RollingOut   ReleaseID // the newest running release under a cap; 0: none
-	AffinityKeys int       // remembered, with the releases that answered them
+	AffinityKeys int       // number of keys with a recorded release
 	Skipped      SkippedBackends
 }
 
-// ReleaseStatus is the state of releases for logs and metrics. It changes nothing.
+// ReleaseStatus returns the state of releases for logs and metrics. It does not change the instance.
 func (inst *Instance) ReleaseStatus() ReleaseStatus {
 	newest, _ := inst.releases.Newest()
 	return ReleaseStatus{Newest: newest, RollingOut: inst.fleet.rolloutRelease, AffinityKeys: inst.affinity.Len(), Skipped: inst.skipped}
 }
 
-// underCap says whether a release is under a cap.
+// isCapped reports whether a release is under a cap.
 func (inst *Instance) isCapped(id ReleaseID) bool {
 	_, limited := inst.releases.Cap(id)
 	return limited
 }
 
-// oldestAllowedRelease is the earliest release that may serve a request, by its key.
+// oldestAllowedRelease returns the oldest release that may serve a request, given its key.
 func (inst *Instance) oldestAllowedRelease(req *request) ReleaseID {
 	if version := inst.affinity.Version() + 1; req.affinityVersion != version {
 		req.oldestRelease, req.affinityVersion = inst.affinity.OldestAllowed(req.affinityKey), version
@@ -46,7 +46,8 @@
 	return req.oldestRelease
 }
 
-// withinExposureCap guards the rule on exposure for one attempt of a request at a backend.
+// passesExposureChecks reports whether key affinity, the guarded stages and the exposure cap allow an attempt of a
+// request at a backend.
 func (inst *Instance) passesExposureChecks(req *request, backend *endpoints.Backend) bool {
 	if inst.releases.OldestIfUnknown(backend.Release) < inst.oldestAllowedRelease(req) {
 		inst.skipped.Affinity++
@@ -67,7 +68,8 @@
 	return true
 }
 
-// isGuarded says whether a release is in a stage that takes only safe requests, and the request is not one.
+// isGuarded reports whether a release is in a guarded stage, which accepts only safe requests, and the request is not
+// safe.
 func (inst *Instance) isGuarded(req *request, id ReleaseID) bool {
 	if inst.exposureConfig.GuardedStages <= 0 || inst.classes[req.class].Semantics == Safe {
 		return false
@@ -75,7 +77,7 @@
 	return inst.releases.Record(id).Stage < inst.exposureConfig.GuardedStages
 }
 
-// exposureLane is the lane of the allowance in which a class counts.
+// allowanceIndex returns the index of the allowance that counts the requests of a class.
 func (inst *Instance) allowanceIndex(class int) int {
 	if inst.exposureConfig.PerClass {
 		return class
@@ -83,8 +85,8 @@
 	return 0
 }
 
-// bindKey notes that a release may have answered a request's key. Where the backend was listed with another release meanwhile, it
-// may have been either that answered.
+// recordKeyAffinity records that a release may have handled a request's key. If the backend has been listed with
+// another release since the attempt was sent, either release may have handled it.
 func (inst *Instance) recordKeyAffinity(req *request, attempt *attempt) {
 	for _, id := range [...]ReleaseID{attempt.release, inst.endpoints.At(attempt.backend).Release} {
 		if target := inst.releases.LatestIfUnknown(id); !inst.releases.IsClosed(target) {
@@ -93,8 +95,9 @@
 	}
 }
 
-// MaySend says whether an attempt that was decided a while ago may still go out: its connection came up late, and the endpoint list, a release
-// update or another attempt's answer came meanwhile. One that may not counts as never sent. It changes no decision.
+// MaySend reports whether an attempt may still be sent although it was decided earlier. Its connection may have been
+// established late, and the endpoint list, a release update or the response to another attempt may have arrived in the
+// meantime. An attempt that may not be sent counts as never sent. MaySend does not change the instance.
 func (inst *Instance) MaySend(id string, number int) bool {
 	req := inst.requests[id]
 	if req == nil || number < 0 || number >= len(req.attempts) {
@@ -110,7 +113,7 @@
 	return !limited || limit > 0
 }
 
-// countKey counts a request for its key's popularity.
+// countKey counts a request for the popularity of its key.
 func (inst *Instance) countKey(key string) {
 	if key == "" {
 		return
@@ -121,9 +124,10 @@
 	}
 }
 
-// decayPopularKeys halves the counts and forgets keys seen long ago: popularity is recent, and the counts must not grow without bound.
+// decayPopularKeys halves the counts and drops keys that have not been seen for long. Popularity refers to recent
+// requests, and the map must not grow without bound.
 func (inst *Instance) decayPopularKeys() {
-	for key, requests := range inst.popularKeys { // each by itself, so that the order does not matter
+	for key, requests := range inst.popularKeys { // each key on its own, so the iteration order does not matter
 		inst.popularKeys[key] = requests / 2
 		if requests < 2 {
 			delete(inst.popularKeys, key)
--- a/policy/exposure_test.go
+++ b/policy/exposure_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// No more attempts than the free ones and the cap's share of the requests go to a release that rolls out.
+// A release that is rolling out gets at most the free attempts and the cap's share of the requests.
 func TestExposureCap(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
@@ -14,15 +14,15 @@
 		phase       Phase
 		guarded     int // stages
 		semantics   Semantics
-		update      ReleaseID // the release that the update is on; three backends run release 2
-		most, least int       // attempts there for 100 requests, each served at once
+		update      ReleaseID // release that the update is about; three backends run release 2
+		most, least int       // attempts at release 2 for 100 requests, each served immediately
 	}{
 		{"cap 0", 0, RollingOut, 0, Safe, 2, 0, 0},
 		{"cap 0.1", 0.1, RollingOut, 0, Safe, 2, 12, 2},
 		{"withdrawn", 0, Withdrawn, 0, Safe, 2, 0, 0},
-		{"guarded stage, not idempotent", 0.5, RollingOut, 1, NonIdempotent, 2, 0, 0},
+		{"guarded stage, non-idempotent", 0.5, RollingOut, 1, NonIdempotent, 2, 0, 0},
 		{"guarded stage, safe", 0.5, RollingOut, 1, Safe, 2, 52, 20},
-		{"not announced: as in the first stage", 1, Released, 0, Safe, 1, 12, 2},
+		{"not announced, counts as in the first stage", 1, Released, 0, Safe, 1, 12, 2},
 		{"released", 1, Released, 0, Safe, 2, 100, 30},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -42,13 +42,13 @@
 				inst.OnAttemptResult(now+10, AttemptResult{RequestID: id, Status: StatusServed, Final: true, Elapsed: 10})
 			}
 			if n > tc.most || n < tc.least {
-				t.Errorf("%d attempts, want %d to %d", n, tc.least, tc.most)
+				t.Errorf("%d attempts at release 2, want %d to %d", n, tc.least, tc.most)
 			}
 		})
 	}
 }
 
-// A key that a release under a cap has answered goes to no earlier release until that release is rolled back.
+// A key that a release under a cap has served is not sent to an earlier release until the later one is rolled back.
 func TestAffinityUntilRollback(t *testing.T) {
 	for _, tc := range []struct {
 		phase           Phase
@@ -61,17 +61,17 @@
 			inst.OnEndpoints(3, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, Weight: 1}, {ID: "a", Release: 1, State: EndpointDraining, Weight: 1}}})
 			inst.OnRequest(10, Request{ID: "t", Key: "k", TimeLeft: 4000})
 			inst.OnAttemptResult(20, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Elapsed: 10})
-			expect(t, "first", port.takeActions(), "[submit t x]")
+			expect(t, "actions for the first request", port.takeActions(), "[submit t x]")
 			inst.OnEndpoints(30, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, State: EndpointDraining, Weight: 1}, {ID: "a", Release: 1, Weight: 1}}})
 			inst.OnReleaseUpdate(31, ReleaseUpdate{Release: 2, Phase: tc.phase, Cap: 1, HasState: true})
 			inst.OnRequest(40, Request{ID: "u", Key: "k", TimeLeft: 4000})
-			expect(t, "goes to the earlier release", len(port.takeActions()) == 1, tc.servedByEarlier)
+			expect(t, "second request goes to the earlier release", len(port.takeActions()) == 1, tc.servedByEarlier)
 		})
 	}
 }
 
-// An attempt binds its key whether its answer was read or not, and while it may still come. One that failed or never ran binds nothing, nor
-// does one that ends after its release began to roll back.
+// An attempt gives its key affinity whether or not the response was read, and also while it is open. An attempt that
+// failed or never ran does not, nor does one that ends after its release began to roll back.
 func TestAffinityByStatus(t *testing.T) {
 	for _, tc := range []struct {
 		status          AttemptStatus // 0: still open
@@ -99,35 +99,35 @@
 			if tc.status != 0 {
 				inst.OnAttemptResult(20, AttemptResult{RequestID: "t", Status: tc.status, Final: true, Elapsed: 10})
 			}
-			expect(t, "first", port.takeActions()[0], "submit t x")
+			expect(t, "action for the first request", port.takeActions()[0], "submit t x")
 			inst.OnEndpoints(30, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, State: EndpointDraining, Weight: 1}, {ID: "a", Release: 1, Weight: 1}}})
 			inst.OnRequest(40, Request{ID: "u", Key: "k", TimeLeft: 4000})
-			expect(t, "goes to the earlier release", len(port.takeActions()) == 1, tc.servedByEarlier)
+			expect(t, "second request goes to the earlier release", len(port.takeActions()) == 1, tc.servedByEarlier)
 		})
 	}
 }
 
-// maySendTo by itself, whatever the rules above it do: each case is one step beyond one condition.
+// Calls maySendTo directly, without the checks that precede it in the rules. Each case violates one condition.
 func TestMaySendTo(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		violate func(inst *Instance, req *request)
 	}{
-		{"not idempotent, may have run", func(inst *Instance, req *request) {
+		{"non-idempotent, may have run", func(inst *Instance, req *request) {
 			inst.classes[0].Semantics = NonIdempotent
 			req.attempts = []attempt{{}}
 		}},
 		{"too many attempts", func(_ *Instance, req *request) { req.attempts = make([]attempt, 5) }},
 		{"at its deadline", func(inst *Instance, req *request) { inst.now = req.deadline }},
 		{"two attempts open", func(_ *Instance, req *request) { req.openAttempts = 2 }},
-		{"one attempt open, no concurrent ones allowed", func(inst *Instance, req *request) { req.openAttempts, inst.concurrentAttempts = 1, false }},
+		{"one attempt open, concurrent attempts not allowed", func(inst *Instance, req *request) { req.openAttempts, inst.concurrentAttempts = 1, false }},
 		{"ended", func(_ *Instance, req *request) { req.ended = true }},
 		{"allowance used up", func(inst *Instance, _ *request) {
 			inst.allowance.Use(1, 0, inst.now)
 			inst.allowance.Use(1, 0, inst.now)
 		}},
 		{"draining", func(inst *Instance, _ *request) { inst.endpoints.At(0).State = EndpointDraining }},
-		{"its release rolls back", func(inst *Instance, _ *request) {
+		{"release rolls back", func(inst *Instance, _ *request) {
 			inst.OnReleaseUpdate(3, ReleaseUpdate{Release: 1, Stage: 1, Phase: RollingBack, Cap: 0, HasState: true})
 		}},
 	} {
@@ -135,9 +135,9 @@
 			inst, _ := startInstance(RequestClass{}, 1)
 			inst.OnReleaseUpdate(2, ReleaseUpdate{Release: 1, Stage: 1, Phase: RollingOut, Cap: 0.5, HasState: true})
 			req := &request{deadline: 100, relativeWork: 1}
-			expect(t, "may send before", inst.maySendTo(req, 0), true)
+			expect(t, "maySendTo before the violation", inst.maySendTo(req, 0), true)
 			tc.violate(inst, req)
-			expect(t, "may send after", inst.maySendTo(req, 0), false)
+			expect(t, "maySendTo after the violation", inst.maySendTo(req, 0), false)
 		})
 	}
 }
--- a/policy/exposurerule_test.go
+++ b/policy/exposurerule_test.go
@@ -8,15 +8,16 @@
 	"pgregory.net/rapid"
 )
 
-// exposureRule is a reference for the rule on exposure, written from the protocol's pages and fed with events and actions alone.
+// exposureModel is a reference model of the exposure rule. It is derived from the protocol documentation and sees only
+// events and actions.
 type exposureModel struct {
-	phase           map[ReleaseID]Phase // the furthest that was sent
+	phase           map[ReleaseID]Phase // the latest phase that was sent
 	limit           map[ReleaseID]float64
 	newest          ReleaseID
 	answered        map[string][]ReleaseID // releases by key
-	requestCount    int                    // requests
-	sent            map[ReleaseID]int      // attempts at a release under a cap, since its cap last fell
-	requestsAtReset map[ReleaseID]int      // and the requests taken by then
+	requestCount    int
+	sent            map[ReleaseID]int // attempts at a release under a cap since the cap was last lowered
+	requestsAtReset map[ReleaseID]int // value of requestCount at that time
 }
 
 func newExposureModel() *exposureModel {
@@ -26,14 +27,15 @@
 	}
 }
 
-// closed says whether a release was sent as rolling back or withdrawn.
+// closed reports whether a release was sent as rolling back or withdrawn.
 func (model *exposureModel) closed(release ReleaseID) bool {
 	phase, known := model.phase[release]
 	return known && (phase == RollingBack || phase == Withdrawn)
 }
 
-// capped is a release's cap: by the wire's page the newest announced release has one until it is released, and later releases count as in
-// their first stage. Beyond the page, one that rolls back is closed for good.
+// capOf returns the cap of a release. According to the wire protocol's documentation the newest announced release has a
+// cap until it is released, and later releases count as in their first stage. Beyond the documentation, a release that
+// rolls back stays closed.
 func (model *exposureModel) capOf(release ReleaseID) (limit float64, capped bool) {
 	phase, known := model.phase[release]
 	switch {
@@ -47,14 +49,15 @@
 	return 0.5, true
 }
 
-// update takes a release's state and returns the cap that counts: never more than was sent in the same phase before.
+// update applies the state of a release and returns the effective cap: within a phase the cap never rises above an
+// earlier value.
 func (model *exposureModel) update(release ReleaseID, phase Phase, limit float64) float64 {
 	previous, known := model.phase[release]
 	rank := map[Phase]int{RollingOut: 0, Released: 1, RollingBack: 2, Withdrawn: 3}
 	if !known || rank[phase] >= rank[previous] {
 		previousLimit, capped := model.capOf(release)
 		if !known || !capped || limit < previousLimit || phase != previous {
-			model.sent[release], model.requestsAtReset[release] = 0, model.requestCount // attempts are counted anew
+			model.sent[release], model.requestsAtReset[release] = 0, model.requestCount // attempts are counted from here on
 		}
 		if known && phase == previous {
 			limit = min(limit, model.limit[release])
@@ -70,11 +73,11 @@
 	return limit
 }
 
-// attempt checks one attempt for a key at a release.
+// attempt checks an attempt with a key at a release.
 func (model *exposureModel) attempt(t *rapid.T, key string, release ReleaseID) {
 	for _, servedBy := range model.answered[key] {
 		if release < servedBy {
-			t.Fatalf("key %s goes to release %d, answered by %d", key, release, servedBy)
+			t.Fatalf("key %s sent to release %d, but already served by later release %d", key, release, servedBy)
 		}
 	}
 	limit, capped := model.capOf(release)
@@ -84,11 +87,11 @@
 	model.sent[release]++
 	allowed := 2 + limit*float64(model.requestCount-model.requestsAtReset[release])
 	if float64(model.sent[release]) > allowed || limit == 0 {
-		t.Fatalf("release %d: attempt %d of %v, cap %v", release, model.sent[release], allowed, limit)
+		t.Fatalf("release %d: %d attempts, want at most %v at cap %v", release, model.sent[release], allowed, limit)
 	}
 }
 
-// exposureRun plays random events to an instance and to the reference.
+// exposureRun feeds random events to an instance and to the model.
 type exposureRun struct {
 	t         *rapid.T
 	inst      *Instance
@@ -101,7 +104,7 @@
 	open      []string             // the request of each open attempt
 }
 
-// listBackend lists a backend, as running, draining or removed, maybe with another release than before.
+// listBackend lists a backend as running, draining or removed, possibly with a new release.
 func (run *exposureRun) listBackend() {
 	id := string(rune('a' + rapid.IntRange(0, 4).Draw(run.t, "backend")))
 	release := ReleaseID(rapid.IntRange(1, 4).Draw(run.t, "release"))
@@ -112,7 +115,7 @@
 	run.inst.OnEndpoints(run.now, EndpointUpdate{Endpoints: []Endpoint{{ID: id, Release: release, State: state, Weight: 1}}})
 }
 
-// sendUpdate sends a release's state, as a notice or a vote's response.
+// sendUpdate sends the state of a release, as a notification or as the response to a vote.
 func (run *exposureRun) sendUpdate() {
 	release := ReleaseID(rapid.IntRange(1, 4).Draw(run.t, "release"))
 	phase := Phase(rapid.IntRange(0, 3).Draw(run.t, "phase"))
@@ -156,7 +159,7 @@
 	run.inst.OnAttemptResult(run.now, AttemptResult{RequestID: id, Attempt: attempt, Status: status, Final: status == StatusServed, Elapsed: 10})
 }
 
-// checkAttempts checks what the instance has sent since the last call.
+// checkAttempts checks the attempts that the instance has sent since the last call.
 func (run *exposureRun) checkAttempts() {
 	for _, line := range run.port.takeActions() {
 		var action, id, backend string
@@ -168,7 +171,8 @@
 	}
 }
 
-// Random orders of endpoint lists, release updates, votes' responses, requests and ends of attempts keep the rule on exposure.
+// The exposure rule holds for endpoint lists, release updates, responses to votes, requests and ends of attempts in
+// random order.
 func TestExposureAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		inst, port := startWithAffinity(0, 0.5)
--- a/policy/fleet.go
+++ b/policy/fleet.go
@@ -7,23 +7,24 @@
 	"onyxgate/policy/release"
 )
 
-// aggregatesInterval (ms) is how long the sums over the fleet are used: the cost of a decision must not grow with the fleet.
+// aggregatesInterval (ms) is how long the aggregates are used before they are computed again. Without this cache the
+// cost of a decision would grow with the fleet.
 const aggregatesInterval = 200
 
-// fleetAggregates are sums over the running backends, as of the last refresh. Pairs are for the stable releases and for those that roll out,
-// in this order (stableArm, rolloutArm).
+// fleetAggregates are sums over the running backends, as of the last refresh. Arrays with two elements hold one value
+// for the stable releases and one for the releases that are rolling out, indexed by stableArm and rolloutArm.
 type fleetAggregates struct {
-	refreshAt        float64  // ms, when they are taken again
-	candidates       [2][]int // backends by index
+	refreshAt        float64  // ms, time of the next refresh
+	candidates       [2][]int // indices of backends
 	capacity         [2]float64
 	concurrencyLimit float64   // sum of the backends' limits
-	warmWeight       float64   // of the backends that are warm
-	maxCapacity      float64   // of one backend, as capacityOf gives it
-	rolloutCap       float64   // the highest cap among the releases under one
+	warmWeight       float64   // of the warm backends
+	maxCapacity      float64   // highest capacity of one backend, as returned by capacityOf
+	rolloutCap       float64   // highest cap among the capped releases
 	rolloutRelease   ReleaseID // the newest running release under a cap; 0: none
 }
 
-// Indices into the pairs of fleetAggregates.
+// Indices into the arrays of fleetAggregates.
 const (
 	stableArm = iota
 	rolloutArm
@@ -33,7 +34,7 @@
 
 func (inst *Instance) aggregatesDue() bool { return inst.now >= inst.fleet.refreshAt }
 
-// refreshAggregates sums over the fleet what placing a request needs.
+// refreshAggregates computes the aggregates again.
 func (inst *Instance) refreshAggregates() {
 	fleet := &inst.fleet
 	stable, rollout := fleet.candidates[stableArm][:0], fleet.candidates[rolloutArm][:0]
@@ -50,7 +51,7 @@
 	fleet, arm, progress := &inst.fleet, stableArm, inst.warmUpProgress(backend)
 	limit, limited := inst.releases.Cap(backend.Release)
 	if limited && limit <= 0 {
-		return // no request may go there
+		return // the release may get no requests
 	}
 	if limited {
 		arm, fleet.rolloutCap = rolloutArm, max(fleet.rolloutCap, limit)
@@ -67,8 +68,9 @@
 	}
 }
 
-// inferReleased finds the release that the fleet runs: the oldest listed one as long as none is announced, and one whose release was
-// missed where most backends of earlier releases run it.
+// inferReleased infers which release the fleet runs, in two cases. Until a release is announced, the oldest listed one
+// counts as released. An earlier release whose final update was missed counts as released if more than half of the
+// running backends of all releases before the newest run it.
 func (inst *Instance) inferReleased() {
 	newest := inst.evaluator.Release()
 	oldest, earlier, counts := ReleaseID(math.MaxInt), 0, map[ReleaseID]int{}
@@ -93,10 +95,12 @@
 	}
 }
 
-// crossZonePenalty is how many times its load a backend in another zone counts for, where crossing zones costs something.
+// crossZonePenalty is the factor by which the load of a backend in another zone is multiplied, if crossing zones has a
+// cost.
 const crossZonePenalty = 1.5
 
-// capacityOf is what a backend can take, as far as is known: its weight, less while it warms up, is slow or is in another zone.
+// capacityOf returns the estimated capacity of a backend: its weight, reduced during warm-up, by latency inflation and
+// in another zone.
 func (inst *Instance) capacityOf(backend *endpoints.Backend) float64 {
 	capacity := backend.Weight * inst.warmUpProgress(backend) / backend.LatencyInflation
 	if inst.crossZoneCharged && backend.Zone != inst.zone {
@@ -105,12 +109,12 @@
 	return capacity
 }
 
-// warmUpProgress is the part of its capacity that a backend has at the least.
+// warmUpProgress returns the lower bound of a backend's current capacity, as a share of its full capacity.
 func (inst *Instance) warmUpProgress(backend *endpoints.Backend) float64 {
 	return inst.slowStart.Progress(backend.UpSince, inst.now)
 }
 
-// recordAnswer counts an answer for its backend and for the fleet.
+// recordHealth adds a result to the health records of the backend and of the fleet.
 func (inst *Instance) recordHealth(backend *endpoints.Backend, inTime bool) {
 	inst.fleetHealth.Add(inst.now, inTime)
 	backend.Health.Add(inst.now, inTime)
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -5,14 +5,14 @@
 	"onyxgate/policy/verdict"
 )
 
-// This file owns whom the instance tells what it sees of releases: the first few instances, which evaluate for the fleet.
+// Outcomes are sent to the first instances of the fleet, which evaluate releases on behalf of all instances.
 
 const (
-	broadcastInterval = 500 // ms, between two rounds of messages
-	maxMessageBytes   = 250 // in one message
+	broadcastInterval = 500 // ms between two rounds of messages
+	maxMessageBytes   = 250 // per message
 )
 
-// queueSummary queues an attempt's outcome for the evaluators.
+// queueSummary queues the outcome of an attempt for the evaluators.
 func (inst *Instance) queueSummary(outcome verdict.Outcome, id ReleaseID, class int) {
 	inst.summaries.Add(gossip.Summary{
 		BackendHash:      gossip.BackendHash(inst.endpoints.At(outcome.Backend).ID),
--- a/policy/helper_test.go
+++ b/policy/helper_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// recordingPort is a port that keeps the instance's actions, a line for each. The lines' words are those of the recordings in testdata, which
-// stay as they are: submit is an attempt, decline a reject, void a fail, revoke a cancellation and tell a message.
+// recordingPort is a port that records the instance's actions, one line each. The lines use the words of the recordings
+// in testdata, which must not change: submit is an attempt, decline a rejection, void a failure, revoke a cancellation
+// and tell a message.
 type recordingPort struct{ actions []string }
 
 func (port *recordingPort) add(format string, args ...any) {
@@ -43,14 +44,15 @@
 
 func (port *recordingPort) Log(string) {}
 
-// take returns the actions since the last call.
+// takeActions returns the actions since the last call.
 func (port *recordingPort) takeActions() []string {
 	actions := port.actions
 	port.actions = nil
 	return actions
 }
 
-// startInstance starts an instance with one class and backends of release 1 named a, b, c and so on, in two zones and cells by turns.
+// startInstance starts an instance with one class and backends of release 1 named a, b, c and so on, which alternate
+// between two zones and cells.
 func startInstance(class RequestClass, backends int) (*Instance, *recordingPort) {
 	port := &recordingPort{}
 	inst := New(port, Config{Seed: 12345, Instances: 2})
@@ -69,7 +71,7 @@
 	return inst, port
 }
 
-// expect compares two values as they print.
+// expect compares the formatted values of got and want.
 func expect(t *testing.T, what string, got, want any) {
 	t.Helper()
 	if fmt.Sprint(got) != fmt.Sprint(want) {
@@ -77,7 +79,7 @@
 	}
 }
 
-// loadReportOf is a report of two figures, of which one below 0 is missing.
+// loadReportOf returns a report of two figures; a negative one is missing.
 func loadReportOf(waiting, utilization float64) LoadReport {
 	return LoadReport{Present: waiting >= 0 || utilization >= 0, Waiting: max(waiting, 0), Utilization: max(utilization, 0)}
 }
--- a/policy/instance.go
+++ b/policy/instance.go
@@ -12,25 +12,27 @@
 	"onyxgate/policy/slowstart"
 )
 
-// manyInstances is the size of a fleet from which an instance's own open attempts say too little of a backend's load: each instance sees
-// a small part of it. Such instances probe backends before they place a request.
+// manyInstances is the number of instances from which an instance probes backends before it places a request. In such a
+// fleet each instance sends only a small part of the traffic, so its own open attempts are no estimate of a backend's
+// load.
 const manyInstances = 10
 
-// Instance decides for one instance of the front tier. Its host calls an On method for each event, in the order of the events and from one
-// goroutine; each takes the time in ms, which never goes back, and returns when every action that follows has gone to the Port. MaySend and
-// ReleaseStatus only ask.
+// Instance makes the decisions of one instance of the front tier. Its host calls an On method for each event, in the
+// order of the events and from one goroutine. Each of these methods is given the time in ms, which never decreases, and
+// returns after it has passed all resulting actions to the Port. MaySend and ReleaseStatus are queries without effect
+// on later decisions.
 type Instance struct {
 	port Port
-	now  float64 // ms, time of the present event
+	now  float64 // ms, time of the current event
 	rng  *rand.Rand
 
-	// The fleet and this instance's place in it.
+	// The instance's position in the fleet.
 	index, instances int
 	salt             uint64 // of the positions of keys in a rollout
 	zone             int
 	peerMessages     bool
 
-	// Requests, and what the configuration allows for them.
+	// Requests and their limits.
 	classes            []RequestClass
 	maxAttempts        int
 	concurrentAttempts bool
@@ -39,24 +41,24 @@
 	maxRetryAfter      float64 // ms
 	crossZoneCharged   bool
 	requests           map[string]*request
-	pending            []*request // a rule has yet to look at these
-	retryQueue         []*request // no backend could take these, oldest first
-	queueRetryAt       float64    // ms, when the queue is tried again
-	cancellationBudget float64    // attempts that may still be canceled for taking too long
+	pending            []*request // waiting to be handled by a rule
+	retryQueue         []*request // no backend could accept these yet; oldest first
+	queueRetryAt       float64    // ms, time of the next retry of the queue
+	cancellationBudget float64    // number of attempts that may be canceled because they are presumed lost
 
 	timers    timers
-	started   bool    // an event has come
-	resumedAt float64 // ms, when the instance last ran again after a stall
+	started   bool    // the first event has been handled
+	resumedAt float64 // ms, end of the last stall
 
 	// Admission.
-	admission         admission.Throttle // of all requests
-	unprobedAdmission admission.Throttle // of those that are placed without an answered probe
+	admission         admission.Throttle // for all requests
+	unprobedAdmission admission.Throttle // for requests placed without an answered probe
 	arrivals          admission.ArrivalRate
 	quotas            *admission.Quotas
 	overQuotaValue    float64
 	meanValue         float64
 	meanWork          float64
-	requestCount      float64 // halved whenever the counts of popular keys are
+	requestCount      float64 // halved whenever popularKeys is
 
 	// Backends.
 	endpoints    *endpoints.Table
@@ -66,7 +68,7 @@
 	slowStart    slowstart.Config
 	throughput   slowstart.Throughput // of warm backends
 	latencies    []classLatency       // by class
-	meanLatency  float64              // ms, of all classes
+	meanLatency  float64              // ms, over all classes
 	openAttempts int                  // at all backends
 	probing      probing
 
@@ -76,9 +78,9 @@
 	allowance      *exposure.Allowance
 	affinity       *exposure.Affinity
 	skipped        SkippedBackends
-	popularKeys    map[string]float64 // recent requests by key
+	popularKeys    map[string]float64 // number of recent requests by key
 
-	// The rollout of the newest release.
+	// Rollout of the newest release.
 	rolloutConfig RolloutConfig
 	rollout
 	summaries   gossip.Queue
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -7,26 +7,27 @@
 )
 
 const (
-	// meanStep is the weight of one answer in a mean latency, work or value; backendStep that in the figures of one backend, which
-	// sees fewer answers.
+	// meanSmoothing is the weight of a new value in the exponential means of latency, work and value. backendSmoothing
+	// is the weight in the means of a single backend, which gets fewer requests.
 	meanSmoothing, backendSmoothing = 0.02, 0.1
-	// maxLatencyInflation bounds what one answer counts, as times the usual latency: a single one must not shut out its backend.
+	// maxLatencyInflation bounds the latency of one response, relative to the mean latency, so that a single slow
+	// response cannot exclude its backend.
 	maxLatencyInflation = 10
-	// tailQuantile is the share of the answers that come within the tail latency. An attempt that takes tailMultiple times the tail
-	// latency is taken for lost.
+	// tailQuantile is the quantile that the tail latency estimates. An attempt is presumed lost after tailMultiple
+	// times the tail latency.
 	tailQuantile, tailMultiple = 0.97, 1.5
-	// tailUpdateStep is how far one answer moves the logarithm of the tail latency.
+	// tailUpdateStep is the step by which one response changes the logarithm of the tail latency.
 	tailUpdateStep = 0.2
 )
 
-// classLatency is what is known of the latency of one class. Times are in ms.
+// classLatency holds the latency statistics of one class. Times are in ms.
 type classLatency struct {
-	mean            float64 // 0: no answer yet
-	tail            float64 // within which tailQuantile of the answers come; infinite while attempts are never taken for lost
-	longestTimeLeft float64 // the most that a request had on arrival
+	mean            float64 // 0: no response yet
+	tail            float64 // estimate of the tailQuantile quantile; infinite if attempts are never presumed lost
+	longestTimeLeft float64 // longest time left on arrival of any request
 }
 
-// learnLatency takes the latency of an answer.
+// recordLatency updates the latency statistics with one response.
 func (inst *Instance) recordLatency(backend *endpoints.Backend, req *request, elapsed float64) {
 	if math.IsInf(elapsed, 1) {
 		return
@@ -41,7 +42,7 @@
 	}
 }
 
-// moveMean moves an exponential mean, which starts with its first value.
+// updateMean updates an exponential mean, whose initial value is the first sample.
 func updateMean(mean *float64, value float64) {
 	if *mean == 0 {
 		*mean = value
@@ -49,8 +50,9 @@
 	*mean += meanSmoothing * (value - *mean)
 }
 
-// learnTail moves the tail latency up for each answer beyond it and down for the others, by steps that balance where tailQuantile of the
-// answers stay within it. It stays infinite where a lost attempt could not be replaced.
+// updateTailLatency raises the tail latency after each response that exceeds it and lowers it after the others. The
+// step sizes are such that the estimate is stable where tailQuantile of the responses are within it. It stays infinite
+// if a lost attempt could not be replaced.
 func (inst *Instance) updateTailLatency(class int, elapsed float64) {
 	tail := &inst.latencies[class].tail
 	replaceable := inst.cancelAllowed && inst.classes[class].Semantics != NonIdempotent
@@ -64,7 +66,7 @@
 	}
 }
 
-// givenUpAt is when an attempt sent at a time is taken for lost.
+// presumedLostAt returns the time from which an attempt sent at sentAt is presumed lost.
 func (inst *Instance) presumedLostAt(class int, sentAt float64) float64 {
 	return sentAt + tailMultiple*inst.latencies[class].tail
 }
--- a/policy/messages.go
+++ b/policy/messages.go
@@ -6,38 +6,36 @@
 	"onyxgate/policy/verdict"
 )
 
-// This file owns the messages between an instance and its host.
-
-// Semantics says what a second run of a request would do.
+// Semantics describes the effect of running a request twice.
 type Semantics uint8
 
 // Semantics of a request.
 const (
-	Safe          Semantics = iota // it has no effect and may run again
+	Safe          Semantics = iota // no side effects; may run again
 	Idempotent                     // backends recognize a repeat by its idempotency key
-	NonIdempotent                  // it must never run twice
+	NonIdempotent                  // must never run twice
 )
 
-// DedupScope is the set of backends that drop each other's repeats of an idempotent request.
+// DedupScope is the set of backends that deduplicate repeats of an idempotent request among each other.
 type DedupScope uint8
 
-// Scopes of deduplication: all backends, those of one zone, those of one cell.
+// Deduplication scopes: all backends, the backends of one zone, or those of one cell.
 const (
 	DedupAll DedupScope = iota
 	DedupZone
 	DedupCell
 )
 
-// RequestClass is what requests of one kind have in common. Times are in ms.
+// RequestClass holds the properties shared by requests of one kind. Times are in ms.
 type RequestClass struct {
-	LatencyObjective float64 // an answer within it has the full value
-	ObjectivePerWork float64 // ms added to the objective for each unit of the request's work
-	Timeout          float64 // that a client waits, for all its tries together
-	Value            float64 // in any one unit
-	LateValue        float64 // share of the value for an answer past the objective
+	LatencyObjective float64 // a response within it has the full value
+	ObjectivePerWork float64 // ms added to the objective per unit of the request's work
+	Timeout          float64 // time that a client waits, including all its retries
+	Value            float64 // in an arbitrary unit
+	LateValue        float64 // share of the value that a response after the objective has
 	Semantics        Semantics
 	DedupScope       DedupScope
-	DedupWindow      float64 // for which the backends in scope drop repeats
+	DedupWindow      float64 // how long the backends in scope recognize repeats
 	Streamed         bool
 }
 
@@ -51,20 +49,20 @@
 	EndpointRemoved  = endpoints.Removed
 )
 
-// Endpoint is one backend as the endpoint list shows it.
+// Endpoint is the entry of one backend in the endpoint list.
 type Endpoint = endpoints.Endpoint
 
-// EndpointUpdate is a watch event: a snapshot replaces the endpoint list, anything else changes it.
+// EndpointUpdate is an update of the endpoint list: a snapshot, which replaces the list, or a set of changes.
 type EndpointUpdate struct {
 	Endpoints []Endpoint
 	Snapshot  bool
-	Cached    bool // stored since before the process started: discovery itself has sent nothing yet
+	Cached    bool // loaded from storage at startup, not received from discovery
 }
 
-// AttemptStatus is how an attempt ended.
+// AttemptStatus is the result of an attempt.
 type AttemptStatus uint8
 
-// Ends of an attempt, and what each says of whether it ran at the backend.
+// Results of an attempt. The comments state whether the backend ran the attempt.
 const (
 	StatusServed        AttemptStatus = iota + 1 // ran
 	StatusErrored                                // may have run
@@ -76,35 +74,35 @@
 	StatusNotSent                                // never sent
 )
 
-// provesNotRun says whether the backend has certainly not run the attempt.
+// provesNotRun reports whether the backend has certainly not run the attempt.
 func (s AttemptStatus) provesNotRun() bool {
 	return s == StatusRejected || s == StatusConnectFailed || s == StatusNotSent
 }
 
-// Request is one request as it arrives.
+// Request is a newly arrived request.
 type Request struct {
-	ID       string  // not used by any other open request
-	Key      string  // requests with one key belong together; empty: it has none
+	ID       string  // unique among the open requests
+	Key      string  // affinity key, shared by related requests; empty: none
 	Class    int     // index into Config.Classes
 	Tenant   int     // index into Config.Tenants.Quotas
-	Retry    bool    // the client marks it as a repeat of an earlier request
+	Retry    bool    // the client marked it as a repeat of an earlier request
 	TimeLeft float64 // ms until its deadline
-	Work     float64 // as the client estimates it, in any one unit; 0: no estimate
+	Work     float64 // client's estimate in an arbitrary unit; 0: no estimate
 }
 
-// LoadReport is what a backend says of its load. The zero value stands for no report.
+// LoadReport is the load that a backend reports. The zero value means that there is no report.
 type LoadReport struct {
 	Present     bool
-	Waiting     float64 // requests that wait at the backend
+	Waiting     float64 // number of requests queued at the backend
 	Utilization float64 // share of its capacity in use, 0 to 1
 }
 
 // AttemptResult is the end of one attempt.
 type AttemptResult struct {
 	RequestID string
-	Attempt   int // counted from 0 in each request
+	Attempt   int // number of the attempt within its request, from 0
 	Status    AttemptStatus
-	Final     bool    // the request has its answer by this attempt or had it before
+	Final     bool    // the request has been answered, by this attempt or before
 	Elapsed   float64 // ms since the attempt was sent
 	Load      LoadReport
 }
@@ -117,13 +115,13 @@
 	Load    LoadReport
 }
 
-// ReleaseID identifies a release. A later release has a higher one.
+// ReleaseID identifies a release. Later releases have higher IDs.
 type ReleaseID = release.ID
 
-// UnknownRelease is the release of a backend for which no source has named one.
+// UnknownRelease is the release of a backend whose release no source has reported.
 const UnknownRelease = release.Unknown
 
-// Phase is the phase that a release is in.
+// Phase is the phase of a release.
 type Phase = release.Phase
 
 // Phases of a release.
@@ -134,18 +132,19 @@
 	Withdrawn   = release.Withdrawn
 )
 
-// ReleaseUpdate is the state of a release as the platform sends it, as a notice or in its response to a vote.
+// ReleaseUpdate is the state of a release as sent by the platform, either as a notification or in the response to a
+// vote.
 type ReleaseUpdate struct {
 	Release  ReleaseID
 	Stage    int
 	Phase    Phase
-	Cap      float64 // share of the requests taken that may go to the release, 0 to 1
-	Age      float64 // ms for which the release has been in this state
+	Cap      float64 // share of the received requests that may go to the release, 0 to 1
+	Age      float64 // ms since the release entered this state
 	Response VoteResponse
-	HasState bool // the fields above Response are set; the response to a vote may be all there is
+	HasState bool // the fields above Response are set; the response to a vote may come without them
 }
 
-// Verdict is what a vote says of a release.
+// Verdict is the content of a vote on a release.
 type Verdict = verdict.Verdict
 
 // Verdicts on a release.
@@ -156,7 +155,7 @@
 	Rollback  = verdict.Rollback
 )
 
-// VoteResponse is how the platform responded to a vote.
+// VoteResponse is the platform's response to a vote.
 type VoteResponse = verdict.VoteResponse
 
 // Responses to a vote.
@@ -168,10 +167,10 @@
 	VoteOutdated   = verdict.VoteOutdated
 )
 
-// RolloutControl says what moves a rollout to its next stage.
+// RolloutControl selects what advances a rollout to its next stage.
 type RolloutControl = verdict.RolloutControl
 
-// Controls of a rollout.
+// Kinds of rollout control.
 const (
 	ControlSingleVote = verdict.ControlSingleVote
 	ControlMajority   = verdict.ControlMajority
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -8,44 +8,46 @@
 	"onyxgate/policy/health"
 )
 
-// This file owns the choice of a backend for a request.
-
 const (
-	// capUtilization is the part of the cap that the share of a rollout aims at: chance would otherwise use up the allowance.
+	// capUtilization is the share of the cap that a rollout is meant to use. Without this margin, random variation
+	// would exhaust the allowance.
 	capUtilization = 0.9
-	// maxKeyShareOfCap bounds the requests with one key, as a part of the cap: a key that is more popular is not taken into a rollout, for
-	// once bound to the release it could need more than the allowance. The first minPopularRequests never make a key popular.
+	// maxKeyShareOfCap bounds the share of requests with one key, relative to the cap. A key that is more popular is
+	// kept out of the rollout, because once it has affinity to the release it could need more than the allowance. A key
+	// with at most minPopularRequests is never popular.
 	maxKeyShareOfCap, minPopularRequests = 0.2, 2
-	// minCapacity keeps a share finite where no backend is listed.
+	// minCapacity avoids a division by zero if no backend is listed.
 	minCapacity = 1e-9
-	// lowValueLimitShare is the part of the concurrency limits that requests below the mean value may use.
+	// lowValueLimitShare is the share of the concurrency limits that requests below the mean value may use.
 	lowValueLimitShare = 0.6
-	// minOpenPerBackend and minOpenInAll are open attempts that are always allowed, at one backend and at all together.
+	// minOpenPerBackend and minOpenTotal are the numbers of open attempts that are always allowed at one backend and in
+	// total.
 	minOpenPerBackend, minOpenTotal = 1, 2
 )
 
-// rolloutShare is the part of the requests for the releases that roll out: their backends' share of the capacity, within the cap.
+// rolloutShare returns the share of the requests that should go to the releases that are rolling out: their backends'
+// share of the capacity, bounded by the cap.
 func (inst *Instance) rolloutShare() float64 {
 	limit, total := inst.fleet.rolloutCap*capUtilization, inst.fleet.capacity[stableArm]+inst.fleet.capacity[rolloutArm]
 	if limit >= capUtilization {
 		limit = 1
 	}
-	// Where the earlier backends stay in the last stage, those of the new release get what their places would, at no more load
-	// for each.
+	// If the earlier backends keep running in the last stage, the backends of the new release get the requests of the
+	// places that they take, so that none of them gets a higher load.
 	if inst.inLastStage() {
 		total = min(total, inst.placesWeight)
 	}
 	return min(inst.fleet.capacity[rolloutArm]/max(total, minCapacity), limit)
 }
 
-// inLastStage says whether the rollout is in the stage over all places. Earlier backends that stay are idle in it, so that latencies are
-// not compared.
+// inLastStage reports whether the rollout is in the stage that covers all places. Earlier backends that are still
+// running are idle in this stage, so latencies are not compared.
 func (inst *Instance) inLastStage() bool {
 	return inst.evaluator.Stage() == len(inst.rolloutConfig.Stages)-1 && inst.placesWeight > 0 && inst.fleet.rolloutRelease <= inst.evaluator.Release()
 }
 
-// pickBackend draws the arm (stable or rollout) and then chooses a backend in it, or in the other one where there is none; -1: none may
-// take the request.
+// pickBackend draws the arm (stable or rollout) and chooses a backend in it, or in the other arm if there is none. It
+// returns -1 if no backend may get the request.
 func (inst *Instance) pickBackend(req *request) int {
 	failedInRollout := len(req.attempts) > 0 && inst.isCapped(req.attempts[len(req.attempts)-1].release)
 	arm := stableArm
@@ -57,20 +59,21 @@
 		arm = stableArm
 	}
 	index := inst.pickCandidate(req, arm)
-	stayInStable := unassigned && arm == stableArm // in the other arm its key would be bound without having been drawn
+	stayInStable := unassigned && arm == stableArm // the rollout has not drawn this key
 	if index >= 0 || stayInStable {
 		return index
 	}
 	return inst.pickCandidate(req, otherArm(arm))
 }
 
-// isPopular says whether a key has more of the requests than may be bound to a release under a cap.
+// isPopular reports whether a key has a larger share of the requests than a release under a cap can serve.
 func (inst *Instance) isPopular(key string) bool {
 	return inst.popularKeys[key] > minPopularRequests+maxKeyShareOfCap*inst.fleet.rolloutCap*inst.requestCount
 }
 
-// rolloutDraw is a request's position in [0,1): by its key where keys stay with a release. A rollout's keys are the same ones from the first
-// listing of its release on: before its first update, after it and in a process that starts anew.
+// rolloutPosition returns a request's position in [0,1). With key affinity it depends on the key only, so a rollout
+// gets the same keys from the first listing of its release on: before the first update, after it and after a restart of
+// the process.
 func (inst *Instance) rolloutPosition(req *request) float64 {
 	if req.affinityKey != 0 {
 		return balance.KeyPosition(req.key, inst.salt^uint64(max(inst.fleet.rolloutRelease, inst.evaluator.Release())))
@@ -78,7 +81,7 @@
 	return inst.rng.Float64()
 }
 
-// pickCandidate chooses a backend in one arm, with a probability by its capacity and then by its load.
+// pickCandidate chooses a backend in one arm: it samples backends by capacity and takes the least loaded one.
 func (inst *Instance) pickCandidate(req *request, arm int) int {
 	eligible := func(index int) bool {
 		return inst.hasCapacity(req, inst.endpoints.At(index)) && inst.maySendTo(req, index)
@@ -93,8 +96,9 @@
 	return balance.LeastLoaded(inst.fleet.candidates[arm], inst.rng, accepts, eligible, inst.loadOf)
 }
 
-// loadOf is a backend's load for its capacity: the instance's own open attempts. In a small fleet the reported load is added; in a large one
-// reports are old, and a false one would draw the requests of all instances.
+// loadOf returns the load of a backend relative to its capacity, measured by this instance's open attempts. In a small
+// fleet the reported load is added. In a large fleet reports are outdated, and a false report would attract the
+// requests of all instances.
 func (inst *Instance) loadOf(index int) float64 {
 	backend := inst.endpoints.At(index)
 	load := float64(backend.OpenAttempts)
@@ -104,8 +108,8 @@
 	return load / inst.capacityOf(backend)
 }
 
-// hasCapacity says whether a backend is not ejected and the instance's own open attempts, there and in all, are within the concurrency
-// limits, whose last part is for requests of high value.
+// hasCapacity reports whether a backend is not ejected and this instance's open attempts, at the backend and in total,
+// are below the concurrency limits. The last part of the limits is reserved for requests of high value.
 func (inst *Instance) hasCapacity(req *request, backend *endpoints.Backend) bool {
 	share := 1.0
 	if req.value < inst.meanValue {
@@ -115,15 +119,16 @@
 	return !backend.Ejection.Active(inst.now) && float64(backend.OpenAttempts) < backendLimit && float64(inst.openAttempts) < totalLimit
 }
 
-// maySendTo guards every attempt: the limits on attempts, the rule on repeats, the exposure cap and the slow start.
+// maySendTo reports whether an attempt may be sent to a backend. It checks the limits on attempts, the rule on repeats,
+// the exposure rules and the slow start.
 func (inst *Instance) maySendTo(req *request, index int) bool {
 	backend := inst.endpoints.At(index)
-	// A draining backend gets nothing, though the platform would still allow it for a while.
+	// A draining backend gets no attempts, although the platform would allow them for a while.
 	return inst.mayAttempt(req) && backend.State == EndpointRunning && inst.mayRepeatAt(req, backend) &&
 		inst.passesExposureChecks(req, backend) && inst.allowsSlowStart(req, backend)
 }
 
-// mayAttempt says whether a request may have one more attempt.
+// mayAttempt reports whether a request may have one more attempt.
 func (inst *Instance) mayAttempt(req *request) bool {
 	if req.ended || inst.now >= req.deadline || len(req.attempts) >= inst.maxAttempts {
 		return false
@@ -131,8 +136,8 @@
 	return req.openAttempts == 0 || req.openAttempts == 1 && inst.concurrentAttempts
 }
 
-// mayRepeatAt says whether a repeat at a backend can have no second effect. The first attempt that may have run decides: the backends that
-// know of it are those in its scope, for as long as they drop repeats.
+// mayRepeatAt reports whether another attempt at a backend is free of a second effect. This depends on the first
+// attempt that may have run: only the backends in its dedup scope know of it, and only within the dedup window.
 func (inst *Instance) mayRepeatAt(req *request, backend *endpoints.Backend) bool {
 	class := &inst.classes[req.class]
 	if class.Semantics == Safe {
@@ -151,7 +156,7 @@
 	return true
 }
 
-// inDedupScope says whether two backends drop each other's repeats.
+// inDedupScope reports whether two backends recognize each other's repeats.
 func inDedupScope(scope DedupScope, a, b *endpoints.Backend) bool {
 	switch scope {
 	case DedupZone:
@@ -163,8 +168,9 @@
 	}
 }
 
-// allowsWarmingUp keeps to the slow-start budget of a backend that is not warm: by its progress, a part of what warm backends are seen to
-// serve. Where none is seen, a backend counts as serving one request at a time, shared by all instances.
+// allowsSlowStart reports whether the slow-start budget of a backend that is not warm allows one more request. The
+// budget is a share, given by the warm-up progress, of the observed throughput of warm backends. If there is no
+// observation, a backend is assumed to serve one request at a time, shared by all instances.
 func (inst *Instance) allowsSlowStart(req *request, backend *endpoints.Backend) bool {
 	progress := inst.warmUpProgress(backend)
 	if progress >= 1 {
--- a/policy/placement_test.go
+++ b/policy/placement_test.go
@@ -6,13 +6,14 @@
 	"onyxgate/policy/balance"
 )
 
-// Many instances that see little each must not crowd on the backends of the highest weight, nor on those that report no load.
+// In a large fleet, requests must not concentrate on the backends with the highest weight, nor on those that report no
+// load.
 func TestPickBackendDistribution(t *testing.T) {
 	for _, tc := range []struct {
 		name         string
 		weight, load float64 // of backend a; the others have weight 1 and report 0.8
-		least, most  int     // of 1000 picks among 5
-	}{{"alike", 1, 0.8, 150, 250}, {"of a higher weight", 1.5, 0.8, 220, 340}, {"reports no load", 1, 0, 150, 250}} {
+		least, most  int     // of 1000 picks among 5 backends
+	}{{"same weight and load", 1, 0.8, 150, 250}, {"higher weight", 1.5, 0.8, 220, 340}, {"reports no load", 1, 0, 150, 250}} {
 		t.Run(tc.name, func(t *testing.T) {
 			inst, _ := startInstance(RequestClass{}, 5)
 			inst.instances, inst.endpoints.At(0).Weight, inst.fleet.refreshAt = 300, tc.weight, 0
@@ -27,7 +28,7 @@
 				}
 			}
 			if picked < tc.least || picked > tc.most {
-				t.Errorf("%d of 1000, want %d to %d", picked, tc.least, tc.most)
+				t.Errorf("backend a picked %d times in 1000, want %d to %d", picked, tc.least, tc.most)
 			}
 		})
 	}
--- a/policy/prevailingrelease_test.go
+++ b/policy/prevailingrelease_test.go
@@ -5,15 +5,15 @@
 	"testing"
 )
 
-// A superseded release counts as released once it runs on more than half of the running backends of all releases before the
-// newest one; on half of them or fewer it keeps the cap that it had.
+// A superseded release counts as released if it runs on more than half of the running backends of all releases before
+// the newest one. Otherwise it keeps its cap.
 func TestSupersededReleaseCountsAsReleased(t *testing.T) {
 	for _, c := range []struct {
 		name             string
 		first            int // running backends of release 1
-		superseded       int // of release 2, which was rolling out when release 3 came
+		superseded       int // backends of release 2, which was rolling out when release 3 was announced
 		supersededListed EndpointState
-		newest           int // of release 3, which must not count
+		newest           int // running backends of release 3, which must not count
 		want             bool
 	}{
 		{"on none", 4, 0, EndpointRunning, 1, false},
@@ -47,7 +47,7 @@
 			expect(t, "released", superseded.Phase == Released, c.want)
 			expect(t, "superseded", superseded.Superseded, !c.want)
 			limit, limited := inst.releases.Cap(2)
-			expect(t, "under a cap", limited, !c.want)
+			expect(t, "capped", limited, !c.want)
 			expect(t, "cap", limit, map[bool]float64{true: 1, false: 0.1}[c.want])
 		})
 	}
--- a/policy/probes.go
+++ b/policy/probes.go
@@ -7,31 +7,33 @@
 )
 
 const (
-	// probesPerRound is how many backends are probed at once for a request, maxProbeRounds how often that is done.
+	// probesPerRound is the number of backends probed at once for a request, and maxProbeRounds is the number of such
+	// rounds.
 	probesPerRound, maxProbeRounds = 2, 2
-	// probeRoundShare is how long a round waits for an answer, as a part of the latency objective.
+	// probeRoundShare is the time that a round waits for an answer, as a share of the latency objective.
 	probeRoundShare = 0.12
-	// maxProbePrice is what a round of probes saves, as a part of one request's value. At a higher price no probes are sent.
+	// maxProbePrice is the benefit of a round of probes, as a share of the value of one request. No probes are sent if
+	// a round costs more.
 	maxProbePrice = 0.045
 )
 
-// probing is what load probes cost and how they fare.
+// probing holds the cost of load probes and the state of those in flight.
 type probing struct {
 	allowed      bool
-	price        float64     // of one probe, as a part of one request's value
-	open         []loadProbe // for requests without a place
-	failureShare float64     // of the recent probes in the own zone
+	price        float64     // cost of one probe, as a share of the value of one request
+	open         []loadProbe // for requests that have not been placed
+	failureShare float64     // share of failed probes among the recent ones in the instance's own zone
 }
 
-// loadProbe is a backend that has been probed for a request.
+// loadProbe is a probe of a backend on behalf of a request.
 type loadProbe struct {
 	request *request
 	backend int
 }
 
-// probeBeforePlacement probes some backends for a request, which goes to the first that answers. Where each of many instances sees little of
-// the load, its own open attempts say nothing of it; a backend that stands still, is slow or unreachable or reports a wrong load does
-// not answer first.
+// probeBeforePlacement probes some backends for a request, which is sent to the first one that answers. In a large
+// fleet, an instance's own open attempts are no estimate of the load. A backend that is stalled, slow or unreachable,
+// or that reports a false load, does not answer first.
 func (inst *Instance) probeBeforePlacement(req *request) {
 	req.probeRounds++
 	for range probesPerRound {
@@ -44,7 +46,8 @@
 	inst.schedule(inst.now+probeRoundShare*inst.classes[req.class].LatencyObjective, req)
 }
 
-// endProbe takes a probe's result. Failures in other zones count for nothing: the way there may be at fault.
+// endProbe handles the result of a probe. Failures in other zones are not counted, because the path there may be at
+// fault.
 func (inst *Instance) endProbe(index int, result ProbeResult) {
 	if inst.endpoints.At(index).Zone == inst.zone {
 		inst.probing.failureShare -= backendSmoothing * inst.probing.failureShare
@@ -58,7 +61,7 @@
 	}
 }
 
-// placeAfterProbe gives the backend that has answered to the first request that waits for it.
+// placeAfterProbe sends the first request that waits for an answer of the backend to it.
 func (inst *Instance) placeAfterProbe(index int) {
 	req := inst.probedRequest(index)
 	if req != nil && inst.now < req.objectiveDeadline && inst.maySendTo(req, index) {
@@ -66,7 +69,7 @@
 	}
 }
 
-// probedRequest is the first request without a place for which a backend was probed; nil: there is none.
+// probedRequest returns the first unplaced request for which a backend was probed, or nil.
 func (inst *Instance) probedRequest(index int) *request {
 	for _, probe := range inst.probing.open {
 		if probe.backend == index && probe.request.awaitsPlacement() {
@@ -76,7 +79,7 @@
 	return nil
 }
 
-// reportLoad takes what a backend says of its load.
+// recordLoadReport stores the load reported by a backend.
 func (inst *Instance) recordLoadReport(index int, report LoadReport) {
 	if report.Present {
 		inst.endpoints.At(index).Load = balance.NewLoad(report.Waiting, report.Utilization, inst.now)
--- a/policy/probes_test.go
+++ b/policy/probes_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// A request goes to the probed backend that answers first, and on without an answer after a while.
+// A request is sent to the probed backend that answers first. Without an answer it is sent after both probe rounds.
 func TestProbes(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		answer bool // the second probe is answered
+		answer bool // the last probe is answered
 		ok     bool
-		want   string // the action then
-		later  string // and after the time for both rounds
+		want   string // action after the answer
+		later  string // action after both rounds
 	}{
 		{"answered", true, true, "submit", ""},
 		{"answered with an error", true, false, "", "submit"},
@@ -26,7 +26,7 @@
 			inst.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
 			probed := port.takeActions()
 			if len(probed) == 0 || !strings.HasPrefix(probed[0], "probe") {
-				t.Fatalf("no probe: %v", probed)
+				t.Fatalf("actions = %v, want a probe first", probed)
 			}
 			last := strings.Fields(probed[len(probed)-1])[1]
 			if tc.answer {
@@ -34,18 +34,18 @@
 			}
 			got := fmt.Sprint(port.takeActions())
 			if tc.want != "" && got != "[submit t "+last+"]" || tc.want == "" && got != "[]" {
-				t.Errorf("after the probe: %s", got)
+				t.Errorf("actions after the probe of backend %s = %s, want %q (empty: none)", last, got, tc.want)
 			}
-			inst.OnTimer(140, inst.timers.token) // a second round
+			inst.OnTimer(140, inst.timers.token) // start of the second round
 			inst.OnTimer(270, inst.timers.token)
 			if actions := port.takeActions(); tc.later != "" && (len(actions) == 0 || !strings.HasPrefix(actions[len(actions)-1], tc.later)) {
-				t.Errorf("later: %v", actions)
+				t.Errorf("actions after both rounds = %v, want %q last", actions, tc.later)
 			}
 		})
 	}
 }
 
-// Probes are sent while what they save is worth their configured price; at a higher one requests go out at once.
+// Probes are sent only while a round costs less than its benefit; at a higher price requests are sent without probes.
 func TestProbePrice(t *testing.T) {
 	for _, tc := range []struct {
 		price float64
@@ -57,7 +57,7 @@
 			inst.probing.allowed, inst.probing.price = true, tc.price
 			inst.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
 			if actions := port.takeActions(); len(actions) == 0 || !strings.HasPrefix(actions[0], tc.first) {
-				t.Errorf("%v", actions)
+				t.Errorf("actions = %v, want %q first", actions, tc.first)
 			}
 		})
 	}
--- a/policy/random.go
+++ b/policy/random.go
@@ -2,8 +2,8 @@
 
 import "math/rand/v2"
 
-// multiplyWithCarry is a lag-1 multiply-with-carry generator. It is written out here, since recorded decisions must replay with any version of
-// the standard library.
+// multiplyWithCarry is a lag-1 multiply-with-carry generator. It is implemented here because recorded decisions must be
+// replayed identically with any version of the standard library.
 type multiplyWithCarry struct{ x, carry uint64 }
 
 const (
@@ -11,15 +11,15 @@
 	carryModulus    = carryMultiplier - 1
 )
 
-// NewRand is a generator started from a seed.
+// NewRand returns a generator with the given seed.
 func NewRand(seed uint64) *rand.Rand {
 	return rand.New(&multiplyWithCarry{x: seed&0xffffffff | 1, carry: seed >> 32 % carryModulus})
 }
 
-// Uint64 is the next 64 bits.
+// Uint64 returns the next 64 bits.
 func (g *multiplyWithCarry) Uint64() uint64 { return g.next()<<32 | g.next() }
 
-// next is the next 32 bits.
+// next returns the next 32 bits.
 func (g *multiplyWithCarry) next() uint64 {
 	product := carryMultiplier*g.x + g.carry
 	g.x, g.carry = product&0xffffffff, product>>32
--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -5,10 +5,11 @@
 	"testing"
 )
 
-// The same events give the same actions, another seed others; the generator's sequence is known.
+// The same events and seed result in the same actions, another seed in other ones. The generator returns a known
+// sequence.
 func TestDeterminism(t *testing.T) {
 	generator := multiplyWithCarry{x: 1, carry: 0}
-	expect(t, "generator", []uint64{generator.next(), generator.next(), generator.next()}, []uint64{4294957665, 92756161, 18591715})
+	expect(t, "first numbers of the generator", []uint64{generator.next(), generator.next(), generator.next()}, []uint64{4294957665, 92756161, 18591715})
 	run := func(seed uint64) string {
 		port := &recordingPort{}
 		inst := New(port, Config{Seed: seed, Instances: 1})
@@ -19,6 +20,6 @@
 		}
 		return fmt.Sprint(port.actions)
 	}
-	expect(t, "same seed", run(7), run(7))
-	expect(t, "another seed differs", run(7) != run(8), true)
+	expect(t, "actions with the same seed", run(7), run(7))
+	expect(t, "actions differ with another seed", run(7) != run(8), true)
 }
--- a/policy/releases.go
+++ b/policy/releases.go
@@ -6,10 +6,7 @@
 	"onyxgate/policy/release"
 )
 
-// This file owns what the instance does when it hears of a release, by an update or by the endpoint list. What is known of each release is in
-// the book (package release).
-
-// onReleaseListed notes that a backend of a release is listed.
+// onReleaseListed handles the listing of a backend that runs a release.
 func (inst *Instance) onReleaseListed(id ReleaseID) {
 	if inst.releases.OnListed(id) {
 		limit, _ := inst.releases.Cap(id)
@@ -17,7 +14,7 @@
 	}
 }
 
-// applyReleaseUpdate takes the state of a release; age is how long (ms) it has been in that state.
+// applyReleaseUpdate applies an update of a release's state, in which the release has been for age ms.
 func (inst *Instance) applyReleaseUpdate(update release.Update, age float64, source VoteResponse) {
 	before, known := inst.releases.Newest()
 	change := inst.releases.Apply(update)
@@ -38,7 +35,7 @@
 	inst.evaluator.SetState(newest.Stage, newest.Phase, inst.now-age)
 }
 
-// logUpdate writes a line for each update that changes something or is stale.
+// logUpdate logs each update that changes the state or is stale.
 func (inst *Instance) logUpdate(update release.Update, change release.UpdateResult, source VoteResponse) {
 	line := fmt.Sprintf("release %d: stage %d, %s, cap %.2f, by %s", update.Release, update.Stage, update.Phase, update.Cap, source)
 	switch change {
--- a/policy/replay_test.go
+++ b/policy/replay_test.go
@@ -8,7 +8,8 @@
 	"onyxgate/internal/fake/replay"
 )
 
-// replayPort hands each action but log lines to the recorder. It keeps the messages to other instances: they are played back.
+// replayPort passes every action except log lines to the recorder. It keeps the messages to other instances for use as
+// input.
 type replayPort struct {
 	recordingPort
 	recorder *replay.Recorder
@@ -34,14 +35,14 @@
 }
 func (p *replayPort) FetchEndpoints() { p.add("fetch list") }
 
-// schedule is a random order of events for one instance, whether or not they make sense together.
+// schedule generates a random sequence of events for one instance, whether or not they are consistent.
 type schedule struct {
 	rng  *rand.Rand
 	inst *Instance
 	port *replayPort
 	now  float64
-	ids  int      // requests so far
-	open []string // requests, also some that have ended
+	ids  int      // number of requests
+	open []string // requests, including some that have ended
 }
 
 func (s *schedule) backend() string { return string(rune('a' + s.rng.IntN(8))) }
@@ -60,7 +61,7 @@
 	return s.open[max(0, len(s.open)-1-s.rng.IntN(12))]
 }
 
-// event plays one event and says which, in the words of the recording.
+// event feeds one event to the instance and returns its description in the recording.
 func (s *schedule) event() string { //nolint:funlen // one case for each event, in the order in which the recording drew them
 	now := s.now
 	switch s.rng.IntN(22) {
@@ -141,7 +142,7 @@
 	s.port.add("releases %d %d %d %d %d", r.RollingOut, r.AffinityKeys, r.Skipped.Closed, r.Skipped.CapReached, r.Skipped.Affinity)
 }
 
-// configured is an instance with a configuration drawn from the schedule's seed.
+// newRandomInstance returns an instance with a random configuration.
 func newRandomInstance(s *schedule) *Instance {
 	instances := []int{1, 2, 8, 40, 300}[s.rng.IntN(5)]
 	inst := New(s.port, Config{Seed: s.rng.Uint64(), Index: s.rng.IntN(min(instances, 4)), Instances: instances})
@@ -166,14 +167,14 @@
 	return inst
 }
 
-// The effects of random schedules are those of the recording, to the byte. They hold what no simulated day has: steps of the clock, unknown
-// releases, questions whether an attempt may still go out, shutdown.
+// The actions in random schedules match the recording byte for byte. The schedules contain events that no simulated day
+// has: steps of the clock, unknown releases, calls of MaySend and shutdown.
 func TestReplaySchedules(t *testing.T) {
 	t.Run("early", func(t *testing.T) { playSchedules(t, "testdata/schedules.txt", 80, 1000) })
 	t.Run("late", func(t *testing.T) { playSchedules(t, "testdata/schedules-late.txt", 40, 1_000_000) })
 }
 
-// playSchedules plays so many schedules from a time (ms) on. Late in a process's life the starts of backends may lie far back.
+// playSchedules plays schedules that start at the time from (ms). At a late start, backends may have started long ago.
 func playSchedules(t *testing.T, recording string, schedules uint64, from float64) {
 	t.Helper()
 	recorder := replay.Open(t, recording)
--- a/policy/rollout.go
+++ b/policy/rollout.go
@@ -2,18 +2,15 @@
 
 import "onyxgate/policy/verdict"
 
-// This file owns what the instance tells package verdict of a rollout, when it has the gates run, and the places of the fleet
-// when the rollout began.
-
-// evaluationInterval (ms) goes between two evaluations of the newest release.
+// evaluationInterval (ms) is the time between two evaluations of the newest release.
 const evaluationInterval = 200
 
-// rollout is what is known of the newest release's way into the fleet.
+// rollout is the state of the newest release's rollout.
 type rollout struct {
 	evaluator    *verdict.Evaluator
 	evaluateAt   float64
-	places       int     // running backends when the newest release was announced
-	placesWeight float64 // and their weight
+	places       int     // backends that the newest release will replace, counted when it was announced
+	placesWeight float64 // sum of the weights of these backends
 }
 
 // evaluate runs the gates, which set the desired verdict.
@@ -23,7 +20,7 @@
 	inst.evaluator.Evaluate(inst.now, inst.fleetView())
 }
 
-// surroundings is the instance's surroundings as an evaluation needs them.
+// fleetView returns the state of the fleet that an evaluation needs.
 func (inst *Instance) fleetView() verdict.Fleet {
 	backends, lastStart := inst.newestReleaseBackends()
 	return verdict.Fleet{
@@ -38,8 +35,8 @@
 	}
 }
 
-// newestReleaseBackends counts the running backends of the newest release, and when (ms) the last of them started; 0: all did
-// long ago.
+// newestReleaseBackends counts the running backends of the newest release and returns the time (ms) at which the last
+// of them started; 0 means that all started long ago.
 func (inst *Instance) newestReleaseBackends() (count int, lastStart float64) {
 	newest := inst.evaluator.Release()
 	for index := range inst.endpoints.Len() {
@@ -51,7 +48,8 @@
 	return count, lastStart
 }
 
-// startRollout begins with a newly announced release: what a released predecessor has shown becomes the baseline.
+// startRollout starts the rollout of a newly announced release. If the previous release was released, its evidence
+// becomes the baseline.
 func (inst *Instance) startRollout(newest ReleaseID) {
 	previousReleased := inst.evaluator.Announced() && inst.releases.Record(inst.evaluator.Release()).Phase == Released
 	inst.decayPopularKeys()
@@ -61,8 +59,8 @@
 }
 
 // countPlaces counts the backends that the release will replace: all running ones of earlier releases, and those of the
-// prevailing one that its own backends already push out. What the release before it, or that one's withdrawal, has replaced
-// is none.
+// prevailing release that are already draining because new backends take their place. Other draining backends were
+// replaced by the previous release or by its withdrawal and are not counted.
 func (inst *Instance) countPlaces(newest ReleaseID) {
 	inst.places, inst.placesWeight = 0, 0
 	prevailing := inst.prevailingRelease(newest)
@@ -77,7 +75,8 @@
 	}
 }
 
-// prevailingRelease is the one that most running backends have, of the releases before the newest; of several such the latest.
+// prevailingRelease returns the release that most running backends have, among the releases before the newest. If
+// several have the same number of backends, it returns the latest of them.
 func (inst *Instance) prevailingRelease(newest ReleaseID) (prevailing ReleaseID) {
 	counts, most := map[ReleaseID]int{}, 0
 	for index := range inst.endpoints.Len() {
--- a/policy/rollout_test.go
+++ b/policy/rollout_test.go
@@ -5,19 +5,20 @@
 	"testing"
 )
 
-// The places of a new release are those of the fleet as it is. Backends that the release before it has replaced, or that go with one that
-// rolls back, still drain and are no places, while what the new one drains already is one.
+// The places of a new release are the backends that it will replace. Backends replaced by the previous release, or
+// drained because the previous release is rolling back, are not places. A backend that is draining because the new
+// release takes its place is one.
 func TestPlaces(t *testing.T) {
 	for _, tc := range []struct {
 		name                  string
-		old, before, new      int // backends of releases 1, 2 and 3
+		old, before, new      int // number of backends of releases 1, 2 and 3
 		oldState, beforeState EndpointState
 		want                  int
 	}{
-		{"nothing else", 0, 6, 0, EndpointRunning, EndpointRunning, 6},
-		{"the one before has replaced all", 6, 6, 0, EndpointDraining, EndpointRunning, 6},
-		{"the one before rolls back", 6, 3, 0, EndpointRunning, EndpointDraining, 6},
-		{"the new one drains some already", 0, 6, 2, EndpointRunning, EndpointRunning, 6},
+		{"no other release", 0, 6, 0, EndpointRunning, EndpointRunning, 6},
+		{"previous release has replaced all", 6, 6, 0, EndpointDraining, EndpointRunning, 6},
+		{"previous release rolls back", 6, 3, 0, EndpointRunning, EndpointDraining, 6},
+		{"new release already replaces some", 0, 6, 2, EndpointRunning, EndpointRunning, 6},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			inst, _ := startInstance(RequestClass{}, 0)
--- a/policy/routing.go
+++ b/policy/routing.go
@@ -7,27 +7,27 @@
 	"onyxgate/policy/admission"
 )
 
-// This file owns the way of a request: routing, the queue, sending and the answers that the instance gives itself.
-
 const (
-	// openRequestsBeforeReject is the part of the open requests that the instance can hold from which one that finds no place is rejected at
-	// once: more would take its last connections, and then it could not even reject.
+	// immediateRejectShare is the share of the maximum number of open requests above which a request that cannot be
+	// placed is rejected immediately. Queueing more requests would use up the last connections, and the instance could
+	// then not even reject.
 	immediateRejectShare = 0.6
-	// maxQueueMisses is how many queued requests in a row may find no place before the rest wait on.
+	// maxQueueMisses is the number of queued requests in a row that may fail to be placed before the retry of the queue
+	// stops.
 	maxQueueMisses = 4
-	// queueRetryInterval (ms) is between two tries of the queue.
+	// queueRetryInterval (ms) is the time between two retries of the queue.
 	queueRetryInterval = 25
-	// finalAnswerMargin (ms) is how long before the deadline the final answer leaves.
+	// finalAnswerMargin (ms) is the time before the deadline at which the final answer is sent.
 	finalAnswerMargin = 12
-	// minAttemptShare is the time that a backend has in any case, as a part of the latency objective: an answer within it is not late
-	// by the backend's doing.
+	// minAttemptShare is the minimum time that a backend has for an attempt, as a share of the latency objective. A
+	// response within this time does not count as late against the backend.
 	minAttemptShare = 0.25
-	// minRetryAfterShare is the shortest time after which a rejected client may retry, as a part of the longest that clients accept;
-	// retryAfterSpread scatters retries over more of it.
+	// minRetryAfterShare is the shortest time after which a rejected client may retry, as a share of the longest that
+	// clients accept. Retries are spread over a further share of retryAfterSpread.
 	minRetryAfterShare, retryAfterSpread = 0.25, 0.5
 )
 
-// route finds a place for the first pending request: at once, after probes, from the queue later on, or none.
+// route routes the first pending request: it is sent, probed for, queued, rejected or failed.
 func (inst *Instance) route() {
 	req := inst.pending[0]
 	inst.dropPending()
@@ -52,14 +52,14 @@
 	}
 }
 
-// choosesByProbes says whether a request's place is chosen in the way of a large fleet. A request from the queue goes by open attempts: it has
-// waited for room at a backend, and that is there now.
+// usesProbing reports whether a request is placed by probes, as in a large fleet. A request from the queue is placed by
+// open attempts instead: it has waited for room at a backend, and there is room now.
 func (inst *Instance) usesProbing(req *request) bool {
 	return inst.instances >= manyInstances && !req.queued
 }
 
-// probesFirst says whether a request is probed for, and notes on the request where it goes on without. Probes that fail while requests are
-// served are given up, more often the more of them fail.
+// decideProbing reports whether to send probes for a request, and marks the request as unprobed otherwise. If probes
+// fail while requests are served, some requests skip the probes; their share grows with the share of failed probes.
 func (inst *Instance) decideProbing(req *request) bool {
 	if !inst.usesProbing(req) {
 		return false
@@ -71,8 +71,8 @@
 	return probing
 }
 
-// isWorthSending says whether a request has an attempt left that can end in time. One that was never sent and has used up its time in the
-// queue is answered now, while its client can still go elsewhere.
+// isWorthSending reports whether a request has an attempt left that can end in time. A request that was never sent and
+// has reached its queue deadline is not worth sending: it is answered while its client can still go elsewhere.
 func (inst *Instance) isWorthSending(req *request) bool {
 	if len(req.attempts) >= inst.maxAttempts {
 		return false
@@ -83,7 +83,8 @@
 	return (inTime || hasLateValue) && !waitedTooLong
 }
 
-// passesThrottles draws whether the throttles admit a request: that of all on its first routing, that of the unprobed each time.
+// passesThrottles draws whether the throttles admit a request. The throttle for all requests applies when a request is
+// first routed, the one for unprobed requests each time.
 func (inst *Instance) passesThrottles(req *request) bool {
 	first := inst.usesProbing(req) && req.probeRounds == 0
 	if first && !inst.admission.Admits(req.value, inst.meanValue, inst.now, inst.rng) {
@@ -93,7 +94,7 @@
 	return !unprobed || inst.unprobedAdmission.Admits(req.value, inst.meanValue, inst.now, inst.rng)
 }
 
-// enqueue lets a request wait for room at a backend. It is looked at again when its time in the queue is over.
+// enqueue adds a request to the retry queue and schedules it for when its time in the queue is over.
 func (inst *Instance) enqueue(req *request) {
 	req.queued = true
 	inst.retryQueue = append(inst.retryQueue, req)
@@ -105,8 +106,9 @@
 	return inst.now >= inst.queueRetryAt && len(inst.retryQueue) > 0
 }
 
-// retryQueued routes the requests that have waited longest, once the end of an attempt, the endpoint list or the passing of a little time may
-// have made room. Oldest first, or newer ones would keep them waiting past their objective.
+// retryQueuedRequests routes queued requests, oldest first. It runs when the end of an attempt, a change of the
+// endpoint list or a short wait may have made room. If newer requests went first, older ones would wait past their
+// objective.
 func (inst *Instance) retryQueuedRequests() {
 	inst.queueRetryAt = math.Inf(1)
 	waiting, misses := inst.retryQueue, 0
@@ -131,7 +133,7 @@
 	}
 }
 
-// placeRequest sends a request to a backend and has it looked at again when the attempt is late or taken for lost.
+// placeRequest sends a request to a backend and schedules it for when the attempt is late or presumed lost.
 func (inst *Instance) placeRequest(req *request, index int) {
 	req.queued = false
 	inst.sendAttempt(req, index)
@@ -141,7 +143,7 @@
 	}
 }
 
-// sendAttempt sends an attempt; the caller has asked maySendTo.
+// sendAttempt sends an attempt. The caller has checked maySendTo.
 func (inst *Instance) sendAttempt(req *request, index int) {
 	backend := inst.endpoints.At(index)
 	if inst.isCapped(backend.Release) {
@@ -163,13 +165,15 @@
 	inst.port.SendAttempt(req.id, backend.ID, 0)
 }
 
-// latencyDeadline is after which time an answer is late by its backend's doing. What the request has waited here is not: where few backends
-// may serve a key, all its requests come to them at the last moment, and their limits would fall until nothing gets there.
+// latencyDeadline returns the time after which a response counts as late against its backend. The time that the request
+// waited in this instance does not count. If only a few backends may serve a key, all requests with it arrive there
+// shortly before their objective, and the concurrency limits of these backends would fall until they get no requests.
 func (inst *Instance) latencyDeadline(req *request) float64 {
 	return max(req.objectiveDeadline, inst.now+minAttemptShare*inst.classes[req.class].LatencyObjective)
 }
 
-// answerFinally gives a request its one final answer: it is rejected where no backend can have run it or a repeat does no harm, else failed.
+// rejectOrFail sends a request's final answer. The request is rejected if no backend can have run it or if running it
+// again is harmless; otherwise it fails.
 func (inst *Instance) rejectOrFail(req *request) {
 	if req.ended {
 		return
@@ -185,7 +189,7 @@
 	inst.cancelOpenAttempts(req)
 }
 
-// cancelOpenAttempts ends a request, cancels its open attempts, and forgets it once there are none.
+// cancelOpenAttempts ends a request and cancels its open attempts. The request is deleted if it has none.
 func (inst *Instance) cancelOpenAttempts(req *request) {
 	req.ended = true
 	if req.openAttempts == 0 {
--- a/policy/routing_test.go
+++ b/policy/routing_test.go
@@ -8,31 +8,31 @@
 	"testing"
 )
 
-// What follows the end of a first attempt: the rule on repeats.
+// What happens after the end of the first attempt, depending on semantics and dedup scope.
 func TestRepeats(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
 		semantics Semantics
 		scope     DedupScope
 		status    AttemptStatus
-		after     float64 // ms, when the attempt ends
-		want      string  // the action that follows
-		where     string  // "same": at a backend of the same zone and cell; empty: at any
+		after     float64 // ms until the attempt ends
+		want      string  // the next action
+		where     string  // "same": the next attempt goes to the same zone and cell; empty: to any
 	}{
-		{"safe goes again", Safe, DedupAll, StatusErrored, 100, "submit", ""},
-		{"not idempotent, may have run", NonIdempotent, DedupAll, StatusErrored, 100, "void", ""},
-		{"not idempotent, reset", NonIdempotent, DedupAll, StatusReset, 100, "void", ""},
-		{"not idempotent, proven not to have run", NonIdempotent, DedupAll, StatusRejected, 100, "submit", ""},
-		{"not idempotent, never connected", NonIdempotent, DedupAll, StatusConnectFailed, 100, "submit", ""},
-		{"idempotent, all drop repeats", Idempotent, DedupAll, StatusErrored, 100, "submit", ""},
-		{"idempotent, its zone only", Idempotent, DedupZone, StatusErrored, 100, "submit", "same"},
-		{"idempotent, its cell only", Idempotent, DedupCell, StatusReset, 100, "submit", "same"},
-		{"idempotent, not run: any zone", Idempotent, DedupZone, StatusRejected, 100, "submit", ""},
+		{"safe is sent again", Safe, DedupAll, StatusErrored, 100, "submit", ""},
+		{"non-idempotent, may have run", NonIdempotent, DedupAll, StatusErrored, 100, "void", ""},
+		{"non-idempotent, reset", NonIdempotent, DedupAll, StatusReset, 100, "void", ""},
+		{"non-idempotent, rejected by the backend", NonIdempotent, DedupAll, StatusRejected, 100, "submit", ""},
+		{"non-idempotent, never connected", NonIdempotent, DedupAll, StatusConnectFailed, 100, "submit", ""},
+		{"idempotent, all backends in scope", Idempotent, DedupAll, StatusErrored, 100, "submit", ""},
+		{"idempotent, zone in scope", Idempotent, DedupZone, StatusErrored, 100, "submit", "same"},
+		{"idempotent, cell in scope", Idempotent, DedupCell, StatusReset, 100, "submit", "same"},
+		{"idempotent, not run, any zone", Idempotent, DedupZone, StatusRejected, 100, "submit", ""},
 		{"idempotent, past the dedup window of all", Idempotent, DedupAll, StatusErrored, 300, "decline", ""},
 		{"idempotent, past the dedup window of a zone", Idempotent, DedupZone, StatusErrored, 300, "void", ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			for draws := range 20 { // the choice is by chance
+			for draws := range 20 { // the choice is random
 				class := RequestClass{LatencyObjective: 1000, Timeout: 4000, Value: 1, Semantics: tc.semantics, DedupScope: tc.scope, DedupWindow: 250}
 				inst, port := startInstance(class, 8)
 				inst.rng.IntN(draws + 1)
@@ -44,17 +44,17 @@
 				}
 				got := port.takeActions()
 				if len(got) != 1 || !strings.HasPrefix(got[0], tc.want) {
-					t.Fatalf("got %v, want %s", got, tc.want)
+					t.Fatalf("actions after %s = %v, want one %s", first, got, tc.want)
 				}
 				if tc.where == "same" && (first[len(first)-1]-got[0][len(got[0])-1])%2 != 0 {
-					t.Fatalf("%s, then %s out of scope", first, got[0])
+					t.Fatalf("first attempt %q, second attempt %q, want the same zone and cell", first, got[0])
 				}
 			}
 		})
 	}
 }
 
-// Every request gets one final answer before its deadline, whatever its semantics, and nothing after it.
+// Every request gets one final answer before its deadline, whatever its semantics, and no action after that.
 func TestAnswerAtDeadline(t *testing.T) {
 	for _, tc := range []struct {
 		semantics Semantics
@@ -67,16 +67,16 @@
 			for now := 15.0; now < 510; now += 5 {
 				inst.OnTimer(now, inst.timers.token)
 			}
-			expect(t, "at the deadline", port.takeActions(), tc.want)
+			expect(t, "actions at the deadline", port.takeActions(), tc.want)
 			inst.OnAttemptResult(520, AttemptResult{RequestID: "t", Status: StatusTimedOut, Final: true, Elapsed: 510})
 			inst.OnClientGone(521, "t")
-			expect(t, "afterwards", port.takeActions(), "[]")
+			expect(t, "actions after the deadline", port.takeActions(), "[]")
 			expect(t, "open requests", len(inst.requests), 0)
 		})
 	}
 }
 
-// A request for which there is no place is rejected while its client still has time to go elsewhere.
+// A request that cannot be placed is rejected while its client still has time to go elsewhere.
 func TestQueueDeadline(t *testing.T) {
 	for _, tc := range []struct{ timeLeft, after float64 }{{4000, 1000}, {1600, 720}, {300, 135}} {
 		t.Run(fmt.Sprintf("%v ms left", tc.timeLeft), func(t *testing.T) {
@@ -88,7 +88,7 @@
 				}
 				if len(port.actions) > 0 {
 					if elapsed := now - 10; elapsed > tc.after+queueRetryInterval || elapsed < tc.after-queueRetryInterval {
-						t.Errorf("rejected after %.0f ms", elapsed)
+						t.Errorf("rejected after %.0f ms, want %.0f ms ± %d ms", elapsed, tc.after, queueRetryInterval)
 					}
 					break
 				}
@@ -98,14 +98,15 @@
 	}
 }
 
-// An instance that can hold few open requests rejects the next that finds no place at once, and keeps those that wait.
+// An instance with a limit on open requests immediately rejects new requests that it cannot place when it has too many
+// open, and keeps those in the queue.
 func TestQueueFull(t *testing.T) {
 	for _, tc := range []struct {
 		maxOpen  float64
 		taken    int
 		rejected int
 	}{{math.Inf(1), 30, 0}, {20, 12, 0}, {20, 30, 18}} {
-		t.Run(fmt.Sprintf("%v open requests, %d taken", tc.maxOpen, tc.taken), func(t *testing.T) {
+		t.Run(fmt.Sprintf("at most %v open requests, %d received", tc.maxOpen, tc.taken), func(t *testing.T) {
 			inst, port := startInstance(RequestClass{}, 1)
 			inst.maxOpenRequests = tc.maxOpen
 			rejected := 0
@@ -117,7 +118,7 @@
 					}
 				}
 			}
-			expect(t, "rejected", rejected, tc.rejected)
+			expect(t, "rejected requests", rejected, tc.rejected)
 		})
 	}
 }
@@ -126,10 +127,10 @@
 type lossyBackends struct {
 	inst      *Instance
 	port      *recordingPort
-	lost      int                 // of 100 requests: whose first attempt is never answered
+	lost      int                 // number of requests in 100 whose first attempt gets no response
 	attempts  map[string]int      // by request
-	scheduled []scheduledResponse // in order
-	served    int                 // requests from 501 on
+	scheduled []scheduledResponse // in order of time
+	served    int                 // number of served requests from 501 on
 }
 
 type scheduledResponse struct {
@@ -138,7 +139,7 @@
 	attempt int
 }
 
-// answer gives the answers that are due.
+// answer delivers the responses that are due.
 func (backends *lossyBackends) answer(now float64) {
 	for len(backends.scheduled) > 0 && backends.scheduled[0].at <= now {
 		answer := backends.scheduled[0]
@@ -153,7 +154,7 @@
 	}
 }
 
-// take takes the instance's actions, also those that follow from a cancellation.
+// handleActions handles the instance's actions, including those caused by a cancellation.
 func (backends *lossyBackends) handleActions(now float64) {
 	for actions := backends.port.takeActions(); len(actions) > 0; actions = append(actions[1:], backends.port.takeActions()...) {
 		fields := strings.Fields(actions[0])
@@ -167,7 +168,7 @@
 	}
 }
 
-// accept takes an attempt and answers it later, or loses it.
+// accept schedules the response to an attempt, or loses it.
 func (backends *lossyBackends) accept(now float64, id string) {
 	attempt := backends.attempts[id]
 	backends.attempts[id]++
@@ -178,18 +179,19 @@
 	}
 }
 
-// An attempt that outlasts nearly all answers is canceled and the request tried elsewhere, where that may be; no more than a part of them.
+// An attempt that takes longer than nearly all others is canceled and the request is sent elsewhere, if it may run
+// again. The cancellation budget limits the number of such attempts.
 func TestLostResponses(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
 		semantics   Semantics
-		lost        int // of 100 requests: whose first attempt is never answered
-		least, most int // of them that are served in time all the same
+		lost        int // number of requests in 100 whose first attempt gets no response
+		least, most int // number of these 100 requests that are served in time
 	}{
-		{"some answers lost", Safe, 8, 100, 100},
-		{"repeats are recognized", Idempotent, 8, 100, 100},
-		{"never to run twice", NonIdempotent, 8, 92, 92},
-		{"most answers lost", Safe, 60, 40, 70},
+		{"some responses lost", Safe, 8, 100, 100},
+		{"idempotent", Idempotent, 8, 100, 100},
+		{"non-idempotent", NonIdempotent, 8, 92, 92},
+		{"most responses lost", Safe, 60, 40, 70},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			inst, port := startInstance(RequestClass{LatencyObjective: 1000, Timeout: 4000, Value: 1, Semantics: tc.semantics, DedupWindow: 9000}, 20)
@@ -203,7 +205,7 @@
 				backends.handleActions(now)
 			}
 			if backends.served < tc.least || backends.served > tc.most {
-				t.Errorf("%d of 100 served, want %d to %d", backends.served, tc.least, tc.most)
+				t.Errorf("served %d of the last 100 requests, want %d to %d", backends.served, tc.least, tc.most)
 			}
 		})
 	}
--- a/policy/rules.go
+++ b/policy/rules.go
@@ -2,13 +2,14 @@
 
 // rule is a condition on the instance and an action that makes the condition false.
 type rule struct {
-	name  string // in the field's words; for debuggers and readers
+	name  string // for debugging and for readers
 	when  func(*Instance) bool
 	apply func(*Instance)
 }
 
-// rules are gone through in this order after every event, and from the top again after each that applies. So a rule may rely on none
-// above it applying: a pending request that reaches "route" has not ended and has time left. The order enters every decision.
+// rules are checked in this order after every event, and from the top again after each rule that was applied. A rule
+// can therefore assume that the conditions of all rules above it are false: a pending request that reaches "route" has
+// not ended and has time left. The decisions depend on the order.
 var rules = []rule{
 	{"refresh aggregates", (*Instance).aggregatesDue, (*Instance).refreshAggregates},
 	{"fire timer", (*Instance).timerDue, (*Instance).fireTimer},
@@ -24,7 +25,7 @@
 	{"arm timer", (*Instance).timerNeedsArming, (*Instance).armTimer},
 }
 
-// applyRules ends every event: it applies rules until the condition of none is true.
+// applyRules applies rules until no condition is true. Every event ends with it.
 func (inst *Instance) applyRules() {
 	for i := 0; i < len(rules); i++ {
 		if rules[i].when(inst) {
@@ -38,7 +39,8 @@
 
 func (inst *Instance) pendingEnded() bool { return inst.hasPending() && inst.pending[0].ended }
 
-// pendingAtDeadline: a request whose stream has begun belongs to its client and has no deadline any more.
+// pendingAtDeadline reports whether the first pending request has reached its deadline. A request whose response is
+// being streamed has no deadline.
 func (inst *Instance) pendingAtDeadline() bool {
 	return inst.hasPending() && !inst.pending[0].streaming && inst.now >= inst.pending[0].deadline-finalAnswerMargin
 }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -6,26 +6,26 @@
 	"testing"
 )
 
-// A wall clock that was stepped, here or where a backend's start is reported, never makes a fresh backend pass for a warm one, and does not
-// keep a warm one from its full share.
+// After a step of the wall clock, on this host or where a backend's start time is reported, a new backend never counts
+// as warm, and a warm one gets its full share after the warm-up time.
 func TestClockStepped(t *testing.T) {
 	const hour, now = 3600_000.0, 7200_000.0
 	for _, tc := range []struct {
 		name         string
 		hadFirstList bool    // after a first list
-		stepSeen     bool    // a step of our clock was seen
-		start        float64 // ms, as listed now
+		stepSeen     bool    // a step of this host's clock was seen
+		start        float64 // ms, the listed start time
 		at           float64 // ms, when the progress is read
 		least        float64
 		most         float64
 	}{
 		{"no step", true, false, now - 500, now, 0.4, 0.5},
 		{"no step, up for two seconds", true, false, now - 2_000, now, 0.6, 0.7},
-		{"no step, later", true, false, now - 500, now + 5_000, 1, 1},
-		{"a step was seen", true, true, now - 2_000, now, 0.4, 0.4},
-		{"a step was seen, warm by now", true, true, now - 2_000, now + 5_000, 1, 1},
+		{"no step, five seconds later", true, false, now - 500, now + 5_000, 1, 1},
+		{"step seen", true, true, now - 2_000, now, 0.4, 0.4},
+		{"step seen, warm by now", true, true, now - 2_000, now + 5_000, 1, 1},
 		{"set back by five seconds, seen", true, true, now - 5_000, now, 0.4, 0.4},
-		{"set back an hour where it is reported", true, false, now - hour, now, 0.4, 0.4},
+		{"set back an hour at the reporting host", true, false, now - hour, now, 0.4, 0.4},
 		{"set back an hour, a second later", true, false, now - hour, now + 1_000, 0.5, 0.6},
 		{"set forward an hour", true, false, now + hour, now, 0.4, 0.4},
 		{"set forward an hour, warm by now", true, false, now + hour, now + 5_000, 1, 1},
@@ -47,30 +47,30 @@
 			inst.OnTimer(tc.at, 0)
 			backend, _ := inst.endpoints.Find("x")
 			if got := inst.warmUpProgress(inst.endpoints.At(backend)); got < tc.least-1e-9 || got > tc.most+1e-9 {
-				t.Errorf("%.2f of its capacity, want %.2f to %.2f", got, tc.least, tc.most)
+				t.Errorf("warm-up progress = %.2f, want %.2f to %.2f", got, tc.least, tc.most)
 			}
 		})
 	}
 }
 
-// A start that is listed in the future keeps no stage waiting for it.
+// A start time in the future does not delay the votes on a stage.
 func TestFutureStartTime(t *testing.T) {
 	inst, _ := startInstance(RequestClass{}, 3)
 	inst.OnReleaseUpdate(10, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.5, HasState: true})
 	inst.OnEndpoints(1000, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, Weight: 1, StartedAt: 3600_000}}})
 	count, lastStart := inst.newestReleaseBackends()
-	expect(t, "backends", count, 1)
+	expect(t, "running backends of the newest release", count, 1)
 	expect(t, "last start", lastStart, 1000.0)
 }
 
-// A backend that warms up gets no more than its budget, be it alone or among warm ones.
+// A backend that warms up gets no more than its budget, both alone and among warm backends.
 func TestSlowStart(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
-		warm     int // backends
-		requests int // one each 5 ms, served at once by the fresh backend alone
-		most     int // attempts there
-	}{{"among warm", 4, 100, 30}, {"alone", 0, 600, 30}} {
+		warm     int // number of warm backends
+		requests int // one every 5 ms, served immediately by the new backend only
+		most     int // maximum number of attempts at the new backend
+	}{{"among warm backends", 4, 100, 30}, {"alone", 0, 600, 30}} {
 		t.Run(tc.name, func(t *testing.T) {
 			inst, port := startInstance(RequestClass{}, tc.warm)
 			for k := range 400 {
@@ -92,13 +92,14 @@
 				}
 			}
 			if attempts > tc.most || attempts == 0 {
-				t.Errorf("%d attempts, want 1 to %d", attempts, tc.most)
+				t.Errorf("%d attempts at the new backend, want 1 to %d", attempts, tc.most)
 			}
 		})
 	}
 }
 
-// Hundreds of instances find one fresh backend: hardly any sends at once, and all together keep to its budget.
+// Hundreds of instances discover one new backend: hardly any instance sends immediately, and in total they stay within
+// its budget.
 func TestSlowStartOfFleet(t *testing.T) {
 	const instances = 400
 	attempts := map[float64]int{5: 0, 1000: 0} // by time in ms
@@ -115,8 +116,9 @@
 			port.takeActions()
 		}
 	}
-	// Where no warm backend is seen, the budget is by one request a second, times overload factor, initial capacity and margin.
+	// If no warm backend has been observed, the budget is based on one request per second, multiplied by the overload
+	// factor, the initial capacity and a margin.
 	if attempts[5] > 2 || attempts[1000] > 4 {
-		t.Errorf("%d at once, %d after a second", attempts[5], attempts[1000])
+		t.Errorf("attempts of the fleet at 5 ms = %d, want at most 2; at 1000 ms = %d, want at most 4", attempts[5], attempts[1000])
 	}
 }
--- a/policy/timers.go
+++ b/policy/timers.go
@@ -2,38 +2,39 @@
 
 import "container/heap"
 
-// minTimer (ms) is the shortest timer that is set: the host counts in microseconds.
+// minTimerDelay (ms) is the shortest delay passed to SetTimer, because the host counts in microseconds.
 const minTimerDelay = 0.001
 
-// timer is a time at which a request comes back to the rules; without a request it only makes the rules run.
+// timer is a time at which a request becomes pending again. A timer without a request only causes the rules to be
+// applied.
 type timer struct {
 	at      float64 // ms
 	request *request
 }
 
-// timers is the queue of an instance's timers, of which the port has the next one.
+// timers holds the instance's timers. The port is given only the next one.
 type timers struct {
 	queue   timerQueue
-	armedAt float64 // ms, when the port's timer fires; infinite: none is set
-	token   uint64  // of the port's last timer
+	armedAt float64 // ms, when the port's timer expires; infinite: none is set
+	token   uint64  // of the last timer set through the port
 }
 
-// timerQueue is a heap of timers, the next first.
+// timerQueue is a heap of timers ordered by time.
 type timerQueue []timer
 
-// Len is part of heap.Interface.
+// Len implements heap.Interface.
 func (q timerQueue) Len() int { return len(q) }
 
-// Less is part of heap.Interface.
+// Less implements heap.Interface.
 func (q timerQueue) Less(i, j int) bool { return q[i].at < q[j].at }
 
-// Swap is part of heap.Interface.
+// Swap implements heap.Interface.
 func (q timerQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-// Push is part of heap.Interface.
+// Push implements heap.Interface.
 func (q *timerQueue) Push(x any) { *q = append(*q, x.(timer)) }
 
-// Pop is part of heap.Interface.
+// Pop implements heap.Interface.
 func (q *timerQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
@@ -41,7 +42,7 @@
 	return last
 }
 
-// schedule brings a request back to the rules at a time (ms).
+// schedule makes a request pending again at the given time (ms).
 func (inst *Instance) schedule(at float64, req *request) {
 	heap.Push(&inst.timers.queue, timer{at, req})
 }
@@ -56,7 +57,7 @@
 	}
 }
 
-// timerUnarmed: the port's timer would fire after the next one is due.
+// timerNeedsArming reports whether the port's timer would expire after the next timer of the queue.
 func (inst *Instance) timerNeedsArming() bool {
 	return len(inst.timers.queue) > 0 && inst.timers.queue[0].at < inst.timers.armedAt
 }
--- a/policy/turnover_test.go
+++ b/policy/turnover_test.go
@@ -8,8 +8,8 @@
 	"onyxgate/policy/balance"
 )
 
-// playTurnover plays 40000 requests, each with a key of its own, while a backend is replaced every 80 ms and a release every 1.6 s, and returns
-// the time of the end.
+// playTurnover plays 40000 requests, each with its own key, while a backend is replaced every 80 ms and a release every
+// 1.6 s. It returns the time of the end.
 func playTurnover(inst *Instance, port *recordingPort) (now float64) {
 	now = 10
 	for k := range 40000 {
@@ -32,14 +32,14 @@
 			}
 		}
 	}
-	for range 100 { // timers that are still set
+	for range 100 { // let the remaining timers expire
 		now += 10
 		inst.OnTimer(now, inst.timers.token)
 	}
 	return now
 }
 
-// Requests, keys, backends and releases that come and go leave nothing behind.
+// No state grows without bound while requests, keys, backends and releases come and go.
 func TestStateIsBounded(t *testing.T) {
 	inst, port := startInstance(RequestClass{}, 3)
 	inst.configureExposure(ExposureConfig{FreeAttempts: 2, Caps: []float64{1}, KeyAffinity: true})
@@ -51,25 +51,25 @@
 	}{
 		{"requests", len(inst.requests), 0},
 		{"keys with open attempts", inst.affinity.PendingKeys(), 0},
-		{"keys bound", inst.affinity.Len(), 3 * 400},
+		{"keys with affinity", inst.affinity.Len(), 3 * 400},
 		{"keys counted", len(inst.popularKeys), maxCountedKeys + 1},
 		{"backends", inst.endpoints.Len(), 1000},
 		{"ids", ids, 1000},
 		{"hashes", hashes, 1000},
 		{"timers", len(inst.timers.queue), 9},
 		{"allowances", inst.allowance.Len(), 3},
-		{"queued", len(inst.retryQueue), 0},
-		{"pending", len(inst.pending), 0},
+		{"queued requests", len(inst.retryQueue), 0},
+		{"pending requests", len(inst.pending), 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if tc.got > tc.most {
-				t.Errorf("%d left, %d at the most", tc.got, tc.most)
+				t.Errorf("%s left after the turnover = %d, want at most %d", tc.name, tc.got, tc.most)
 			}
 		})
 	}
 }
 
-// Nothing that was learned of a backend is believed of another release's process with the same id.
+// The observed state of a backend is reset if a process of another release starts with the same ID.
 func TestProcessReplacedResetsBackend(t *testing.T) {
 	inst, port := startInstance(RequestClass{}, 3)
 	inst.configureExposure(ExposureConfig{FreeAttempts: 2, Caps: []float64{1}, KeyAffinity: true})
@@ -85,5 +85,5 @@
 	}
 	b.LatencyInflation, b.Load, b.Limit = 4, balance.NewLoad(7, 0, now), 1
 	inst.OnEndpoints(now+1, EndpointUpdate{Endpoints: []Endpoint{{ID: "y", Release: 501, Weight: 1}}})
-	expect(t, "learned", []any{b.Health, b.LatencyInflation, b.Ejection, b.Load, b.Limit}, "[{0 0 0} 1 {0 0} {0 0} 4]")
+	expect(t, "observed state of the backend", []any{b.Health, b.LatencyInflation, b.Ejection, b.Load, b.Limit}, "[{0 0 0} 1 {0 0} {0 0} 4]")
 }
--- a/policy/votes.go
+++ b/policy/votes.go
@@ -6,19 +6,17 @@
 	"onyxgate/policy/verdict"
 )
 
-// This file owns the sending of votes; which vote is due, and when, is package verdict's.
-
 func (inst *Instance) voteDue() bool { return inst.evaluator.VoteDue(inst.now) }
 
 func (inst *Instance) sendVote() {
 	vote := inst.evaluator.BeginVote()
 	inst.port.SendVote(vote.Release, vote.Verdict, vote.Stage)
-	if vote.Verdict == verdict.Rollback { // the others have no reason to tell; the live transport logs each vote
+	if vote.Verdict == verdict.Rollback { // other votes have no reason to report; the live transport logs every vote
 		inst.port.Log(fmt.Sprintf("rollback vote: release %d, stage %d: %s", vote.Release, vote.Stage, inst.evaluator.RollbackReason()))
 	}
 }
 
-// onVoteResponse takes the platform's response to the vote that is out, if one is.
+// onVoteResponse handles the platform's response to the pending vote, if there is one.
 func (inst *Instance) onVoteResponse(response VoteResponse) {
 	if !inst.evaluator.VotePending() {
 		return
--- a/policy/votes_test.go
+++ b/policy/votes_test.go
@@ -8,21 +8,21 @@
 	"onyxgate/policy/verdict"
 )
 
-// When the instance votes, and how it answers the platform's responses.
+// When the instance votes, and how it handles the platform's responses.
 func TestVotes(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
 		control   RolloutControl
-		responses []VoteResponse // to the votes in turn; the last one to all that follow
-		failEvery int            // of the requests at the newest release; 0: none fails
+		responses []VoteResponse // to the votes in order; the last one applies to all later votes
+		failEvery int            // every how many requests at the newest release fail; 0: none
 		want      string         // the first vote
-		from      float64        // ms, no vote sooner
-		votes     int            // at the most until 20 s
+		from      float64        // ms, earliest time of the first vote
+		votes     int            // maximum number within 20 s
 	}{
-		{"a good release", ControlMajority, []VoteResponse{VoteCounted}, 0, "vote 2 1 0", 4000, 6},
-		{"a good release on a clock", ControlTimed, []VoteResponse{VoteCounted}, 0, "", 0, 0},
-		{"a bad release", ControlMajority, []VoteResponse{VoteCounted}, 2, "vote 2 3 0", 1000, 9},
-		{"a bad release on a clock", ControlTimed, []VoteResponse{VoteCounted}, 2, "vote 2 3 0", 1000, 9},
+		{"good release", ControlMajority, []VoteResponse{VoteCounted}, 0, "vote 2 1 0", 4000, 6},
+		{"good release, timed", ControlTimed, []VoteResponse{VoteCounted}, 0, "", 0, 0},
+		{"bad release", ControlMajority, []VoteResponse{VoteCounted}, 2, "vote 2 3 0", 1000, 9},
+		{"bad release, timed", ControlTimed, []VoteResponse{VoteCounted}, 2, "vote 2 3 0", 1000, 9},
 		{"refused, unanswered, then counted", ControlMajority, []VoteResponse{VoteRefused, VoteUnanswered, VoteCounted}, 0, "vote 2 1 0", 4000, 8},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -31,24 +31,25 @@
 			platform := &votingPlatform{inst: inst, port: port, responses: tc.responses, failEvery: tc.failEvery}
 			platform.play()
 			if platform.first != tc.want || platform.firstAt < tc.from && tc.want != "" || platform.votes > tc.votes {
-				t.Errorf("%q at %v, %d votes", platform.first, platform.firstAt, platform.votes)
+				t.Errorf("first vote %q at %v ms, want %q at %v ms or later; %d votes, want at most %d",
+					platform.first, platform.firstAt, tc.want, tc.from, platform.votes, tc.votes)
 			}
 		})
 	}
 }
 
-// votingPlatform rolls out release 2, answers votes, and serves or fails requests.
+// votingPlatform rolls out release 2, responds to votes, and serves or fails requests.
 type votingPlatform struct {
 	inst      *Instance
 	port      *recordingPort
 	responses []VoteResponse
 	failEvery int
 	votes     int
-	first     string // vote
+	first     string // the first vote
 	firstAt   float64
 }
 
-// play sends a request each 10 ms, for 19 s.
+// play sends a request every 10 ms for 19 s.
 func (platform *votingPlatform) play() {
 	platform.inst.OnReleaseUpdate(900, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.3, HasState: true})
 	platform.inst.OnEndpoints(1001, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, Weight: 1, StartedAt: 1000}}})
@@ -61,7 +62,7 @@
 	}
 }
 
-// answer answers one action: a vote, or an attempt for the request of a number.
+// answer handles one action: a vote, or an attempt of request k.
 func (platform *votingPlatform) answer(now float64, k int, action string) {
 	id := fmt.Sprint(k)
 	switch {
@@ -79,7 +80,7 @@
 	}
 }
 
-// A response to a vote on the release before says nothing of a vote on the one that was announced meanwhile.
+// The response to a vote on the previous release must not be taken as the response to a vote on the newest one.
 func TestVoteResponseForPreviousRelease(t *testing.T) {
 	inst, port := startWithAffinity(1, 0.5)
 	addFailures := func(now float64, id string, release ReleaseID) {
@@ -93,18 +94,18 @@
 	addFailures(6, "x", 2)
 	inst.OnTimer(6+evaluationInterval, 0)
 	if actions := fmt.Sprint(port.takeActions()); !strings.Contains(actions, "vote 2 3 0") {
-		t.Fatalf("no vote: %s", actions)
+		t.Fatalf("actions = %s, want a rollback vote on release 2 (\"vote 2 3 0\")", actions)
 	}
 	inst.OnReleaseUpdate(300, ReleaseUpdate{Release: 3, Phase: RollingOut, Cap: 0.5, HasState: true})
 	inst.OnReleaseUpdate(301, ReleaseUpdate{Release: 2, Phase: RollingOut, Response: VoteCounted, Cap: 0.5, HasState: true})
-	expect(t, "newest", inst.evaluator.Release(), 3)
+	expect(t, "newest release", inst.evaluator.Release(), 3)
 	if actions := fmt.Sprint(port.takeActions()); strings.Contains(actions, "vote") {
-		t.Errorf("voted on release 3 before anything was seen of it: %s", actions)
+		t.Errorf("actions = %s, want no vote on release 3 without evidence", actions)
 	}
-	// Had the response counted for release 3, its rollback vote would be accepted already and none would go out.
+	// If the response had counted for release 3, its rollback vote would already be accepted and would not be sent.
 	addFailures(302, "y", 3)
 	inst.OnTimer(302+evaluationInterval, 0)
 	if actions := fmt.Sprint(port.takeActions()); !strings.Contains(actions, "vote 3 3 0") {
-		t.Errorf("no vote on release 3: %s", actions)
+		t.Errorf("actions = %s, want a rollback vote on release 3 (\"vote 3 3 0\")", actions)
 	}
 }
