--- a/policy/admission.go
+++ b/policy/admission.go
@@ -60,14 +60,14 @@
 	return req.arrivedAt + maxQueueShare*(req.deadline-req.arrivedAt)
 }
 
-// expectedLatency returns the latency to expect of an attempt, in ms.
+// expectedLatency returns the expected latency of an attempt, in ms.
 func (inst *Instance) expectedLatency(req *request) float64 {
 	return min(inst.latencies[req.class].mean, maxExpectedLatencyShare*inst.classes[req.class].LatencyObjective)
 }
 
 // onOverloadSignal updates the admission probability of all requests and, if the request was unprobed, also that of
-// unprobed requests. Unanswered probes may be lost or queued. Only the requests sent without a probe result show which
-// is the case.
+// unprobed requests. An unanswered probe may have been lost, or it may be queued at an overloaded backend. Only the
+// requests that are sent without a probe result show which.
 func (inst *Instance) onOverloadSignal(unprobed bool, overload float64) {
 	inst.admission.OnSignal(overload, inst.now)
 	if unprobed {
--- a/policy/affinity_test.go
+++ b/policy/affinity_test.go
@@ -87,7 +87,7 @@
 	for _, tc := range []struct {
 		name            string
 		before          func(inst *Instance) // events before the first response; only x can send it
-		after           func(inst *Instance) // events between the first and second request for the key; only a can serve the second
+		after           func(inst *Instance) // events before the second request for the key; only a can serve it
 		servedByEarlier bool                 // a may serve the key
 	}{
 		{"update, list", announcedThenListed, nil, false},
@@ -98,7 +98,7 @@
 		{"previous withdrawn, list, then previous rolls back", withdrawnThenListed, func(inst *Instance) { rollBack(inst, 25, 2) }, false},
 		{"two unannounced releases", listedOnly, func(inst *Instance) { rollOut(inst, 25, 3) }, false},
 		{"released, then a new backend of an earlier release", announcedThenListed, onlyReleaseTwoListed, false},
-		{"list, then rollback", announcedThenListed, func(inst *Instance) { rollBack(inst, 25, 2) }, true},
+		{"update, list, then rollback", announcedThenListed, func(inst *Instance) { rollBack(inst, 25, 2) }, true},
 		{"rollback, then a late vote response from the rollout", announcedThenListed, func(inst *Instance) {
 			rollBack(inst, 25, 2)
 			inst.OnReleaseUpdate(26, ReleaseUpdate{Release: 2, Phase: RollingOut, Response: VoteCounted, Cap: 1, HasState: true})
--- a/policy/config.go
+++ b/policy/config.go
@@ -44,7 +44,7 @@
 // DiscoveryConfig configures how the instance gets the endpoint list.
 type DiscoveryConfig struct {
 	SubscriptionRequired bool    // changes are only sent to subscribers
-	RefreshInterval      float64 // ms; without a subscription, the instance is taken to know the list as it was this long ago
+	RefreshInterval      float64 // ms; without a subscription, the known list is taken to be this old
 }
 
 // SlowStartConfig describes how much load a backend can take after its start.
--- a/policy/discovery.go
+++ b/policy/discovery.go
@@ -6,7 +6,7 @@
 	"onyxgate/policy/slowstart"
 )
 
-// discovery is the state of the endpoint list's source.
+// discovery is the state of the subscription to the endpoint list.
 type discovery struct {
 	subscriptionRequired bool    // changes are only sent to subscribers
 	refreshInterval      float64 // ms
--- a/policy/exposure.go
+++ b/policy/exposure.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// MaySend reports whether an attempt may still be sent although it was decided earlier. Its connection may have been
+// MaySend reports whether an attempt that was decided earlier may still be sent. Its connection may have been
 // established late, and the endpoint list, a release update or the response to another attempt may have arrived in the
 // meantime. An attempt that may not be sent counts as never sent. MaySend does not change the instance.
 func (inst *Instance) MaySend(id string, number int) bool {
--- a/policy/fleet.go
+++ b/policy/fleet.go
@@ -34,7 +34,7 @@
 
 func (inst *Instance) aggregatesDue() bool { return inst.now >= inst.fleet.refreshAt }
 
-// refreshAggregates computes the aggregates again.
+// refreshAggregates recomputes the aggregates.
 func (inst *Instance) refreshAggregates() {
 	fleet := &inst.fleet
 	stable, rollout := fleet.candidates[stableArm][:0], fleet.candidates[rolloutArm][:0]
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -51,8 +51,8 @@
 }
 
 // updateTailLatency raises the tail latency after each response that exceeds it and lowers it after the others. The
-// step sizes are such that the estimate is stable where tailQuantile of the responses are within it. It stays infinite
-// if a lost attempt could not be replaced.
+// step sizes keep the estimate stable if tailQuantile of the responses are within it. The estimate stays infinite for a
+// class in which a lost attempt could not be replaced.
 func (inst *Instance) updateTailLatency(class int, elapsed float64) {
 	tail := &inst.latencies[class].tail
 	replaceable := inst.cancelAllowed && inst.classes[class].Semantics != NonIdempotent
--- a/policy/probes.go
+++ b/policy/probes.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// placeAfterProbe sends the first request that waits for an answer of the backend to it.
+// placeAfterProbe sends the first request that is waiting for the probe of a backend to that backend.
 func (inst *Instance) placeAfterProbe(index int) {
 	req := inst.probedRequest(index)
 	if req != nil && inst.now < req.objectiveDeadline && inst.maySendTo(req, index) {
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -12,7 +12,7 @@
 	const hour, now = 3600_000.0, 7200_000.0
 	for _, tc := range []struct {
 		name         string
-		hadFirstList bool    // after a first list
+		hadFirstList bool    // a list has been received before
 		stepSeen     bool    // a step of this host's clock was seen
 		start        float64 // ms, the listed start time
 		at           float64 // ms, when the progress is read
