--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -2,47 +2,49 @@
 
 import "math"
 
-// This file owns the ends of attempts: what each says of its backend, the load and the release, and how the request goes on.
-
-// endAttempt takes the end of an open attempt.
+// endAttempt handles the end of an open attempt.
 func (inst *Instance) endAttempt(req *request, attempt *attempt, result AttemptResult) {
 	attempt.open, attempt.notRun = false, result.Status.provesNotRun()
 	req.openAttempts--
 	req.ended = req.ended || result.Final
-	inst.affinity.AttemptEnded(req.affinityKey, attempt.bindsTo)
+	inst.affinity.AttemptEnded(req.affinityKey, attempt.affinityRelease)
 	inst.endpoints.At(attempt.backend).OpenAttempts--
 	inst.openAttempts--
-	inst.retryQueuedAt = inst.now // there may be room for a queued request
-	inst.reportLoad(attempt.backend, result.Load)
-	inst.learnFromAttempt(req, attempt, result.Status, result.Elapsed)
+	inst.queueRetryAt = inst.now // there may be room for a queued request
+	inst.recordLoadReport(attempt.backend, result.Load)
+	inst.recordAttemptEnd(req, attempt, result.Status, result.Elapsed)
 	inst.continueRequest(req, attempt)
 }
 
-// learnFromAttempt draws the conclusions from an attempt's end. took is in ms, infinite where it is not known.
-func (inst *Instance) learnFromAttempt(req *request, attempt *attempt, status AttemptStatus, took float64) {
+// recordAttemptEnd updates the backend, overload, latency and release state from the end of an attempt. elapsed is in
+// ms and infinite if unknown.
+func (inst *Instance) recordAttemptEnd(req *request, attempt *attempt, status AttemptStatus, elapsed float64) {
 	served := status == StatusServed
-	inTime := served && inst.now <= attempt.dueAt
+	inTime := served && inst.now <= attempt.lateAt
 	inst.updateEjection(attempt, status)
 	if served && inst.now == inst.resumedAt {
-		// What took so long may be this instance's own stall: it says nothing of the backend, the load or the release.
-		took, inTime = math.Inf(1), true
+		// The delay may have been this instance's own stall, so it does not count against the backend, the overload
+		// signal or the release.
+		elapsed, inTime = math.Inf(1), true
 	}
 	inst.signalOverload(req, attempt, status, inTime)
-	inst.sampleAnswer(attempt, status, inTime)
+	inst.recordOutcome(attempt, status, inTime)
 	if served {
-		inst.learnLatency(inst.endpoints.At(attempt.backend), req, took)
+		inst.recordLatency(inst.endpoints.At(attempt.backend), req, elapsed)
 	}
-	// An answer that broke on its way, or came when nobody read it, has bound its key all the same.
+	// A backend that has run the attempt may have handled the key, even if its response was truncated or nobody read
+	// it.
 	if status != StatusErrored && !attempt.notRun {
-		inst.bindKey(req, attempt)
+		inst.recordKeyAffinity(req, attempt)
 	}
-	isEvidence := !math.IsInf(took, 1) && !attempt.notRun && status != StatusCanceled
+	isEvidence := !math.IsInf(elapsed, 1) && !attempt.notRun && status != StatusCanceled
 	if inst.evaluator.Announced() && isEvidence {
-		inst.recordEvidence(attempt, req, status, took)
+		inst.recordEvidence(attempt, req, status, elapsed)
 	}
 }
 
-// continueRequest ends a request that has its answer, and lets one without an open attempt go on where it may run again.
+// continueRequest ends a request that has its response. A request without an open attempt is routed again if it may run
+// again; otherwise it is rejected or failed.
 func (inst *Instance) continueRequest(req *request, attempt *attempt) {
 	mayRunAgain := attempt.notRun || inst.classes[req.class].Semantics != NonIdempotent
 	switch {
@@ -53,11 +55,11 @@
 		req.probeRounds, req.unprobed = 0, false
 		inst.pending = append(inst.pending, req)
 	default:
-		inst.answerFinally(req)
+		inst.rejectOrFail(req)
 	}
 }
 
-// updateEjection ejects a backend that fails quickly.
+// updateEjection records the result of an attempt for the ejection of backends that fail quickly.
 func (inst *Instance) updateEjection(attempt *attempt, status AttemptStatus) {
 	ejection := &inst.endpoints.At(attempt.backend).Ejection
 	switch status {
@@ -68,7 +70,8 @@
 	}
 }
 
-// signalOverload takes an attempt's end as a sign of overload or of none. Ends in other zones are no sign: the way there may be at fault.
+// signalOverload derives an overload signal from the end of an attempt. Attempts in other zones are ignored, because
+// the path there may be at fault.
 func (inst *Instance) signalOverload(req *request, attempt *attempt, status AttemptStatus, inTime bool) {
 	if inst.endpoints.At(attempt.backend).Zone != inst.zone {
 		return
@@ -83,26 +86,27 @@
 	}
 }
 
-// sampleAnswer counts an attempt's end in its backend's record and as a sample for its concurrency limit, once. What breaks on the way says
-// nothing of the load there, and a canceled attempt nothing at all.
-func (inst *Instance) sampleAnswer(attempt *attempt, status AttemptStatus, inTime bool) {
+// recordOutcome adds the end of an attempt to the health records and, as a sample, to the backend's concurrency limit.
+// It does so once for each attempt. A broken connection is not a sample for the limit, since it says nothing about the
+// load of the backend. An attempt that was canceled or never sent is not counted at all.
+func (inst *Instance) recordOutcome(attempt *attempt, status AttemptStatus, inTime bool) {
 	if status == StatusCanceled || status == StatusNotSent || attempt.countedLate {
 		return
 	}
-	inst.recordAnswer(inst.endpoints.At(attempt.backend), inTime)
+	inst.recordHealth(inst.endpoints.At(attempt.backend), inTime)
 	broke := status == StatusConnectFailed || status == StatusErrored || status == StatusReset
 	if !broke {
-		inst.sampleLimit(attempt.backend, inTime)
+		inst.updateConcurrencyLimit(attempt.backend, inTime)
 	}
 }
 
-// sampleLimit moves a backend's concurrency limit and the sum of all limits.
-func (inst *Instance) sampleLimit(index int, inTime bool) {
+// updateConcurrencyLimit updates a backend's concurrency limit and the sum of all limits.
+func (inst *Instance) updateConcurrencyLimit(index int, inTime bool) {
 	backend := inst.endpoints.At(index)
 	inst.fleet.concurrencyLimit += backend.Limit.OnSample(inTime, backend.OpenAttempts, inst.instances)
 }
 
-// handleOverdue takes the first pending request's attempts that are late or taken for lost.
+// handleOverdue handles the attempts of the first pending request that are late or presumed lost.
 func (inst *Instance) handleOverdue() {
 	req := inst.pending[0]
 	inst.dropPending()
@@ -113,28 +117,30 @@
 	}
 }
 
-// handleOverdueAttempt counts a late attempt against its backend at once, and cancels one that is taken for lost while there is time to try
-// elsewhere: answers get lost on any way. No second copy goes out beside it, and the cancellation budget keeps such retries few: both
-// would feed an overload.
+// handleOverdueAttempt counts a late attempt against its backend immediately. It cancels an attempt that is presumed
+// lost, if there is still time to try elsewhere: responses can get lost on any path. Both a concurrent second attempt
+// and many such retries would worsen an overload, so the lost attempt is canceled first and the cancellation budget
+// limits the number of retries.
 func (inst *Instance) handleOverdueAttempt(req *request, number int) {
 	attempt := &req.attempts[number]
-	late := inst.now >= attempt.dueAt
-	if !late && !inst.isLost(req, attempt) {
+	late := inst.now >= attempt.lateAt
+	if !late && !inst.shouldCancelLost(req, attempt) {
 		return
 	}
 	attempt.countedLate = true
-	inst.recordAnswer(inst.endpoints.At(attempt.backend), false)
+	inst.recordHealth(inst.endpoints.At(attempt.backend), false)
 	if late {
-		inst.sampleLimit(attempt.backend, false)
+		inst.updateConcurrencyLimit(attempt.backend, false)
 		return
 	}
 	attempt.canceled, inst.cancellationBudget = true, inst.cancellationBudget-1
 	inst.port.CancelAttempt(req.id, number)
 }
 
-// isLost says whether an attempt has outlasted nearly all answers and can be replaced in time.
-func (inst *Instance) isLost(req *request, attempt *attempt) bool {
-	outlasted := inst.now >= inst.givenUpAt(req.class, attempt.sentAt)
+// shouldCancelLost reports whether an attempt has been open longer than nearly all responses take and can be replaced
+// in time.
+func (inst *Instance) shouldCancelLost(req *request, attempt *attempt) bool {
+	outlasted := inst.now >= inst.presumedLostAt(req.class, attempt.sentAt)
 	mayReplace := len(req.attempts) < inst.maxAttempts && inst.cancellationBudget >= 1
-	return outlasted && mayReplace && inst.now+inst.expectedLatency(req) < req.objectiveAt
+	return outlasted && mayReplace && inst.now+inst.expectedLatency(req) < req.objectiveDeadline
 }
--- a/policy/evidence.go
+++ b/policy/evidence.go
@@ -5,13 +5,11 @@
 	"onyxgate/policy/verdict"
 )
 
-// This file owns which attempts become evidence on a release, the instance's own ones and those in messages of others.
-
-// recordEvidence takes the end of an own attempt as evidence, and queues it for the evaluators.
-func (inst *Instance) recordEvidence(attempt *attempt, req *request, status AttemptStatus, took float64) {
+// recordEvidence records the end of one of this instance's attempts as evidence and queues it for the evaluators.
+func (inst *Instance) recordEvidence(attempt *attempt, req *request, status AttemptStatus, elapsed float64) {
 	outcome := verdict.Outcome{
 		EndedAt:          inst.now,
-		Latency:          took / req.workDivisor,
+		Latency:          elapsed / req.workDivisor,
 		Failed:           status == StatusErrored || status == StatusReset,
 		ConnectionBroken: status == StatusReset,
 		Backend:          attempt.backend,
@@ -22,8 +20,8 @@
 	}
 }
 
-// mergeSummary takes another instance's outcome as if it were an own one. One of a backend or class that is not known here,
-// or that comes before any release is announced, is ignored.
+// mergeSummary records an outcome received from another instance like one of this instance. Outcomes of unknown
+// backends or classes are ignored, and so are all outcomes before a release has been announced.
 func (inst *Instance) mergeSummary(summary gossip.Summary) {
 	index, known := inst.endpoints.FindHash(summary.BackendHash)
 	if !known || summary.Class >= len(inst.classes) || !inst.evaluator.Announced() {
@@ -39,7 +37,7 @@
 	})
 }
 
-func (inst *Instance) addEvidence(of ReleaseID, class int, outcome verdict.Outcome) {
+func (inst *Instance) addEvidence(id ReleaseID, class int, outcome verdict.Outcome) {
 	warm := inst.warmUpProgress(inst.endpoints.At(outcome.Backend)) >= 1
-	inst.evaluator.Record(of, class, outcome, warm, inst.releases.IsEvaluated(of))
+	inst.evaluator.Record(id, class, outcome, warm, inst.releases.IsEvaluated(id))
 }
--- a/policy/evidence_test.go
+++ b/policy/evidence_test.go
@@ -8,8 +8,9 @@
 	"onyxgate/policy/verdict"
 )
 
-// An end that is noticed after the instance itself stood still says nothing of the backend or the release.
-func TestStandstill(t *testing.T) {
+// If the instance stalled, the duration of an attempt that ended meanwhile is no evidence against the backend or the
+// release.
+func TestStallIsNoEvidence(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		stalled bool
@@ -19,7 +20,7 @@
 			inst, port := startInstance(RequestClass{}, 1)
 			inst.OnReleaseUpdate(2, ReleaseUpdate{Release: 1, Phase: RollingOut, Cap: 1, HasState: true})
 			inst.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
-			port.take()
+			port.takeActions()
 			for now := 20.0; now < 900 && !tc.stalled; now += 20 {
 				inst.OnTimer(now, inst.timers.token)
 			}
@@ -29,8 +30,9 @@
 	}
 }
 
-// Outcomes from other instances count like own ones; what cannot be read is ignored.
-func TestMessages(t *testing.T) {
+// Outcomes received from other instances count as evidence like those of this instance; malformed and unknown ones are
+// ignored.
+func TestPeerMessages(t *testing.T) {
 	sender, port := startInstance(RequestClass{}, 3)
 	sender.instances, sender.index = 300, 7
 	sender.peerMessages = true
@@ -38,12 +40,12 @@
 	sender.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
 	sender.OnAttemptResult(60, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Elapsed: 50})
 	var message []byte
-	for _, did := range port.take() {
-		if !strings.HasPrefix(did, "tell 0 ") {
+	for _, action := range port.takeActions() {
+		if !strings.HasPrefix(action, "tell 0 ") {
 			continue
 		}
-		if _, err := fmt.Sscanf(did, "tell 0 %x", &message); err != nil {
-			t.Fatalf("%s: %v", did, err)
+		if _, err := fmt.Sscanf(action, "tell 0 %x", &message); err != nil {
+			t.Fatalf("message to instance 0 in action %q: %v", action, err)
 		}
 	}
 	for _, tc := range []struct {
@@ -51,9 +53,9 @@
 		message []byte
 		want    int // outcomes in evidence
 	}{
-		{"whole", message, 1},
-		{"cut short", message[:9], 0},
-		{"nothing", nil, 0},
+		{"complete", message, 1},
+		{"truncated", message[:9], 0},
+		{"empty", nil, 0},
 		{"unknown backend", append([]byte{1, 2, 3, 4}, message[4:]...), 0},
 		{"unknown class", append(append([]byte{}, message[:6]...), append([]byte{9}, message[7:]...)...), 0},
 	} {
@@ -66,7 +68,8 @@
 	}
 }
 
-// What a release does is evidence on itself alone: one whose first update is still to come or that was withdrawn counts for no other.
+// An outcome is evidence only on the release of its backend: outcomes of releases that are withdrawn or not yet
+// announced count for no other release.
 func TestEvidenceByRelease(t *testing.T) {
 	for _, tc := range []struct {
 		name                string
@@ -74,14 +77,14 @@
 		release             ReleaseID
 		baseline, candidate int // outcomes in evidence
 	}{
-		{"the newest", func(inst *Instance) {
+		{"newest release", func(inst *Instance) {
 			inst.OnReleaseUpdate(5, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.5, HasState: true})
 		}, 2, 0, 1},
-		{"the one before", func(inst *Instance) {
+		{"previous release", func(inst *Instance) {
 			inst.OnReleaseUpdate(5, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.5, HasState: true})
 		}, 1, 1, 0},
-		{"its first update is to come", func(*Instance) {}, 2, 0, 0},
-		{"it was withdrawn, and the next one announced", func(inst *Instance) {
+		{"before its first update", func(*Instance) {}, 2, 0, 0},
+		{"withdrawn, next release announced", func(inst *Instance) {
 			inst.OnReleaseUpdate(5, ReleaseUpdate{Release: 2, Phase: Withdrawn, Cap: 0, HasState: true})
 			inst.OnReleaseUpdate(6, ReleaseUpdate{Release: 3, Phase: RollingOut, Cap: 0.5, HasState: true})
 		}, 2, 0, 0},
@@ -91,7 +94,7 @@
 			tc.updates(inst)
 			inst.addEvidence(tc.release, 0, verdict.Outcome{EndedAt: 10, Latency: 5})
 			got := []int{inst.evaluator.OutcomeCount(verdict.Baseline), inst.evaluator.OutcomeCount(verdict.Candidate)}
-			expect(t, "outcomes", got, []int{tc.baseline, tc.candidate})
+			expect(t, "baseline and candidate outcomes", got, []int{tc.baseline, tc.candidate})
 		})
 	}
 }
--- a/policy/probes_test.go
+++ b/policy/probes_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// A request goes to the probed backend that answers first, and on without an answer after a while.
+// A request is sent to the probed backend that answers first. Without an answer it is sent after both probe rounds.
 func TestProbes(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		answer bool // the second probe is answered
+		answer bool // the last probe is answered
 		ok     bool
-		want   string // the action then
-		later  string // and after the time for both rounds
+		want   string // action after the answer
+		later  string // action after both rounds
 	}{
 		{"answered", true, true, "submit", ""},
 		{"answered with an error", true, false, "", "submit"},
@@ -24,28 +24,28 @@
 			inst.instances = 300
 			inst.probing.allowed, inst.probing.price = true, 0.01
 			inst.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
-			probed := port.take()
+			probed := port.takeActions()
 			if len(probed) == 0 || !strings.HasPrefix(probed[0], "probe") {
-				t.Fatalf("no probe: %v", probed)
+				t.Fatalf("actions = %v, want a probe first", probed)
 			}
 			last := strings.Fields(probed[len(probed)-1])[1]
 			if tc.answer {
 				inst.OnProbeResult(12, ProbeResult{Backend: last, OK: tc.ok, Elapsed: 2})
 			}
-			got := fmt.Sprint(port.take())
+			got := fmt.Sprint(port.takeActions())
 			if tc.want != "" && got != "[submit t "+last+"]" || tc.want == "" && got != "[]" {
-				t.Errorf("after the probe: %s", got)
+				t.Errorf("actions after the probe of backend %s = %s, want %q (empty: none)", last, got, tc.want)
 			}
-			inst.OnTimer(140, inst.timers.token) // a second round
+			inst.OnTimer(140, inst.timers.token) // start of the second round
 			inst.OnTimer(270, inst.timers.token)
-			if did := port.take(); tc.later != "" && (len(did) == 0 || !strings.HasPrefix(did[len(did)-1], tc.later)) {
-				t.Errorf("later: %v", did)
+			if actions := port.takeActions(); tc.later != "" && (len(actions) == 0 || !strings.HasPrefix(actions[len(actions)-1], tc.later)) {
+				t.Errorf("actions after both rounds = %v, want %q last", actions, tc.later)
 			}
 		})
 	}
 }
 
-// Probes are sent while what they save is worth their configured price; at a higher one requests go out at once.
+// Probes are sent only while a round costs less than its benefit; at a higher price requests are sent without probes.
 func TestProbePrice(t *testing.T) {
 	for _, tc := range []struct {
 		price float64
@@ -56,8 +56,8 @@
 			inst.instances = manyInstances
 			inst.probing.allowed, inst.probing.price = true, tc.price
 			inst.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
-			if did := port.take(); len(did) == 0 || !strings.HasPrefix(did[0], tc.first) {
-				t.Errorf("%v", did)
+			if actions := port.takeActions(); len(actions) == 0 || !strings.HasPrefix(actions[0], tc.first) {
+				t.Errorf("actions = %v, want %q first", actions, tc.first)
 			}
 		})
 	}
--- a/policy/votes_test.go
+++ b/policy/votes_test.go
@@ -8,21 +8,21 @@
 	"onyxgate/policy/verdict"
 )
 
-// When the instance votes, and how it answers the platform's responses.
+// When the instance votes, and how it handles the platform's responses.
 func TestVotes(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
 		control   RolloutControl
-		responses []VoteResponse // to the votes in turn; the last one to all that follow
-		failEvery int            // of the requests at the newest release; 0: none fails
+		responses []VoteResponse // to the votes in order; the last one applies to all later votes
+		failEvery int            // every how many requests at the newest release fail; 0: none
 		want      string         // the first vote
-		from      float64        // ms, no vote sooner
-		votes     int            // at the most until 20 s
+		from      float64        // ms, earliest time of the first vote
+		votes     int            // maximum number within 20 s
 	}{
-		{"a good release", ControlMajority, []VoteResponse{VoteCounted}, 0, "vote 2 1 0", 4000, 6},
-		{"a good release on a clock", ControlTimed, []VoteResponse{VoteCounted}, 0, "", 0, 0},
-		{"a bad release", ControlMajority, []VoteResponse{VoteCounted}, 2, "vote 2 3 0", 1000, 9},
-		{"a bad release on a clock", ControlTimed, []VoteResponse{VoteCounted}, 2, "vote 2 3 0", 1000, 9},
+		{"good release", ControlMajority, []VoteResponse{VoteCounted}, 0, "vote 2 1 0", 4000, 6},
+		{"good release, timed", ControlTimed, []VoteResponse{VoteCounted}, 0, "", 0, 0},
+		{"bad release", ControlMajority, []VoteResponse{VoteCounted}, 2, "vote 2 3 0", 1000, 9},
+		{"bad release, timed", ControlTimed, []VoteResponse{VoteCounted}, 2, "vote 2 3 0", 1000, 9},
 		{"refused, unanswered, then counted", ControlMajority, []VoteResponse{VoteRefused, VoteUnanswered, VoteCounted}, 0, "vote 2 1 0", 4000, 8},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -31,58 +31,59 @@
 			platform := &votingPlatform{inst: inst, port: port, responses: tc.responses, failEvery: tc.failEvery}
 			platform.play()
 			if platform.first != tc.want || platform.firstAt < tc.from && tc.want != "" || platform.votes > tc.votes {
-				t.Errorf("%q at %v, %d votes", platform.first, platform.firstAt, platform.votes)
+				t.Errorf("first vote %q at %v ms, want %q at %v ms or later; %d votes, want at most %d",
+					platform.first, platform.firstAt, tc.want, tc.from, platform.votes, tc.votes)
 			}
 		})
 	}
 }
 
-// votingPlatform rolls out release 2, answers votes, and serves or fails requests.
+// votingPlatform rolls out release 2, responds to votes, and serves or fails requests.
 type votingPlatform struct {
 	inst      *Instance
 	port      *recordingPort
 	responses []VoteResponse
 	failEvery int
 	votes     int
-	first     string // vote
+	first     string // the first vote
 	firstAt   float64
 }
 
-// play sends a request each 10 ms, for 19 s.
+// play sends a request every 10 ms for 19 s.
 func (platform *votingPlatform) play() {
 	platform.inst.OnReleaseUpdate(900, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.3, HasState: true})
 	platform.inst.OnEndpoints(1001, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, Weight: 1, StartedAt: 1000}}})
 	for k := range 1900 {
 		now := 1010 + float64(k)*10
 		platform.inst.OnRequest(now, Request{ID: fmt.Sprint(k), TimeLeft: 4000})
-		for _, did := range platform.port.take() {
-			platform.answer(now, k, did)
+		for _, action := range platform.port.takeActions() {
+			platform.answer(now, k, action)
 		}
 	}
 }
 
-// answer answers one action: a vote, or an attempt for the request of a number.
-func (platform *votingPlatform) answer(now float64, k int, did string) {
+// answer handles one action: a vote, or an attempt of request k.
+func (platform *votingPlatform) answer(now float64, k int, action string) {
 	id := fmt.Sprint(k)
 	switch {
-	case strings.HasPrefix(did, "vote"):
+	case strings.HasPrefix(action, "vote"):
 		if platform.votes == 0 {
-			platform.first, platform.firstAt = did, now
+			platform.first, platform.firstAt = action, now
 		}
 		response := platform.responses[min(platform.votes, len(platform.responses)-1)]
 		platform.votes++
 		platform.inst.OnReleaseUpdate(now, ReleaseUpdate{Release: 2, Phase: RollingOut, Response: response, Cap: 0.3, Age: now - 900, HasState: response == VoteCounted})
-	case strings.HasPrefix(did, "submit "+id+" x") && platform.failEvery > 0 && k%platform.failEvery == 0:
+	case strings.HasPrefix(action, "submit "+id+" x") && platform.failEvery > 0 && k%platform.failEvery == 0:
 		platform.inst.OnAttemptResult(now+5, AttemptResult{RequestID: id, Status: StatusErrored, Final: true, Elapsed: 5})
-	case strings.HasPrefix(did, "submit"):
+	case strings.HasPrefix(action, "submit"):
 		platform.inst.OnAttemptResult(now+5, AttemptResult{RequestID: id, Status: StatusServed, Final: true, Elapsed: 50 + float64(k*37%101)})
 	}
 }
 
-// A response to a vote on the release before says nothing of a vote on the one that was announced meanwhile.
-func TestVoteOnReleaseBefore(t *testing.T) {
+// The response to a vote on the previous release must not be taken as the response to a vote on the newest one.
+func TestVoteResponseForPreviousRelease(t *testing.T) {
 	inst, port := startWithAffinity(1, 0.5)
-	failing := func(now float64, id string, release ReleaseID) {
+	addFailures := func(now float64, id string, release ReleaseID) {
 		inst.OnEndpoints(now, EndpointUpdate{Endpoints: []Endpoint{{ID: id, Release: release, Weight: 1}}})
 		backend, _ := inst.endpoints.Find(id)
 		for range 20 {
@@ -90,21 +91,21 @@
 		}
 	}
 	inst.OnReleaseUpdate(5, ReleaseUpdate{Release: 2, Phase: RollingOut, Cap: 0.5, HasState: true})
-	failing(6, "x", 2)
+	addFailures(6, "x", 2)
 	inst.OnTimer(6+evaluationInterval, 0)
-	if did := fmt.Sprint(port.take()); !strings.Contains(did, "vote 2 3 0") {
-		t.Fatalf("no vote: %s", did)
+	if actions := fmt.Sprint(port.takeActions()); !strings.Contains(actions, "vote 2 3 0") {
+		t.Fatalf("actions = %s, want a rollback vote on release 2 (\"vote 2 3 0\")", actions)
 	}
 	inst.OnReleaseUpdate(300, ReleaseUpdate{Release: 3, Phase: RollingOut, Cap: 0.5, HasState: true})
 	inst.OnReleaseUpdate(301, ReleaseUpdate{Release: 2, Phase: RollingOut, Response: VoteCounted, Cap: 0.5, HasState: true})
-	expect(t, "newest", inst.evaluator.Release(), 3)
-	if did := fmt.Sprint(port.take()); strings.Contains(did, "vote") {
-		t.Errorf("voted on release 3 before anything was seen of it: %s", did)
+	expect(t, "newest release", inst.evaluator.Release(), 3)
+	if actions := fmt.Sprint(port.takeActions()); strings.Contains(actions, "vote") {
+		t.Errorf("actions = %s, want no vote on release 3 without evidence", actions)
 	}
-	// Had the response counted for release 3, its rollback vote would be accepted already and none would go out.
-	failing(302, "y", 3)
+	// If the response had counted for release 3, its rollback vote would already be accepted and would not be sent.
+	addFailures(302, "y", 3)
 	inst.OnTimer(302+evaluationInterval, 0)
-	if did := fmt.Sprint(port.take()); !strings.Contains(did, "vote 3 3 0") {
-		t.Errorf("no vote on release 3: %s", did)
+	if actions := fmt.Sprint(port.takeActions()); !strings.Contains(actions, "vote 3 3 0") {
+		t.Errorf("actions = %s, want a rollback vote on release 3 (\"vote 3 3 0\")", actions)
 	}
 }
