--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -93,7 +93,7 @@
 // Finish tells how an attempt ended: with policy.StatusServed and the answer, or with another status and an answer that is passed
 // over. The first served attempt's answer goes to the client. Finish is called once for each attempt, from any goroutine; a second
 // call is counted as a violated invariant and changes nothing.
-func (a *Attempt) Finish(status policy.AttemptStatus, answer Response, load policy.LoadReport) {
+func (a *Attempt) Finish(status policy.AttemptStatus, response Response, load policy.LoadReport) {
 	r, c := a.request, a.request.core
 	c.handleEvent("attempt result", func(now float64) {
 		if !invariant.Check(!a.ended, "one result for each attempt", r.ID, a.number) {
@@ -113,11 +113,11 @@
 			if !r.ended {
 				r.servedBy = a
 			}
-			r.finish(Action{Kind: ActionServe, Response: answer})
+			r.finish(Action{Kind: ActionServe, Response: response})
 		}
 		c.instance.OnAttemptResult(now, policy.AttemptResult{
 			RequestID: r.ID, Attempt: a.number, Status: status, Final: r.ended, Elapsed: now - a.startedAt, Load: load,
 		})
-		r.forget()
+		r.removeIfDone()
 	})
 }
--- a/internal/core/clock_test.go
+++ b/internal/core/clock_test.go
@@ -48,7 +48,7 @@
 
 func testStep(t *testing.T, stepped bool) {
 	t.Helper()
-	core, _ := started(t, policy.Config{
+	core, _ := newTestCoreWithConfig(t, policy.Config{
 		Seed: 7, Instances: 1, MaxAttempts: 3, CancelAllowed: true,
 		Classes:   []policy.RequestClass{{LatencyObjective: 1000, Timeout: 4000, Value: 1}},
 		SlowStart: policy.SlowStartConfig{InitialCapacity: 0.4, WarmUp: 5000, OverloadFactor: 3, OverloadWindow: 1000},
@@ -81,7 +81,7 @@
 // A step between two endpoint updates is reported by the next check of the clock, once.
 func TestCheckClock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		core, _ := hosted(t, policy.RequestClass{}, 1)
+		core, _ := newTestCore(t, policy.RequestClass{}, 1)
 		wall := core.clock.wall
 		core.clock.wall = func() int64 { return wall() + int64(time.Hour) }
 		if core.Counts(); len(core.LogLines()) != 0 {
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -9,28 +9,28 @@
 )
 
 // calls counts what the decisions have sent.
-type calls struct{ votes int }
+type countingTransport struct{ votes int }
 
-func (c *calls) SendVote(policy.ReleaseID, policy.Verdict, int) { c.votes++ }
-func (c *calls) SendProbe(string)                               {}
-func (c *calls) WatchEndpoints()                                {}
-func (c *calls) FetchEndpoints()                                {}
+func (c *countingTransport) SendVote(policy.ReleaseID, policy.Verdict, int) { c.votes++ }
+func (c *countingTransport) SendProbe(string)                               {}
+func (c *countingTransport) WatchEndpoints()                                {}
+func (c *countingTransport) FetchEndpoints()                                {}
 
 // body is the answer of a backend.
-type body string
+type testResponse string
 
-func (b body) Bytes() []byte { return []byte(b) }
+func (r testResponse) Bytes() []byte { return []byte(r) }
 
 // halted is a call under way that keeps when it was interrupted.
-type halted struct{ at time.Time }
+type recordingCanceler struct{ canceledAt time.Time }
 
-func (h *halted) Cancel() { h.at = time.Now() }
+func (r *recordingCanceler) Cancel() { r.canceledAt = time.Now() }
 
 // hosted starts a core whose decisions know one class and so many backends, all of one release. Its timers end with the test.
-func hosted(t *testing.T, class policy.RequestClass, backends int) (*Core, *calls) {
+func newTestCore(t *testing.T, class policy.RequestClass, backends int) (*Core, *countingTransport) {
 	t.Helper()
 	class.LatencyObjective, class.Timeout, class.Value, class.DedupWindow = 1000, 4000, 1, 9000
-	core, sent := started(t, policy.Config{
+	core, sent := newTestCoreWithConfig(t, policy.Config{
 		Seed: 7, Instances: 1, Classes: []policy.RequestClass{class}, MaxAttempts: 3, CancelAllowed: true,
 		Exposure: policy.ExposureConfig{FreeAttempts: 2, Caps: []float64{0.1, 1}},
 		Rollout:  policy.RolloutConfig{Stages: []float64{0.1, 1}, Control: policy.ControlSingleVote, RollbackVotes: 1, VoteLifetime: 4000},
@@ -44,9 +44,9 @@
 }
 
 // started starts a core with these settings. Its timers end with the test.
-func started(t *testing.T, config policy.Config) (*Core, *calls) {
+func newTestCoreWithConfig(t *testing.T, config policy.Config) (*Core, *countingTransport) {
 	t.Helper()
-	sent := &calls{}
+	sent := &countingTransport{}
 	core := New(sent)
 	core.Start(func(port policy.Port) *policy.Instance { return policy.New(port, config) })
 	t.Cleanup(func() { core.wakeTimer.Stop() })
--- a/internal/core/crossings_test.go
+++ b/internal/core/crossings_test.go
@@ -19,12 +19,12 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				core, _ := started(t, policy.Config{
+				core, _ := newTestCoreWithConfig(t, policy.Config{
 					Seed: 7, Instances: 1, MaxAttempts: 3,
 					Classes: []policy.RequestClass{{LatencyObjective: 1000, Timeout: 4000, Value: 1}},
 				})
 				core.UpdateEndpoints(policy.EndpointUpdate{Endpoints: []policy.Endpoint{{ID: "s", Release: 1, Weight: 1}}, Snapshot: true, Cached: true})
-				request, call := accept(core, "t", 3000), &halted{}
+				request, call := accept(core, "t", 3000), &recordingCanceler{}
 				attempt := request.NextAction().Attempt
 				attempt.SetCanceler(call) // its connection comes up
 				if c.sent {
@@ -35,8 +35,8 @@
 				if !c.sent {
 					canceled, _ = attempt.MarkSent(call)
 				}
-				if canceled == c.sent || call.at.IsZero() != c.sent {
-					t.Errorf("sent %v: canceled %v, interrupted %v", c.sent, canceled, !call.at.IsZero())
+				if canceled == c.sent || call.canceledAt.IsZero() != c.sent {
+					t.Errorf("sent %v: canceled %v, interrupted %v", c.sent, canceled, !call.canceledAt.IsZero())
 				}
 				attempt.Finish(policy.StatusNotSent, nil, policy.LoadReport{})
 				if action := request.NextAction(); action.Kind != ActionAbandon {
@@ -52,7 +52,7 @@
 // tried and one that waits for a backend alike.
 func TestShutdownAnswersAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		core, _ := hosted(t, policy.RequestClass{Semantics: policy.NonIdempotent}, 1)
+		core, _ := newTestCore(t, policy.RequestClass{Semantics: policy.NonIdempotent}, 1)
 		begun := time.Now()
 		tried := accept(core, "t", 9000)
 		tried.NextAction()
@@ -81,9 +81,9 @@
 }
 
 // An instance that shuts down sends no vote, whatever it has seen of a release.
-func TestShutdownEndsVotes(t *testing.T) {
+func TestShutdownSendsNoVotes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		core, sent := hosted(t, policy.RequestClass{}, 2)
+		core, sent := newTestCore(t, policy.RequestClass{}, 2)
 		core.UpdateRelease(policy.ReleaseUpdate{Release: 2, Phase: policy.RollingOut, Cap: 0.1, HasState: true})
 		core.UpdateEndpoints(policy.EndpointUpdate{Endpoints: []policy.Endpoint{{ID: "n", Release: 2, Weight: 1, StartedAt: core.Now()}}})
 		core.Shutdown(core.Now() + 60000)
--- a/internal/core/interceptor.go
+++ b/internal/core/interceptor.go
@@ -45,7 +45,7 @@
 }
 
 // interception is what a request keeps of its interceptors. It belongs to the handler's goroutine.
-type interception struct {
+type interceptorState struct {
 	states       []any   // what BeforeResponse of each returned; nil before, and after AfterResponse
 	reservedTime float64 // ms of the client's time
 	notified     bool    // BeforeResponse or Closed was called
@@ -71,7 +71,7 @@
 		}
 		reserve = min(reserve, timeLeft/maxReserveDivisor)
 		r.Deadline -= reserve
-		r.interception.reservedTime += reserve
+		r.interceptorState.reservedTime += reserve
 	}
 	return ""
 }
@@ -82,14 +82,14 @@
 		return
 	}
 	if action.Kind == ActionAbandon {
-		r.closeInterceptors()
+		r.notifyAbandoned()
 		return
 	}
-	r.interception.notified = true
+	r.interceptorState.notified = true
 	completion, until := r.completion(action)
-	r.interception.states = make([]any, len(r.core.interceptors))
+	r.interceptorState.states = make([]any, len(r.core.interceptors))
 	for i, interceptor := range r.core.interceptors {
-		r.interception.states[i] = interceptor.BeforeResponse(completion, until)
+		r.interceptorState.states[i] = interceptor.BeforeResponse(completion, until)
 	}
 }
 
@@ -108,26 +108,26 @@
 	if action.Kind == ActionServe && r.servedBy != nil {
 		completion.Backend, completion.Release = r.servedBy.Backend, r.servedBy.Release
 	}
-	return completion, r.Deadline + r.interception.reservedTime - responseMargin
+	return completion, r.Deadline + r.interceptorState.reservedTime - responseMargin
 }
 
 // ResponseWritten tells the interceptors that the answer's last byte was written (complete), or that it can't be. The handler calls
 // it once, after it has written the last action that NextAction returned, or after Fail, and before Close. Where no answer was
 // announced to the interceptors it does nothing.
 func (r *Request) ResponseWritten(complete bool) {
-	if len(r.interception.states) == 0 {
+	if len(r.interceptorState.states) == 0 {
 		return
 	}
 	now := r.core.Now()
 	for i, interceptor := range r.core.interceptors {
-		interceptor.AfterResponse(r.interception.states[i], now, complete)
+		interceptor.AfterResponse(r.interceptorState.states[i], now, complete)
 	}
-	r.interception.states = nil
+	r.interceptorState.states = nil
 }
 
 // closeInterceptors tells the interceptors that nothing is answered.
-func (r *Request) closeInterceptors() {
-	r.interception.notified = true
+func (r *Request) notifyAbandoned() {
+	r.interceptorState.notified = true
 	for _, interceptor := range r.core.interceptors {
 		interceptor.Abandoned(r.core.Now())
 	}
--- a/internal/core/interceptor_test.go
+++ b/internal/core/interceptor_test.go
@@ -10,38 +10,38 @@
 )
 
 // observer is an interceptor that keeps what it is told.
-type observer struct {
+type recordingInterceptor struct {
 	reserve      float64
 	rejectReason string
-	seen         []string
+	calls        []string
 	until        float64 // the latest time that an answer may be held to
 }
 
-func (o *observer) Admit(float64) (reserve float64, rejectReason string) {
-	o.seen = append(o.seen, "admit")
-	return o.reserve, o.rejectReason
+func (r *recordingInterceptor) Admit(float64) (reserve float64, rejectReason string) {
+	r.calls = append(r.calls, "admit")
+	return r.reserve, r.rejectReason
 }
 
-func (o *observer) BeforeResponse(c Completion, until float64) any {
-	o.until = until
-	o.seen = append(o.seen, fmt.Sprintf("before: %s %v %s, %d at %q of %d, %q", c.RequestID, c.Kind, c.Reason, c.Attempts, c.Backend, c.Release, c.Body))
+func (r *recordingInterceptor) BeforeResponse(c Completion, until float64) any {
+	r.until = until
+	r.calls = append(r.calls, fmt.Sprintf("before: %s %v %s, %d at %q of %d, %q", c.RequestID, c.Kind, c.Reason, c.Attempts, c.Backend, c.Release, c.Body))
 	return c.RequestID
 }
 
-func (o *observer) AfterResponse(state any, _ float64, complete bool) {
-	o.seen = append(o.seen, fmt.Sprintf("after: %v %v", state, complete))
+func (r *recordingInterceptor) AfterResponse(state any, _ float64, complete bool) {
+	r.calls = append(r.calls, fmt.Sprintf("after: %v %v", state, complete))
 }
 
-func (o *observer) Abandoned(float64) { o.seen = append(o.seen, "closed") }
+func (r *recordingInterceptor) Abandoned(float64) { r.calls = append(r.calls, "closed") }
 
 // handle does with a request what its handler does: it carries out attempts with this status, and writes the answer.
-func handle(request *Request, status policy.AttemptStatus) {
+func runHandler(request *Request, status policy.AttemptStatus) {
 	defer request.Close()
 	for {
 		action := request.NextAction()
 		switch action.Kind {
 		case ActionSendAttempt:
-			action.Attempt.Finish(status, body("body"), policy.LoadReport{})
+			action.Attempt.Finish(status, testResponse("body"), policy.LoadReport{})
 		case ActionAbandon:
 			return
 		default:
@@ -61,12 +61,12 @@
 
 var interceptorCases = []interceptorCase{
 	{
-		"served", "", func(r *Request) { handle(r, policy.StatusServed) },
+		"served", "", func(r *Request) { runHandler(r, policy.StatusServed) },
 		[]string{"admit", `before: t served answered, 1 at "s0" of 1, "body"`, "after: t true"},
 	},
 	{
 		"the answer can't be written", "", func(r *Request) {
-			r.NextAction().Attempt.Finish(policy.StatusServed, body("body"), policy.LoadReport{})
+			r.NextAction().Attempt.Finish(policy.StatusServed, testResponse("body"), policy.LoadReport{})
 			r.NextAction()
 			r.ResponseWritten(false)
 			r.Close()
@@ -74,18 +74,18 @@
 		[]string{"admit", `before: t served answered, 1 at "s0" of 1, "body"`, "after: t false"},
 	},
 	{
-		"failed by the decisions", "", func(r *Request) { handle(r, policy.StatusReset) },
+		"failed by the decisions", "", func(r *Request) { runHandler(r, policy.StatusReset) },
 		[]string{"admit", `before: t failed broken, 1 at "" of 0, ""`, "after: t true"},
 	},
 	{
-		"rejected at once", "unrecorded", func(r *Request) { handle(r, policy.StatusServed) },
+		"rejected at once", "unrecorded", func(r *Request) { runHandler(r, policy.StatusServed) },
 		[]string{"admit", `before: t rejected unrecorded, 0 at "" of 0, ""`, "after: t true"},
 	},
 	{
 		"the client goes", "", func(r *Request) {
 			r.ClientGone()
 			r.ClientGone()
-			handle(r, policy.StatusNotSent)
+			runHandler(r, policy.StatusNotSent)
 		},
 		[]string{"admit", "closed"},
 	},
@@ -100,7 +100,7 @@
 	},
 	{
 		"the handler fails with the answer announced", "", func(r *Request) {
-			r.NextAction().Attempt.Finish(policy.StatusServed, body("body"), policy.LoadReport{})
+			r.NextAction().Attempt.Finish(policy.StatusServed, testResponse("body"), policy.LoadReport{})
 			r.NextAction()
 			r.Fail()
 			r.ResponseWritten(false)
@@ -116,16 +116,16 @@
 	for _, c := range interceptorCases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				core, _ := hosted(t, policy.RequestClass{Semantics: policy.NonIdempotent}, 1)
-				seen := &observer{rejectReason: c.rejectReason}
-				core.AddInterceptor(seen)
+				core, _ := newTestCore(t, policy.RequestClass{Semantics: policy.NonIdempotent}, 1)
+				interceptor := &recordingInterceptor{rejectReason: c.rejectReason}
+				core.AddInterceptor(interceptor)
 				request := accept(core, "t", 2000)
 				if !request.HasInterceptors() {
 					t.Error("the request is not intercepted")
 				}
 				c.handler(request)
-				if !slices.Equal(seen.seen, c.want) {
-					t.Errorf("saw  %q\nwant %q", seen.seen, c.want)
+				if !slices.Equal(interceptor.calls, c.want) {
+					t.Errorf("saw  %q\nwant %q", interceptor.calls, c.want)
 				}
 			})
 		})
@@ -144,16 +144,16 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				core, _ := hosted(t, policy.RequestClass{}, 1)
-				seen := &observer{reserve: c.reserve}
-				core.AddInterceptor(seen)
+				core, _ := newTestCore(t, policy.RequestClass{}, 1)
+				interceptor := &recordingInterceptor{reserve: c.reserve}
+				core.AddInterceptor(interceptor)
 				arrived := core.Now()
 				request := accept(core, "t", 2000)
 				if got := request.Deadline - arrived; got != 2000-c.reserved {
 					t.Errorf("the decisions have %v ms, want %v", got, 2000-c.reserved)
 				}
-				handle(request, policy.StatusServed)
-				if got := seen.until - arrived; got != 2000-responseMargin {
+				runHandler(request, policy.StatusServed)
+				if got := interceptor.until - arrived; got != 2000-responseMargin {
 					t.Errorf("the answer may be held for %v ms, want %v", got, 2000-responseMargin)
 				}
 			})
@@ -162,13 +162,13 @@
 }
 
 // Where no interceptor follows, the handler need not know whether an answer was written.
-func TestNotIntercepted(t *testing.T) {
+func TestNoInterceptors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		core, _ := hosted(t, policy.RequestClass{}, 1)
+		core, _ := newTestCore(t, policy.RequestClass{}, 1)
 		request := accept(core, "t", 2000)
 		if request.HasInterceptors() || (*Request)(nil).HasInterceptors() {
 			t.Error("intercepted by nobody")
 		}
-		handle(request, policy.StatusServed)
+		runHandler(request, policy.StatusServed)
 	})
 }
--- a/internal/core/port.go
+++ b/internal/core/port.go
@@ -37,7 +37,7 @@
 		go attempt.Finish(policy.StatusNotSent, nil, policy.LoadReport{}) // which takes the lock
 		return
 	}
-	r.post(Action{Kind: ActionSendAttempt, Attempt: attempt})
+	r.enqueue(Action{Kind: ActionSendAttempt, Attempt: attempt})
 }
 
 // Reject ends a request; the client may try again after retryAfter (ms).
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -27,9 +27,9 @@
 	// that of Shutdown. It is guarded by the lock of Core.
 	Deadline float64
 
-	core         *Core
-	startAttempt func(*Attempt)
-	interception interception // of the handler's goroutine
+	core             *Core
+	startAttempt     func(*Attempt)
+	interceptorState interceptorState // of the handler's goroutine
 
 	// What follows is guarded by the lock of Core.
 
@@ -62,14 +62,14 @@
 
 // Accept hands a new request to the decisions and returns it to its handler. It returns nil where a request with that ID is open:
 // nothing has begun then, though the interceptors have admitted it.
-func (c *Core) Accept(arrival IncomingRequest) *Request {
+func (c *Core) Accept(incoming IncomingRequest) *Request {
 	request := &Request{
-		ID: arrival.ID, IdempotencyKey: arrival.IdempotencyKey, Class: arrival.Class, ArrivedAt: arrival.ArrivedAt,
-		Deadline: arrival.ArrivedAt + arrival.TimeLeft, core: c, startAttempt: arrival.StartAttempt,
+		ID: incoming.ID, IdempotencyKey: incoming.IdempotencyKey, Class: incoming.Class, ArrivedAt: incoming.ArrivedAt,
+		Deadline: incoming.ArrivedAt + incoming.TimeLeft, core: c, startAttempt: incoming.StartAttempt,
 	}
-	rejectReason := arrival.RejectReason
+	rejectReason := incoming.RejectReason
 	if rejectReason == "" {
-		rejectReason = request.admit(arrival.TimeLeft)
+		rejectReason = request.admit(incoming.TimeLeft)
 	}
 	if rejectReason != "" {
 		request.rejectUnadmitted(rejectReason)
@@ -77,17 +77,17 @@
 	}
 	duplicate := false
 	c.handleEvent("request", func(now float64) {
-		if duplicate = c.requests[arrival.ID] != nil; duplicate {
+		if duplicate = c.requests[incoming.ID] != nil; duplicate {
 			return
 		}
-		c.requests[arrival.ID] = request
+		c.requests[incoming.ID] = request
 		if c.shuttingDown { // seen under the lock: Shutdown either finds a request that crosses it, or is seen here
 			request.Deadline = min(request.Deadline, c.shutdownDeadline)
 		}
 		c.counts.Accepted++
 		c.addTimer(now, timer{at: request.Deadline + watchdogDelay, request: request})
 		c.instance.OnRequest(now, policy.Request{
-			ID: arrival.ID, Key: arrival.Key, Class: arrival.Class, Retry: arrival.Retry, TimeLeft: request.Deadline - now,
+			ID: incoming.ID, Key: incoming.Key, Class: incoming.Class, Retry: incoming.Retry, TimeLeft: request.Deadline - now,
 		})
 	})
 	if duplicate {
@@ -111,7 +111,7 @@
 // ActionSendAttempt. Before it returns such a last action, the interceptors may hold it for as long as they have reserved.
 func (r *Request) NextAction() Action {
 	for {
-		action, wakeup := r.takeAction()
+		action, wakeup := r.dequeueAction()
 		if wakeup == nil {
 			r.beforeResponse(action)
 			return action
@@ -121,7 +121,7 @@
 }
 
 // takeAction takes the first action from the queue, or returns the channel that tells of the next one.
-func (r *Request) takeAction() (action Action, wakeup <-chan struct{}) {
+func (r *Request) dequeueAction() (action Action, wakeup <-chan struct{}) {
 	r.core.mu.Lock()
 	defer r.core.mu.Unlock()
 	r.current = nil
@@ -150,7 +150,7 @@
 
 // post queues an action for the handler. An attempt that is wanted while the handler carries out another starts at once; under the
 // lock.
-func (r *Request) post(action Action) {
+func (r *Request) enqueue(action Action) {
 	if action.Kind == ActionSendAttempt && r.current != nil {
 		go r.startAttempt(action.Attempt)
 		return
@@ -172,12 +172,12 @@
 	r.ended = true
 	action.Reason = r.reason(action)
 	r.core.counts.countAnswer(action.Kind)
-	r.post(action)
-	r.forget()
+	r.enqueue(action)
+	r.removeIfDone()
 }
 
 // forget drops a request that has its answer and no open attempt; under the lock.
-func (r *Request) forget() {
+func (r *Request) removeIfDone() {
 	if r.ended && r.openAttempts == 0 && r.core.requests[r.ID] == r {
 		delete(r.core.requests, r.ID)
 	}
@@ -231,7 +231,7 @@
 	r.core.mu.Lock()
 	r.finish(failure)
 	r.core.mu.Unlock()
-	if !r.interception.notified {
+	if !r.interceptorState.notified {
 		r.beforeResponse(failure)
 	}
 }
@@ -240,16 +240,16 @@
 // the client had gone. Attempts that were never taken from the queue end as not sent.
 func (r *Request) Close() {
 	r.core.mu.Lock()
-	ended, left := r.ended, r.actions
+	ended, remaining := r.ended, r.actions
 	r.actions = nil
 	r.core.mu.Unlock()
-	if !r.interception.notified {
-		r.closeInterceptors()
+	if !r.interceptorState.notified {
+		r.notifyAbandoned()
 	}
 	if !ended {
 		r.ClientGone()
 	}
-	for _, action := range left {
+	for _, action := range remaining {
 		if action.Kind == ActionSendAttempt {
 			action.Attempt.Finish(policy.StatusNotSent, nil, policy.LoadReport{})
 		}
--- a/internal/core/request_test.go
+++ b/internal/core/request_test.go
@@ -10,13 +10,13 @@
 
 // requestCase is a request from its arrival to its end.
 type requestCase struct {
-	name       string
-	semantics  policy.Semantics
-	backends   int
-	results    []policy.AttemptStatus // of the attempts in turn; 0: it never ends by itself
-	answer     ActionKind
-	clientGone bool
-	within     time.Duration
+	name        string
+	semantics   policy.Semantics
+	backends    int
+	results     []policy.AttemptStatus // of the attempts in turn; 0: it never ends by itself
+	wantKind    ActionKind
+	clientGone  bool
+	maxDuration time.Duration
 }
 
 // Every request accepted ends once and in time, its attempts each once, and nothing of it stays.
@@ -36,34 +36,34 @@
 }
 
 func (c requestCase) run(t *testing.T) {
-	core, _ := hosted(t, policy.RequestClass{Semantics: c.semantics}, c.backends)
+	core, _ := newTestCore(t, policy.RequestClass{Semantics: c.semantics}, c.backends)
 	arrived := time.Now()
 	request := accept(core, "t", 2000)
 	if accept(core, "t", 2000) != nil {
 		t.Error("an ID was accepted twice")
 	}
-	silent, call := c.carryOut(t, request), &halted{}
-	if silent != nil {
-		silent.SetCanceler(call)
+	pending, call := c.finishAttempts(t, request), &recordingCanceler{}
+	if pending != nil {
+		pending.SetCanceler(call)
 	}
 	if c.clientGone {
 		request.ClientGone()
 	}
-	if action := request.NextAction(); action.Kind != c.answer || action.Kind == ActionServe && action.Response != body("body") {
-		t.Errorf("got %v, want %v", action, c.answer)
+	if action := request.NextAction(); action.Kind != c.wantKind || action.Kind == ActionServe && action.Response != testResponse("body") {
+		t.Errorf("got %v, want %v", action, c.wantKind)
 	}
-	if took := time.Since(arrived); took > c.within {
-		t.Errorf("answered after %v, want within %v", took, c.within)
+	if took := time.Since(arrived); took > c.maxDuration {
+		t.Errorf("answered after %v, want within %v", took, c.maxDuration)
 	}
 	synctest.Wait()
-	if silent != nil {
-		if call.at.IsZero() {
+	if pending != nil {
+		if call.canceledAt.IsZero() {
 			t.Error("the attempt was not interrupted")
 		}
-		if canceled, _ := silent.SetCanceler(nil); !canceled {
+		if canceled, _ := pending.SetCanceler(nil); !canceled {
 			t.Error("the attempt does not know that it is canceled")
 		}
-		silent.Finish(policy.StatusCanceled, nil, policy.LoadReport{})
+		pending.Finish(policy.StatusCanceled, nil, policy.LoadReport{})
 	}
 	request.Close()
 	time.Sleep(10 * time.Second) // timers that are still set find nothing to do
@@ -73,7 +73,7 @@
 }
 
 // carryOut ends the request's attempts by the results of the case. It returns the one that never ends by itself.
-func (c requestCase) carryOut(t *testing.T, request *Request) (silent *Attempt) {
+func (c requestCase) finishAttempts(t *testing.T, request *Request) (pending *Attempt) {
 	t.Helper()
 	for _, result := range c.results {
 		action := request.NextAction()
@@ -81,19 +81,19 @@
 			t.Fatalf("got %v in place of an attempt", action.Kind)
 		}
 		if result == 0 {
-			silent = action.Attempt
+			pending = action.Attempt
 			continue
 		}
-		action.Attempt.Finish(result, body("body"), policy.LoadReport{})
+		action.Attempt.Finish(result, testResponse("body"), policy.LoadReport{})
 	}
-	return silent
+	return pending
 }
 
 // An attempt that nobody took up was never sent, and one wanted while another is under way starts by itself.
 func TestActionQueue(t *testing.T) {
 	t.Run("not taken up", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			core, _ := hosted(t, policy.RequestClass{}, 2)
+			core, _ := newTestCore(t, policy.RequestClass{}, 2)
 			accept(core, "a", 2000).Close()
 			if n := core.Counts(); n.AttemptsByStatus[policy.StatusNotSent] != 1 || n.OpenRequests != 0 || n.ClientGone != 1 {
 				t.Errorf("not taken up: %+v", n)
@@ -102,20 +102,20 @@
 	})
 	t.Run("wanted beside another, with a limit of its own", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			core, _ := hosted(t, policy.RequestClass{}, 2)
-			startedBeside := make(chan *Attempt, 1)
+			core, _ := newTestCore(t, policy.RequestClass{}, 2)
+			startedConcurrently := make(chan *Attempt, 1)
 			request := core.Accept(IncomingRequest{
 				ID: "b", ArrivedAt: core.Now(), TimeLeft: 2000,
-				StartAttempt: func(attempt *Attempt) { startedBeside <- attempt },
+				StartAttempt: func(attempt *Attempt) { startedConcurrently <- attempt },
 			})
 			first := request.NextAction().Attempt
 			core.handleEvent("test", func(float64) { port{core}.SendAttempt("b", "s1", 500) })
-			second, call := <-startedBeside, &halted{}
+			second, call := <-startedConcurrently, &recordingCanceler{}
 			second.SetCanceler(call)
 			sent := time.Now()
 			time.Sleep(600 * time.Millisecond)
 			synctest.Wait()
-			if got := call.at.Sub(sent); got < 500*time.Millisecond || got > 502*time.Millisecond {
+			if got := call.canceledAt.Sub(sent); got < 500*time.Millisecond || got > 502*time.Millisecond {
 				t.Errorf("its own limit of 500 ms ended it after %v", got)
 			}
 			second.Finish(policy.StatusTimedOut, nil, policy.LoadReport{})
@@ -128,19 +128,19 @@
 // Two attempts wanted before the handler wakes go out side by side: the second waits for no end of the first.
 func TestPostedTogether(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		core, _ := hosted(t, policy.RequestClass{}, 2)
-		startedBeside := make(chan *Attempt, 2)
+		core, _ := newTestCore(t, policy.RequestClass{}, 2)
+		startedConcurrently := make(chan *Attempt, 2)
 		request := core.Accept(IncomingRequest{
 			ID: "t", ArrivedAt: core.Now(), TimeLeft: 3000,
-			StartAttempt: func(attempt *Attempt) { startedBeside <- attempt },
+			StartAttempt: func(attempt *Attempt) { startedConcurrently <- attempt },
 		})
 		core.handleEvent("test", func(float64) { port{core}.SendAttempt("t", "s1", 0) }) // beside the one that the decisions want
 		first := request.NextAction()
 		synctest.Wait()
-		if first.Kind != ActionSendAttempt || len(startedBeside) != 1 {
-			t.Fatalf("%v to carry out, %d started beside it", first.Kind, len(startedBeside))
+		if first.Kind != ActionSendAttempt || len(startedConcurrently) != 1 {
+			t.Fatalf("%v to carry out, %d started beside it", first.Kind, len(startedConcurrently))
 		}
-		second := <-startedBeside
+		second := <-startedConcurrently
 		second.Finish(policy.StatusNotSent, nil, policy.LoadReport{})
 		first.Attempt.Finish(policy.StatusServed, nil, policy.LoadReport{})
 		if action := request.NextAction(); action.Kind != ActionServe {
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -21,7 +21,7 @@
 	attempt *Attempt
 }
 
-func (t timer) ofInstance() bool { return t.request == nil && t.attempt == nil }
+func (t timer) isInstanceTimer() bool { return t.request == nil && t.attempt == nil }
 
 // timerQueue is a heap (container/heap): the earliest timer is the first.
 type timerQueue []timer
@@ -48,12 +48,12 @@
 }
 
 // due tells that the earliest timer has come; under the lock.
-func (c *Core) due(now float64) bool { return len(c.timers) > 0 && c.timers[0].at <= now }
+func (c *Core) timerDue(now float64) bool { return len(c.timers) > 0 && c.timers[0].at <= now }
 
 // timerFired runs what is due, in a goroutine of the runtime's timer.
 func (c *Core) timerFired() {
 	c.handleEvent("timer", func(now float64) {
-		for c.due(now) && c.timers[0].ofInstance() {
+		for c.timerDue(now) && c.timers[0].isInstanceTimer() {
 			c.instance.OnTimer(now, heap.Pop(&c.timers).(timer).token)
 		}
 	})
@@ -68,7 +68,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.Now()
-	for c.due(now) && !c.timers[0].ofInstance() {
+	for c.timerDue(now) && !c.timers[0].isInstanceTimer() {
 		fired := heap.Pop(&c.timers).(timer)
 		if fired.attempt != nil {
 			fired.attempt.expire()
--- a/internal/core/watchdog_test.go
+++ b/internal/core/watchdog_test.go
@@ -14,7 +14,7 @@
 // Decisions that fail cost their request an early answer, never the answer.
 func TestWatchdog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		core, _ := hosted(t, policy.RequestClass{}, 1)
+		core, _ := newTestCore(t, policy.RequestClass{}, 1)
 		arrived, violations := time.Now(), invariant.Violations()
 		failed := core.Accept(IncomingRequest{ID: "t", Class: 9, ArrivedAt: core.Now(), TimeLeft: 300}) // a class that the decisions do not have
 		if action := failed.NextAction(); action.Kind != ActionFail {
--- a/internal/sources/acceptance.go
+++ b/internal/sources/acceptance.go
@@ -17,11 +17,11 @@
 	shrankTooMuch := float64(n) < minKeptShare*float64(before)
 	lostAll := n == 0 && before != 0
 	if !shrankTooMuch && !lostAll {
-		m.shrunkenInRow[source], m.Doubt[source] = 0, ""
+		m.consecutiveShrinks[source], m.Doubt[source] = 0, ""
 		return true
 	}
-	m.shrunkenInRow[source]++
+	m.consecutiveShrinks[source]++
 	m.Doubt[source] = fmt.Sprintf("names %d of %d", n, before)
 	// An empty answer is never believed: no fleet is empty, and a source that lost its own sources answers so.
-	return n > 0 && m.shrunkenInRow[source] >= shrinkConfirmations
+	return n > 0 && m.consecutiveShrinks[source] >= shrinkConfirmations
 }
--- a/internal/sources/dns/dns.go
+++ b/internal/sources/dns/dns.go
@@ -147,17 +147,17 @@
 // resolve asks a question and goes after CNAMEs, which a server should not send here and some do. Addresses that come along
 // are noted under the name that was asked for.
 func (l *lookup) resolve(ctx context.Context, name string, kind dnsmessage.Type) (response, error) {
-	asked := strings.ToLower(fqdn(name))
-	owner := asked
+	queried := strings.ToLower(fqdn(name))
+	owner := queried
 	for range maxCNAMEs {
 		answer, err := l.query(ctx, l.server, owner, kind)
 		if err != nil {
 			return answer, err
 		}
 		last, found := answer.followChain(owner, kind)
-		l.noteAddresses(answer, func(owner string) string {
+		l.recordAddresses(answer, func(owner string) string {
 			if owner == last && kind != dnsmessage.TypeSRV {
-				return asked
+				return queried
 			}
 			return owner
 		})
@@ -170,7 +170,7 @@
 }
 
 // noteAddresses keeps the addresses that an answer holds, each under the name that the function makes of its owner.
-func (l *lookup) noteAddresses(answer response, nameFor func(owner string) string) {
+func (l *lookup) recordAddresses(answer response, nameFor func(owner string) string) {
 	for _, section := range [][]dnsmessage.Resource{answer.answers, answer.additionals} {
 		for _, record := range section {
 			ip, ok := addressIn(record)
--- a/internal/sources/dns/dns_test.go
+++ b/internal/sources/dns/dns_test.go
@@ -19,20 +19,20 @@
 const serviceName = "_render._tcp.fleet.example.org."
 
 // always is a server that sends one message, made by f, to each question.
-func always(f func(network string, q *dns.Msg) *dns.Msg) server {
+func replyWith(f func(network string, q *dns.Msg) *dns.Msg) server {
 	return func(network string, q *dns.Msg) []*dns.Msg { return []*dns.Msg{f(network, q)} }
 }
 
 // lookupTest is what a server sends, and what is made of it.
 type lookupTest struct {
-	name     string
-	server   server
-	want     []sources.Observation
-	wantLen  int // observations, where they are not listed
-	ttl      time.Duration
-	negative bool
-	err      error // errAny: any
-	within   time.Duration
+	name        string
+	server      server
+	want        []sources.Observation
+	wantLen     int // observations, where they are not listed
+	ttl         time.Duration
+	negative    bool
+	err         error // errAny: any
+	maxDuration time.Duration
 }
 
 var errAny = errors.New("any")
@@ -41,32 +41,32 @@
 	r := New(c.server.dial, rand.New(rand.NewPCG(1, 2)), 500*time.Millisecond)
 	from := time.Now()
 	answer, err := r.Lookup(t.Context(), "s", serviceName)
-	if took := time.Since(from); took > c.within {
+	if took := time.Since(from); took > c.maxDuration {
 		t.Errorf("it took %v", took)
 	}
 	c.checkError(t, err)
 	if err == nil {
-		c.checkLifetime(t, answer)
+		c.checkTTL(t, answer)
 	}
-	isListed := c.wantLen > 0 || slices.Equal(answer.Observations, c.want)
-	isLong := c.wantLen == 0 || len(answer.Observations) == c.wantLen
-	if !isListed || !isLong {
+	listMatches := c.wantLen > 0 || slices.Equal(answer.Observations, c.want)
+	countMatches := c.wantLen == 0 || len(answer.Observations) == c.wantLen
+	if !listMatches || !countMatches {
 		t.Errorf("%d observations: %v", len(answer.Observations), answer.Observations[:min(len(answer.Observations), 5)])
 	}
 }
 
 func (c lookupTest) checkError(t *testing.T, err error) {
 	t.Helper()
-	asWanted := errors.Is(err, c.err)
+	matches := errors.Is(err, c.err)
 	if errors.Is(c.err, errAny) {
-		asWanted = err != nil
+		matches = err != nil
 	}
-	if !asWanted {
+	if !matches {
 		t.Fatalf("%v, want %v", err, c.err)
 	}
 }
 
-func (c lookupTest) checkLifetime(t *testing.T, answer Answer) {
+func (c lookupTest) checkTTL(t *testing.T, answer Answer) {
 	t.Helper()
 	anyTTL := c.negative && c.ttl == 0
 	if !anyTTL && answer.TTL != c.ttl || answer.Negative != c.negative {
@@ -112,10 +112,10 @@
 }
 
 // whole answers with the records and their addresses.
-func (s service) whole(q *dns.Msg) *dns.Msg { return reply(q, 0, s.srv, s.hosts, nil) }
+func (s service) fullReply(q *dns.Msg) *dns.Msg { return reply(q, 0, s.srv, s.hosts, nil) }
 
 // asked answers each question with the records of its name and type alone.
-func (s service) asked(_ string, q *dns.Msg) *dns.Msg {
+func (s service) exactReply(_ string, q *dns.Msg) *dns.Msg {
 	var found []dns.RR
 	for _, record := range append(slices.Clone(s.srv), s.hosts...) {
 		header := record.Header()
@@ -131,13 +131,13 @@
 	return []lookupTest{
 		{
 			name:   "with addresses",
-			server: always(func(_ string, q *dns.Msg) *dns.Msg { return s.whole(q) }),
+			server: replyWith(func(_ string, q *dns.Msg) *dns.Msg { return s.fullReply(q) }),
 			want:   s.observations, ttl: 10 * time.Second,
 		},
-		{name: "addresses asked for", server: always(s.asked), want: s.observations, ttl: 10 * time.Second},
+		{name: "addresses asked for", server: replyWith(s.exactReply), want: s.observations, ttl: 10 * time.Second},
 		{
 			name: "targets without addresses",
-			server: always(func(_ string, q *dns.Msg) *dns.Msg {
+			server: replyWith(func(_ string, q *dns.Msg) *dns.Msg {
 				if q.Question[0].Qtype == dns.TypeSRV {
 					return reply(q, 0, s.srv, nil, nil)
 				}
@@ -157,8 +157,8 @@
 	return []lookupTest{
 		{
 			name: "truncated, and whole over TCP",
-			server: always(func(network string, q *dns.Msg) *dns.Msg {
-				m := s.whole(q)
+			server: replyWith(func(network string, q *dns.Msg) *dns.Msg {
+				m := s.fullReply(q)
 				if network == "udp" {
 					m.Answer, m.Extra, m.Truncated = m.Answer[:1], nil, true
 				}
@@ -168,8 +168,8 @@
 		},
 		{
 			name: "truncated for ever",
-			server: always(func(_ string, q *dns.Msg) *dns.Msg {
-				m := s.whole(q)
+			server: replyWith(func(_ string, q *dns.Msg) *dns.Msg {
+				m := s.fullReply(q)
 				m.Truncated = true
 				return m
 			}),
@@ -177,7 +177,7 @@
 		},
 		{
 			name: "2,000 records",
-			server: always(func(network string, q *dns.Msg) *dns.Msg {
+			server: replyWith(func(network string, q *dns.Msg) *dns.Msg {
 				m := reply(q, 0, many, records(t, "a.x. 30 IN A 10.0.0.1"), nil)
 				if m.Compress = true; network == "udp" {
 					m.Answer, m.Truncated = nil, true
@@ -194,24 +194,24 @@
 	return []lookupTest{
 		{
 			name:   "no such name",
-			server: always(func(_ string, q *dns.Msg) *dns.Msg { return reply(q, dns.RcodeNameError, nil, nil, s.soa) }),
+			server: replyWith(func(_ string, q *dns.Msg) *dns.Msg { return reply(q, dns.RcodeNameError, nil, nil, s.soa) }),
 			ttl:    7 * time.Second, negative: true,
 		},
 		{
 			name:   "no such records",
-			server: always(func(_ string, q *dns.Msg) *dns.Msg { return reply(q, 0, nil, nil, nil) }),
+			server: replyWith(func(_ string, q *dns.Msg) *dns.Msg { return reply(q, 0, nil, nil, nil) }),
 			ttl:    defaultNegativeTTL, negative: true,
 		},
 		{
 			name: "target .",
-			server: always(func(_ string, q *dns.Msg) *dns.Msg {
+			server: replyWith(func(_ string, q *dns.Msg) *dns.Msg {
 				return reply(q, 0, records(t, serviceName+" 30 IN SRV 0 0 0 ."), nil, s.soa)
 			}),
 			ttl: 7 * time.Second, negative: true,
 		},
 		{
 			name:   "it fails",
-			server: always(func(_ string, q *dns.Msg) *dns.Msg { return reply(q, dns.RcodeServerFailure, nil, nil, nil) }),
+			server: replyWith(func(_ string, q *dns.Msg) *dns.Msg { return reply(q, dns.RcodeServerFailure, nil, nil, nil) }),
 			err:    ErrRefused,
 		},
 	}
@@ -222,7 +222,7 @@
 	return []lookupTest{
 		{
 			name: "a CNAME to it",
-			server: always(func(_ string, q *dns.Msg) *dns.Msg {
+			server: replyWith(func(_ string, q *dns.Msg) *dns.Msg {
 				if strings.EqualFold(q.Question[0].Name, serviceName) {
 					return reply(q, 0, records(t, serviceName+" 30 IN CNAME other.example.org."), nil, nil)
 				}
@@ -232,14 +232,14 @@
 		},
 		{
 			name: "a loop of CNAMEs",
-			server: always(func(_ string, q *dns.Msg) *dns.Msg {
+			server: replyWith(func(_ string, q *dns.Msg) *dns.Msg {
 				return reply(q, 0, records(t, serviceName+" 30 IN CNAME x.example.org.", "x.example.org. 30 IN CNAME "+serviceName), nil, nil)
 			}),
 			negative: true,
 		},
 		{
 			name: "CNAMEs without end",
-			server: always(func(_ string, q *dns.Msg) *dns.Msg {
+			server: replyWith(func(_ string, q *dns.Msg) *dns.Msg {
 				return reply(q, 0, records(t, q.Question[0].Name+" 30 IN CNAME x"+strings.ToLower(q.Question[0].Name)), nil, nil)
 			}),
 			err: ErrUnusable,
@@ -253,13 +253,13 @@
 		{
 			name: "a wrong id, another question and another case before the true one",
 			server: func(_ string, q *dns.Msg) []*dns.Msg {
-				wrong, other, flat, own := reply(q, 0, nil, nil, nil), reply(q, 0, nil, nil, nil), reply(q, 0, nil, nil, nil), q.Copy()
+				wrong, other, upperCase, own := reply(q, 0, nil, nil, nil), reply(q, 0, nil, nil, nil), reply(q, 0, nil, nil, nil), q.Copy()
 				wrong.Id++
 				other.Question[0].Qtype = dns.TypeA
-				flat.Question = slices.Clone(flat.Question)
-				flat.Question[0].Name = strings.ToUpper(flat.Question[0].Name)
+				upperCase.Question = slices.Clone(upperCase.Question)
+				upperCase.Question[0].Name = strings.ToUpper(upperCase.Question[0].Name)
 				other.Question = slices.Clone(other.Question)
-				return []*dns.Msg{wrong, own, flat, s.whole(q)}
+				return []*dns.Msg{wrong, own, upperCase, s.fullReply(q)}
 			},
 			want: s.observations, ttl: 10 * time.Second,
 		},
@@ -267,7 +267,7 @@
 			name: "a wrong id for ever",
 			server: func(_ string, q *dns.Msg) (all []*dns.Msg) {
 				for range 100 {
-					m := s.whole(q)
+					m := s.fullReply(q)
 					m.Id++
 					all = append(all, m)
 				}
@@ -278,7 +278,7 @@
 		{
 			name:   "silence",
 			server: func(string, *dns.Msg) []*dns.Msg { return nil },
-			err:    errAny, within: 500 * time.Millisecond,
+			err:    errAny, maxDuration: 500 * time.Millisecond,
 		},
 	}
 }
--- a/internal/sources/dns/fuzz_test.go
+++ b/internal/sources/dns/fuzz_test.go
@@ -21,11 +21,11 @@
 	f.Add([]byte{}, false)
 	f.Fuzz(func(t *testing.T, answer []byte, tcp bool) {
 		r := New(func(_ context.Context, network, _ string) (net.Conn, error) {
-			here, there := net.Pipe()
+			clientConn, serverConn := net.Pipe()
 			go func() {
-				defer there.Close()
+				defer serverConn.Close()
 				b := make([]byte, 4096)
-				n, err := there.Read(b)
+				n, err := serverConn.Read(b)
 				if err != nil {
 					return
 				}
@@ -35,9 +35,9 @@
 				} else if copy(a, b[:min(2, n)]); tcp && len(a) > 2 {
 					a[2] |= 2 // truncated
 				}
-				_, _ = there.Write(a) // the other side may have gone
+				_, _ = serverConn.Write(a) // the other side may have gone
 			}()
-			return here, nil
+			return clientConn, nil
 		}, rand.New(rand.NewPCG(1, 2)), time.Second)
 		a, err := r.Lookup(t.Context(), "s", "_r._tcp.x")
 		if err == nil && !a.Negative && len(a.Observations) == 0 {
--- a/internal/sources/dns/message.go
+++ b/internal/sources/dns/message.go
@@ -97,7 +97,7 @@
 func (r response) followChain(owner string, kind dnsmessage.Type) (last string, found bool) {
 	last = owner
 	for range maxCNAMEs {
-		next, found := r.next(last, kind)
+		next, found := r.followCNAME(last, kind)
 		if found || next == last {
 			return next, found
 		}
@@ -108,7 +108,7 @@
 
 // next returns where a name's CNAME leads, the name itself where it has none, and whether there are records of the kind before
 // that.
-func (r response) next(owner string, kind dnsmessage.Type) (next string, found bool) {
+func (r response) followCNAME(owner string, kind dnsmessage.Type) (next string, found bool) {
 	for _, resource := range r.answers {
 		if !strings.EqualFold(resource.Header.Name.String(), owner) {
 			continue
--- a/internal/sources/dns/server_test.go
+++ b/internal/sources/dns/server_test.go
@@ -18,11 +18,11 @@
 	if address == "nowhere" {
 		return nil, errors.New("refused")
 	}
-	here, there := net.Pipe()
+	clientConn, serverConn := net.Pipe()
 	go func() {
-		defer there.Close()
+		defer serverConn.Close()
 		b := make([]byte, 4096)
-		n, err := there.Read(b)
+		n, err := serverConn.Read(b)
 		if err != nil {
 			return
 		}
@@ -38,13 +38,13 @@
 			if network == "tcp" {
 				packed = append([]byte{byte(len(packed) >> 8), byte(len(packed))}, packed...)
 			}
-			if _, err := there.Write(packed); err != nil {
+			if _, err := serverConn.Write(packed); err != nil {
 				return // the other side has what it wants
 			}
 		}
-		_, _ = there.Read(b) // returns once the other side is done
+		_, _ = serverConn.Read(b) // returns once the other side is done
 	}()
-	return here, nil
+	return clientConn, nil
 }
 
 // records reads records in the form of a zone file.
--- a/internal/sources/dns/transport.go
+++ b/internal/sources/dns/transport.go
@@ -69,7 +69,7 @@
 	if _, err := conn.Write(frame(network, packed)); err != nil {
 		return response{}, err
 	}
-	traced := func(outcome string) {
+	traceResult := func(outcome string) {
 		r.trace("%s %s %s at %s: %s after %v", network, question.Name, question.Type, server, outcome,
 			time.Since(sentAt).Round(time.Microsecond))
 	}
@@ -78,12 +78,12 @@
 	for range maxStrayDatagrams {
 		n, err := readMessage(network, conn, buffer)
 		if err != nil {
-			traced(err.Error())
+			traceResult(err.Error())
 			return response{}, err
 		}
 		answer, err := parseResponse(buffer[:n])
 		if err == nil && answer.answersQuestion(id, question) {
-			traced(fmt.Sprintf("%s, %d answers", answer.RCode, len(answer.answers)))
+			traceResult(fmt.Sprintf("%s, %d answers", answer.RCode, len(answer.answers)))
 			return answer, nil
 		}
 		if network == "tcp" {
--- a/internal/sources/host/config.go
+++ b/internal/sources/host/config.go
@@ -16,8 +16,8 @@
 
 // SubsetConfig is [sources.subset].
 type SubsetConfig struct {
-	Size          int `toml:"size" comment:"backends that this instance works with; 0: all"`
-	LeastPerGroup int `toml:"least" comment:"of each release and zone, however small"`
+	Size        int `toml:"size" comment:"backends that this instance works with; 0: all"`
+	MinPerGroup int `toml:"least" comment:"of each release and zone, however small"`
 }
 
 // DNSConfig is [sources.dns].
@@ -38,7 +38,7 @@
 func DefaultConfig() Config {
 	return Config{
 		DNS:    DNSConfig{Servers: []string{}, Timeout: units.Span(500 * time.Millisecond), MaxLookupsPerSecond: 2},
-		Subset: SubsetConfig{LeastPerGroup: 3},
+		Subset: SubsetConfig{MinPerGroup: 3},
 	}
 }
 
@@ -50,8 +50,8 @@
 	if !c.Enabled() {
 		return
 	}
-	negative := c.Subset.Size < 0 || c.Subset.LeastPerGroup < 0
-	if negative || c.Subset.Size > 0 && c.Subset.Size < c.Subset.LeastPerGroup {
+	negative := c.Subset.Size < 0 || c.Subset.MinPerGroup < 0
+	if negative || c.Subset.Size > 0 && c.Subset.Size < c.Subset.MinPerGroup {
 		report("sources.subset.size", c.Subset.Size, "below zero, or below least", "50")
 	}
 	if c.DNS.Name != "" {
--- a/internal/sources/host/host.go
+++ b/internal/sources/host/host.go
@@ -44,11 +44,11 @@
 
 // Host runs one instance's merge. Its methods may be called by any goroutine.
 type Host struct {
-	config   Config
-	fleet    Fleet
-	onLeft   func(address string)
-	view     atomic.Pointer[sources.View]
-	resolver *dns.Resolver // of the goroutine of Run
+	config            Config
+	fleet             Fleet
+	onAddressReleased func(address string)
+	view              atomic.Pointer[sources.View]
+	resolver          *dns.Resolver // of the goroutine of Run
 
 	mu      sync.Mutex // guards what follows, and orders the updates of the core
 	merger  *sources.Merger
@@ -63,16 +63,16 @@
 	random := rand.New(rand.NewPCG(o.Seed, 17))
 	dial := (&net.Dialer{}).DialContext
 	h := &Host{
-		config:   o.Config,
-		fleet:    o.Fleet,
-		onLeft:   o.OnAddressReleased,
-		merger:   sources.New(),
-		pacer:    sources.NewLookupPacer(len(o.Config.DNS.Servers), o.Config.DNS.MaxLookupsPerSecond, random),
-		resolver: dns.New(dial, random, time.Duration(o.Config.DNS.Timeout)),
+		config:            o.Config,
+		fleet:             o.Fleet,
+		onAddressReleased: o.OnAddressReleased,
+		merger:            sources.New(),
+		pacer:             sources.NewLookupPacer(len(o.Config.DNS.Servers), o.Config.DNS.MaxLookupsPerSecond, random),
+		resolver:          dns.New(dial, random, time.Duration(o.Config.DNS.Timeout)),
 	}
 	if o.Config.Subset.Size > 0 {
 		h.subset = sources.NewSubsetFilter(sources.SubsetOptions{
-			Instance: o.Instance, Instances: o.Instances, Size: o.Config.Subset.Size, LeastPerGroup: o.Config.Subset.LeastPerGroup,
+			Instance: o.Instance, Instances: o.Instances, Size: o.Config.Subset.Size, MinPerGroup: o.Config.Subset.MinPerGroup,
 		})
 	}
 	h.publishView()
@@ -111,28 +111,28 @@
 		h.counts.ChangesByRule[slices.Index(ruleNames, e.Rule)]++
 	}
 	h.counts.Changes += uint64(len(changes))
-	left := h.leftAddresses(changes)
+	released := h.releasedAddresses(changes)
 	h.publishView() // before the core acts: what it sends at once needs the address
 	if len(endpoints) > 0 || origin.fromDiscovery {
 		h.unsaved = h.unsaved || len(endpoints) > 0
 		h.fleet.UpdateEndpoints(policy.EndpointUpdate{Endpoints: endpoints, Cached: origin.cached})
 	}
-	for _, address := range left {
-		h.onLeft(address)
+	for _, address := range released {
+		h.onAddressReleased(address)
 	}
 }
 
 // leftAddresses are those that backends leave by changes which the view does not show yet.
-func (h *Host) leftAddresses(changes []sources.Entry) (left []string) {
+func (h *Host) releasedAddresses(changes []sources.Entry) (released []string) {
 	view := h.view.Load()
 	for _, e := range changes {
 		previous, known := view.Get(e.ID)
 		sameProcess := e.State != policy.EndpointRemoved && previous.Address == e.Address && previous.StartedAt == e.StartedAt
 		if known && !sameProcess {
-			left = append(left, previous.Address)
+			released = append(released, previous.Address)
 		}
 	}
-	return left
+	return released
 }
 
 // OnDiscoveryUpdate takes an update of discovery, and the addresses of its endpoints in the same order.
--- a/internal/sources/host/host_test.go
+++ b/internal/sources/host/host_test.go
@@ -26,32 +26,32 @@
 
 // fleet is a core that keeps the endpoints of its updates.
 type fleet struct {
-	from  time.Time
-	calls int
-	has   map[string]policy.Endpoint
+	from      time.Time
+	updates   int
+	endpoints map[string]policy.Endpoint
 }
 
-func newFleet() *fleet { return &fleet{from: time.Now(), has: map[string]policy.Endpoint{}} }
+func newFleet() *fleet { return &fleet{from: time.Now(), endpoints: map[string]policy.Endpoint{}} }
 
 func (f *fleet) Now() float64 { return 1e12 + float64(time.Since(f.from))/1e6 }
 
 func (f *fleet) UpdateEndpoints(update policy.EndpointUpdate) {
-	f.calls++
+	f.updates++
 	if update.Snapshot {
-		clear(f.has)
+		clear(f.endpoints)
 	}
 	for _, e := range update.Endpoints {
 		if e.State == policy.EndpointRemoved {
-			delete(f.has, e.ID)
+			delete(f.endpoints, e.ID)
 		} else {
-			f.has[e.ID] = e
+			f.endpoints[e.ID] = e
 		}
 	}
 }
 
 // running counts the backends in that state.
 func (f *fleet) running() (n int) {
-	for _, e := range f.has {
+	for _, e := range f.endpoints {
 		if e.State == policy.EndpointRunning {
 			n++
 		}
@@ -60,7 +60,7 @@
 }
 
 // listed are the backends from one number to another, with their addresses.
-func listed(from, to int, state policy.EndpointState) (entries []policy.Endpoint, addresses []string) {
+func newEndpoints(from, to int, state policy.EndpointState) (entries []policy.Endpoint, addresses []string) {
 	for i := from; i < to; i++ {
 		entries = append(entries, policy.Endpoint{ID: fmt.Sprint("a", i), Release: 1, State: state, Weight: 1})
 		addresses = append(addresses, fmt.Sprint("10.0.0.1:", i+1))
@@ -69,17 +69,17 @@
 }
 
 // answering is a name server on pipes that names ports of one host; none: it is silent.
-func answering(ports func() []int) dns.Dial {
+func dialNameServer(ports func() []int) dns.Dial {
 	return func(context.Context, string, string) (net.Conn, error) {
 		named := ports()
 		if named == nil {
 			return nil, errors.New("unreachable")
 		}
-		here, there := net.Pipe()
+		clientConn, serverConn := net.Pipe()
 		go func() {
-			defer there.Close()
+			defer serverConn.Close()
 			b := make([]byte, 4096)
-			n, err := there.Read(b)
+			n, err := serverConn.Read(b)
 			q, m := new(mdns.Msg), new(mdns.Msg)
 			if err != nil || q.Unpack(b[:n]) != nil {
 				return
@@ -96,9 +96,9 @@
 				A:   net.IPv4(10, 0, 0, 1),
 			}}
 			packed, _ := m.Pack()
-			_, _ = there.Write(packed) // the other side may have gone
+			_, _ = serverConn.Write(packed) // the other side may have gone
 		}()
-		return here, nil
+		return clientConn, nil
 	}
 }
 
@@ -116,7 +116,7 @@
 }
 
 // startHost makes a host with a state file and a name that is looked up, as a process would at its start.
-func startHost(stateFile string, seed uint64) *testHost {
+func newTestHost(stateFile string, seed uint64) *testHost {
 	config := DefaultConfig()
 	config.StateFile = stateFile
 	config.DNS.Name, config.DNS.Servers, config.DNS.Timeout = "_r._tcp.x", []string{"s:1"}, units.Span(100*time.Millisecond)
@@ -128,7 +128,7 @@
 // run looks up at a name server that names the service's ports.
 func (h *testHost) run(ports ...int) {
 	h.service.set(ports...)
-	answer := answering(func() []int { return *h.service.ports.Load() })
+	answer := dialNameServer(func() []int { return *h.service.ports.Load() })
 	h.resolver = dns.New(answer, rand.New(rand.NewPCG(1, 1)), 100*time.Millisecond)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan bool)
@@ -138,13 +138,13 @@
 
 // discover reports a state of the backends from one number to another, as discovery would.
 func (h *testHost) discover(from, to int, state policy.EndpointState) {
-	endpoints, addresses := listed(from, to, state)
+	endpoints, addresses := newEndpoints(from, to, state)
 	h.OnDiscoveryUpdate(policy.EndpointUpdate{Endpoints: endpoints}, addresses)
 }
 
 // discoverKnown reports the list of the configuration.
-func (h *testHost) discoverKnown(from, to int) {
-	endpoints, addresses := listed(from, to, policy.EndpointRunning)
+func (h *testHost) discoverCached(from, to int) {
+	endpoints, addresses := newEndpoints(from, to, policy.EndpointRunning)
 	h.OnDiscoveryUpdate(policy.EndpointUpdate{Endpoints: endpoints, Snapshot: true, Cached: true}, addresses)
 }
 
@@ -156,10 +156,10 @@
 		name string
 		run  func(t *testing.T, stateFile string)
 	}{ // in this order: each starts from the state file that the one before left
-		{"flapping sources", flap},
-		{"a restart, every source dead", restartFromState},
-		{"a restart without a state that can be read", restartWithoutState},
-		{"two hours without SRV", outliveService},
+		{"flapping sources", testFlapping},
+		{"a restart, every source dead", testRestart},
+		{"a restart without a state that can be read", testRestartWithoutState},
+		{"two hours without SRV", testLongOutage},
 	} {
 		t.Run(step.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { step.run(t, stateFile) })
@@ -167,9 +167,9 @@
 	}
 }
 
-func flap(t *testing.T, stateFile string) {
-	h := startHost(stateFile, 1)
-	h.discoverKnown(0, 3)
+func testFlapping(t *testing.T, stateFile string) {
+	h := newTestHost(stateFile, 1)
+	h.discoverCached(0, 3)
 	h.run(1, 2, 3, 9)
 	for k := range 300 { // 30 s
 		time.Sleep(100 * time.Millisecond)
@@ -181,39 +181,39 @@
 		}
 	}
 	synctest.Wait()
-	if h.fleet.calls > 300+70 {
-		t.Errorf("%d calls to the core in 30 s", h.fleet.calls)
+	if h.fleet.updates > 300+70 {
+		t.Errorf("%d calls to the core in 30 s", h.fleet.updates)
 	}
-	if len(h.fleet.has) != 4 || h.fleet.has["a1"].State != policy.EndpointDraining || h.Address("srv:10.0.0.1:9") != "10.0.0.1:9" {
-		t.Errorf("%+v", h.fleet.has)
+	if len(h.fleet.endpoints) != 4 || h.fleet.endpoints["a1"].State != policy.EndpointDraining || h.Address("srv:10.0.0.1:9") != "10.0.0.1:9" {
+		t.Errorf("%+v", h.fleet.endpoints)
 	}
 	h.discover(1, 2, policy.EndpointRemoved)
 	h.service.set(1, 2, 3, 9)
 	time.Sleep(5 * time.Second)
 	synctest.Wait()
-	if _, back := h.fleet.has["a1"]; back || len(h.fleet.has) != 3 {
-		t.Errorf("one that is gone is back: %+v", h.fleet.has)
+	if _, back := h.fleet.endpoints["a1"]; back || len(h.fleet.endpoints) != 3 {
+		t.Errorf("one that is gone is back: %+v", h.fleet.endpoints)
 	}
 	h.stop()
 }
 
-func restartFromState(t *testing.T, stateFile string) {
-	h := startHost(stateFile, 2)
-	if len(h.fleet.has) != 3 || h.Address("srv:10.0.0.1:2") != "" || h.Address("srv:10.0.0.1:3") == "" {
-		t.Errorf("remembered: %+v", h.fleet.has)
+func testRestart(t *testing.T, stateFile string) {
+	h := newTestHost(stateFile, 2)
+	if len(h.fleet.endpoints) != 3 || h.Address("srv:10.0.0.1:2") != "" || h.Address("srv:10.0.0.1:3") == "" {
+		t.Errorf("remembered: %+v", h.fleet.endpoints)
 	}
-	if h.discoverKnown(0, 1); h.fleet.has["a0"].ID == "" || len(h.fleet.has) != 3 {
-		t.Errorf("with the known list: %+v", h.fleet.has)
+	if h.discoverCached(0, 1); h.fleet.endpoints["a0"].ID == "" || len(h.fleet.endpoints) != 3 {
+		t.Errorf("with the known list: %+v", h.fleet.endpoints)
 	}
 }
 
-func restartWithoutState(t *testing.T, stateFile string) {
+func testRestartWithoutState(t *testing.T, stateFile string) {
 	if err := os.WriteFile(stateFile, []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for range 2 { // damaged, then not there
-		if h := startHost(stateFile, 3); len(h.fleet.has) != 0 {
-			t.Errorf("%+v", h.fleet.has)
+		if h := newTestHost(stateFile, 3); len(h.fleet.endpoints) != 0 {
+			t.Errorf("%+v", h.fleet.endpoints)
 		}
 		if err := os.RemoveAll(stateFile); err != nil {
 			t.Fatal(err)
@@ -221,14 +221,14 @@
 	}
 }
 
-func outliveService(t *testing.T, stateFile string) {
-	h := startHost(stateFile, 3)
-	h.discoverKnown(0, 3)
+func testLongOutage(t *testing.T, stateFile string) {
+	h := newTestHost(stateFile, 3)
+	h.discoverCached(0, 3)
 	h.run()                   // names nothing: no server answers
 	time.Sleep(2 * time.Hour) // longer than every lifetime
 	synctest.Wait()
-	if n := h.Counts(); len(h.fleet.has) != 3 || n.FailedLookups == 0 || n.FailedLookups > 1000 || n.Doubt[1] == "" {
-		t.Errorf("after two hours without SRV %+v, %+v", h.fleet.has, n)
+	if n := h.Counts(); len(h.fleet.endpoints) != 3 || n.FailedLookups == 0 || n.FailedLookups > 1000 || n.Doubt[1] == "" {
+		t.Errorf("after two hours without SRV %+v, %+v", h.fleet.endpoints, n)
 	}
 	h.stop()
 }
@@ -236,17 +236,17 @@
 // With a subset the core knows that part and no more, through changes, renames of all at once and drains.
 func TestSubset(t *testing.T) {
 	config := DefaultConfig()
-	config.Subset = SubsetConfig{Size: 20, LeastPerGroup: 2}
-	left := 0
+	config.Subset = SubsetConfig{Size: 20, MinPerGroup: 2}
+	released := 0
 	h := &testHost{fleet: newFleet()}
-	h.Host = New(Options{Config: config, Fleet: h.fleet, OnAddressReleased: func(string) { left++ }, Instance: 3, Instances: 10, Seed: 1})
+	h.Host = New(Options{Config: config, Fleet: h.fleet, OnAddressReleased: func(string) { released++ }, Instance: 3, Instances: 10, Seed: 1})
 	checkSize := func(when string) {
 		t.Helper()
-		if len(h.fleet.has) < 20 || len(h.fleet.has) > 24 {
-			t.Errorf("%d of 500 %s", len(h.fleet.has), when)
+		if len(h.fleet.endpoints) < 20 || len(h.fleet.endpoints) > 24 {
+			t.Errorf("%d of 500 %s", len(h.fleet.endpoints), when)
 		}
 	}
-	endpoints, addresses := listed(0, 500, policy.EndpointRunning)
+	endpoints, addresses := newEndpoints(0, 500, policy.EndpointRunning)
 	h.OnDiscoveryUpdate(policy.EndpointUpdate{Endpoints: endpoints, Snapshot: true}, addresses)
 	checkSize("at the start")
 	for i := range 500 {
@@ -258,12 +258,12 @@
 	}
 	h.discover(500, 1000, policy.EndpointRunning) // all renamed
 	checkSize("after all were renamed")
-	for id := range h.fleet.has {
+	for id := range h.fleet.endpoints {
 		if h.Address(id) == "" {
 			t.Errorf("%s has no address", id)
 		}
 	}
-	if left == 0 {
+	if released == 0 {
 		t.Error("no address was ever left")
 	}
 }
--- a/internal/sources/host/lookup.go
+++ b/internal/sources/host/lookup.go
@@ -32,7 +32,7 @@
 			expiredAt = time.Now()
 			h.expire()
 		}
-		if h.takeUnsaved() {
+		if h.clearUnsaved() {
 			h.saveState()
 		}
 	}
@@ -63,7 +63,7 @@
 }
 
 // takeUnsaved reports whether the state file is out of date, and resets that.
-func (h *Host) takeUnsaved() bool {
+func (h *Host) clearUnsaved() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	unsaved := h.unsaved
--- a/internal/sources/lookup.go
+++ b/internal/sources/lookup.go
@@ -24,14 +24,14 @@
 // LookupPacer paces one name's look-ups over some servers. Times are in ms of one clock; it is used by one goroutine at a
 // time.
 type LookupPacer struct {
-	random      *rand.Rand
-	servers     []serverHealth
-	rate        float64 // look-ups a second, at most
-	tokens      float64 // look-ups that the rate allows now
-	refilledAt  float64
-	nextAt      float64 // no look-up before
-	failedInRow int     // servers since the last answer, or the last pause
-	backoffMs   float64
+	random              *rand.Rand
+	servers             []serverHealth
+	rate                float64 // look-ups a second, at most
+	tokens              float64 // look-ups that the rate allows now
+	refilledAt          float64
+	nextAt              float64 // no look-up before
+	consecutiveFailures int     // servers since the last answer, or the last pause
+	backoffMs           float64
 }
 
 // serverHealth is the failures counted against one server.
@@ -85,7 +85,7 @@
 
 // OnAnswer notes that a server answered with a lifetime (ms); negative: that there is no such name, for so long.
 func (l *LookupPacer) OnAnswer(now float64, server int, ttl float64, negative bool) {
-	l.servers[server].failures, l.failedInRow, l.backoffMs = 0, 0, 0
+	l.servers[server].failures, l.consecutiveFailures, l.backoffMs = 0, 0, 0
 	ttl = min(max(ttl, minTTLMs), maxTTLMs)
 	if negative {
 		ttl = min(ttl, maxNegativeTTLMs)
@@ -97,12 +97,12 @@
 // them there is a pause.
 func (l *LookupPacer) OnFailure(now float64, server int) {
 	l.servers[server] = serverHealth{l.servers[server].decayedFailures(now) + 1, now}
-	l.failedInRow++
-	if l.failedInRow < len(l.servers) {
+	l.consecutiveFailures++
+	if l.consecutiveFailures < len(l.servers) {
 		l.nextAt = now
 		return
 	}
-	l.failedInRow = 0
+	l.consecutiveFailures = 0
 	l.backoffMs = min(max(2*l.backoffMs, minBackoffMs), maxBackoffMs)
 	l.nextAt = now + l.backoffMs*(0.5+l.random.Float64())
 }
--- a/internal/sources/lookup_test.go
+++ b/internal/sources/lookup_test.go
@@ -11,7 +11,7 @@
 }
 
 // Lifetimes hold within their bounds, instances do not ask in step, a server that fails is passed over and tried again.
-func TestLookup(t *testing.T) {
+func TestLookupPacer(t *testing.T) {
 	for _, c := range []struct {
 		ttl       float64
 		negative  bool
@@ -27,9 +27,9 @@
 			checkRefresh(t, c.ttl, c.negative, c.low, c.high)
 		})
 	}
-	t.Run("a dead server", passesOverDeadServer)
-	t.Run("all servers dead", backsOff)
-	t.Run("rate limit", keepsRate)
+	t.Run("a dead server", checkDeadServer)
+	t.Run("all servers dead", checkBackoff)
+	t.Run("rate limit", checkRateLimit)
 }
 
 func checkRefresh(t *testing.T, ttl float64, negative bool, low, high float64) {
@@ -51,7 +51,7 @@
 	}
 }
 
-func passesOverDeadServer(t *testing.T) {
+func checkDeadServer(t *testing.T) {
 	pacer, now, asked := newPacer(3, 1000, 1), 1.0, [3]int{}
 	for range 300 { // 1 is dead, 0 for five seconds
 		server, wait := pacer.Next(now)
@@ -73,7 +73,7 @@
 }
 
 // Pauses grow to a bound.
-func backsOff(t *testing.T) {
+func checkBackoff(t *testing.T) {
 	pacer, now := newPacer(2, 1000, 1), 1.0
 	lastWait, questions := 0.0, 0
 	for now < 100_000 {
@@ -91,7 +91,7 @@
 }
 
 // The rate binds whatever the lifetimes say.
-func keepsRate(t *testing.T) {
+func checkRateLimit(t *testing.T) {
 	pacer, now, questions := newPacer(1, 2, 1), 1.0, 0
 	for now < 10_000 {
 		if server, wait := pacer.Next(now); server >= 0 {
--- a/internal/sources/merge.go
+++ b/internal/sources/merge.go
@@ -46,10 +46,10 @@
 	bestPriority int                                        // the lowest that SRV names
 	meanWeight   float64                                    // of the addresses with that priority
 
-	shrunkenInRow [numSources]int    // snapshots or answers in a row that shrank by too much
-	Doubt         [numSources]string // why a source is doubted; empty: it is not
+	consecutiveShrinks [numSources]int    // snapshots or answers in a row that shrank by too much
+	Doubt              [numSources]string // why a source is doubted; empty: it is not
 
-	lastKept     string // address of the last running backend, kept though no source names it any more; empty: none
+	keptAddress  string // address of the last running backend, kept though no source names it any more; empty: none
 	primaries    int    // how many run that are no spares
 	hadPrimaries bool   // some did when the spares were last decided
 }
@@ -93,7 +93,7 @@
 	for _, e := range snapshot {
 		listed[e.ID] = true
 	}
-	for id, endpoint := range allOf(m.discovered) {
+	for id, endpoint := range iterate(m.discovered) {
 		if !listed[id] {
 			endpoint.State = policy.EndpointRemoved
 			changes = m.applyDiscovered(now, changes, endpoint.Entry)
@@ -112,34 +112,34 @@
 		changes = m.releaseAddress(changes, previous.Entry)
 	}
 	if e.State != policy.EndpointRemoved {
-		changes = m.evictFrom(e.Address, e.ID, changes)
+		changes = m.evictAddress(e.Address, e.ID, changes)
 	}
 	switch e.State {
 	case policy.EndpointRemoved:
 		m.discovered = m.discovered.Delete(e.ID)
 		if e.Address != "" {
-			m.retire(now, e)
+			m.retireAddress(now, e)
 			changes = m.releaseAddress(changes, e)
 		}
 	case policy.EndpointDraining:
-		m.list(now, e)
+		m.recordListing(now, e)
 		m.retired = m.retired.Set(e.Address, now)
 	default:
-		m.list(now, e)
+		m.recordListing(now, e)
 		m.retired = m.retired.Delete(e.Address)
 	}
-	changes = m.decide(changes, candidate{e.ID, e.Address})
-	return m.decide(changes, resolvedAt(e.Address))
+	changes = m.applyRules(changes, candidate{e.ID, e.Address})
+	return m.applyRules(changes, resolvedCandidate(e.Address))
 }
 
 // list notes that discovery lists a backend at its address.
-func (m *Merger) list(now float64, e Entry) {
+func (m *Merger) recordListing(now float64, e Entry) {
 	m.discovered = m.discovered.Set(e.ID, discoveredEndpoint{e, now})
 	m.listedAt = m.listedAt.Set(e.Address, e.ID)
 }
 
 // evictFrom removes the other backend that discovery listed at an address which now belongs to the one with this id.
-func (m *Merger) evictFrom(address, id string, changes []Entry) []Entry {
+func (m *Merger) evictAddress(address, id string, changes []Entry) []Entry {
 	other, taken := m.listedAt.Get(address)
 	if !taken || other == id {
 		return changes
@@ -150,11 +150,11 @@
 	}
 	m.discovered = m.discovered.Delete(other)
 	changes = m.releaseAddress(changes, evicted.Entry)
-	return m.decide(changes, candidate{other, evicted.Address})
+	return m.applyRules(changes, candidate{other, evicted.Address})
 }
 
 // retire closes a removed backend's address to SRV, unless another backend is listed there already.
-func (m *Merger) retire(now float64, e Entry) {
+func (m *Merger) retireAddress(now float64, e Entry) {
 	if id, taken := m.listedAt.Get(e.Address); !taken || id == e.ID {
 		m.retired = m.retired.Set(e.Address, now)
 	}
@@ -165,16 +165,16 @@
 	if id, taken := m.listedAt.Get(e.Address); taken && id == e.ID {
 		m.listedAt = m.listedAt.Delete(e.Address)
 	}
-	return m.decide(changes, resolvedAt(e.Address))
+	return m.applyRules(changes, resolvedCandidate(e.Address))
 }
 
 // UpdateResolved takes a good and whole answer of SRV and returns the changes for the core.
 func (m *Merger) UpdateResolved(now float64, observations []Observation) (changes []Entry) {
-	named := m.rank(observations)
+	named := m.indexObservations(observations)
 	accepted := m.acceptsOmissions(SRV, len(named), m.resolved.Len())
-	for address, endpoint := range allOf(m.resolved) {
+	for address, endpoint := range iterate(m.resolved) {
 		if _, ok := named[address]; !ok {
-			changes = m.missResolved(now, changes, endpoint, accepted)
+			changes = m.recordMissed(now, changes, endpoint, accepted)
 		}
 	}
 	for _, o := range observations { // in the order of the answer, so that the changes have one
@@ -186,17 +186,17 @@
 			previous.firstSeen = now
 		}
 		m.resolved = m.resolved.Set(o.Address, resolvedEndpoint{Observation: o, firstSeen: previous.firstSeen, lastSeen: now})
-		changes = m.decide(changes, resolvedAt(o.Address))
+		changes = m.applyRules(changes, resolvedCandidate(o.Address))
 	}
 	return m.reconcileSpares(changes)
 }
 
 // rank returns an answer by address, the best priority for each, and notes the lowest priority and its mean weight.
-func (m *Merger) rank(observations []Observation) map[string]Observation {
+func (m *Merger) indexObservations(observations []Observation) map[string]Observation {
 	named := make(map[string]Observation, len(observations))
 	m.bestPriority, m.meanWeight = noPriority, 0
 	for _, o := range observations {
-		if other, twice := named[o.Address]; !twice || o.Priority < other.Priority {
+		if other, duplicate := named[o.Address]; !duplicate || o.Priority < other.Priority {
 			named[o.Address] = o
 		}
 		m.bestPriority = min(m.bestPriority, o.Priority)
@@ -213,7 +213,7 @@
 }
 
 // missResolved notes that an answer left an address out, and forgets the address once enough answers did.
-func (m *Merger) missResolved(now float64, changes []Entry, endpoint resolvedEndpoint, accepted bool) []Entry {
+func (m *Merger) recordMissed(now float64, changes []Entry, endpoint resolvedEndpoint, accepted bool) []Entry {
 	if accepted {
 		endpoint.missedAnswers++
 	}
@@ -226,19 +226,19 @@
 	if at, ok := m.retired.Get(address); ok && now-at > retiredHoldMs {
 		m.retired = m.retired.Delete(address)
 	}
-	return m.decide(changes, resolvedAt(address))
+	return m.applyRules(changes, resolvedCandidate(address))
 }
 
 // Expire forgets backends that only SRV named, too long ago, and opens addresses that were retired long ago and are named no more.
 // To be called every few seconds.
 func (m *Merger) Expire(now float64) (changes []Entry) {
-	for address, endpoint := range allOf(m.resolved) {
+	for address, endpoint := range iterate(m.resolved) {
 		if now-endpoint.lastSeen > maxResolvedAgeMs {
 			m.resolved = m.resolved.Delete(address)
-			changes = m.decide(changes, resolvedAt(address))
+			changes = m.applyRules(changes, resolvedCandidate(address))
 		}
 	}
-	for address, at := range allOf(m.retired) {
+	for address, at := range iterate(m.retired) {
 		_, listed := m.listedAt.Get(address)
 		_, named := m.resolved.Get(address)
 		if !named && !listed && now-at > retiredHoldMs {
--- a/internal/sources/merge_test.go
+++ b/internal/sources/merge_test.go
@@ -25,7 +25,7 @@
 }
 
 // shown is the fleet as text: id, address, state and the rule that decided.
-func shown(m *Merger) string {
+func formatFleet(m *Merger) string {
 	var all []string
 	for id, e := range m.Fleet().All() {
 		all = append(all, fmt.Sprintf("%s@%s %d %s", id, e.Address[len("10.0.0."):], e.State, e.Rule))
--- a/internal/sources/model_test.go
+++ b/internal/sources/model_test.go
@@ -14,29 +14,29 @@
 
 // modelState is a merge with the fleet that a reader of the changes has, and the addresses that discovery has ended.
 type modelState struct {
-	m      Merger
-	reader map[string]Entry
-	closed map[string]bool // addresses that drained or went, and were not listed as running since
+	merger  Merger
+	applied map[string]Entry
+	retired map[string]bool // addresses that drained or went, and were not listed as running since
 }
 
 func newModelState() modelState { return modelState{*New(), map[string]Entry{}, map[string]bool{}} }
 
 // step applies one event and looks at what must hold whatever came before.
-func (w modelState) step(event func(m *Merger, closed map[string]bool) []Entry, failure bool) (modelState, error) {
-	n := modelState{m: w.m, reader: maps.Clone(w.reader), closed: maps.Clone(w.closed)}
-	before := n.m.fleet.Running
-	for _, e := range event(&n.m, n.closed) {
+func (s modelState) step(event func(m *Merger, retired map[string]bool) []Entry, failure bool) (modelState, error) {
+	n := modelState{merger: s.merger, applied: maps.Clone(s.applied), retired: maps.Clone(s.retired)}
+	before := n.merger.fleet.Running
+	for _, e := range event(&n.merger, n.retired) {
 		if e.State == policy.EndpointRemoved {
-			delete(n.reader, e.ID)
+			delete(n.applied, e.ID)
 		} else {
-			n.reader[e.ID] = e
+			n.applied[e.ID] = e
 		}
 	}
 	running, err := n.checkFleet()
 	switch {
 	case err != nil:
-	case running != n.m.fleet.Running || len(n.reader) != n.m.fleet.Len():
-		err = fmt.Errorf("%d run, %d are counted; a reader has %d of %d", running, n.m.fleet.Running, len(n.reader), n.m.fleet.Len())
+	case running != n.merger.fleet.Running || len(n.applied) != n.merger.fleet.Len():
+		err = fmt.Errorf("%d run, %d are counted; a reader has %d of %d", running, n.merger.fleet.Running, len(n.applied), n.merger.fleet.Len())
 	case failure && running < before:
 		err = fmt.Errorf("a failure took %d of %d away", before-running, before)
 	}
@@ -45,21 +45,21 @@
 
 // checkFleet compares the fleet with what a reader of the changes has, and looks for two that run at one address and for one
 // that runs at an address which discovery has ended. It returns how many run.
-func (w *modelState) checkFleet() (running int, err error) {
+func (s *modelState) checkFleet() (running int, err error) {
 	at := map[string]string{}
-	for id, e := range w.m.fleet.All() {
-		if w.reader[id] != e {
-			err = fmt.Errorf("a reader of the changes has %+v, the fleet %+v", w.reader[id], e)
+	for id, e := range s.merger.fleet.All() {
+		if s.applied[id] != e {
+			err = fmt.Errorf("a reader of the changes has %+v, the fleet %+v", s.applied[id], e)
 		}
 		if e.State != policy.EndpointRunning {
 			continue
 		}
 		running++
-		if other, twice := at[e.Address]; twice {
+		if other, duplicate := at[e.Address]; duplicate {
 			err = fmt.Errorf("%s and %s both run at %s", other, id, e.Address)
 		}
 		at[e.Address] = id
-		if w.closed[e.Address] {
+		if s.retired[e.Address] {
 			err = fmt.Errorf("%s runs at %s, which drained or went", id, e.Address)
 		}
 	}
@@ -67,39 +67,39 @@
 }
 
 // key is all that the future depends on.
-func (w modelState) key() string {
+func (s modelState) key() string {
 	var b strings.Builder
-	b.WriteString(shown(&w.m))
+	b.WriteString(formatFleet(&s.merger))
 	var all []string
-	for id, e := range allOf(w.m.discovered) {
+	for id, e := range iterate(s.merger.discovered) {
 		all = append(all, fmt.Sprint("l", id, e.Address, e.State))
 	}
-	for a := range allOf(w.m.retired) {
+	for a := range iterate(s.merger.retired) {
 		all = append(all, "e"+a)
 	}
-	for a, c := range allOf(w.m.resolved) {
+	for a, c := range iterate(s.merger.resolved) {
 		all = append(all, fmt.Sprint("s", a, c.missedAnswers))
 	}
 	slices.Sort(all)
-	return fmt.Sprint(b.String(), all, w.m.lastKept, min(w.m.shrunkenInRow[0], shrinkConfirmations), min(w.m.shrunkenInRow[1], shrinkConfirmations), len(w.closed))
+	return fmt.Sprint(b.String(), all, s.merger.keptAddress, min(s.merger.consecutiveShrinks[0], shrinkConfirmations), min(s.merger.consecutiveShrinks[1], shrinkConfirmations), len(s.retired))
 }
 
 // event is something that can happen to a merge; a failure must take no backend away.
 type event struct {
 	name    string
 	failure bool
-	do      func(m *Merger, closed map[string]bool) []Entry
+	do      func(m *Merger, retired map[string]bool) []Entry
 }
 
 // events are all that can happen to n backends at as many addresses.
 func events(n int) (all []event) {
 	for i := range n {
 		for _, state := range []policy.EndpointState{policy.EndpointRunning, policy.EndpointDraining, policy.EndpointRemoved} {
-			all = append(all, event{fmt.Sprint("discovery ", i, " ", state), false, func(m *Merger, closed map[string]bool) []Entry {
+			all = append(all, event{fmt.Sprint("discovery ", i, " ", state), false, func(m *Merger, retired map[string]bool) []Entry {
 				if state == policy.EndpointRunning {
-					delete(closed, address(i))
+					delete(retired, address(i))
 				} else {
-					closed[address(i)] = true
+					retired[address(i)] = true
 				}
 				return m.UpdateDiscovered(1, []Entry{entry(i, i, state)}, false)
 			}})
@@ -116,9 +116,9 @@
 		}
 		all = append(all, event{fmt.Sprint("srv ", which), set == 0, func(m *Merger, _ map[string]bool) []Entry {
 			return m.UpdateResolved(1, observations(which...))
-		}}, event{fmt.Sprint("whole ", which), set == 0, func(m *Merger, closed map[string]bool) []Entry {
+		}}, event{fmt.Sprint("whole ", which), set == 0, func(m *Merger, retired map[string]bool) []Entry {
 			for _, i := range which {
-				delete(closed, address(i))
+				delete(retired, address(i))
 			}
 			return m.UpdateDiscovered(1, list, true)
 		}})
@@ -160,7 +160,7 @@
 				queue = append(queue, next)
 			}
 		}
-		for _, drain := range drains(all, backends) {
+		for _, drain := range drainEvents(all, backends) {
 			pairs += checkBothOrders(t, state, drain, all)
 		}
 	}
@@ -171,7 +171,7 @@
 }
 
 // drains are the events by which discovery reports a drain.
-func drains(all []event, backends int) (some []event) {
+func drainEvents(all []event, backends int) (some []event) {
 	for i := range backends {
 		some = append(some, all[3*i+1])
 	}
@@ -191,10 +191,10 @@
 		b, _ := state.step(answer.do, false)
 		b, _ = b.step(drain.do, false)
 		// But for one: the last that runs is kept when it is not named, and a drain of the others makes it the last.
-		keptNone := a.m.lastKept == "" && b.m.lastKept == ""
-		if keptNone && shown(&a.m) != shown(&b.m) {
-			t.Fatalf("%s and %s after %s: %s, and in the other order %s", drain.name, answer.name, state.key(), shown(&a.m),
-				shown(&b.m))
+		keptNone := a.merger.keptAddress == "" && b.merger.keptAddress == ""
+		if keptNone && formatFleet(&a.merger) != formatFleet(&b.merger) {
+			t.Fatalf("%s and %s after %s: %s, and in the other order %s", drain.name, answer.name, state.key(), formatFleet(&a.merger),
+				formatFleet(&b.merger))
 		}
 	}
 	return pairs
@@ -204,10 +204,10 @@
 func TestProperties(t *testing.T) {
 	all := events(5)
 	rapid.Check(t, func(t *rapid.T) {
-		w := newModelState()
+		s := newModelState()
 		for _, k := range rapid.SliceOfN(rapid.IntRange(0, len(all)-1), 1, 60).Draw(t, "events") {
 			var err error
-			if w, err = w.step(all[k].do, all[k].failure); err != nil {
+			if s, err = s.step(all[k].do, all[k].failure); err != nil {
 				t.Fatalf("%s: %v", all[k].name, err)
 			}
 		}
--- a/internal/sources/persist.go
+++ b/internal/sources/persist.go
@@ -23,32 +23,32 @@
 
 // Snapshot returns the merger's memory.
 func (m *Merger) Snapshot() MergerState {
-	memory := MergerState{Retired: map[string]float64{}}
-	for address, at := range allOf(m.retired) {
-		memory.Retired[address] = at
+	state := MergerState{Retired: map[string]float64{}}
+	for address, at := range iterate(m.retired) {
+		state.Retired[address] = at
 	}
-	for _, endpoint := range allOf(m.resolved) {
-		memory.SRV = append(memory.SRV, SavedObservation{endpoint.Observation, endpoint.firstSeen, endpoint.lastSeen})
+	for _, endpoint := range iterate(m.resolved) {
+		state.SRV = append(state.SRV, SavedObservation{endpoint.Observation, endpoint.firstSeen, endpoint.lastSeen})
 	}
-	slices.SortFunc(memory.SRV, func(a, b SavedObservation) int { return cmp.Compare(a.Address, b.Address) })
-	return memory
+	slices.SortFunc(state.SRV, func(a, b SavedObservation) int { return cmp.Compare(a.Address, b.Address) })
+	return state
 }
 
 // Restore gives a new merger the memory of an earlier one and returns the changes for the core. What was last named too
 // long ago is left out.
-func (m *Merger) Restore(now float64, memory MergerState) (changes []Entry) {
-	for address, at := range memory.Retired {
+func (m *Merger) Restore(now float64, state MergerState) (changes []Entry) {
+	for address, at := range state.Retired {
 		// A later time means that the clock was set back: the address would stay closed for as long.
 		m.retired = m.retired.Set(address, min(at, now))
 	}
 	var fresh []Observation
-	for _, saved := range memory.SRV {
+	for _, saved := range state.SRV {
 		if now-saved.LastSeen <= maxResolvedAgeMs {
 			fresh = append(fresh, saved.Observation)
 		}
 	}
 	changes = m.UpdateResolved(now, fresh)
-	for _, saved := range memory.SRV {
+	for _, saved := range state.SRV {
 		if endpoint, ok := m.resolved.Get(saved.Address); ok {
 			endpoint.lastSeen = min(saved.LastSeen, now)
 			m.resolved = m.resolved.Set(saved.Address, endpoint)
--- a/internal/sources/rules.go
+++ b/internal/sources/rules.go
@@ -12,10 +12,10 @@
 type candidate struct{ id, address string }
 
 // resolvedAt is the backend that SRV names at an address.
-func resolvedAt(address string) candidate { return candidate{"srv:" + address, address} }
+func resolvedCandidate(address string) candidate { return candidate{"srv:" + address, address} }
 
 // isResolved reports whether the candidate is the one that SRV names.
-func (c candidate) isResolved() bool { return c == resolvedAt(c.address) }
+func (c candidate) isResolved() bool { return c == resolvedCandidate(c.address) }
 
 // rule says what a backend is, where it applies.
 type rule struct {
@@ -43,7 +43,7 @@
 	{ruleDraining, (*Merger).isDraining, (*Merger).discoveredEntry},
 	{ruleListed, (*Merger).isListed, (*Merger).discoveredEntry},
 	// Discovery lists a backend at this address: SRV names that one.
-	{ruleSame, (*Merger).isListedElsewise, (*Merger).removedEntry},
+	{ruleSame, (*Merger).isAddressListed, (*Merger).removedEntry},
 	// Discovery drained or removed the backend at this address, and SRV still names it.
 	{ruleEnded, (*Merger).isRetired, (*Merger).removedEntry},
 	// RFC 2782: a higher priority number is for when none of the lower runs; those that discovery lists count too.
@@ -75,7 +75,7 @@
 	return ok
 }
 
-func (m *Merger) isListedElsewise(c candidate) bool {
+func (m *Merger) isAddressListed(c candidate) bool {
 	_, listed := m.listedAt.Get(c.address)
 	return listed && c.isResolved()
 }
@@ -124,11 +124,11 @@
 }
 
 // decide goes through the rules for one backend, changes the fleet and appends the change that the core has to take.
-func (m *Merger) decide(changes []Entry, c candidate) []Entry {
-	decided := m.firstRule(c)
+func (m *Merger) applyRules(changes []Entry, c candidate) []Entry {
+	decided := m.evaluateRules(c)
 	previous, present := m.fleet.Get(c.id)
-	if m.keepsLast(c, decided, previous, present) {
-		m.lastKept = c.address
+	if m.keepsLastRunning(c, decided, previous, present) {
+		m.keptAddress = c.address
 		return changes
 	}
 	removed := decided.State == policy.EndpointRemoved
@@ -149,7 +149,7 @@
 }
 
 // firstRule is the entry of the first rule that applies.
-func (m *Merger) firstRule(c candidate) (e Entry) {
+func (m *Merger) evaluateRules(c candidate) (e Entry) {
 	for _, r := range rules {
 		if r.applies(m, c) {
 			e = r.entry(m, c)
@@ -162,7 +162,7 @@
 
 // keepsLast reports whether a backend stays though it is named no more: the last that runs is not taken away by a name that is
 // missing, but once another runs (reconcileSpares).
-func (m *Merger) keepsLast(c candidate, decided, previous Entry, present bool) bool {
+func (m *Merger) keepsLastRunning(c candidate, decided, previous Entry, present bool) bool {
 	isLastRunning := present && previous.State == policy.EndpointRunning && m.fleet.Running == 1
 	return isLastRunning && decided.Rule == ruleUnnamed && c.isResolved()
 }
--- a/internal/sources/rules_test.go
+++ b/internal/sources/rules_test.go
@@ -9,7 +9,9 @@
 // The merge rule, row by row.
 func TestRules(t *testing.T) {
 	run, drain, gone := policy.EndpointRunning, policy.EndpointDraining, policy.EndpointRemoved
-	list := func(whole bool, e ...Entry) func(*Merger) { return func(m *Merger) { m.UpdateDiscovered(1, e, whole) } }
+	list := func(snapshot bool, e ...Entry) func(*Merger) {
+		return func(m *Merger) { m.UpdateDiscovered(1, e, snapshot) }
+	}
 	srv := func(which ...int) func(*Merger) {
 		return func(m *Merger) { m.UpdateResolved(1, observations(which...)) }
 	}
@@ -54,7 +56,7 @@
 			for _, do := range c.do {
 				do(m)
 			}
-			if got := shown(m); got != c.want {
+			if got := formatFleet(m); got != c.want {
 				t.Errorf("got  %s\nwant %s", got, c.want)
 			}
 		})
@@ -62,15 +64,15 @@
 }
 
 // What SRV adds is on trial in the first stage, cold from when it was first named, and rated by its weight.
-func TestAdded(t *testing.T) {
+func TestResolvedEntries(t *testing.T) {
 	m := New()
 	changes := m.UpdateResolved(7, []Observation{{address(1), 1, 30}, {address(2), 1, 10}, {address(3), 1, 0}})
 	if len(changes) != 3 {
 		t.Fatalf("%d changes", len(changes))
 	}
-	for i, rating := range []float64{2.25, 0.75, minWeight} {
-		if e := changes[i]; e.Release != policy.UnknownRelease || e.StartedAt != 7 || e.Weight != rating {
-			t.Errorf("%+v, want a rating of %v", e, rating)
+	for i, weight := range []float64{2.25, 0.75, minWeight} {
+		if e := changes[i]; e.Release != policy.UnknownRelease || e.StartedAt != 7 || e.Weight != weight {
+			t.Errorf("%+v, want a rating of %v", e, weight)
 		}
 	}
 	if again := m.UpdateResolved(9, []Observation{{address(1), 1, 30}, {address(2), 1, 10}, {address(3), 1, 0}}); len(again) != 0 {
--- a/internal/sources/sources.go
+++ b/internal/sources/sources.go
@@ -69,10 +69,10 @@
 func (v View) Len() int { return v.entries.Len() }
 
 // All yields all backends by id, in no particular order.
-func (v View) All() iter.Seq2[string, Entry] { return allOf(v.entries) }
+func (v View) All() iter.Seq2[string, Entry] { return iterate(v.entries) }
 
 // allOf yields what a map holds, in the map's own order, which depends on its keys alone.
-func allOf[V any](m *immutable.Map[string, V]) iter.Seq2[string, V] {
+func iterate[V any](m *immutable.Map[string, V]) iter.Seq2[string, V] {
 	return func(yield func(string, V) bool) {
 		for i := m.Iterator(); !i.Done(); {
 			if key, value, _ := i.Next(); !yield(key, value) {
--- a/internal/sources/spares.go
+++ b/internal/sources/spares.go
@@ -7,16 +7,16 @@
 func (m *Merger) reconcileSpares(changes []Entry) []Entry {
 	if hasPrimaries := m.primaries > 0; hasPrimaries != m.hadPrimaries {
 		m.hadPrimaries = hasPrimaries
-		for address, endpoint := range allOf(m.resolved) {
+		for address, endpoint := range iterate(m.resolved) {
 			if endpoint.Priority > m.bestPriority {
-				changes = m.decide(changes, resolvedAt(address))
+				changes = m.applyRules(changes, resolvedCandidate(address))
 			}
 		}
 	}
-	if m.lastKept != "" && m.fleet.Running > 1 {
-		address := m.lastKept
-		m.lastKept = ""
-		changes = m.decide(changes, resolvedAt(address))
+	if m.keptAddress != "" && m.fleet.Running > 1 {
+		address := m.keptAddress
+		m.keptAddress = ""
+		changes = m.applyRules(changes, resolvedCandidate(address))
 	}
 	return changes
 }
--- a/internal/sources/subset.go
+++ b/internal/sources/subset.go
@@ -13,10 +13,10 @@
 
 // SubsetOptions say which part of the fleet an instance works with.
 type SubsetOptions struct {
-	Instance      int // its number, from 0
-	Instances     int // in the fleet
-	Size          int // backends in the subset; 0: all
-	LeastPerGroup int // of each release and zone that is there, however small Size is
+	Instance    int // its number, from 0
+	Instances   int // in the fleet
+	Size        int // backends in the subset; 0: all
+	MinPerGroup int // of each release and zone that is there, however small Size is
 }
 
 // Subset returns the ids of an instance's part of the fleet. Backends are points on a ring by the hash of their id; instances begin
@@ -25,7 +25,7 @@
 // two. Whatever drains stays in, so that no drain is missed. Nothing is left out where Size is 0 or the fleet is no larger.
 func Subset(o SubsetOptions, fleet []Entry) map[string]bool {
 	if o.Size <= 0 || o.Size >= len(fleet) || o.Instances <= 0 {
-		return idsOf(fleet)
+		return entryIDs(fleet)
 	}
 	chosen := make(map[string]bool, o.Size)
 	ring := make([]ringPoint, 0, len(fleet))
@@ -42,8 +42,8 @@
 	}
 	o.chooseWindow(chosen, ring, o.Size)
 	for _, group := range byGroup { // in any order: each adds only its own backends
-		if countChosen(chosen, group) < o.LeastPerGroup {
-			o.chooseWindow(chosen, group, o.LeastPerGroup)
+		if countChosen(chosen, group) < o.MinPerGroup {
+			o.chooseWindow(chosen, group, o.MinPerGroup)
 		}
 	}
 	return chosen
@@ -79,7 +79,7 @@
 	return n
 }
 
-func idsOf(entries []Entry) map[string]bool {
+func entryIDs(entries []Entry) map[string]bool {
 	ids := make(map[string]bool, len(entries))
 	for _, e := range entries {
 		ids[e.ID] = true
@@ -111,7 +111,7 @@
 			subsetChanges = append(subsetChanges, e)
 		}
 	}
-	changed := idsOf(changes)
+	changed := entryIDs(changes)
 	for _, e := range all {
 		entered := chosen[e.ID] && !f.chosen[e.ID]
 		if entered && !changed[e.ID] {
--- a/internal/sources/subset_test.go
+++ b/internal/sources/subset_test.go
@@ -12,7 +12,7 @@
 	"onyxgate/policy"
 )
 
-func fleetOf(n int) (fleet []Entry) {
+func newFleet(n int) (fleet []Entry) {
 	for i := range n {
 		release := policy.ReleaseID(1)
 		if i%50 == 0 {
@@ -24,12 +24,12 @@
 }
 
 // The subsets that the tests look at.
-const instances, subsetSize, leastPerGroup = 50, 40, 3
+const instances, subsetSize, minPerGroup = 50, 40, 3
 
 // subsetsOf returns every instance's subset.
 func subsetsOf(instances int, fleet []Entry) (subsets []map[string]bool) {
 	for i := range instances {
-		subsets = append(subsets, Subset(SubsetOptions{i, instances, subsetSize, leastPerGroup}, fleet))
+		subsets = append(subsets, Subset(SubsetOptions{i, instances, subsetSize, minPerGroup}, fleet))
 	}
 	return subsets
 }
@@ -46,13 +46,13 @@
 
 // The load is even, every release and zone is there, what drains is in, and little moves when a backend or an instance comes or goes.
 func TestSubset(t *testing.T) {
-	fleet := fleetOf(1000)
+	fleet := newFleet(1000)
 	fleet[7].State = policy.EndpointDraining
 	before := subsetsOf(instances, fleet)
 	t.Run("size and groups", func(t *testing.T) {
 		for i, subset := range before {
 			trial := countIn(subset, fleet, 2)
-			if len(subset) < subsetSize || len(subset) > subsetSize+2*leastPerGroup+1 || trial < leastPerGroup || !subset["s-7"] {
+			if len(subset) < subsetSize || len(subset) > subsetSize+2*minPerGroup+1 || trial < minPerGroup || !subset["s-7"] {
 				t.Errorf("instance %d has %d, %d of them on trial", i, len(subset), trial)
 			}
 		}
@@ -65,7 +65,7 @@
 		most      float64 // share of the subsets that changes
 	}{
 		{"an endpoint goes", instances, append(slices.Clone(fleet[:500]), fleet[501:]...), 0.05},
-		{"ten come", instances, append(slices.Clone(fleet), fleetOf(1010)[1000:]...), 0.2},
+		{"ten come", instances, append(slices.Clone(fleet), newFleet(1010)[1000:]...), 0.2},
 		{"an instance comes", instances + 1, fleet, 0.5},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -76,7 +76,7 @@
 	}
 	for _, size := range []int{0, 1000, 2000} {
 		t.Run(fmt.Sprint("size ", size, " leaves nothing out"), func(t *testing.T) {
-			if subset := Subset(SubsetOptions{1, instances, size, leastPerGroup}, fleet); len(subset) != 1000 {
+			if subset := Subset(SubsetOptions{1, instances, size, minPerGroup}, fleet); len(subset) != 1000 {
 				t.Errorf("size %d: %d", size, len(subset))
 			}
 		})
@@ -114,7 +114,7 @@
 // A filter's changes, applied in order, give the subset of the fleet as it is.
 func TestSubsetFilter(t *testing.T) {
 	m := New()
-	options := SubsetOptions{Instance: 1, Instances: 4, Size: 10, LeastPerGroup: 2}
+	options := SubsetOptions{Instance: 1, Instances: 4, Size: 10, MinPerGroup: 2}
 	filter, applied := NewSubsetFilter(options), map[string]policy.EndpointState{}
 	random := rand.New(rand.NewPCG(5, 5))
 	for step := range 500 {
@@ -147,7 +147,7 @@
 // BenchmarkSubset also measures balance, the most instances over the mean, and churn when one instance more comes, against
 // random subsets and rendezvous hashing.
 func BenchmarkSubset(b *testing.B) {
-	fleet := fleetOf(benchBackends)
+	fleet := newFleet(benchBackends)
 	for _, c := range []struct {
 		name string
 		pick func(instance, instances int) map[string]bool
--- a/policy/admission/admission.go
+++ b/policy/admission/admission.go
@@ -99,19 +99,19 @@
 type ArrivalRate struct {
 	count     float64 // decayed
 	updatedAt float64 // ms
-	since     float64 // ms; 0: nothing has arrived yet
+	firstAt   float64 // ms; 0: nothing has arrived yet
 }
 
 // Add counts one request.
 func (r *ArrivalRate) Add(now float64) {
 	r.count = r.count*math.Exp(-(now-r.updatedAt)/arrivalWindow) + 1
 	r.updatedAt = now
-	if r.since == 0 {
-		r.since = now
+	if r.firstAt == 0 {
+		r.firstAt = now
 	}
 }
 
 // PerWindow is the number of requests in one averaging window (3 s), corrected for a short observation.
 func (r *ArrivalRate) PerWindow(now float64) float64 {
-	return r.count * math.Exp(-(now-r.updatedAt)/arrivalWindow) / max(1-math.Exp(-(now-r.since)/arrivalWindow), minObservedShare)
+	return r.count * math.Exp(-(now-r.updatedAt)/arrivalWindow) / max(1-math.Exp(-(now-r.firstAt)/arrivalWindow), minObservedShare)
 }
--- a/policy/concurrency/concurrency.go
+++ b/policy/concurrency/concurrency.go
@@ -29,15 +29,15 @@
 // OnSample moves the limit by one answer, that came in time or late, with the attempts still open at the backend and the
 // number of instances in the fleet. It returns by how much the limit has changed.
 func (l *Limit) OnSample(inTime bool, open, instances int) (change float64) {
-	was := float64(*l)
-	limit := was
+	previous := float64(*l)
+	limit := previous
 	if inTime && float64(open)+1 > useThreshold*limit {
 		limit += increase
 	} else if !inTime {
 		limit = max(limit-decrease, minLimit/float64(instances))
 	}
 	*l = Limit(limit)
-	return limit - was
+	return limit - previous
 }
 
 const (
