--- a/policy/concurrency/concurrency.go
+++ b/policy/concurrency/concurrency.go
@@ -1,7 +1,8 @@
 // Package concurrency limits the attempts that an instance has open at a backend.
 //
-// It owns the adaptive limit (Limit) and the ejection after quick failures (Ejection) of one backend. It must never choose a backend or
-// know why an attempt failed: the caller says which ends of attempts are samples of load and which are quick failures.
+// It provides the adaptive concurrency limit (Limit) and the ejection after fast failures (Ejection) of one backend.
+// It does not choose backends and does not know why an attempt failed: the caller decides which attempt results are
+// load samples and which are fast failures.
 package concurrency
 
 import (
@@ -10,24 +11,27 @@
 )
 
 const (
-	// InitialLimit is the limit, in open attempts, of a backend of which nothing is known.
+	// InitialLimit is the limit, in open attempts, of a backend with no history.
 	InitialLimit Limit = 4
-	// minLimit is the lowest limit, for all instances together: a backend must always get some requests, or it could never show
-	// that it has recovered.
+	// minLimit is the lowest limit, summed over all instances. A backend must always receive some requests, or it
+	// could never show that it has recovered.
 	minLimit = 2
 	// increase is added to the limit for each answer in time while the limit is in use.
 	increase = 0.20
-	// decrease is taken off for each late answer. It is far larger than increase, so that a queue at the backend drains at once.
+	// decrease is subtracted for each late answer. It is much larger than increase so that a queue at the backend
+	// drains quickly.
 	decrease = 4.0
-	// useThreshold is the part of the limit from which it counts as in use: an unused limit must not grow, for nothing tests it.
+	// useThreshold is the fraction of the limit above which the limit counts as in use. An unused limit must not
+	// grow, because nothing has tested it.
 	useThreshold = 0.6
 )
 
-// Limit is how many attempts an instance may have open at one backend. It grows while answers come in time and falls for late ones.
+// Limit is the number of attempts an instance may have open at one backend. It grows while answers arrive in time and
+// shrinks when they are late.
 type Limit float64
 
-// OnSample moves the limit by one answer, that came in time or late, with the attempts still open at the backend and the
-// number of instances in the fleet. It returns by how much the limit has changed.
+// OnSample adjusts the limit for one answer and returns the change. open is the number of attempts still open at the
+// backend, and instances the number of instances in the fleet.
 func (l *Limit) OnSample(inTime bool, open, instances int) (change float64) {
 	previous := float64(*l)
 	limit := previous
@@ -41,27 +45,29 @@
 }
 
 const (
-	// firstEjection and maxEjection (ms) are the mean time without requests after one quick failure and the bound on it after many.
+	// firstEjection and maxEjection (ms) are the mean length of the first ejection and the upper bound on the mean
+	// after repeated failures.
 	firstEjection, maxEjection = 20, 1000
-	// minJitter and jitter spread an ejection over 0.5 to 1.5 of its mean, so that instances don't return all at once.
+	// minJitter and jitter spread ejections over 0.5 to 1.5 times the mean, so that instances do not return to the
+	// backend at the same moment.
 	minJitter, jitter = 0.5, 1
 )
 
-// Ejection keeps requests away from a backend after quick failures, for longer after each one in a row. A backend that fails at once
-// never has many attempts open and would otherwise draw all requests: a dead process, a full one, a broken release, a stale
-// endpoint list. The zero value is not ejected.
+// Ejection keeps requests away from a backend after fast failures, for longer after each consecutive one. A backend
+// that fails immediately never has many attempts open and would otherwise attract all requests. Causes include a dead
+// process, a full queue, a broken release and a stale endpoint list. The zero value is not ejected.
 type Ejection struct {
 	consecutiveFailures float64
 	until               float64 // ms
 }
 
-// Active says whether the backend is ejected at a time in ms.
+// Active reports whether the backend is ejected at the given time (ms).
 func (e *Ejection) Active(now float64) bool { return now < e.until }
 
-// OnSuccess ends the row of failures; an ejection that is running goes on.
+// OnSuccess resets the count of consecutive failures. It does not end an ejection that is in progress.
 func (e *Ejection) OnSuccess() { e.consecutiveFailures = 0 }
 
-// OnFailure starts or prolongs an ejection. It draws one random number.
+// OnFailure starts or extends an ejection. It draws exactly one random number.
 func (e *Ejection) OnFailure(now float64, rng *rand.Rand) {
 	pause := min(firstEjection*math.Pow(2, e.consecutiveFailures), maxEjection) * (minJitter + jitter*rng.Float64())
 	e.consecutiveFailures, e.until = e.consecutiveFailures+1, max(e.until, now+pause)
--- a/policy/concurrency/concurrency_test.go
+++ b/policy/concurrency/concurrency_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// What one answer does to a limit of 4.
+// The effect of one answer on a limit of 4.
 func TestOnSample(t *testing.T) {
 	for _, tc := range []struct {
 		name            string
@@ -16,7 +16,7 @@
 		{"in time, in use", true, 3, 1, 4.2},
 		{"in time, hardly used", true, 1, 1, 4},
 		{"late, one instance", false, 3, 1, 2},
-		{"late, many instances share the least", false, 3, 20, 0.1},
+		{"late, many instances share the minimum", false, 3, 20, 0.1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			limit := InitialLimit
@@ -25,13 +25,13 @@
 				t.Errorf("limit %v, want %v", limit, tc.want)
 			}
 			if change != float64(limit)-float64(InitialLimit) {
-				t.Errorf("change %v, but the limit is now %v", change, limit)
+				t.Errorf("change = %v, want %v - %v", change, limit, InitialLimit)
 			}
 		})
 	}
 }
 
-// Ejections grow with each failure in a row up to the bound, and start small again after a success.
+// Ejections grow with each consecutive failure up to the bound, and start small again after a success.
 func TestEjection(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	var ejection Ejection
@@ -40,7 +40,7 @@
 		ejection.OnFailure(now, rng)
 		lasts = ejection.until - now
 		if !ejection.Active(now) || ejection.Active(ejection.until) {
-			t.Errorf("active %v now, %v at its end", ejection.Active(now), ejection.Active(ejection.until))
+			t.Errorf("Active = %v at the start, %v at the end; want true, false", ejection.Active(now), ejection.Active(ejection.until))
 		}
 		now = ejection.until
 		return lasts
@@ -52,6 +52,6 @@
 	}
 	ejection.OnSuccess()
 	if lasts := fail(); lasts > 1.5*firstEjection {
-		t.Errorf("after a success: ejected for %.0f ms", lasts)
+		t.Errorf("after a success: ejected for %.0f ms, want at most %.0f", lasts, 1.5*firstEjection)
 	}
 }
--- a/policy/endpoints/endpoints.go
+++ b/policy/endpoints/endpoints.go
@@ -1,8 +1,7 @@
-// Package endpoints holds what an instance knows of each backend.
-//
-// It owns the listing (which backends there are, in which state, of which release), when a listed backend is a new process, and what
-// was learned of that process. It must never choose a backend, send anything or ask a clock: times are the caller's, in ms. A Table is for
-// one goroutine.
+// Package endpoints holds the state that an instance keeps for each backend: its listing (state, release, weight,
+// location), whether a listed backend is a new process, and what has been measured of that process. It does not
+// choose backends, send anything or read a clock; times are passed in by the caller, in milliseconds. A Table must be
+// used by one goroutine only.
 package endpoints
 
 import (
@@ -17,111 +16,116 @@
 // State is the state of a backend in the endpoint list.
 type State uint8
 
-// States of a backend. Only a running one gets requests; a draining one finishes those that it has.
+// The states of a backend. Only a running backend receives requests; a draining one finishes those it has.
 const (
 	Running State = iota
 	Draining
 	Removed
 )
 
-// Endpoint is one backend as the endpoint list shows it.
+// Endpoint is one backend as listed in the endpoint list.
 type Endpoint struct {
 	ID            string
 	Release       release.ID
 	State         State
-	Weight        float64 // capacity against that of other backends
-	StartedAt     float64 // ms, start of its process; 0: long ago
+	Weight        float64 // capacity relative to other backends
+	StartedAt     float64 // ms, when the process started; 0: long ago
 	Zone          int
 	HardwareClass int
 	Cell          int
 }
 
 const (
-	// minWeight is the least weight that counts: weights are divided by.
+	// minWeight is the lower bound on weights, because code divides by them.
 	minWeight = 0.01
-	// neverStarted is the start of an entry that has no process yet; no listed start is equal to it.
+	// neverStarted is the start time of an entry that has no process yet. No listed start time equals it.
 	neverStarted = -1
-	// minBackendsForReuse is the number of entries from which those of backends that have gone are used again. Below it they cost little.
+	// minBackendsForReuse is the table size from which entries of removed backends are reused. In a smaller table,
+	// unused entries cost little.
 	minBackendsForReuse = 64
-	// reuseAfter (ms) is how long an entry stays after its backend was removed: no request that knows its index is left by then.
+	// reuseAfter (ms) is how long an entry is kept after its backend was removed. After that time no request still
+	// refers to its index.
 	reuseAfter = 60000
 )
 
-// Backend is what is known of one backend. Its entry keeps its index as long as any request may know it.
+// Backend is the state kept for one backend. It keeps its index for as long as a request may refer to it.
 type Backend struct {
 	ID        string
 	Release   release.ID
 	State     State
 	Weight    float64 // at least minWeight
 	StartedAt float64 // ms, as listed
-	UpSince   float64 // ms, since when it has been up at the latest; 0: long ago
+	UpSince   float64 // ms, latest possible time at which it came up; 0: long ago
 	Zone      int
 	Cell      int
 	removedAt float64 // ms, when it was last listed or removed
 
-	OpenAttempts int // own ones
+	OpenAttempts int // open attempts of this instance
 
-	// What was learned of the process that runs there now.
+	// Measurements of the current process.
 	Limit            concurrency.Limit
 	Ejection         concurrency.Ejection
 	Health           health.Record
 	Load             balance.Load
 	SlowStart        slowstart.Budget
-	LatencyInflation float64 // mean of latency over the class's usual one
+	LatencyInflation float64 // mean ratio of latency to the usual latency of the class
 }
 
-// IsNewProcess says whether an endpoint is another process than the one that was known: an id that is used again, or a restart.
+// IsNewProcess reports whether the listed endpoint is a different process from the known one, because of a restart or
+// because the id was reused.
 func (b *Backend) IsNewProcess(listed Endpoint) bool {
 	return b.StartedAt != listed.StartedAt || b.Release != listed.Release
 }
 
-// ResetForNewProcess forgets what was learned of the former process. upSince is since when the new one has been up.
+// ResetForNewProcess discards the measurements of the previous process. upSince is the time since which the new
+// process has been up.
 func (b *Backend) ResetForNewProcess(upSince, now float64) {
 	b.Health, b.LatencyInflation, b.SlowStart = health.Record{}, 1, slowstart.NewBudget(0, now)
 	b.Ejection, b.Load, b.Limit = concurrency.Ejection{}, balance.Load{}, concurrency.InitialLimit
 	b.UpSince = upSince
 }
 
-// Update takes what the list shows.
+// Update applies a listing of the backend.
 func (b *Backend) Update(listed Endpoint, now float64) {
 	b.Release, b.Zone, b.Cell = listed.Release, listed.Zone, listed.Cell
 	b.State, b.Weight, b.StartedAt, b.removedAt = listed.State, max(listed.Weight, minWeight), listed.StartedAt, now
 }
 
-// Table is all backends, each under a small index.
+// Table holds all backends, each under a small index.
 type Table struct {
 	backends []Backend
 	byID     map[string]int
-	byHash   map[uint32]int // by the name in outcome summaries
+	byHash   map[uint32]int // by the hash of the id that outcome summaries use
 }
 
-// NewTable is a table without backends.
+// NewTable returns an empty table.
 func NewTable() *Table {
 	return &Table{byID: map[string]int{}, byHash: map[uint32]int{}}
 }
 
-// Len is the number of entries, those of removed backends included.
+// Len returns the number of entries, including those of removed backends.
 func (t *Table) Len() int { return len(t.backends) }
 
-// At is the entry at an index. It is valid until the next Add.
+// At returns the entry at index. The pointer is valid until the next call to Add.
 func (t *Table) At(index int) *Backend { return &t.backends[index] }
 
-// Find is the index of the backend with an id.
+// Find returns the index of the backend with the given id.
 func (t *Table) Find(id string) (index int, found bool) {
 	index, found = t.byID[id]
 	return index, found
 }
 
-// FindHash is the index of the backend with a name in outcome summaries.
+// FindHash returns the index of the backend whose id has the given hash in outcome summaries.
 func (t *Table) FindHash(hash uint32) (index int, found bool) {
 	index, found = t.byHash[hash]
 	return index, found
 }
 
-// IndexSizes is how many ids and how many hashes can be found.
+// IndexSizes returns the number of ids and hashes in the lookup maps.
 func (t *Table) IndexSizes() (ids, hashes int) { return len(t.byID), len(t.byHash) }
 
-// RemoveAll removes every backend, since a snapshot names those that are there.
+// RemoveAll marks every backend as removed. It is called before a snapshot is applied, which lists all existing
+// backends.
 func (t *Table) RemoveAll(now float64) {
 	for index := range t.backends {
 		if backend := &t.backends[index]; backend.State != Removed {
@@ -130,8 +134,8 @@
 	}
 }
 
-// Add makes an entry for an id that is not found. Where there are many entries it takes that of a backend long gone and says so: the
-// caller must forget what it knows under that index.
+// Add creates an entry for an id that is not in the table. In a large table it may reuse the entry of a backend that
+// was removed long ago and report so; the caller must then discard its own state for that index.
 func (t *Table) Add(id string, now float64) (index int, reused bool) {
 	index, reused = t.findReusable(now)
 	if reused {
--- a/policy/endpoints/endpoints_test.go
+++ b/policy/endpoints/endpoints_test.go
@@ -7,7 +7,7 @@
 	"onyxgate/policy/concurrency"
 )
 
-// list adds a backend where it is new and updates it.
+// list updates a backend, adding it to the table if it is new.
 func list(table *Table, listed Endpoint, now float64) (index int, reused bool) {
 	index, found := table.Find(listed.ID)
 	if !found {
@@ -17,7 +17,7 @@
 	return index, reused
 }
 
-// What makes a listed endpoint a new process.
+// Only a changed start time or release makes a listed endpoint a new process.
 func TestIsNewProcess(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -33,17 +33,17 @@
 			table := NewTable()
 			index, _ := table.Add("a", 1)
 			if !table.At(index).IsNewProcess(Endpoint{ID: "a"}) {
-				t.Error("an entry that was just added has a process")
+				t.Error("IsNewProcess = false for a newly added entry, want true")
 			}
 			list(table, Endpoint{ID: "a", Release: 1, StartedAt: 500}, 1000)
 			if got := table.At(index).IsNewProcess(tc.listed); got != tc.want {
-				t.Errorf("new process %v, want %v", got, tc.want)
+				t.Errorf("IsNewProcess = %v, want %v", got, tc.want)
 			}
 		})
 	}
 }
 
-// Nothing that was learned of a process is believed of the next one.
+// Measurements of a process are not carried over to the next one.
 func TestStartProcess(t *testing.T) {
 	table := NewTable()
 	index, _ := table.Add("a", 1)
@@ -54,7 +54,7 @@
 	b.LatencyInflation = 4
 	b.ResetForNewProcess(900, 1000)
 	if b.Limit != concurrency.InitialLimit || b.LatencyInflation != 1 || b.UpSince != 900 {
-		t.Errorf("after a restart: limit %v, inflation %v, up since %v", b.Limit, b.LatencyInflation, b.UpSince)
+		t.Errorf("after a restart: limit %v, inflation %v, up since %v; want %v, 1, 900", b.Limit, b.LatencyInflation, b.UpSince, concurrency.InitialLimit)
 	}
 	var fresh Backend
 	if b.Health != fresh.Health {
@@ -62,7 +62,7 @@
 	}
 }
 
-// A snapshot removes what it does not name, and a weight is never 0.
+// A snapshot removes the backends that it does not list, and a weight of 0 is raised to minWeight.
 func TestRemoveAll(t *testing.T) {
 	table := NewTable()
 	a, _ := list(table, Endpoint{ID: "a", Weight: 2}, 1)
@@ -70,20 +70,20 @@
 	table.RemoveAll(2)
 	list(table, Endpoint{ID: "b"}, 2)
 	if table.At(a).State != Removed || table.At(b).State != Running {
-		t.Errorf("a is in state %d and b in %d", table.At(a).State, table.At(b).State)
+		t.Errorf("states of a and b: %d and %d, want %d and %d", table.At(a).State, table.At(b).State, Removed, Running)
 	}
 	if table.At(a).Weight != 2 || table.At(b).Weight != minWeight {
-		t.Errorf("weights %v and %v", table.At(a).Weight, table.At(b).Weight)
+		t.Errorf("weights of a and b: %v and %v, want 2 and %v", table.At(a).Weight, table.At(b).Weight, minWeight)
 	}
 }
 
-// When the entry of a removed backend is used again.
+// An entry is reused only in a large table, a minute after its backend was removed, and with no attempt open.
 func TestReuse(t *testing.T) {
 	for _, tc := range []struct {
 		name         string
 		backends     int
 		openAttempts int
-		after        float64 // ms since it was removed
+		after        float64 // ms since the backend was removed
 		want         bool
 	}{
 		{"long gone", minBackendsForReuse, 0, reuseAfter + 1, true},
@@ -100,11 +100,11 @@
 			table.At(gone).OpenAttempts = tc.openAttempts
 			index, reused := list(table, Endpoint{ID: "new"}, 1000+tc.after)
 			if reused != tc.want || (index == gone) != tc.want {
-				t.Errorf("index %d, reused %v, want %v", index, reused, tc.want)
+				t.Errorf("index %d (removed entry: %d), reused = %v, want %v", index, gone, reused, tc.want)
 			}
 			_, found := table.Find("b7")
 			if ids, hashes := table.IndexSizes(); found == tc.want || ids != table.Len() || hashes != table.Len() {
-				t.Errorf("the old id is found: %v; %d ids and %d hashes of %d entries", found, ids, hashes, table.Len())
+				t.Errorf("old id found: %v, want %v; %d ids and %d hashes, want %d of each", found, !tc.want, ids, hashes, table.Len())
 			}
 		})
 	}
--- a/policy/health/health_test.go
+++ b/policy/health/health_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// How often of 1000 draws a backend is skipped, by its record beside a fleet that answers nearly all in time.
+// How many of 1000 draws skip a backend, depending on its record, in a fleet that answers nearly everything in time.
 func TestDrawUnhealthy(t *testing.T) {
 	for _, tc := range []struct {
 		name                string
--- a/policy/slowstart/slowstart.go
+++ b/policy/slowstart/slowstart.go
@@ -1,21 +1,22 @@
-// Package slowstart limits what a backend gets while it warms up.
+// Package slowstart limits the requests sent to a backend while it warms up.
 //
-// It owns since when a backend counts as up, what part of its capacity it has by then, and the budget of requests that may go to it
-// until it is warm. It must never choose a backend, and it takes no time from a clock of its own: all times are the caller's, in ms.
+// It estimates when a backend came up and what fraction of its capacity it has reached, and keeps the slow-start
+// budget of requests for it. It does not choose backends and does not read a clock; all times are passed in by the
+// caller, in milliseconds.
 package slowstart
 
 import "math"
 
-// Config says what a backend can take after its start.
+// Config describes the capacity of a backend after its start.
 type Config struct {
-	InitialCapacity float64 // share of its capacity right after the start, at the least
-	WarmUp          float64 // ms after which it has all of its capacity
-	OverloadFactor  float64 // times its present capacity, at which it fails
-	OverloadWindow  float64 // ms for which it has to get that much
+	InitialCapacity float64 // minimum fraction of its capacity immediately after the start
+	WarmUp          float64 // ms until it has its full capacity
+	OverloadFactor  float64 // load, as a multiple of its current capacity, at which it fails
+	OverloadWindow  float64 // ms for which that load must last
 }
 
-// Progress is the part of its capacity that a backend has at the least, from Config.InitialCapacity to 1. upSince is since when it has been
-// up; 0 stands for long ago.
+// Progress returns the minimum fraction of its capacity that a backend has reached, from Config.InitialCapacity to 1.
+// upSince is the time since which it has been up; 0 means long ago.
 func (c *Config) Progress(upSince, now float64) float64 {
 	up := now - upSince
 	if upSince <= 0 || c.WarmUp <= 0 || up >= c.WarmUp {
@@ -24,23 +25,25 @@
 	return c.InitialCapacity + (1-c.InitialCapacity)*max(up, 0)/c.WarmUp
 }
 
-// maxStartAge (ms) is how long a backend can have been up when it is first listed while a process runs: discovery lists it within
-// seconds, even with an outage in between. A backend that seems to have been up for longer was timed by another clock. The price: after a
-// very long outage of discovery warm backends are warmed up again.
+// maxStartAge (ms) is the longest time for which a backend can have been up when it is first listed. Discovery lists
+// a backend within seconds, even across an outage, so a backend that appears to have been up for longer has a start
+// time from a different clock. The drawback is that after a very long discovery outage, warm backends go through slow
+// start again.
 const maxStartAge = 20000
 
-// Start is a backend's start as discovery lists it.
+// Start is the start time of a backend as listed by discovery, with the conditions under which it was listed.
 type Start struct {
 	ListedStart  float64 // ms; 0: long ago
-	FirstList    bool    // the process has had no list from discovery before
-	ClockStepped bool    // a step of the wall clock was seen since the process started
+	FirstList    bool    // this instance has received no list from discovery before
+	ClockStepped bool    // the wall clock has been stepped since this instance started
 }
 
-// UpSince is since when a backend has been up for certain. The listed start was read from a wall clock, which may have been stepped, as may
-// ours; the process's own time runs evenly. A fresh backend must never pass for a warm one. So the listed start is believed only while no
-// step of the clock was seen, and only where it can be true of a backend that has just been listed. Otherwise the backend counts as up
-// since now, which is later than its start by the list's delay and never too early. A process's first list is believed: there is
-// nothing else to go by.
+// UpSince returns the time since which the backend has certainly been up. The listed start was read from a wall
+// clock, which may have been stepped, as may the local one, whereas the instance's own time is monotonic. A fresh
+// backend must never be taken for a warm one. Therefore the listed start is used only if no clock step has been seen
+// and the start is plausible for a newly listed backend. Otherwise the backend counts as up since now, which is later
+// than its real start by the delay of the list and never too early. The first list that an instance receives is
+// trusted, because there is no other information.
 func (s Start) UpSince(now float64) float64 {
 	switch {
 	case s.ListedStart <= 0:
@@ -52,24 +55,25 @@
 }
 
 const (
-	// margin is the part of the overload rate that the budget uses.
+	// margin is the fraction of the overload rate that the budget uses.
 	margin = 0.7
-	// burst is the part of the overload window's requests that may come at once.
+	// burst is the fraction of the requests of an overload window that may be sent at once.
 	burst = 0.25
 )
 
-// Budget counts the requests that may go to a backend while it warms up: a token bucket whose rate follows the backend's capacity. The zero
-// value is empty.
+// Budget limits the requests to a backend while it warms up. It is a token bucket whose rate follows the capacity of
+// the backend. The zero value is empty.
 type Budget struct {
 	requests  float64
 	updatedAt float64 // ms
 }
 
-// NewBudget is a budget of so many requests at a time.
+// NewBudget returns a budget with the given number of requests at time now.
 func NewBudget(requests, now float64) Budget { return Budget{requests: requests, updatedAt: now} }
 
-// Allows refills the budget up to now and says whether one more request may go to the backend. progress is its Config.Progress and
-// fullRate the requests per ms that it can take from this instance once it is warm.
+// Allows refills the budget up to now and reports whether another request may be sent to the backend. progress is the
+// result of Config.Progress, and fullRate is the rate, in requests per ms, that the backend can take from this
+// instance once it is warm.
 func (b *Budget) Allows(c *Config, progress, fullRate, now float64) bool {
 	rate := margin * c.OverloadFactor * progress * fullRate
 	b.requests = min(b.requests+rate*(now-b.updatedAt), max(rate*c.OverloadWindow*burst, 1))
@@ -77,24 +81,26 @@
 	return b.requests >= 1
 }
 
-// Spend takes off one request's work, where 1 is the mean request's.
+// Spend deducts the work of one request, where 1 is the work of an average request.
 func (b *Budget) Spend(work float64) { b.requests -= work }
 
 const (
-	// throughputTime (ms) is over which the throughput of warm backends is averaged.
+	// throughputTime (ms) is the time constant of the average throughput of warm backends.
 	throughputTime = 4000
-	// minObservedShare bounds the correction for a short observation: at its very start it would be without bound.
+	// minObservedShare bounds the correction for a short observation, which would otherwise be unbounded at the
+	// start.
 	minObservedShare = 0.05
 )
 
-// Throughput is what warm backends serve for this instance, as an exponential average. The zero value has seen nothing.
+// Throughput is the exponential average of the requests that warm backends serve for this instance. The zero value
+// has seen no requests.
 type Throughput struct {
-	served    float64 // requests by unit of weight, decayed
-	updatedAt float64 // ms; 0: nothing served yet
-	observed  float64 // ms
+	served    float64 // requests per unit of weight, decayed
+	updatedAt float64 // ms; 0 if nothing has been served yet
+	observed  float64 // ms of observation
 }
 
-// Add counts one request's work, divided by the weight of all warm backends.
+// Add records the work of one request, divided by the total weight of all warm backends.
 func (t *Throughput) Add(workPerWeight, now float64) {
 	if t.updatedAt > 0 {
 		elapsed := now - t.updatedAt
@@ -103,7 +109,7 @@
 	t.served, t.updatedAt = t.served+workPerWeight, now
 }
 
-// PerWeight is in requests per ms and unit of weight, corrected for a short observation.
+// PerWeight returns the throughput in requests per ms and unit of weight, corrected for a short observation.
 func (t *Throughput) PerWeight() float64 {
 	return t.served / throughputTime / max(1-math.Exp(-t.observed/throughputTime), minObservedShare)
 }
--- a/policy/slowstart/slowstart_test.go
+++ b/policy/slowstart/slowstart_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// The part of its capacity that a backend has at the least.
+// The minimum fraction of its capacity that a backend has, by the time since it came up.
 func TestProgress(t *testing.T) {
 	config := Config{InitialCapacity: 0.4, WarmUp: 5000}
 	for _, tc := range []struct {
@@ -13,7 +13,7 @@
 	}{
 		{"up long ago", config, 0, 1, 1},
 		{"just started", config, 100, 100, 0.4},
-		{"a start that is still to come", config, 200, 100, 0.4},
+		{"a start in the future", config, 200, 100, 0.4},
 		{"half way", config, 100, 2600, 0.7},
 		{"warm", config, 100, 5100, 1},
 		{"no warm-up configured", Config{InitialCapacity: 0.4}, 100, 100, 1},
@@ -26,14 +26,14 @@
 	}
 }
 
-// A budget never gives more than its rate and one burst, and what was spent is missing.
+// A budget allows no more requests than its rate plus one burst, and spent requests are deducted.
 func TestBudget(t *testing.T) {
 	config := Config{InitialCapacity: 0.5, WarmUp: 5000, OverloadFactor: 2, OverloadWindow: 1000}
-	// 0.7 x 2 x 0.5 x 0.1 = 0.07 requests per ms: 17.5 at once.
+	// 0.7 x 2 x 0.5 x 0.1 = 0.07 requests per ms, with a burst of 17.5.
 	const progress, fullRate, rate = 0.5, 0.1, 0.07
 	budget, sent, now := NewBudget(0, 1000), 0, 1000.0
 	if budget.Allows(&config, progress, fullRate, now) {
-		t.Error("an empty budget allows a request")
+		t.Error("Allows = true for an empty budget, want false")
 	}
 	for range 1000 {
 		now += 5
@@ -56,11 +56,11 @@
 	}
 }
 
-// The throughput comes out right, also soon after its start.
+// The average is accurate, including shortly after the start.
 func TestThroughput(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		lasts  float64 // ms, one request each 10 ms at a weight of 1
+		lasts  float64 // ms, with one request every 10 ms at a weight of 1
 		least  float64
 		atMost float64
 	}{
@@ -73,7 +73,7 @@
 				throughput.Add(1, now)
 			}
 			if got := throughput.PerWeight(); got < tc.least || got > tc.atMost {
-				t.Errorf("%v requests per ms, want %v to %v", got, tc.least, tc.atMost)
+				t.Errorf("throughput = %v requests per ms, want %v to %v", got, tc.least, tc.atMost)
 			}
 		})
 	}
