--- a/internal/core/crossings_test.go
+++ b/internal/core/crossings_test.go
@@ -54,7 +54,7 @@
 func TestShutdownAnswersAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core, _ := newTestCore(t, policy.RequestClass{Semantics: policy.NonIdempotent}, 1)
-		begun := time.Now()
+		start := time.Now()
 		tried := accept(core, "t", 9000)
 		tried.NextAction()
 		var requests []*Request
@@ -68,7 +68,7 @@
 			for action.Kind == ActionSendAttempt {
 				action = request.NextAction()
 			}
-			if took := time.Since(begun); action.Kind != ActionReject && action.Kind != ActionFail || took > 700*time.Millisecond {
+			if took := time.Since(start); action.Kind != ActionReject && action.Kind != ActionFail || took > 700*time.Millisecond {
 				t.Errorf("request %s: %v after %v, want %v or %v within 700ms", request.ID, action.Kind, took, ActionReject, ActionFail)
 			}
 			for _, attempt := range request.attempts {
--- a/internal/sources/dns/dns.go
+++ b/internal/sources/dns/dns.go
@@ -44,8 +44,8 @@
 // ErrUnusable is wrapped by errors for answers that cannot be used.
 var ErrUnusable = errors.New("unusable DNS answer")
 
-// ErrRefused is wrapped by errors for answers with a response code that reports a failure.
-var ErrRefused = errors.New("DNS server returned an error")
+// ErrServerError is wrapped by errors for answers with a response code that reports a failure.
+var ErrServerError = errors.New("DNS server returned an error")
 
 const (
 	maxCNAMEs           = 8
@@ -78,7 +78,7 @@
 }
 
 // Lookup queries one server for the SRV records of a service and the addresses of their targets. If it fails, the
-// answer is empty, and the error either comes from the context or the connection, or wraps ErrUnusable or ErrRefused.
+// answer is empty, and the error either comes from the context or the connection, or wraps ErrUnusable or ErrServerError.
 func (r *Resolver) Lookup(ctx context.Context, server, name string) (Answer, error) {
 	l := &lookup{Resolver: r, server: server, addresses: map[string][]targetAddress{}}
 	response, err := l.resolve(ctx, name, dnsmessage.TypeSRV)
--- a/internal/sources/dns/dns_test.go
+++ b/internal/sources/dns/dns_test.go
@@ -213,7 +213,7 @@
 		{
 			name:   "server failure",
 			server: replyWith(func(_ string, q *dns.Msg) *dns.Msg { return reply(q, dns.RcodeServerFailure, nil, nil, nil) }),
-			err:    ErrRefused,
+			err:    ErrServerError,
 		},
 	}
 }
--- a/internal/sources/dns/transport.go
+++ b/internal/sources/dns/transport.go
@@ -29,9 +29,9 @@
 			err = fmt.Errorf("%w: %s %s: truncated over TCP", ErrUnusable, name, kind)
 		}
 	}
-	refused := answer.RCode != dnsmessage.RCodeSuccess && answer.RCode != dnsmessage.RCodeNameError
-	if err == nil && refused {
-		err = fmt.Errorf("%w: %s %s: %s", ErrRefused, name, kind, answer.RCode)
+	failed := answer.RCode != dnsmessage.RCodeSuccess && answer.RCode != dnsmessage.RCodeNameError
+	if err == nil && failed {
+		err = fmt.Errorf("%w: %s %s: %s", ErrServerError, name, kind, answer.RCode)
 	}
 	return answer, err
 }
--- a/internal/sources/host/config.go
+++ b/internal/sources/host/config.go
@@ -30,8 +30,8 @@
 
 // Limits of the values in [sources.dns].
 const (
-	minTimeoutMs                         = 10
-	minLookupsPerSecond, maxLookupsLimit = 0.01, 100
+	minTimeoutMs                             = 10
+	minLookupsPerSecond, maxLookupsPerSecond = 0.01, 100
 )
 
 // DefaultConfig returns the configuration without settings: discovery only.
@@ -71,7 +71,7 @@
 	if c.Timeout.Ms() < minTimeoutMs {
 		report("sources.dns.wait", c.Timeout, "shorter than 10ms, too short for any answer", `"500ms"`)
 	}
-	if c.MaxLookupsPerSecond < minLookupsPerSecond || c.MaxLookupsPerSecond > maxLookupsLimit {
+	if c.MaxLookupsPerSecond < minLookupsPerSecond || c.MaxLookupsPerSecond > maxLookupsPerSecond {
 		report("sources.dns.lookups_a_second", c.MaxLookupsPerSecond, "not between 0.01 and 100", "2.0")
 	}
 }
--- a/internal/sources/lookup_test.go
+++ b/internal/sources/lookup_test.go
@@ -52,14 +52,14 @@
 }
 
 func checkDeadServer(t *testing.T) {
-	pacer, now, asked := newPacer(3, 1000, 1), 1.0, [3]int{}
+	pacer, now, lookups := newPacer(3, 1000, 1), 1.0, [3]int{}
 	for range 300 { // server 1 is always dead, server 0 for the first five seconds
 		server, wait := pacer.Next(now)
 		if server < 0 {
 			now += wait
 			continue
 		}
-		asked[server]++
+		lookups[server]++
 		dead := server == 1 || server == 0 && now < 5_000
 		if dead {
 			pacer.OnFailure(now, server)
@@ -67,41 +67,41 @@
 			pacer.OnAnswer(now, server, 0, false)
 		}
 	}
-	if asked[1] > asked[2]/5 || asked[1] < 1 || asked[0]+asked[2] < 100 {
-		t.Errorf("look-ups per server = %v, want server 1 at least once and at most a fifth of server 2, and at least 100 at the others", asked)
+	if lookups[1] > lookups[2]/5 || lookups[1] < 1 || lookups[0]+lookups[2] < 100 {
+		t.Errorf("look-ups per server = %v, want server 1 at least once and at most a fifth of server 2, and at least 100 at the others", lookups)
 	}
 }
 
 // The back-off grows up to a maximum.
 func checkBackoff(t *testing.T) {
 	pacer, now := newPacer(2, 1000, 1), 1.0
-	lastWait, questions := 0.0, 0
+	lastWait, lookups := 0.0, 0
 	for now < 100_000 {
 		if server, wait := pacer.Next(now); server >= 0 {
 			pacer.OnFailure(now, server)
-			questions++
+			lookups++
 		} else {
 			now += wait
 			lastWait = wait
 		}
 	}
-	if questions > 60 || lastWait < maxBackoffMs/2 || lastWait > maxBackoffMs*1.5 {
-		t.Errorf("%d look-ups in 100 s with a last wait of %v ms, want at most 60 and %v to %v ms", questions, lastWait, maxBackoffMs/2, maxBackoffMs*1.5)
+	if lookups > 60 || lastWait < maxBackoffMs/2 || lastWait > maxBackoffMs*1.5 {
+		t.Errorf("%d look-ups in 100 s with a last wait of %v ms, want at most 60 and %v to %v ms", lookups, lastWait, maxBackoffMs/2, maxBackoffMs*1.5)
 	}
 }
 
 // The rate limit holds regardless of TTLs.
 func checkRateLimit(t *testing.T) {
-	pacer, now, questions := newPacer(1, 2, 1), 1.0, 0
+	pacer, now, lookups := newPacer(1, 2, 1), 1.0, 0
 	for now < 10_000 {
 		if server, wait := pacer.Next(now); server >= 0 {
 			pacer.nextAt = 0
-			questions++
+			lookups++
 		} else {
 			now += wait
 		}
 	}
-	if questions > 23 {
-		t.Errorf("%d look-ups in 10 s at a limit of 2 per second, want at most 23", questions)
+	if lookups > 23 {
+		t.Errorf("%d look-ups in 10 s at a limit of 2 per second, want at most 23", lookups)
 	}
 }
--- a/internal/sources/rules_test.go
+++ b/internal/sources/rules_test.go
@@ -8,7 +8,7 @@
 
 // TestRules checks each row of the merge rules.
 func TestRules(t *testing.T) {
-	run, drain, gone := policy.EndpointRunning, policy.EndpointDraining, policy.EndpointRemoved
+	run, drain, removed := policy.EndpointRunning, policy.EndpointDraining, policy.EndpointRemoved
 	list := func(snapshot bool, e ...Entry) func(*Merger) {
 		return func(m *Merger) { m.UpdateDiscovered(1, e, snapshot) }
 	}
@@ -27,10 +27,10 @@
 		{"SRV adds", []func(*Merger){list(true, entry(1, 1, run)), srv(1, 2)}, "a1@1:1 0 listed, srv:10.0.0.2:1@2:1 0 named"},
 		{"SRV first, then discovery lists the same address", []func(*Merger){srv(1, 2), list(true, entry(1, 1, run))}, "a1@1:1 0 listed, srv:10.0.0.2:1@2:1 0 named"},
 		{"SRV names a draining backend", []func(*Merger){list(true, entry(1, 1, run), entry(2, 2, drain)), srv(1, 2)}, "a1@1:1 0 listed, a2@2:1 1 draining"},
-		{"SRV names a drained backend after it was removed", []func(*Merger){list(true, entry(1, 1, run), entry(2, 2, drain)), srv(1, 2), list(false, entry(2, 2, gone)), srv(1, 2), srv(1, 2)}, "a1@1:1 0 listed"},
+		{"SRV names a drained backend after it was removed", []func(*Merger){list(true, entry(1, 1, run), entry(2, 2, drain)), srv(1, 2), list(false, entry(2, 2, removed)), srv(1, 2), srv(1, 2)}, "a1@1:1 0 listed"},
 		{"SRV names a draining backend while discovery is silent", []func(*Merger){list(true, entry(1, 1, run)), list(false, entry(2, 2, drain)), func(m *Merger) { m.MarkDoubtful(Discovery, "silent") }, srv(1, 2)}, "a1@1:1 0 listed, a2@2:1 1 draining"},
-		{"SRV names a removed backend until its address is listed again", []func(*Merger){list(true, entry(1, 1, run)), list(false, entry(2, 2, gone)), srv(1, 2), list(false, entry(3, 2, run))}, "a1@1:1 0 listed, a3@2:1 0 listed"},
-		{"a retired address named again much later is a new backend", []func(*Merger){list(true, entry(1, 1, run)), list(false, entry(2, 2, gone)), srv(1, 3, 2), srv(1, 3), at(70_000, 1, 3), at(70_001, 1, 3, 2)}, "a1@1:1 0 listed, srv:10.0.0.2:1@2:1 0 named, srv:10.0.0.3:1@3:1 0 named"},
+		{"SRV names a removed backend until its address is listed again", []func(*Merger){list(true, entry(1, 1, run)), list(false, entry(2, 2, removed)), srv(1, 2), list(false, entry(3, 2, run))}, "a1@1:1 0 listed, a3@2:1 0 listed"},
+		{"a retired address named again much later is a new backend", []func(*Merger){list(true, entry(1, 1, run)), list(false, entry(2, 2, removed)), srv(1, 3, 2), srv(1, 3), at(70_000, 1, 3), at(70_001, 1, 3, 2)}, "a1@1:1 0 listed, srv:10.0.0.2:1@2:1 0 named, srv:10.0.0.3:1@3:1 0 named"},
 		{"SRV omits a backend once", []func(*Merger){srv(1, 2, 3), srv(1, 2)}, "srv:10.0.0.1:1@1:1 0 named, srv:10.0.0.2:1@2:1 0 named, srv:10.0.0.3:1@3:1 0 named"},
 		{"SRV omits a backend twice", []func(*Merger){srv(1, 2, 3), srv(1, 2), srv(1, 2)}, "srv:10.0.0.1:1@1:1 0 named, srv:10.0.0.2:1@2:1 0 named"},
 		{"SRV shrinks by more than half twice", []func(*Merger){srv(1, 2, 3), srv(1), srv(1)}, "srv:10.0.0.1:1@1:1 0 named, srv:10.0.0.2:1@2:1 0 named, srv:10.0.0.3:1@3:1 0 named"},
@@ -39,13 +39,13 @@
 		{"discovery stays empty", []func(*Merger){list(true, entry(1, 1, run)), list(true), list(true), list(true), list(true)}, "a1@1:1 0 listed"},
 		{"discovery omits one of three", []func(*Merger){list(true, entry(1, 1, run), entry(2, 2, run), entry(3, 3, run)), list(true, entry(1, 1, run), entry(2, 2, run)), srv(1, 2, 3)}, "a1@1:1 0 listed, a2@2:1 0 listed"},
 		{"an address moves to another id", []func(*Merger){list(true, entry(1, 1, run)), list(false, entry(2, 1, run))}, "a2@1:1 0 listed"},
-		{"the removal of an address's old id arrives late", []func(*Merger){list(true, entry(1, 1, run)), list(false, entry(2, 1, run)), list(false, entry(1, 1, gone)), srv(1)}, "a2@1:1 0 listed"},
+		{"the removal of an address's old id arrives late", []func(*Merger){list(true, entry(1, 1, run)), list(false, entry(2, 1, run)), list(false, entry(1, 1, removed)), srv(1)}, "a2@1:1 0 listed"},
 		{"an id moves to another address", []func(*Merger){list(true, entry(1, 1, run)), list(false, entry(1, 2, run)), srv(1, 2)}, "a1@2:1 0 listed, srv:10.0.0.1:1@1:1 0 named"},
 		{"SRV names an address twice", []func(*Merger){func(m *Merger) { m.UpdateResolved(1, append(observations(1), Observation{address(1), 5, 9})) }}, "srv:10.0.0.1:1@1:1 0 named"},
 		{"spares are unused while others run", []func(*Merger){list(true, entry(1, 1, run)), func(m *Merger) { m.UpdateResolved(1, append(observations(2), Observation{address(3), 5, 1})) }}, "a1@1:1 0 listed, srv:10.0.0.2:1@2:1 0 named"},
 		{"all spares are used once no primary runs", []func(*Merger){list(true, entry(1, 1, run)), func(m *Merger) {
 			m.UpdateResolved(1, append(observations(2), Observation{address(3), 5, 1}, Observation{address(4), 5, 1}))
-		}, list(false, entry(1, 1, gone)), list(false, entry(2, 2, drain))}, "a2@2:1 1 draining, srv:10.0.0.3:1@3:1 0 reserve, srv:10.0.0.4:1@4:1 0 reserve"},
+		}, list(false, entry(1, 1, removed)), list(false, entry(2, 2, drain))}, "a2@2:1 1 draining, srv:10.0.0.3:1@3:1 0 reserve, srv:10.0.0.4:1@4:1 0 reserve"},
 		{"spares stay in use after the next answer", []func(*Merger){list(true, entry(2, 2, drain)), func(m *Merger) { m.UpdateResolved(1, append(observations(2), Observation{address(3), 5, 1})) }, func(m *Merger) { m.UpdateResolved(1, append(observations(2), Observation{address(3), 5, 1})) }}, "a2@2:1 1 draining, srv:10.0.0.3:1@3:1 0 reserve"},
 		{"spares are removed once a primary runs", []func(*Merger){list(true, entry(2, 2, drain)), func(m *Merger) { m.UpdateResolved(1, append(observations(2), Observation{address(3), 5, 1})) }, list(false, entry(5, 5, run))}, "a2@2:1 1 draining, a5@5:1 0 listed"},
 		{"a backend that only SRV named expires", []func(*Merger){list(true, entry(1, 1, run)), srv(2), func(m *Merger) { m.MarkDoubtful(SRV, "dead"); m.Expire(maxResolvedAgeMs + 2) }}, "a1@1:1 0 listed"},
--- a/policy/endpoints/endpoints_test.go
+++ b/policy/endpoints/endpoints_test.go
@@ -96,11 +96,11 @@
 			for k := range tc.backends {
 				list(table, Endpoint{ID: fmt.Sprint("b", k)}, 1)
 			}
-			gone, _ := list(table, Endpoint{ID: "b7", State: Removed}, 1000)
-			table.At(gone).OpenAttempts = tc.openAttempts
+			removed, _ := list(table, Endpoint{ID: "b7", State: Removed}, 1000)
+			table.At(removed).OpenAttempts = tc.openAttempts
 			index, reused := list(table, Endpoint{ID: "new"}, 1000+tc.after)
-			if reused != tc.want || (index == gone) != tc.want {
-				t.Errorf("index %d (removed entry: %d), reused = %v, want %v", index, gone, reused, tc.want)
+			if reused != tc.want || (index == removed) != tc.want {
+				t.Errorf("index %d (removed entry: %d), reused = %v, want %v", index, removed, reused, tc.want)
 			}
 			_, found := table.Find("b7")
 			if ids, hashes := table.IndexSizes(); found == tc.want || ids != table.Len() || hashes != table.Len() {
