--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -56,12 +56,14 @@
 	releases         map[string]policy.ReleaseID // by backend, as listed
 }
 
-// Counts holds counters since the start and the current number of open items.
+// Counts holds counters since the start and the current number of open items. AttemptsByStatus is indexed by
+// policy.AttemptStatus. AttemptsWithheld counts the attempts that the decisions withdrew after their connection was
+// established.
 type Counts struct {
 	Accepted, Served, Rejected, Failed, ClientGone int                           // requests since the start
-	AttemptsByStatus                               [policy.StatusNotSent + 1]int // attempts since the start, indexed by policy.AttemptStatus
+	AttemptsByStatus                               [policy.StatusNotSent + 1]int // attempts since the start
 	OpenRequests, OpenAttempts, Timers             int                           // now
-	AttemptsWithheld                               int                           // attempts withdrawn after their connection was established
+	AttemptsWithheld                               int                           // attempts withdrawn once connected
 	Releases                                       policy.ReleaseStatus          // the zero value before Start
 }
 
--- a/internal/core/interceptor.go
+++ b/internal/core/interceptor.go
@@ -12,9 +12,10 @@
 // request still has to run.
 const maxReserveDivisor = 4
 
-// Interceptor observes every request, whichever front accepted it. It may reject a request before the decisions see
-// it, but not later. Its methods are called concurrently from the handler goroutines of requests, never with the lock
-// of Core held. For one request the order of calls is Admit, BeforeResponse, AfterResponse, or Admit, Abandoned.
+// Interceptor observes every request, whichever front accepted it. Core knows interceptors only through this
+// interface. An interceptor may reject a request before the decisions see it, but not later. Its methods are called
+// concurrently from the handler goroutines of requests, never with the lock of Core held. For one request the order
+// of calls is Admit, BeforeResponse, AfterResponse, or Admit, Abandoned.
 type Interceptor interface {
 	// Admit is called before the decisions see a request. reserve (ms) is the part of the client's time that the
 	// interceptor needs between the decision and the response. rejectReason is empty, or one word if the request is
--- a/internal/core/request_test.go
+++ b/internal/core/request_test.go
@@ -137,7 +137,8 @@
 			ID: "t", ArrivedAt: core.Now(), TimeLeft: 3000,
 			StartAttempt: func(attempt *Attempt) { startedConcurrently <- attempt },
 		})
-		core.handleEvent("test", func(float64) { port{core}.SendAttempt("t", "s1", 0) }) // in addition to the attempt requested by the decisions
+		// In addition to the attempt requested by the decisions.
+		core.handleEvent("test", func(float64) { port{core}.SendAttempt("t", "s1", 0) })
 		first := request.NextAction()
 		synctest.Wait()
 		if first.Kind != ActionSendAttempt || len(startedConcurrently) != 1 {
--- a/internal/core/watchdog_test.go
+++ b/internal/core/watchdog_test.go
@@ -16,7 +16,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		core, _ := newTestCore(t, policy.RequestClass{}, 1)
 		arrived, violations := time.Now(), invariant.Violations()
-		failed := core.Accept(IncomingRequest{ID: "t", Class: 9, ArrivedAt: core.Now(), TimeLeft: 300}) // a class that does not exist
+		failed := core.Accept(IncomingRequest{ID: "t", Class: 9, ArrivedAt: core.Now(), TimeLeft: 300}) // unknown class
 		if action := failed.NextAction(); action.Kind != ActionFail {
 			t.Errorf("action for the failed request = %v, want %v", action.Kind, ActionFail)
 		}
--- a/internal/sources/dns/dns.go
+++ b/internal/sources/dns/dns.go
@@ -67,7 +67,7 @@
 type lookup struct {
 	*Resolver
 	server           string
-	addresses        map[string][]targetAddress // by target in lower case; an empty slice means that the target has no addresses
+	addresses        map[string][]targetAddress // by target in lower case; empty: it has none
 	addressQuestions int                        // targets whose addresses were queried separately
 }
 
@@ -78,7 +78,8 @@
 }
 
 // Lookup queries one server for the SRV records of a service and the addresses of their targets. If it fails, the
-// answer is empty, and the error either comes from the context or the connection, or wraps ErrUnusable or ErrServerError.
+// answer is empty, and the error either comes from the context or the connection, or wraps ErrUnusable or
+// ErrServerError.
 func (r *Resolver) Lookup(ctx context.Context, server, name string) (Answer, error) {
 	l := &lookup{Resolver: r, server: server, addresses: map[string][]targetAddress{}}
 	response, err := l.resolve(ctx, name, dnsmessage.TypeSRV)
--- a/internal/sources/dns/transport.go
+++ b/internal/sources/dns/transport.go
@@ -88,7 +88,8 @@
 		if network == "tcp" {
 			return answer, fmt.Errorf("%w: %s over TCP sent a message that does not answer %s %s", ErrUnusable, server, question.Name, question.Type)
 		}
-		r.trace("ignored a datagram that does not answer the question") // late, forged or malformed; the real answer may follow
+		// The datagram is late, forged or malformed; the real answer may still arrive.
+		r.trace("ignored a datagram that does not answer the question")
 	}
 	return response{}, fmt.Errorf("%w: none of %d datagrams from %s answers %s %s", ErrUnusable, maxStrayDatagrams, server, question.Name, question.Type)
 }
--- a/internal/sources/host/host.go
+++ b/internal/sources/host/host.go
@@ -29,7 +29,7 @@
 type Options struct {
 	Config            Config
 	Fleet             Fleet
-	OnAddressReleased func(address string) // called when a backend no longer uses an address or another process has replaced it there
+	OnAddressReleased func(address string) // called when a backend has left an address or was replaced there
 	Instance          int                  // index of this instance, from 0
 	Instances         int                  // number of instances in the fleet
 	Seed              uint64               // seed of all random choices
@@ -39,9 +39,9 @@
 type Counts struct {
 	Lookups, FailedLookups, NegativeAnswers, Questions uint64
 	Changes                                            uint64                   // changes passed to the core
-	ChangesByRule                                      [sources.NumRules]uint64 // the same by rule, in the order of sources.Rules
-	Running, Backends                                  int                      // current number of backends: running, and in any state
-	Doubt                                              [2]string                // reasons why discovery and SRV are doubted; empty if they are not
+	ChangesByRule                                      [sources.NumRules]uint64 // by rule, in the order of sources.Rules
+	Running, Backends                                  int                      // current number of backends: running, in any state
+	Doubt                                              [2]string                // reasons to doubt discovery and SRV; empty if there are none
 }
 
 // Host runs the merge of one instance. Its methods are safe for concurrent use.
--- a/internal/sources/model_test.go
+++ b/internal/sources/model_test.go
@@ -117,7 +117,7 @@
 		}
 		all = append(all, event{fmt.Sprint("srv ", which), set == 0, func(m *Merger, _ map[string]bool) []Entry {
 			return m.UpdateResolved(1, observations(which...))
-		}}, event{fmt.Sprint("whole ", which), set == 0, func(m *Merger, retired map[string]bool) []Entry {
+		}}, event{fmt.Sprint("snapshot ", which), set == 0, func(m *Merger, retired map[string]bool) []Entry {
 			for _, i := range which {
 				delete(retired, address(i))
 			}
--- a/internal/sources/persist.go
+++ b/internal/sources/persist.go
@@ -37,7 +37,8 @@
 // are too old are skipped.
 func (m *Merger) Restore(now float64, state MergerState) (changes []Entry) {
 	for address, at := range state.Retired {
-		// A time in the future means that the clock was set back. Unclamped, the address would stay retired for that much longer.
+		// A time in the future means that the clock was set back. If it were kept, the address would stay retired for that
+		// much longer.
 		m.retired = m.retired.Set(address, min(at, now))
 	}
 	var fresh []Observation
--- a/internal/sources/sources.go
+++ b/internal/sources/sources.go
@@ -17,7 +17,7 @@
 // or removed comes back at its address only if discovery lists the address as running, or once SRV has not named the
 // address for a minute. Backends missing from a snapshot or answer are removed only if its omissions are accepted
 // (acceptsOmissions): those of an empty list never are, and those of a list that shrank by more than half only at the
-// third time in a row. SRV must omit a backend from two complete answers.
+// third time in a row. For SRV, a backend is removed only after two complete answers without it.
 //
 // Defaults: a source that fails, stops reporting or reports that the service does not exist keeps its last view and
 // is marked doubtful. A backend that only SRV names runs an unknown release, counts as started when it was first
--- a/policy/concurrency/concurrency.go
+++ b/policy/concurrency/concurrency.go
@@ -19,7 +19,7 @@
 	// increase is added to the limit for each answer in time while the limit is in use.
 	increase = 0.20
 	// decrease is subtracted for each late answer. It is much larger than increase so that a queue at the backend
-	// drains quickly.
+	// drains immediately.
 	decrease = 4.0
 	// useThreshold is the fraction of the limit above which the limit counts as in use. An unused limit must not
 	// grow, because nothing has tested it.
--- a/policy/endpoints/endpoints_test.go
+++ b/policy/endpoints/endpoints_test.go
@@ -58,7 +58,7 @@
 	}
 	var fresh Backend
 	if b.Health != fresh.Health {
-		t.Errorf("after a restart: answers %v", b.Health)
+		t.Errorf("after a restart: health record %+v, want an empty one", b.Health)
 	}
 }
 
@@ -86,8 +86,8 @@
 		after        float64 // ms since the backend was removed
 		want         bool
 	}{
-		{"long gone", minBackendsForReuse, 0, reuseAfter + 1, true},
-		{"just gone", minBackendsForReuse, 0, reuseAfter, false},
+		{"removed over a minute ago", minBackendsForReuse, 0, reuseAfter + 1, true},
+		{"removed a minute ago", minBackendsForReuse, 0, reuseAfter, false},
 		{"an attempt is still open", minBackendsForReuse, 1, reuseAfter + 1, false},
 		{"few entries", minBackendsForReuse - 1, 0, reuseAfter + 1, false},
 	} {
--- a/policy/slowstart/slowstart.go
+++ b/policy/slowstart/slowstart.go
@@ -25,10 +25,10 @@
 	return c.InitialCapacity + (1-c.InitialCapacity)*max(up, 0)/c.WarmUp
 }
 
-// maxStartAge (ms) is the longest time for which a backend can have been up when it is first listed. Discovery lists
-// a backend within seconds, even across an outage, so a backend that appears to have been up for longer has a start
-// time from a different clock. The drawback is that after a very long discovery outage, warm backends go through slow
-// start again.
+// maxStartAge (ms) is the longest time for which a backend can have been up when a running instance first sees it
+// listed. Discovery lists a backend within seconds, even across an outage, so a backend that appears to have been up
+// for longer has a start time from a different clock. The drawback is that after a very long discovery outage, warm
+// backends go through slow start again.
 const maxStartAge = 20000
 
 // Start is the start time of a backend as listed by discovery, with the conditions under which it was listed.
