--- a/internal/core/crossings_test.go
+++ b/internal/core/crossings_test.go
@@ -8,8 +8,8 @@
 	"onyxgate/policy"
 )
 
-// If the client goes before an attempt is sent, the attempt is canceled; if it goes afterwards, the attempt
-// continues. This holds whether or not the settings allow canceling sent attempts.
+// If the client goes before an attempt is sent, the attempt is canceled, although the settings do not allow canceling
+// sent attempts. If it goes afterwards, the attempt continues.
 func TestSentOrClientGone(t *testing.T) {
 	for _, c := range []struct {
 		name string
--- a/internal/sources/dns/server_test.go
+++ b/internal/sources/dns/server_test.go
@@ -51,7 +51,7 @@
 	for _, line := range lines {
 		rr, err := dns.NewRR(line)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("zone file record %q: %v", line, err)
 		}
 		out = append(out, rr)
 	}
