--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -8,29 +8,30 @@
 	"onyxgate/policy"
 )
 
-// calls counts what the decisions have sent.
-type calls struct{ votes int }
+// countingTransport is a Transport that counts votes.
+type countingTransport struct{ votes int }
 
-func (c *calls) SendVote(policy.ReleaseID, policy.Verdict, int) { c.votes++ }
-func (c *calls) SendProbe(string)                               {}
-func (c *calls) WatchEndpoints()                                {}
-func (c *calls) FetchEndpoints()                                {}
+func (c *countingTransport) SendVote(policy.ReleaseID, policy.Verdict, int) { c.votes++ }
+func (c *countingTransport) SendProbe(string)                               {}
+func (c *countingTransport) WatchEndpoints()                                {}
+func (c *countingTransport) FetchEndpoints()                                {}
 
-// body is the answer of a backend.
-type body string
+// testResponse is the response of a backend.
+type testResponse string
 
-func (b body) Bytes() []byte { return []byte(b) }
+func (r testResponse) Bytes() []byte { return []byte(r) }
 
-// halted is a call under way that keeps when it was interrupted.
-type halted struct{ at time.Time }
+// recordingCanceler is a call in progress that records when it was canceled.
+type recordingCanceler struct{ canceledAt time.Time }
 
-func (h *halted) Cancel() { h.at = time.Now() }
+func (r *recordingCanceler) Cancel() { r.canceledAt = time.Now() }
 
-// hosted starts a core whose decisions know one class and so many backends, all of one release. Its timers end with the test.
-func hosted(t *testing.T, class policy.RequestClass, backends int) (*Core, *calls) {
+// newTestCore starts a Core with one request class and the given number of backends, all of one release. Its timers
+// are stopped when the test ends.
+func newTestCore(t *testing.T, class policy.RequestClass, backends int) (*Core, *countingTransport) {
 	t.Helper()
 	class.LatencyObjective, class.Timeout, class.Value, class.DedupWindow = 1000, 4000, 1, 9000
-	core, sent := started(t, policy.Config{
+	core, sent := newTestCoreWithConfig(t, policy.Config{
 		Seed: 7, Instances: 1, Classes: []policy.RequestClass{class}, MaxAttempts: 3, CancelAllowed: true,
 		Exposure: policy.ExposureConfig{FreeAttempts: 2, Caps: []float64{0.1, 1}},
 		Rollout:  policy.RolloutConfig{Stages: []float64{0.1, 1}, Control: policy.ControlSingleVote, RollbackVotes: 1, VoteLifetime: 4000},
@@ -43,17 +44,17 @@
 	return core, sent
 }
 
-// started starts a core with these settings. Its timers end with the test.
-func started(t *testing.T, config policy.Config) (*Core, *calls) {
+// newTestCoreWithConfig starts a Core with the given configuration. Its timers are stopped when the test ends.
+func newTestCoreWithConfig(t *testing.T, config policy.Config) (*Core, *countingTransport) {
 	t.Helper()
-	sent := &calls{}
+	sent := &countingTransport{}
 	core := New(sent)
 	core.Start(func(port policy.Port) *policy.Instance { return policy.New(port, config) })
 	t.Cleanup(func() { core.wakeTimer.Stop() })
 	return core, sent
 }
 
-// accept hands over a request that has so many ms.
+// accept passes a request to the core that has timeLeft (ms) to be answered.
 func accept(core *Core, id string, timeLeft float64) *Request {
 	return core.Accept(IncomingRequest{ID: id, ArrivedAt: core.Now(), TimeLeft: timeLeft})
 }
--- a/internal/core/interceptor_test.go
+++ b/internal/core/interceptor_test.go
@@ -9,39 +9,39 @@
 	"onyxgate/policy"
 )
 
-// observer is an interceptor that keeps what it is told.
-type observer struct {
+// recordingInterceptor is an interceptor that records the calls it receives.
+type recordingInterceptor struct {
 	reserve      float64
 	rejectReason string
-	seen         []string
-	until        float64 // the latest time that an answer may be held to
+	calls        []string
+	until        float64 // latest time until which the response may be delayed
 }
 
-func (o *observer) Admit(float64) (reserve float64, rejectReason string) {
-	o.seen = append(o.seen, "admit")
-	return o.reserve, o.rejectReason
+func (r *recordingInterceptor) Admit(float64) (reserve float64, rejectReason string) {
+	r.calls = append(r.calls, "admit")
+	return r.reserve, r.rejectReason
 }
 
-func (o *observer) BeforeResponse(c Completion, until float64) any {
-	o.until = until
-	o.seen = append(o.seen, fmt.Sprintf("before: %s %v %s, %d at %q of %d, %q", c.RequestID, c.Kind, c.Reason, c.Attempts, c.Backend, c.Release, c.Body))
+func (r *recordingInterceptor) BeforeResponse(c Completion, until float64) any {
+	r.until = until
+	r.calls = append(r.calls, fmt.Sprintf("before: %s %v %s, %d at %q of %d, %q", c.RequestID, c.Kind, c.Reason, c.Attempts, c.Backend, c.Release, c.Body))
 	return c.RequestID
 }
 
-func (o *observer) AfterResponse(state any, _ float64, complete bool) {
-	o.seen = append(o.seen, fmt.Sprintf("after: %v %v", state, complete))
+func (r *recordingInterceptor) AfterResponse(state any, _ float64, complete bool) {
+	r.calls = append(r.calls, fmt.Sprintf("after: %v %v", state, complete))
 }
 
-func (o *observer) Abandoned(float64) { o.seen = append(o.seen, "closed") }
+func (r *recordingInterceptor) Abandoned(float64) { r.calls = append(r.calls, "closed") }
 
-// handle does with a request what its handler does: it carries out attempts with this status, and writes the answer.
-func handle(request *Request, status policy.AttemptStatus) {
+// runHandler acts as the handler of a request: it ends each attempt with the given status and writes the response.
+func runHandler(request *Request, status policy.AttemptStatus) {
 	defer request.Close()
 	for {
 		action := request.NextAction()
 		switch action.Kind {
 		case ActionSendAttempt:
-			action.Attempt.Finish(status, body("body"), policy.LoadReport{})
+			action.Attempt.Finish(status, testResponse("body"), policy.LoadReport{})
 		case ActionAbandon:
 			return
 		default:
@@ -51,7 +51,7 @@
 	}
 }
 
-// interceptorCase is a request, what its handler does and what its interceptor sees.
+// interceptorCase is a handler for one request and the calls that an interceptor is expected to receive.
 type interceptorCase struct {
 	name         string
 	rejectReason string
@@ -61,12 +61,12 @@
 
 var interceptorCases = []interceptorCase{
 	{
-		"served", "", func(r *Request) { handle(r, policy.StatusServed) },
+		"served", "", func(r *Request) { runHandler(r, policy.StatusServed) },
 		[]string{"admit", `before: t served answered, 1 at "s0" of 1, "body"`, "after: t true"},
 	},
 	{
-		"the answer can't be written", "", func(r *Request) {
-			r.NextAction().Attempt.Finish(policy.StatusServed, body("body"), policy.LoadReport{})
+		"the response cannot be written", "", func(r *Request) {
+			r.NextAction().Attempt.Finish(policy.StatusServed, testResponse("body"), policy.LoadReport{})
 			r.NextAction()
 			r.ResponseWritten(false)
 			r.Close()
@@ -74,18 +74,18 @@
 		[]string{"admit", `before: t served answered, 1 at "s0" of 1, "body"`, "after: t false"},
 	},
 	{
-		"failed by the decisions", "", func(r *Request) { handle(r, policy.StatusReset) },
+		"failed by the decisions", "", func(r *Request) { runHandler(r, policy.StatusReset) },
 		[]string{"admit", `before: t failed broken, 1 at "" of 0, ""`, "after: t true"},
 	},
 	{
-		"rejected at once", "unrecorded", func(r *Request) { handle(r, policy.StatusServed) },
+		"rejected at once", "unrecorded", func(r *Request) { runHandler(r, policy.StatusServed) },
 		[]string{"admit", `before: t rejected unrecorded, 0 at "" of 0, ""`, "after: t true"},
 	},
 	{
 		"the client goes", "", func(r *Request) {
 			r.ClientGone()
 			r.ClientGone()
-			handle(r, policy.StatusNotSent)
+			runHandler(r, policy.StatusNotSent)
 		},
 		[]string{"admit", "closed"},
 	},
@@ -99,8 +99,8 @@
 		[]string{"admit", `before: t failed failed, 1 at "" of 0, ""`, "after: t true"},
 	},
 	{
-		"the handler fails with the answer announced", "", func(r *Request) {
-			r.NextAction().Attempt.Finish(policy.StatusServed, body("body"), policy.LoadReport{})
+		"the handler fails after BeforeResponse", "", func(r *Request) {
+			r.NextAction().Attempt.Finish(policy.StatusServed, testResponse("body"), policy.LoadReport{})
 			r.NextAction()
 			r.Fail()
 			r.ResponseWritten(false)
@@ -108,31 +108,32 @@
 		},
 		[]string{"admit", `before: t served answered, 1 at "s0" of 1, "body"`, "after: t false"},
 	},
-	{"closed without an answer", "", func(r *Request) { r.Close() }, []string{"admit", "closed"}},
+	{"closed without a response", "", func(r *Request) { r.Close() }, []string{"admit", "closed"}},
 }
 
-// An interceptor sees each request once from its arrival to its end, in order, whichever way it ends.
+// For every outcome of a request, an interceptor receives each call once and in order.
 func TestInterceptorOrder(t *testing.T) {
 	for _, c := range interceptorCases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				core, _ := hosted(t, policy.RequestClass{Semantics: policy.NonIdempotent}, 1)
-				seen := &observer{rejectReason: c.rejectReason}
-				core.AddInterceptor(seen)
+				core, _ := newTestCore(t, policy.RequestClass{Semantics: policy.NonIdempotent}, 1)
+				interceptor := &recordingInterceptor{rejectReason: c.rejectReason}
+				core.AddInterceptor(interceptor)
 				request := accept(core, "t", 2000)
 				if !request.HasInterceptors() {
-					t.Error("the request is not intercepted")
+					t.Error("HasInterceptors = false, want true")
 				}
 				c.handler(request)
-				if !slices.Equal(seen.seen, c.want) {
-					t.Errorf("saw  %q\nwant %q", seen.seen, c.want)
+				if !slices.Equal(interceptor.calls, c.want) {
+					t.Errorf("calls %q\nwant  %q", interceptor.calls, c.want)
 				}
 			})
 		})
 	}
 }
 
-// What an interceptor reserves is taken from the decisions' time and given to it, up to a quarter of the client's time.
+// The time that an interceptor reserves is subtracted from the time of the decisions, up to a quarter of the client's
+// time.
 func TestInterceptorReserve(t *testing.T) {
 	for _, c := range []struct {
 		name              string
@@ -144,31 +145,31 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				core, _ := hosted(t, policy.RequestClass{}, 1)
-				seen := &observer{reserve: c.reserve}
-				core.AddInterceptor(seen)
+				core, _ := newTestCore(t, policy.RequestClass{}, 1)
+				interceptor := &recordingInterceptor{reserve: c.reserve}
+				core.AddInterceptor(interceptor)
 				arrived := core.Now()
 				request := accept(core, "t", 2000)
 				if got := request.Deadline - arrived; got != 2000-c.reserved {
-					t.Errorf("the decisions have %v ms, want %v", got, 2000-c.reserved)
+					t.Errorf("time left for the decisions = %v ms, want %v", got, 2000-c.reserved)
 				}
-				handle(request, policy.StatusServed)
-				if got := seen.until - arrived; got != 2000-responseMargin {
-					t.Errorf("the answer may be held for %v ms, want %v", got, 2000-responseMargin)
+				runHandler(request, policy.StatusServed)
+				if got := interceptor.until - arrived; got != 2000-responseMargin {
+					t.Errorf("the response may be delayed for %v ms, want %v", got, 2000-responseMargin)
 				}
 			})
 		})
 	}
 }
 
-// Where no interceptor follows, the handler need not know whether an answer was written.
-func TestNotIntercepted(t *testing.T) {
+// Without interceptors, the handler does not need to detect whether a response was written.
+func TestNoInterceptors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		core, _ := hosted(t, policy.RequestClass{}, 1)
+		core, _ := newTestCore(t, policy.RequestClass{}, 1)
 		request := accept(core, "t", 2000)
 		if request.HasInterceptors() || (*Request)(nil).HasInterceptors() {
-			t.Error("intercepted by nobody")
+			t.Errorf("HasInterceptors without interceptors = %v, of a nil request = %v, want false", request.HasInterceptors(), (*Request)(nil).HasInterceptors())
 		}
-		handle(request, policy.StatusServed)
+		runHandler(request, policy.StatusServed)
 	})
 }
