--- a/internal/httpwire/answers_test.go
+++ b/internal/httpwire/answers_test.go
@@ -104,27 +104,27 @@
 }
 
 func badInputAnswers() []answerCase {
-	id, left, key := "Req-Id: r", "Req-Deadline: 500m", "Idempotency-Key: m"
+	id, deadline, key := "Req-Id: r", "Req-Deadline: 500m", "Idempotency-Key: m"
 	return []answerCase{
-		{name: "HTTP/1.0", text: strings.Replace(requestText("GET /look/x", id, left), "/1.1", "/1.0", 1)},
-		{name: "no id", text: requestText("GET /look/x", left)},
-		{name: "two ids", text: requestText("GET /look/x", id, "Req-Id: q", left)},
-		{name: "an id too long", text: requestText("GET /look/x", "Req-Id: "+strings.Repeat("i", 257), left)},
-		{name: "unknown class", text: requestText("GET /other/x", id, left)},
+		{name: "HTTP/1.0", text: strings.Replace(requestText("GET /look/x", id, deadline), "/1.1", "/1.0", 1)},
+		{name: "no id", text: requestText("GET /look/x", deadline)},
+		{name: "two ids", text: requestText("GET /look/x", id, "Req-Id: q", deadline)},
+		{name: "an id too long", text: requestText("GET /look/x", "Req-Id: "+strings.Repeat("i", 257), deadline)},
+		{name: "unknown class", text: requestText("GET /other/x", id, deadline)},
 		{name: "unknown class and nothing else right", text: requestText("PUT /other/x")},
-		{name: "wrong method", text: requestText("POST /look/x", id, left, "Content-Length: 0")},
-		{name: "wrong method and no id", text: requestText("GET /save/x", left)},
+		{name: "wrong method", text: requestText("POST /look/x", id, deadline, "Content-Length: 0")},
+		{name: "wrong method and no id", text: requestText("GET /save/x", deadline)},
 		{name: "no deadline", text: requestText("GET /look/x", id)},
 		{name: "malformed deadline", text: requestText("GET /look/x", id, "Req-Deadline: 0x9m")},
 		{name: "deadline beyond a day", text: requestText("GET /look/x", id, "Req-Deadline: 86400001m")},
-		{name: "no idempotency key", text: requestText("POST /save/x", id, left, "Content-Length: 0")},
-		{name: "no idempotency key and no length", text: requestText("POST /save/x", id, left)},
-		{name: "a body where none belongs", text: requestText("GET /look/x", id, left, "Content-Length: 1") + "a"},
-		{name: "no length", text: requestText("POST /save/x", id, left, key)},
-		{name: "chunked", text: requestText("POST /save/x", id, left, key, "Transfer-Encoding: chunked") + "0\r\n\r\n"},
-		{name: "body too long", text: requestText("POST /save/x", id, left, key, "Content-Length: 65537")},
-		{name: "body that does not come", text: requestText("POST /save/x", id, left, key, "Content-Length: 9") + "ab"},
-		{name: "all of the server", text: requestText("OPTIONS *", id, left)},
+		{name: "no idempotency key", text: requestText("POST /save/x", id, deadline, "Content-Length: 0")},
+		{name: "no idempotency key and no length", text: requestText("POST /save/x", id, deadline)},
+		{name: "a body where none belongs", text: requestText("GET /look/x", id, deadline, "Content-Length: 1") + "a"},
+		{name: "no length", text: requestText("POST /save/x", id, deadline, key)},
+		{name: "chunked", text: requestText("POST /save/x", id, deadline, key, "Transfer-Encoding: chunked") + "0\r\n\r\n"},
+		{name: "body too long", text: requestText("POST /save/x", id, deadline, key, "Content-Length: 65537")},
+		{name: "body that does not come", text: requestText("POST /save/x", id, deadline, key, "Content-Length: 9") + "ab"},
+		{name: "all of the server", text: requestText("OPTIONS *", id, deadline)},
 		{name: "noise", text: "\x00\x01 hello\r\n\r\n"},
 	}
 }
--- a/internal/httpwire/attempt.go
+++ b/internal/httpwire/attempt.go
@@ -21,13 +21,13 @@
 )
 
 // answer is what goes back to the client of a backend's response.
-type answer struct {
+type clientResponse struct {
 	contentType string
 	body        []byte
 }
 
 // Bytes is the body that the client gets.
-func (a answer) Bytes() []byte { return a.body }
+func (r clientResponse) Bytes() []byte { return r.body }
 
 // SendAttempt sends one attempt of a request to its backend and reports its end to the attempt. The head comes from requestHead.
 // It returns once the response is there, the connection failed, or the attempt was canceled or has timed out.
@@ -38,7 +38,7 @@
 	if u.loadOnResponses && r.loadReport != "" {
 		report = parseLoadReport(r.loadReport)
 	}
-	attempt.Finish(status, answer{r.contentType, r.body}, report)
+	attempt.Finish(status, clientResponse{r.contentType, r.body}, report)
 }
 
 // send is one attempt, from the backend's address to the status that its end means.
@@ -57,7 +57,7 @@
 		u.conns.put(c)
 	}
 	if err != nil {
-		return brokenStatus(err, canceled, timedOut), r, err
+		return roundTripErrorStatus(err, canceled, timedOut), r, err
 	}
 	return responseStatus(r), r, nil
 }
@@ -104,15 +104,15 @@
 // unsentStatus is the status of an attempt of which nothing was sent. What this instance wants or lacks itself must not pass for
 // a failure of the backend.
 func unsentStatus(err error) policy.AttemptStatus {
-	ourOwn := errors.Is(err, errCanceledBeforeSent) || errors.Is(err, errNoSocket) || errors.Is(err, errBackendMoved)
-	if ourOwn {
+	localCause := errors.Is(err, errCanceledBeforeSent) || errors.Is(err, errNoSocket) || errors.Is(err, errBackendMoved)
+	if localCause {
 		return policy.StatusNotSent
 	}
 	return policy.StatusConnectFailed
 }
 
-// brokenStatus is the status of an attempt whose round trip ended without a good response.
-func brokenStatus(err error, canceled, timedOut bool) policy.AttemptStatus {
+// roundTripErrorStatus is the status of an attempt whose round trip ended without a good response.
+func roundTripErrorStatus(err error, canceled, timedOut bool) policy.AttemptStatus {
 	notWritten := errors.Is(err, errNotWritten)
 	switch {
 	case notWritten && canceled:
--- a/internal/httpwire/attempt_test.go
+++ b/internal/httpwire/attempt_test.go
@@ -24,7 +24,7 @@
 }
 
 // The table of outcomes: what a backend does, what the decisions get, and what the client gets.
-func TestOutcomes(t *testing.T) {
+func TestAttemptOutcomes(t *testing.T) {
 	for _, c := range slices.Concat(responseOutcomes(), malformedOutcomes(), unfinishedOutcomes(), connectionOutcomes()) {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -137,7 +137,7 @@
 }
 
 // What goes on is what came, less what belongs to a connection.
-func TestUnchanged(t *testing.T) {
+func TestRequestForwarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var got bytes.Buffer
 		a := newTestInstance(network{"app:1": func(conn net.Conn) {
--- a/internal/httpwire/conn.go
+++ b/internal/httpwire/conn.go
@@ -24,8 +24,8 @@
 // errNotWritten proves that a call never ran: its last byte was never written.
 var errNotWritten = errors.New("the request was not written to its last byte")
 
-// canceledDeadline has long passed: set as a deadline it interrupts a call under way.
-var canceledDeadline = time.Unix(1, 0)
+// expiredDeadline has long passed: set as a deadline it interrupts a call under way.
+var expiredDeadline = time.Unix(1, 0)
 
 // conn is one connection to a backend or to the platform. One goroutine at a time uses it; any may cancel it.
 type conn struct {
@@ -46,7 +46,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.canceled = true
-	_ = c.SetDeadline(canceledDeadline) // it fails on a closed connection only, whose calls have ended
+	_ = c.SetDeadline(expiredDeadline) // it fails on a closed connection only, whose calls have ended
 }
 
 // setReadTimeout limits reading from now on; 0: no limit. After Cancel it does nothing.
@@ -74,7 +74,7 @@
 			return upstreamResponse{}, err
 		}
 		r, err := c.readResponse()
-		if err == nil && (r.interim() || c.repeatsProbe(r)) {
+		if err == nil && (r.interim() || c.duplicatesProbeResponse(r)) {
 			continue // the real one follows
 		}
 		c.probeBody = nil
@@ -100,8 +100,8 @@
 	return nil
 }
 
-// repeatsProbe reports whether a response is a second copy of the one that the probe before this call got.
-func (c *conn) repeatsProbe(r upstreamResponse) bool {
+// duplicatesProbeResponse reports whether a response is a second copy of the one that the probe before this call got.
+func (c *conn) duplicatesProbeResponse(r upstreamResponse) bool {
 	return len(c.probeBody) > 0 && r.status == http.StatusOK && bytes.Equal(r.body, c.probeBody)
 }
 
--- a/internal/httpwire/control.go
+++ b/internal/httpwire/control.go
@@ -23,27 +23,27 @@
 
 // controlStream is the body of one response. Reading it fails after a silence, or when the context it was opened with ends.
 type controlStream struct {
-	conn       net.Conn
-	body       io.ReadCloser
-	unwatchCtx func() bool
+	conn         net.Conn
+	body         io.ReadCloser
+	stopCtxWatch func() bool
 }
 
 // openControlStream connects, sends the request and reads the response's head, whose status has to be 200. Reading of the body
 // may be silent for so long. The caller closes the stream.
-func openControlStream(ctx context.Context, dial Dial, address, path string, silence time.Duration) (*controlStream, error) {
+func openControlStream(ctx context.Context, dial Dial, address, path string, idleTimeout time.Duration) (*controlStream, error) {
 	dialCtx, cancel := context.WithTimeout(ctx, controlConnectTimeout)
 	defer cancel()
 	c, err := dial(dialCtx, address)
 	if err != nil {
 		return nil, err
 	}
-	s := &controlStream{conn: c, unwatchCtx: context.AfterFunc(ctx, func() { c.Close() })}
+	s := &controlStream{conn: c, stopCtxWatch: context.AfterFunc(ctx, func() { c.Close() })}
 	err = s.get(address, path)
 	if err = cmp.Or(err, ctx.Err()); err != nil {
 		s.Close()
 		return nil, err
 	}
-	s.allowSilence(silence)
+	s.extendReadDeadline(idleTimeout)
 	return s, nil
 }
 
@@ -67,9 +67,9 @@
 	return nil
 }
 
-// allowSilence has reading fail unless something comes within so long.
-func (s *controlStream) allowSilence(silence time.Duration) {
-	_ = s.conn.SetReadDeadline(time.Now().Add(silence)) // it fails on a closed connection only, and then reading does too
+// extendReadDeadline has reading fail unless something comes within so long.
+func (s *controlStream) extendReadDeadline(idleTimeout time.Duration) {
+	_ = s.conn.SetReadDeadline(time.Now().Add(idleTimeout)) // it fails on a closed connection only, and then reading does too
 }
 
 // Read reads the body.
@@ -77,7 +77,7 @@
 
 // Close closes the connection. It never waits for the rest of the body.
 func (s *controlStream) Close() {
-	s.unwatchCtx()
+	s.stopCtxWatch()
 	s.conn.Close()
 	if s.body != nil {
 		s.body.Close() // after the connection: else it would read on to the body's end
--- a/internal/httpwire/directory.go
+++ b/internal/httpwire/directory.go
@@ -22,43 +22,43 @@
 }
 
 // apply takes in one list and returns the addresses at which another occupant runs now, or none.
-func (d *directory) apply(list endpointList) (left []string) {
-	isLeft := map[string]bool{}
+func (d *directory) apply(list endpointList) (vacated []string) {
+	isVacated := map[string]bool{}
 	before := d.occupants // a change edits these in place: what an earlier entry of it has removed is not there any more
 	if list.snapshot {
 		for address := range before {
-			isLeft[address] = true // unless an entry says that its occupant is still there
+			isVacated[address] = true // unless an entry says that its occupant is still there
 		}
 		*d = newDirectory()
 	}
 	for _, entry := range list.entries {
-		d.vacate(entry, isLeft)
+		d.vacate(entry, isVacated)
 		if entry.State == policy.EndpointRemoved {
 			continue
 		}
-		now := occupant{entry.ID, entry.StartedAt}
-		if was, occupied := before[entry.address]; occupied {
-			isLeft[entry.address] = was != now || isLeft[entry.address] && !list.snapshot
+		current := occupant{entry.ID, entry.StartedAt}
+		if previous, occupied := before[entry.address]; occupied {
+			isVacated[entry.address] = previous != current || isVacated[entry.address] && !list.snapshot
 		}
-		d.addressOf[entry.ID], d.occupants[entry.address] = entry.address, now
+		d.addressOf[entry.ID], d.occupants[entry.address] = entry.address, current
 	}
-	for address, yes := range isLeft {
-		if yes {
-			left = append(left, address)
+	for address, vacate := range isVacated {
+		if vacate {
+			vacated = append(vacated, address)
 		}
 	}
-	return left
+	return vacated
 }
 
 // vacate takes a backend off the address at which it has been, where the entry says that it is elsewhere now or removed. The
 // address stays with another backend that an earlier entry has put there.
-func (d *directory) vacate(entry listEntry, isLeft map[string]bool) {
+func (d *directory) vacate(entry listEntry, isVacated map[string]bool) {
 	removed := entry.State == policy.EndpointRemoved
-	was, listed := d.addressOf[entry.ID]
-	leaves := removed || was != entry.address
-	if listed && leaves && d.occupants[was].backend == entry.ID {
-		isLeft[was] = true
-		delete(d.occupants, was)
+	previous, listed := d.addressOf[entry.ID]
+	leaves := removed || previous != entry.address
+	if listed && leaves && d.occupants[previous].backend == entry.ID {
+		isVacated[previous] = true
+		delete(d.occupants, previous)
 	}
 	if removed {
 		delete(d.addressOf, entry.ID)
--- a/internal/httpwire/discovery.go
+++ b/internal/httpwire/discovery.go
@@ -25,10 +25,10 @@
 
 	// An empty line comes every 2 s. What a silent watch misses counts as known 6 s after it fell silent: by then the silence has
 	// been noticed, a second watch that stays as silent as the first has been given up, and the third is connected.
-	watchSilence = 2500 * time.Millisecond
-	fetchTimeout = 2 * time.Second // for a snapshot
+	watchIdleTimeout = 2500 * time.Millisecond
+	fetchTimeout     = 2 * time.Second // for a snapshot
 
-	refreshQueue = 16 // calls of Refresh that may wait for Run
+	refreshQueueSize = 16 // calls of Refresh that may wait for Run
 )
 
 var errEmptySnapshot = errors.New("an empty answer")
@@ -57,9 +57,9 @@
 	onDemand bool
 	rng      *rand.Rand // used by the watch's keeper only
 
-	onRemove     func(address string)
-	onUpdate     func(update policy.EndpointUpdate, addresses []string)
-	onDisconnect func()
+	onAddressVacated func(address string)
+	onUpdate         func(update policy.EndpointUpdate, addresses []string)
+	onDisconnect     func()
 
 	refreshes   chan bool     // true: a snapshot is wanted, false: the watch
 	moved       chan bool     // the address has changed
@@ -79,25 +79,27 @@
 // NewDiscovery returns a Discovery that holds no list yet; Run follows the list.
 func NewDiscovery(config DiscoveryConfig) *Discovery {
 	return &Discovery{
-		core:         config.Core,
-		dial:         config.Dial,
-		parser:       listParser{zones: config.Zones, hardwareClasses: config.HardwareClasses},
-		onDemand:     config.OnDemand,
-		rng:          policy.NewRand(config.Seed),
-		onRemove:     func(string) {},
-		onUpdate:     func(update policy.EndpointUpdate, _ []string) { config.Core.UpdateEndpoints(update) },
-		onDisconnect: func() {},
-		refreshes:    make(chan bool, refreshQueue),
-		moved:        make(chan bool, 1),
-		firstUpdate:  make(chan struct{}),
-		applyOrder:   make(chan bool, 1),
-		address:      config.Address,
-		directory:    newDirectory(),
+		core:             config.Core,
+		dial:             config.Dial,
+		parser:           listParser{zones: config.Zones, hardwareClasses: config.HardwareClasses},
+		onDemand:         config.OnDemand,
+		rng:              policy.NewRand(config.Seed),
+		onAddressVacated: func(string) {},
+		onUpdate:         func(update policy.EndpointUpdate, _ []string) { config.Core.UpdateEndpoints(update) },
+		onDisconnect:     func() {},
+		refreshes:        make(chan bool, refreshQueueSize),
+		moved:            make(chan bool, 1),
+		firstUpdate:      make(chan struct{}),
+		applyOrder:       make(chan bool, 1),
+		address:          config.Address,
+		directory:        newDirectory(),
 	}
 }
 
 // OnAddressVacated sets what is called for an address that its backend has left.
-func (d *Discovery) OnAddressVacated(onRemove func(address string)) { d.onRemove = onRemove }
+func (d *Discovery) OnAddressVacated(onAddressVacated func(address string)) {
+	d.onAddressVacated = onAddressVacated
+}
 
 // OnUpdate sets what is called with each list in place of the core: a merge with other sources. onDisconnect is called whenever
 // a watch breaks or falls silent.
@@ -156,7 +158,7 @@
 	watchEnded := make(chan bool, 1) // room for the one watch that runs at a time: its goroutine never waits
 	startWatch := func() {
 		go func() {
-			d.keepWatch(ctx)
+			d.maintainWatch(ctx)
 			watchEnded <- true
 		}()
 	}
@@ -184,9 +186,9 @@
 	}
 }
 
-// keepWatch keeps the watch open until ctx ends; where the list comes on demand only, until the watch is lost.
-func (d *Discovery) keepWatch(ctx context.Context) {
-	keepStream(ctx, streamConfig{
+// maintainWatch keeps the watch open until ctx ends; where the list comes on demand only, until the watch is lost.
+func (d *Discovery) maintainWatch(ctx context.Context) {
+	maintainStream(ctx, streamConfig{
 		read:         d.watch,
 		moved:        d.moved,
 		reconnect:    !d.onDemand,
@@ -197,11 +199,11 @@
 }
 
 // watch reads one watch until it breaks, falls silent or sends what can't be read.
-func (d *Discovery) watch(ctx context.Context, heard func()) error {
+func (d *Discovery) watch(ctx context.Context, onData func()) error {
 	defer d.onDisconnect()
 	address, generation, version := d.position()
 	path := fmt.Sprintf("%s?watch=1&after=%d", endpointsPath, version)
-	stream, err := openControlStream(ctx, d.dial, address, path, watchSilence)
+	stream, err := openControlStream(ctx, d.dial, address, path, watchIdleTimeout)
 	if err != nil {
 		return err
 	}
@@ -209,13 +211,13 @@
 	logrus.WithField("after", version).Info("endpoint stream connected")
 	lists := newListScanner(stream)
 	for lists.Scan() {
-		stream.allowSilence(watchSilence) // not for a part of a list: half of one is silence
+		stream.extendReadDeadline(watchIdleTimeout) // not for a part of a list: half of one is silence
 		if len(lists.Bytes()) > 0 {
-			if err := d.apply(lists.Bytes(), FromWatch, generation, heard); err != nil {
+			if err := d.apply(lists.Bytes(), FromWatch, generation, onData); err != nil {
 				return err
 			}
 		}
-		heard()
+		onData()
 	}
 	return cmp.Or(lists.Err(), errStreamEnded)
 }
--- a/internal/httpwire/discovery_test.go
+++ b/internal/httpwire/discovery_test.go
@@ -8,7 +8,7 @@
 )
 
 // What discovery sends, entry by entry and list by list.
-func TestTake(t *testing.T) {
+func TestApplyList(t *testing.T) {
 	s, u := `{"id":"s","addr":"app:1","state":"Ready","version_no":1}`, `{"id":"u","addr":"b:1","state":"Ready","version_no":2}`
 	removed := `{"id":"s","addr":"app:1","state":"Gone"}`
 	draining := `{"id":"s","addr":"app:1","state":"Terminating","version_no":1}`
@@ -16,9 +16,9 @@
 	restarted := `{"id":"s","addr":"app:1","state":"Ready","started_ms":5,"version_no":2}`
 	for _, c := range []struct {
 		name, text string
-		fails      bool
+		wantErr    bool
 		addresses  string // of s and u
-		left       string
+		vacated    string
 	}{
 		{"another", listJSON(2, false, u), false, "app:1 b:1", "[]"},
 		{"a whole list", listJSON(2, true, u), false, " b:1", "[app:1]"},
@@ -43,12 +43,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				a := newTestInstance(network{}, NewSockets(0))
-				left := []string{}
-				a.discovery.OnAddressVacated(func(address string) { left = append(left, address) })
+				vacated := []string{}
+				a.discovery.OnAddressVacated(func(address string) { vacated = append(vacated, address) })
 				err := a.discovery.Apply([]byte(c.text), FromWatch, func() {})
 				addresses := a.discovery.BackendAddress("s") + " " + a.discovery.BackendAddress("u")
-				if (err != nil) != c.fails || addresses != c.addresses || fmt.Sprint(left) != c.left {
-					t.Errorf("%v, addresses %q, left %v", err, addresses, left)
+				if (err != nil) != c.wantErr || addresses != c.addresses || fmt.Sprint(vacated) != c.vacated {
+					t.Errorf("%v, addresses %q, vacated %v", err, addresses, vacated)
 				}
 				a.close()
 			})
--- a/internal/httpwire/endpointlist.go
+++ b/internal/httpwire/endpointlist.go
@@ -21,10 +21,10 @@
 )
 
 var (
-	errUnreadableList  = errors.New("a list that can't be read")
-	errIncompleteList  = errors.New("a list without version, kind or entries")
-	errUnreadableEntry = errors.New("an entry that can't be read")
-	errUnusableEntry   = errors.New("an entry that can't be used")
+	errMalformedList  = errors.New("a list that can't be read")
+	errIncompleteList = errors.New("a list without version, kind or entries")
+	errMalformedEntry = errors.New("an entry that can't be read")
+	errInvalidEntry   = errors.New("an entry that can't be used")
 )
 
 // endpointStates are the protocol's words.
@@ -64,10 +64,10 @@
 	hardwareClasses []string
 }
 
-// parse reads one list. An error is errUnreadableList, errIncompleteList, errUnreadableEntry or errUnusableEntry.
+// parse reads one list. An error is errMalformedList, errIncompleteList, errMalformedEntry or errInvalidEntry.
 func (p listParser) parse(text []byte) (endpointList, error) {
 	if !gjson.ValidBytes(text) || !utf8.Valid(text) {
-		return endpointList{}, errUnreadableList
+		return endpointList{}, errMalformedList
 	}
 	document := gjson.ParseBytes(text)
 	version, snapshot, entries := document.Get("version"), document.Get("full"), document.Get("servers")
@@ -91,13 +91,13 @@
 	address := e.Get("addr").Str
 	state, known := endpointStates[e.Get("state").Str]
 	if id.Type != gjson.String || id.Str == "" || !known {
-		return listEntry{}, fmt.Errorf("%w: %.99q", errUnreadableEntry, e.Raw)
+		return listEntry{}, fmt.Errorf("%w: %.99q", errMalformedEntry, e.Raw)
 	}
 	_, _, err := net.SplitHostPort(address)
 	startKnown := !startedAt.Exists() || isListNumber(startedAt)
 	usable := err == nil && isListNumber(release) && startKnown
 	if state != policy.EndpointRemoved && !usable {
-		return listEntry{}, fmt.Errorf("%w: %.99q", errUnusableEntry, e.Raw)
+		return listEntry{}, fmt.Errorf("%w: %.99q", errInvalidEntry, e.Raw)
 	}
 	weight := defaultWeight
 	if w := e.Get("weight"); w.Type == gjson.Number {
--- a/internal/httpwire/framing_test.go
+++ b/internal/httpwire/framing_test.go
@@ -8,7 +8,7 @@
 
 // Lists come in one line or indented, on streams that cut them anywhere; empty lines between them are signs of life, and a
 // list that stops half way is none.
-func TestFramed(t *testing.T) {
+func TestListScanner(t *testing.T) {
 	line := `{"a":"}\"{","b":[1,{"c":2}]}`
 	indented := "{\n  \"a\": [\n\n    1\n  ]\n}"
 	for _, c := range []struct{ name, text, want string }{
@@ -22,7 +22,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for _, step := range []int{1, 3, 1000} {
-				got := scanLists(&choppedReader{c.text, step})
+				got := scanLists(&sizedReader{c.text, step})
 				// A stream that is cut shows less of what is not a list.
 				prefix, isError := cutError(c.want)
 				matches := got == c.want || step < 1000 && isError && strings.HasPrefix(got, prefix)
@@ -54,13 +54,13 @@
 	return want[:27], true
 }
 
-// choppedReader reads a text so many bytes at a time.
-type choppedReader struct {
+// sizedReader reads a text so many bytes at a time.
+type sizedReader struct {
 	text string
 	step int
 }
 
-func (r *choppedReader) Read(b []byte) (int, error) {
+func (r *sizedReader) Read(b []byte) (int, error) {
 	if r.text == "" {
 		return 0, io.EOF
 	}
--- a/internal/httpwire/front.go
+++ b/internal/httpwire/front.go
@@ -36,15 +36,15 @@
 	maxOpenRequests int   // 0: no limit
 	maxBodyBytes    int64 // of all open requests together
 
-	ready        atomic.Bool
-	shuttingDown atomic.Bool  // no longer ready, but requests are served
-	closingConns atomic.Bool  // connections end with their request
-	openRequests atomic.Int64 // from the end of their head to the end of their answer
-	bodyBytes    atomic.Int64 // of requests that are open
-	invalid      atomic.Int64
-	startedAt    time.Time
-	lastActivity atomic.Int64  // when a request last began or ended, in ns since startedAt: the wall clock may be stepped
-	killAfter    time.Duration // from the signal to shut down until the process may be killed, at the soonest
+	ready           atomic.Bool
+	shuttingDown    atomic.Bool  // no longer ready, but requests are served
+	closingConns    atomic.Bool  // connections end with their request
+	openRequests    atomic.Int64 // from the end of their head to the end of their answer
+	bodyBytes       atomic.Int64 // of requests that are open
+	invalidRequests atomic.Int64
+	startedAt       time.Time
+	lastActivity    atomic.Int64  // when a request last began or ended, in ns since startedAt: the wall clock may be stepped
+	killDelay       time.Duration // from the signal to shut down until the process may be killed, at the soonest
 }
 
 // class is a request class as the parser needs it.
@@ -66,7 +66,7 @@
 		longestTimeout = max(longestTimeout, config.Classes[i].Timeout)
 		f.classes[name] = class{index: i, semantics: config.Classes[i].Semantics}
 	}
-	f.killAfter = acceptWindow + fromMilliseconds(min(longestTimeout, maxKillDelayMs))
+	f.killDelay = acceptWindow + fromMilliseconds(min(longestTimeout, maxKillDelayMs))
 	return f
 }
 
@@ -75,7 +75,7 @@
 func (f *Front) SetReady() { f.ready.Store(true) }
 
 // InvalidRequests counts the requests refused as bad input, by whatever status.
-func (f *Front) InvalidRequests() int64 { return f.invalid.Load() }
+func (f *Front) InvalidRequests() int64 { return f.invalidRequests.Load() }
 
 // beginRequest counts a request as open until the returned function is called.
 func (f *Front) beginRequest() (end func()) {
--- a/internal/httpwire/front_test.go
+++ b/internal/httpwire/front_test.go
@@ -11,43 +11,43 @@
 )
 
 // What does not have the form of a request is refused at the door; nothing of it reaches the core.
-func TestBadInput(t *testing.T) {
-	id, left, key := "Req-Id: r", "Req-Deadline: 500m", "Idempotency-Key: m"
+func TestRequestValidation(t *testing.T) {
+	id, deadline, key := "Req-Id: r", "Req-Deadline: 500m", "Idempotency-Key: m"
 	for _, c := range []struct {
-		name, text    string
-		status, taken int
+		name, text       string
+		status, accepted int
 	}{
-		{"in form", requestText("POST /save/x", id, left, key, "Content-Length: 0"), 200, 1},
+		{"in form", requestText("POST /save/x", id, deadline, key, "Content-Length: 0"), 200, 1},
 		{"in microseconds", requestText("GET /look/x", id, "Req-Deadline: 500000u"), 200, 1},
-		{"no id", requestText("GET /look/x", left), 400, 0},
-		{"malformed id", requestText("GET /look/x", "Req-Id: a b", left), 400, 0},
-		{"unknown class", requestText("GET /other/x", id, left), 404, 0},
-		{"wrong method", requestText("POST /look/x", id, left, "Content-Length: 0"), 405, 0},
-		{"reading an idempotent class", requestText("GET /save/x", id, left, key), 405, 0},
-		{"no idempotency key", requestText("POST /save/x", id, left, "Content-Length: 0"), 400, 0},
+		{"no id", requestText("GET /look/x", deadline), 400, 0},
+		{"malformed id", requestText("GET /look/x", "Req-Id: a b", deadline), 400, 0},
+		{"unknown class", requestText("GET /other/x", id, deadline), 404, 0},
+		{"wrong method", requestText("POST /look/x", id, deadline, "Content-Length: 0"), 405, 0},
+		{"reading an idempotent class", requestText("GET /save/x", id, deadline, key), 405, 0},
+		{"no idempotency key", requestText("POST /save/x", id, deadline, "Content-Length: 0"), 400, 0},
 		{"no deadline", requestText("GET /look/x", id), 400, 0},
 		{"deadline without unit", requestText("GET /look/x", id, "Req-Deadline: 500"), 400, 0},
 		{"deadline past", requestText("GET /look/x", id, "Req-Deadline: -1m"), 400, 0},
 		{"deadline not a number", requestText("GET /look/x", id, "Req-Deadline: NaNm"), 400, 0},
 		{"deadline of odd form", requestText("GET /look/x", id, "Req-Deadline: 0x9m"), 400, 0},
-		{"two deadlines", requestText("GET /look/x", id, left, "Req-Deadline: 9m"), 400, 0},
+		{"two deadlines", requestText("GET /look/x", id, deadline, "Req-Deadline: 9m"), 400, 0},
 		{"two units", requestText("GET /look/x", id, "Req-Deadline: 9mu"), 400, 0},
-		{"two ids", requestText("GET /look/x", id, "Req-Id: q", left), 400, 0},
-		{"two idempotency keys", requestText("POST /save/x", id, left, key, "Idempotency-Key: n", "Content-Length: 0"), 400, 0},
-		{"a body where none belongs", requestText("GET /look/x", id, left, "Content-Length: 1") + "a", 400, 0},
-		{"no length", requestText("POST /save/x", id, left, key), 411, 0},
-		{"no path", requestText("GET look", id, left), 400, 0},
-		{"all of the server", requestText("OPTIONS *", id, left), 404, 0},
-		{"a length and a coding", requestText("POST /save/x", id, left, key, "Content-Length: 9", "Transfer-Encoding: chunked") +
-			"0\r\n\r\n" + requestText("GET /look/x", id, left), 411, 0},
-		{"the same of HTTP/1.0", strings.Replace(requestText("POST /save/x", id, left, key, "Content-Length: 5",
-			"Transfer-Encoding: chunked"), "/1.1", "/1.0", 1) + "0\r\n\r\n" + requestText("GET /look/x", id, left), 505, 0},
-		{"negative length", requestText("POST /save/x", id, left, key, "Content-Length: -1"), 400, 0},
-		{"huge length", requestText("POST /save/x", id, left, key, "Content-Length: 99999999999999999999"), 400, 0},
-		{"body too long", requestText("POST /save/x", id, left, key, "Content-Length: 70000"), 413, 0},
-		{"body in chunks", requestText("POST /save/x", id, left, key, "Transfer-Encoding: chunked") + "11170\r\n" +
+		{"two ids", requestText("GET /look/x", id, "Req-Id: q", deadline), 400, 0},
+		{"two idempotency keys", requestText("POST /save/x", id, deadline, key, "Idempotency-Key: n", "Content-Length: 0"), 400, 0},
+		{"a body where none belongs", requestText("GET /look/x", id, deadline, "Content-Length: 1") + "a", 400, 0},
+		{"no length", requestText("POST /save/x", id, deadline, key), 411, 0},
+		{"no path", requestText("GET look", id, deadline), 400, 0},
+		{"all of the server", requestText("OPTIONS *", id, deadline), 404, 0},
+		{"a length and a coding", requestText("POST /save/x", id, deadline, key, "Content-Length: 9", "Transfer-Encoding: chunked") +
+			"0\r\n\r\n" + requestText("GET /look/x", id, deadline), 411, 0},
+		{"the same of HTTP/1.0", strings.Replace(requestText("POST /save/x", id, deadline, key, "Content-Length: 5",
+			"Transfer-Encoding: chunked"), "/1.1", "/1.0", 1) + "0\r\n\r\n" + requestText("GET /look/x", id, deadline), 505, 0},
+		{"negative length", requestText("POST /save/x", id, deadline, key, "Content-Length: -1"), 400, 0},
+		{"huge length", requestText("POST /save/x", id, deadline, key, "Content-Length: 99999999999999999999"), 400, 0},
+		{"body too long", requestText("POST /save/x", id, deadline, key, "Content-Length: 70000"), 413, 0},
+		{"body in chunks", requestText("POST /save/x", id, deadline, key, "Transfer-Encoding: chunked") + "11170\r\n" +
 			strings.Repeat("a", 70000), 411, 0},
-		{"body that does not come", requestText("POST /save/x", id, left, key, "Content-Length: 9") + "ab", 400, 0},
+		{"body that does not come", requestText("POST /save/x", id, deadline, key, "Content-Length: 9") + "ab", 400, 0},
 		{"body that never ends", requestText("POST /save/x", id, "Req-Deadline: 9000000m", key, "Content-Length: 9") + "ab", 400, 0},
 		{"another method and nothing else right", requestText("PUT /look/x"), 405, 0},
 		{"head without end", "GET /look/x HTTP/1.1\r\n" + strings.Repeat("A: b\r\n", 9000), 431, 0},
@@ -59,7 +59,7 @@
 				a := newTestInstance(network{"app:1": answerOnce("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")}, NewSockets(0))
 				from := time.Now()
 				resp, _ := a.roundTrip(t, c.text)
-				if n := a.core.Counts(); resp.StatusCode != c.status || n.Accepted != c.taken || n.OpenRequests != 0 {
+				if n := a.core.Counts(); resp.StatusCode != c.status || n.Accepted != c.accepted || n.OpenRequests != 0 {
 					t.Errorf("got %d, %+v", resp.StatusCode, n)
 				}
 				if c.status != 200 && (!resp.Close && c.status != 503 || time.Since(from) > newConnRequestTimeout) {
@@ -75,7 +75,7 @@
 }
 
 // A handler that fails still answers, and its attempt ends.
-func TestHandlerFails(t *testing.T) {
+func TestHandlerPanic(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := newTestInstance(network{}, NewSockets(0))
 		a.upstream.address = func(string) string { panic("lost its map") }
@@ -130,7 +130,7 @@
 }
 
 // The client's time runs from when it sent: no backend is given what a head or body in pieces took of it.
-func TestPiecesTime(t *testing.T) {
+func TestSlowRequestReducesTimeLeft(t *testing.T) {
 	for _, c := range []struct{ name, first, rest string }{
 		{"head", validRequest[:20], validRequest[20:]},
 		{"body", "POST /pay/k HTTP/1.1\r\nHost: h\r\nReq-Id: r1\r\nReq-Deadline: 2000m\r\nContent-Length: 4\r\n\r\n", "body"},
@@ -218,7 +218,7 @@
 }
 
 // On a kept connection the time of a request runs from its own first byte, and between two requests the connection is idle.
-func TestKeptClientConn(t *testing.T) {
+func TestClientConnReuse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		deadlines := make(chan string, 2)
 		a := newTestInstance(network{"app:1": func(conn net.Conn) {
--- a/internal/httpwire/handler.go
+++ b/internal/httpwire/handler.go
@@ -62,12 +62,12 @@
 // requestHandler carries out the actions of one request that the core has accepted. It lives in the goroutine of the server's
 // connection.
 type requestHandler struct {
-	request       *core.Request
-	response      responseWriter
-	send          func(*core.Attempt)
-	cancelAllowed bool
-	current       *core.Attempt // which this goroutine carries out
-	answered      bool          // writing of the answer has begun
+	request        *core.Request
+	response       responseWriter
+	send           func(*core.Attempt)
+	cancelAllowed  bool
+	currentAttempt *core.Attempt // which this goroutine carries out
+	answered       bool          // writing of the answer has begun
 }
 
 // run takes the request's actions until one ends it.
@@ -89,7 +89,7 @@
 	switch action.Kind {
 	case core.ActionServe:
 		h.answered = true
-		h.request.ResponseWritten(h.response.writeServed(action.Response.(answer)))
+		h.request.ResponseWritten(h.response.writeServed(action.Response.(clientResponse)))
 	case core.ActionReject:
 		h.answered = true
 		h.request.ResponseWritten(h.response.writeRejected(action.RetryAfter))
@@ -110,9 +110,9 @@
 		go h.send(attempt)
 		return
 	}
-	h.current = attempt
+	h.currentAttempt = attempt
 	h.send(attempt)
-	h.current = nil
+	h.currentAttempt = nil
 }
 
 // close ends the request, whatever has failed: after a panic the attempt under way gets its result and the client an answer, if
@@ -120,8 +120,8 @@
 func (h *requestHandler) close() {
 	if failure := recover(); failure != nil {
 		logrus.WithFields(logrus.Fields{"request": h.request.ID, "panic": failure}).Error("request handler panicked")
-		if h.current != nil {
-			h.current.Finish(policy.StatusReset, nil, policy.LoadReport{})
+		if h.currentAttempt != nil {
+			h.currentAttempt.Finish(policy.StatusReset, nil, policy.LoadReport{})
 		}
 		if !h.answered {
 			h.request.Fail()
--- a/internal/httpwire/interceptor_test.go
+++ b/internal/httpwire/interceptor_test.go
@@ -144,7 +144,7 @@
 
 // A client that goes before its answer is reported as gone, one that goes within it as not written, a handler that fails as failed,
 // and no room is an answer like any other.
-func TestInterceptorsBadEnds(t *testing.T) {
+func TestInterceptorsFailures(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		run  func(*testing.T)
--- a/internal/httpwire/lists_test.go
+++ b/internal/httpwire/lists_test.go
@@ -14,7 +14,7 @@
 )
 
 // An indented list reaches the instance by the watch, also where a snapshot is fetched.
-func TestIndented(t *testing.T) {
+func TestIndentedList(t *testing.T) {
 	list := "{\n \"version\": 9,\n \"full\": true,\n \"servers\": [\n  {\"id\": \"u\", \"addr\": \"u:1\", \"state\": \"Ready\",\n" +
 		"   \"version_no\": 1}\n ]\n}\n"
 	for _, c := range []struct {
@@ -35,7 +35,7 @@
 			send(conn, streamHead+chunk(list))
 			<-a.discovery.FirstUpdate()
 			if a.discovery.BackendAddress("u") != "u:1" {
-				t.Error("not taken")
+				t.Error("not accepted")
 			}
 		})
 	}
@@ -43,7 +43,7 @@
 
 // What a silent watch misses counts as known 6 s after the silence began. It is made up before that, also where the first
 // reconnect fails, or where it comes up and is as silent.
-func TestSilence(t *testing.T) {
+func TestWatchSilence(t *testing.T) {
 	change := listJSON(6, false, `{"id":"u","addr":"u:1","state":"Ready","version_no":1}`) + "\n"
 	for _, c := range []struct {
 		name   string
@@ -84,7 +84,7 @@
 }
 
 // Lists reach the decisions in the order in which they were taken, whoever took them.
-func TestListOrder(t *testing.T) {
+func TestListsPassedOnInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := newTestInstance(network{}, NewSockets(0))
 		var got []int
@@ -124,12 +124,12 @@
 	version    int
 	snapshot   bool
 	id         string // of the one backend in it
-	taken      bool
-	fails      bool
+	accepted   bool
+	wantErr    bool
 }
 
 // Discovery moves: what the address that was left still sends, a count that starts lower, and one that skips.
-func TestMovedLists(t *testing.T) {
+func TestListsAfterMove(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		lists []movedList
@@ -182,10 +182,10 @@
 func (l movedList) apply(t *testing.T, d *Discovery) {
 	t.Helper()
 	err := d.apply([]byte(listJSON(l.version, l.snapshot, entryAt(l.id))), FromWatch, l.generation, func() {})
-	if taken := d.BackendAddress(l.id) != ""; taken != l.taken || (err != nil) != l.fails {
-		t.Errorf("version %d of generation %d taken %v, %v", l.version, l.generation, taken, err)
+	if accepted := d.BackendAddress(l.id) != ""; accepted != l.accepted || (err != nil) != l.wantErr {
+		t.Errorf("version %d of generation %d accepted %v, %v", l.version, l.generation, accepted, err)
 	}
-	if _, _, version := d.position(); l.fails && version != 0 {
+	if _, _, version := d.position(); l.wantErr && version != 0 {
 		t.Errorf("the next watch asks from %d on", version)
 	}
 }
--- a/internal/httpwire/listversion.go
+++ b/internal/httpwire/listversion.go
@@ -52,9 +52,9 @@
 type listDecision uint8
 
 const (
-	listStale    listDecision = iota // ignored
-	listAccepted                     // taken
-	listRestarts                     // taken; the next watch has to ask for all
+	listStale           listDecision = iota // ignored
+	listAccepted                            // taken
+	listAcceptedRestart                     // taken; the next watch has to ask for all
 )
 
 // decide says what is done with a list that came from a generation's address.
@@ -64,12 +64,12 @@
 	case generation < held.generation:
 		return listStale
 	case generation > held.generation && older && !list.snapshot:
-		return listRestarts
+		return listAcceptedRestart
 	case generation > held.generation || !older:
 		return listAccepted
 	}
-	countsAnew := list.snapshot && source == FromWatch
-	if countsAnew || source == FromConfiguration {
+	restartsVersions := list.snapshot && source == FromWatch
+	if restartsVersions || source == FromConfiguration {
 		return listAccepted
 	}
 	return listStale
@@ -77,42 +77,42 @@
 
 // Apply takes one list and hands it on, whole or not at all; a stale one is ignored. It calls readable once the list is seen to be
 // one. An error says why it could not be read, or is errVersionRestarted. Any goroutine may call it.
-func (d *Discovery) Apply(text []byte, source Source, readable func()) error {
+func (d *Discovery) Apply(text []byte, source Source, onParsed func()) error {
 	_, generation, _ := d.position()
-	return d.apply(text, source, generation, readable)
+	return d.apply(text, source, generation, onParsed)
 }
 
 // apply is Apply for a list from the address of a generation.
-func (d *Discovery) apply(text []byte, source Source, generation int, readable func()) error {
+func (d *Discovery) apply(text []byte, source Source, generation int, onParsed func()) error {
 	list, err := d.parser.parse(text)
 	if err != nil {
 		return err
 	}
 	d.applyOrder <- true
 	defer func() { <-d.applyOrder }()
-	readable()
-	decision, left := d.store(list, source, generation)
+	onParsed()
+	decision, vacated := d.store(list, source, generation)
 	if decision == listStale {
 		held, _ := d.Version()
 		logrus.WithFields(logrus.Fields{"version": list.version, "held": held, "snapshot": list.snapshot}).
 			Info("stale endpoint list ignored")
 		return nil
 	}
-	for _, address := range left {
-		d.onRemove(address)
+	for _, address := range vacated {
+		d.onAddressVacated(address)
 	}
 	d.onUpdate(list.update(source))
 	if source != FromConfiguration {
 		d.closeFirstUpdate()
 	}
-	if decision == listRestarts {
+	if decision == listAcceptedRestart {
 		return errVersionRestarted
 	}
 	return nil
 }
 
 // store takes a list in, unless it is stale, and returns the addresses that it leaves.
-func (d *Discovery) store(list endpointList, source Source, generation int) (decision listDecision, left []string) {
+func (d *Discovery) store(list endpointList, source Source, generation int) (decision listDecision, vacated []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	decision = d.held.decide(list, source, generation)
@@ -120,7 +120,7 @@
 		return decision, nil
 	}
 	d.held = listPosition{generation, list.version}
-	if decision == listRestarts {
+	if decision == listAcceptedRestart {
 		d.held.version = 0
 	}
 	return decision, d.directory.apply(list)
--- a/internal/httpwire/listversion_test.go
+++ b/internal/httpwire/listversion_test.go
@@ -29,8 +29,8 @@
 		{"newer generation, newer version", newer, 6, false, FromWatch, listAccepted},
 		{"newer generation, same version", newer, 5, false, FromWatch, listAccepted},
 		{"newer generation, older version, snapshot", newer, 4, true, FromFetch, listAccepted},
-		{"newer generation, older version, change", newer, 4, false, FromWatch, listRestarts},
-		{"newer generation, older version, change from the configuration", newer, 4, false, FromConfiguration, listRestarts},
+		{"newer generation, older version, change", newer, 4, false, FromWatch, listAcceptedRestart},
+		{"newer generation, older version, change from the configuration", newer, 4, false, FromConfiguration, listAcceptedRestart},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			list := endpointList{version: c.version, snapshot: c.snapshot}
--- a/internal/httpwire/loadreport.go
+++ b/internal/httpwire/loadreport.go
@@ -17,7 +17,7 @@
 // parseLoadReport reads a load report, whole or not at all: of one that is malformed anywhere, nothing counts. The settings name
 // the figures by the simulator's words, the protocol's example by its own: both are read.
 func parseLoadReport(report string) policy.LoadReport {
-	waiting, busy, inFlight := notReported, notReported, notReported
+	waiting, utilization, inFlight := notReported, notReported, notReported
 	for part := range strings.SplitSeq(report, ",") {
 		name, text, _ := strings.Cut(part, "=")
 		figure, ok := parseLoadFigure(text)
@@ -30,18 +30,18 @@
 		case "rif", "inflight":
 			inFlight = figure
 		case "busy", "util":
-			busy = figure
+			utilization = figure
 		}
 	}
 	if waiting < 0 {
 		waiting = inFlight
 	}
-	return policy.LoadReport{Present: waiting >= 0 || busy >= 0, Waiting: max(waiting, 0), Utilization: max(busy, 0)}
+	return policy.LoadReport{Present: waiting >= 0 || utilization >= 0, Waiting: max(waiting, 0), Utilization: max(utilization, 0)}
 }
 
 // parseLoadFigure reads digits with at most one point, none of what else a float may be.
 func parseLoadFigure(text string) (figure float64, ok bool) {
-	odd := strings.ContainsFunc(text, func(c rune) bool { return c != '.' && (c < '0' || c > '9') })
+	hasOtherChars := strings.ContainsFunc(text, func(c rune) bool { return c != '.' && (c < '0' || c > '9') })
 	figure, err := strconv.ParseFloat(text, 64)
-	return figure, err == nil && !odd && figure <= maxLoadFigure
+	return figure, err == nil && !hasOtherChars && figure <= maxLoadFigure
 }
--- a/internal/httpwire/loadreport_test.go
+++ b/internal/httpwire/loadreport_test.go
@@ -7,10 +7,10 @@
 )
 
 // A load report is read whole or not at all.
-func TestLoad(t *testing.T) {
+func TestParseLoadReport(t *testing.T) {
 	for _, c := range []struct {
-		report        string
-		waiting, busy float64
+		report               string
+		waiting, utilization float64
 	}{
 		{"q=3,busy=0.62,rate=140", 3, 0.62},
 		{"rif=4,fail_rate=0", 4, -1},
@@ -30,7 +30,7 @@
 		{"queue=inf", -1, -1},
 	} {
 		t.Run(c.report, func(t *testing.T) {
-			want := policy.LoadReport{Present: c.waiting >= 0 || c.busy >= 0, Waiting: max(c.waiting, 0), Utilization: max(c.busy, 0)}
+			want := policy.LoadReport{Present: c.waiting >= 0 || c.utilization >= 0, Waiting: max(c.waiting, 0), Utilization: max(c.utilization, 0)}
 			if got := parseLoadReport(c.report); got != want {
 				t.Errorf("%q: %+v, want %+v", c.report, got, want)
 			}
--- a/internal/httpwire/notices.go
+++ b/internal/httpwire/notices.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	noticesPath    = "/notices"
-	noticeSilence  = 3500 * time.Millisecond // a sign of life comes every second
-	maxNoticeBytes = 64 << 10                // of one line
-	stageEvent     = "stage"                 // the event that holds a release's state
+	noticesPath       = "/notices"
+	noticeIdleTimeout = 3500 * time.Millisecond // a sign of life comes every second
+	maxNoticeBytes    = 64 << 10                // of one line
+	stageEvent        = "stage"                 // the event that holds a release's state
 )
 
-// errUnreadableNotice ends a stream: what can't be read is noise, and the connection of no further use.
-var errUnreadableNotice = errors.New("a notice that can't be read")
+// errMalformedNotice ends a stream: what can't be read is noise, and the connection of no further use.
+var errMalformedNotice = errors.New("a notice that can't be read")
 
 // WatchReleases follows the notices until ctx ends.
 func (p *Platform) WatchReleases(ctx context.Context) {
-	keepStream(ctx, streamConfig{
+	maintainStream(ctx, streamConfig{
 		read:         p.readNotices,
 		moved:        p.moved,
 		reconnect:    true,
@@ -38,8 +38,8 @@
 }
 
 // readNotices reads one stream until it breaks, falls silent or sends what can't be read.
-func (p *Platform) readNotices(ctx context.Context, heard func()) error {
-	stream, err := openControlStream(ctx, p.dial, p.currentAddress(), noticesPath, noticeSilence)
+func (p *Platform) readNotices(ctx context.Context, onData func()) error {
+	stream, err := openControlStream(ctx, p.dial, p.currentAddress(), noticesPath, noticeIdleTimeout)
 	if err != nil {
 		return err
 	}
@@ -49,19 +49,19 @@
 	lines.Buffer(nil, maxNoticeBytes)
 	var event notice
 	for lines.Scan() {
-		stream.allowSilence(noticeSilence)
-		whole, alive, err := event.addLine(lines.Text())
+		stream.extendReadDeadline(noticeIdleTimeout)
+		complete, keepAlive, err := event.addLine(lines.Text())
 		if err != nil {
 			return err
 		}
-		if whole {
+		if complete {
 			if err := p.applyNotice(event); err != nil {
 				return err
 			}
 			event = notice{}
 		}
-		if whole || alive {
-			heard()
+		if complete || keepAlive {
+			onData()
 		}
 	}
 	return cmp.Or(lines.Err(), errStreamEnded)
@@ -74,7 +74,7 @@
 }
 
 // addLine takes in one line. An empty line makes the notice whole; a line without a name is a sign of life.
-func (n *notice) addLine(line string) (whole, alive bool, err error) {
+func (n *notice) addLine(line string) (complete, keepAlive bool, err error) {
 	name, value, colon := strings.Cut(line, ":")
 	value = strings.TrimPrefix(value, " ")
 	switch {
@@ -87,7 +87,7 @@
 	case name == "":
 		return true, false, nil
 	default:
-		return false, false, fmt.Errorf("%w: %.99q", errUnreadableNotice, line)
+		return false, false, fmt.Errorf("%w: %.99q", errMalformedNotice, line)
 	}
 	return false, false, nil
 }
@@ -102,7 +102,7 @@
 		err = p.Apply(ReadReleaseFields(form.Get))
 	}
 	if err != nil {
-		return fmt.Errorf("%w: %w: %.99q", errUnreadableNotice, err, n.data)
+		return fmt.Errorf("%w: %w: %.99q", errMalformedNotice, err, n.data)
 	}
 	return nil
 }
--- a/internal/httpwire/platform.go
+++ b/internal/httpwire/platform.go
@@ -49,7 +49,7 @@
 		voteTimeout: config.VoteTimeout,
 		rng:         policy.NewRand(config.Seed),
 		moved:       make(chan bool, 1),
-		votes:       make(chan vote, voteQueue),
+		votes:       make(chan vote, voteQueueSize),
 		address:     config.Address,
 	}
 }
--- a/internal/httpwire/platform_test.go
+++ b/internal/httpwire/platform_test.go
@@ -17,15 +17,15 @@
 
 // voteCase is one way in which the platform answers a vote, and what it means.
 type voteCase struct {
-	name     string
-	peer     func(net.Conn)
-	response policy.VoteResponse
-	state    releaseState
-	formSeen bool // the vote reaches the platform whole
+	name         string
+	peer         func(net.Conn)
+	response     policy.VoteResponse
+	state        releaseState
+	formReceived bool // the vote reaches the platform whole
 }
 
 // The table of the platform's responses to votes.
-func TestVotes(t *testing.T) {
+func TestVoteResponses(t *testing.T) {
 	for _, c := range voteCases() {
 		t.Run(c.name, func(t *testing.T) { synctest.Test(t, c.run) })
 	}
@@ -65,7 +65,7 @@
 	if c.peer != nil {
 		n["control"] = c.peer
 	}
-	if c.formSeen {
+	if c.formReceived {
 		n["control"] = recordForm(c.peer, &form)
 	}
 	a := newTestInstance(network{}, NewSockets(0))
@@ -83,7 +83,7 @@
 	}
 	p.closeVoteConn()
 	synctest.Wait()
-	if c.formSeen && form != "Action=CastVote&release=42&tranche=1&ruling=promote" {
+	if c.formReceived && form != "Action=CastVote&release=42&tranche=1&ruling=promote" {
 		t.Errorf("form %q", form)
 	}
 	a.close()
@@ -109,7 +109,7 @@
 }
 
 // A vote's response that comes twice is not the next vote's.
-func TestSecondReply(t *testing.T) {
+func TestDuplicateVoteResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		conns := 0
 		a := newTestInstance(network{}, NewSockets(0))
--- a/internal/httpwire/pool.go
+++ b/internal/httpwire/pool.go
@@ -48,11 +48,11 @@
 	inUse   int     // connections in use or coming up
 }
 
-// dialing is a connection that is not up yet.
-type dialing context.CancelFunc
+// dialCanceler is a connection that is not up yet.
+type dialCanceler context.CancelFunc
 
 // Cancel gives up the connection.
-func (d dialing) Cancel() { d() }
+func (d dialCanceler) Cancel() { d() }
 
 // get returns a connection to an address: an idle one, the last used first, or else a new one. The caller returns it by put or
 // discard. The attempt, nil for a probe, can be canceled while a new connection comes up. An error is errNoSocket,
@@ -91,7 +91,7 @@
 		}
 		p.idle = slices.Delete(p.idle, i, i+1)
 		// Whatever has come meanwhile, the connection's end included, belongs to no call of ours.
-		if idleFor < ps.idleTimeout && nothingUnread(c.Conn) {
+		if idleFor < ps.idleTimeout && hasNoUnreadData(c.Conn) {
 			return p, c
 		}
 		c.Close()
@@ -111,7 +111,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), ps.connectTimeout)
 	defer cancel()
 	if attempt != nil {
-		if canceled, timedOut := attempt.SetCanceler(dialing(cancel)); canceled || timedOut {
+		if canceled, timedOut := attempt.SetCanceler(dialCanceler(cancel)); canceled || timedOut {
 			return nil, context.Canceled
 		}
 	}
@@ -174,9 +174,9 @@
 	}
 }
 
-// closeIdlest closes the connection that has been idle longest, and reports whether there was one.
-func (ps *connPools) closeIdlest() bool {
-	c := ps.takeIdlest()
+// closeLongestIdle closes the connection that has been idle longest, and reports whether there was one.
+func (ps *connPools) closeLongestIdle() bool {
+	c := ps.popLongestIdle()
 	if c == nil {
 		return false
 	}
@@ -184,8 +184,8 @@
 	return true
 }
 
-// takeIdlest takes the connection that has been idle longest out of its pool, nil where none is idle.
-func (ps *connPools) takeIdlest() *conn {
+// popLongestIdle takes the connection that has been idle longest out of its pool, nil where none is idle.
+func (ps *connPools) popLongestIdle() *conn {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	var oldest *pool
--- a/internal/httpwire/pool_test.go
+++ b/internal/httpwire/pool_test.go
@@ -12,7 +12,7 @@
 
 // A connection is reused while it stays open, given up well before the backend closes it, and closed after an attempt that was
 // not answered whole.
-func TestKept(t *testing.T) {
+func TestBackendConnReuse(t *testing.T) {
 	ok := "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	closing := "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 	for _, c := range []struct {
--- a/internal/httpwire/shutdown.go
+++ b/internal/httpwire/shutdown.go
@@ -31,14 +31,14 @@
 func (f *Front) Shutdown(ctx context.Context, listener net.Listener) {
 	signaledAt := time.Now()
 	f.shuttingDown.Store(true)
-	f.core.Shutdown(f.core.Now() + toMilliseconds(f.killAfter-answerBeforeKill))
+	f.core.Shutdown(f.core.Now() + toMilliseconds(f.killDelay-answerBeforeKill))
 	poll(ctx, func() bool { return f.drained(time.Since(signaledAt)) })
 	// No new connection from here on. One that is still there has begun to send: it is waited for until the kill is near, for
 	// closing it could cross the request's last byte.
 	f.closingConns.Store(true)
 	listener.Close()
 	poll(ctx, func() bool {
-		if time.Since(signaledAt) >= f.killAfter-exitBeforeKill {
+		if time.Since(signaledAt) >= f.killDelay-exitBeforeKill {
 			return true
 		}
 		f.sockets.CloseIdleClients()
@@ -52,7 +52,7 @@
 	if sinceSignal < acceptWindow {
 		return false
 	}
-	if sinceSignal >= f.killAfter-closeBeforeKill {
+	if sinceSignal >= f.killDelay-closeBeforeKill {
 		f.closingConns.Store(true)
 		f.sockets.CloseIdleClients()
 	}
--- a/internal/httpwire/shutdown_test.go
+++ b/internal/httpwire/shutdown_test.go
@@ -13,7 +13,7 @@
 
 // Shutdown: /up refuses at once, what comes is served on connections that stay until the kill is near, nothing stays open
 // beyond that, and it ends once nothing has come for a while; at once where nobody is connected.
-func TestLeave(t *testing.T) {
+func TestShutdown(t *testing.T) {
 	t.Run("clients are connected", func(t *testing.T) { synctest.Test(t, testShutdownWithClients) })
 	t.Run("a request stays open", func(t *testing.T) { synctest.Test(t, testShutdownWithOpenRequest) })
 	t.Run("nobody is connected", func(t *testing.T) {
--- a/internal/httpwire/sockets.go
+++ b/internal/httpwire/sockets.go
@@ -91,17 +91,17 @@
 
 // occupancy is how full the budget is for one more connection.
 type occupancy struct {
-	full           bool // nothing is left for anyone
-	clientsCrowded bool // clients have more than clientShare
-	hasRoom        bool // for the connection asked for
+	full             bool // nothing is left for anyone
+	clientsOverShare bool // clients have more than clientShare
+	hasRoom          bool // for the connection asked for
 }
 
 func (s *Sockets) occupancy(isClient bool) occupancy {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	o := occupancy{
-		full:           s.used >= s.limit,
-		clientsCrowded: float64(s.clients) >= clientShare*float64(s.limit),
+		full:             s.used >= s.limit,
+		clientsOverShare: float64(s.clients) >= clientShare*float64(s.limit),
 	}
 	clientsFull := isClient && s.clients >= s.ClientLimit()
 	o.hasRoom = !o.full && !clientsFull
@@ -112,7 +112,7 @@
 // is room now. It reserves nothing: track counts the connection once it is up.
 func (s *Sockets) makeRoom(isClient bool) bool {
 	before := s.occupancy(isClient)
-	shouldFree := !before.hasRoom || isClient && before.clientsCrowded
+	shouldFree := !before.hasRoom || isClient && before.clientsOverShare
 	if !shouldFree {
 		return true
 	}
@@ -130,7 +130,7 @@
 	if s.closeIdleClient(s.newConns, newConnGrace) {
 		return
 	}
-	if o.clientsCrowded && s.closeIdleClient(s.idleConns, idleGrace) {
+	if o.clientsOverShare && s.closeIdleClient(s.idleConns, idleGrace) {
 		return
 	}
 	if o.hasRoom {
@@ -156,15 +156,15 @@
 	logrus.WithFields(logrus.Fields{"open": s.used, "clients": s.clients, "limit": s.limit}).Warn("no socket left, and none is idle")
 }
 
-// maxBusyPassed is how many connections closeIdleClient passes over that turn out not to be idle.
-const maxBusyPassed = 8
+// maxBusySkipped is how many connections closeIdleClient passes over that turn out not to be idle.
+const maxBusySkipped = 8
 
 // closeIdleClient closes the first connection of a list, the one that stands there longest, if it has stood there for grace at the
 // least, and tells whether it closed one. A connection with unread bytes is taken off the list instead and the next one tried: it
 // carries a request.
 func (s *Sockets) closeIdleClient(from *list.List, grace time.Duration) (closed bool) {
-	for range maxBusyPassed {
-		conn, isIdle := s.takeIdleClient(from, grace)
+	for range maxBusySkipped {
+		conn, isIdle := s.popIdleClient(from, grace)
 		if conn == nil {
 			return false
 		}
@@ -176,9 +176,9 @@
 	return false
 }
 
-// takeIdleClient takes the first connection off a list, nil where there is none or it has not stood there for grace. Where
+// popIdleClient takes the first connection off a list, nil where there is none or it has not stood there for grace. Where
 // nothing is unread on it, it is marked so that no byte is read of it from here on: isIdle.
-func (s *Sockets) takeIdleClient(from *list.List, grace time.Duration) (conn *trackedConn, isIdle bool) {
+func (s *Sockets) popIdleClient(from *list.List, grace time.Duration) (conn *trackedConn, isIdle bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	first := from.Front()
@@ -189,10 +189,10 @@
 	if time.Since(conn.listedAt) < grace {
 		return nil, false
 	}
-	conn.unlist()
+	conn.removeFromList()
 	// The look and the mark are under the lock under which Read takes bytes: one of the two comes first.
-	conn.closedIdle = nothingUnread(conn.Conn)
-	return conn, conn.closedIdle
+	conn.evicted = hasNoUnreadData(conn.Conn)
+	return conn, conn.evicted
 }
 
 // CloseIdleClients closes all connections of clients that carry no request, except those used less than idleGrace ago.
@@ -229,7 +229,7 @@
 	if c, ok := conn.(*trackedConn); ok {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		c.unlist()
+		c.removeFromList()
 	}
 }
 
--- a/internal/httpwire/sockets_test.go
+++ b/internal/httpwire/sockets_test.go
@@ -13,7 +13,7 @@
 )
 
 // Want of sockets: what has been idle longest is closed, nothing new or in use is.
-func TestSockets(t *testing.T) {
+func TestSocketEviction(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := NewSockets(reservedSockets + 10) // eight for clients, from three on idle ones make room
 		var clients []*trackedConn
@@ -88,7 +88,7 @@
 }
 
 // Where no socket is left for an attempt the backend is not blamed: it was never sent.
-func TestNoSocketLeft(t *testing.T) {
+func TestAttemptWithoutSocket(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := newTestInstance(network{"app:1": answerOnce("")}, NewSockets(reservedSockets+4))
 		a.front.sockets.used = 3 // the client's is the last
@@ -102,13 +102,13 @@
 	})
 }
 
-// stoppedReader is a client's socket whose reader has its bytes and is stopped before it can say so.
-type stoppedReader struct {
+// pausedReader is a client's socket whose reader has its bytes and is stopped before it can say so.
+type pausedReader struct {
 	net.Conn
 	taken, resume chan bool
 }
 
-func (s stoppedReader) Read(b []byte) (int, error) {
+func (s pausedReader) Read(b []byte) (int, error) {
 	n, err := s.Conn.Read(b)
 	if n > 0 {
 		s.taken <- true
@@ -117,17 +117,17 @@
 	return n, err
 }
 
-func (s stoppedReader) SyscallConn() (syscall.RawConn, error) {
+func (s pausedReader) SyscallConn() (syscall.RawConn, error) {
 	raw, err := s.Conn.(syscall.Conn).SyscallConn()
-	return stoppedRawConn{raw, s}, err
+	return pausedRawConn{raw, s}, err
 }
 
-type stoppedRawConn struct {
+type pausedRawConn struct {
 	syscall.RawConn
-	conn stoppedReader
+	conn pausedReader
 }
 
-func (r stoppedRawConn) Read(f func(uintptr) bool) error {
+func (r pausedRawConn) Read(f func(uintptr) bool) error {
 	err := r.RawConn.Read(f)
 	if err == nil {
 		r.conn.taken <- true
@@ -138,7 +138,7 @@
 
 // A connection between requests is closed only if no byte of the next one has been taken from its socket, even if its reader
 // has not come to say so.
-func TestIdleClose(t *testing.T) {
+func TestIdleCloseRace(t *testing.T) {
 	listener := listenTCP(t)
 	client := connectTCP(t, listener.Addr().String())
 	socket, err := listener.Accept()
@@ -146,7 +146,7 @@
 		t.Fatal(err)
 	}
 	s := NewSockets(0)
-	reader := stoppedReader{socket, make(chan bool), make(chan bool)}
+	reader := pausedReader{socket, make(chan bool), make(chan bool)}
 	conn := s.track(reader, true)
 	defer conn.Close()
 	idleForLong := func() {
@@ -185,7 +185,7 @@
 }
 
 // From the look at a connection that finds it idle to its close, no byte of a next request is taken.
-func TestGivenUpTakesNothing(t *testing.T) {
+func TestEvictedConnNotRead(t *testing.T) {
 	listener := listenTCP(t)
 	client := connectTCP(t, listener.Addr().String())
 	socket, err := listener.Accept()
@@ -196,7 +196,7 @@
 	conn := s.track(socket, true)
 	defer conn.Close()
 	s.ConnIdle(conn, false)
-	if taken, isIdle := s.takeIdleClient(s.idleConns, 0); taken != conn || !isIdle {
+	if taken, isIdle := s.popIdleClient(s.idleConns, 0); taken != conn || !isIdle {
 		t.Fatalf("took %v, idle %v", taken, isIdle)
 	}
 	send(client, "G")
@@ -207,7 +207,7 @@
 
 // A byte of the next request may be taken ahead, by a server that looks whether its client has gone: then the connection is
 // not idle.
-func TestByteAhead(t *testing.T) {
+func TestNextRequestReadEarly(t *testing.T) {
 	s := NewSockets(0)
 	client, serverSide := net.Pipe()
 	conn := s.track(serverSide, true)
--- a/internal/httpwire/stream.go
+++ b/internal/httpwire/stream.go
@@ -28,7 +28,7 @@
 type streamConfig struct {
 	// read opens one stream and reads it until it ends, at the latest with ctx, and returns why. It calls heard whenever
 	// something has come, from the goroutine that it was called on.
-	read func(ctx context.Context, heard func()) error
+	read func(ctx context.Context, onData func()) error
 
 	moved     <-chan bool // a stream to another address is wanted
 	reconnect bool        // a lost stream is opened again
@@ -38,12 +38,12 @@
 	onDisconnect func(err error) // called when the newest stream is lost
 }
 
-// streamKeeper is the state of keepStream, which owns it. The readers' goroutines only send on its channels.
-type streamKeeper struct {
-	config streamConfig
-	heard  chan int       // the number of a stream on which something has come for the first time
-	ended  chan streamEnd // a stream that has ended
-	retry  <-chan time.Time
+// streamManager is the state of maintainStream, which owns it. The readers' goroutines only send on its channels.
+type streamManager struct {
+	config    streamConfig
+	firstData chan int       // the number of a stream on which something has come for the first time
+	ended     chan streamEnd // a stream that has ended
+	retry     <-chan time.Time
 
 	state          streamState
 	newest         int     // number of the newest stream
@@ -58,62 +58,62 @@
 	err    error
 }
 
-// keepStream keeps a stream open until ctx ends, or until it is lost where it is not to be opened again. Every reader that it
+// maintainStream keeps a stream open until ctx ends, or until it is lost where it is not to be opened again. Every reader that it
 // started ends with it.
-func keepStream(ctx context.Context, config streamConfig) {
+func maintainStream(ctx context.Context, config streamConfig) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	k := &streamKeeper{
+	m := &streamManager{
 		config:         config,
-		heard:          make(chan int),
+		firstData:      make(chan int),
 		ended:          make(chan streamEnd),
 		pause:          reconnectPauseMin,
 		cancelNewest:   func() {},
 		cancelPrevious: func() {},
 	}
-	k.connect(ctx)
+	m.connect(ctx)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-config.moved:
-			k.move(ctx)
-		case number := <-k.heard:
-			k.connected(number)
-		case end := <-k.ended:
-			if end.number != k.newest || ctx.Err() != nil {
+			m.move(ctx)
+		case number := <-m.firstData:
+			m.connected(number)
+		case end := <-m.ended:
+			if end.number != m.newest || ctx.Err() != nil {
 				continue // it was left, or ended beside the newer one
 			}
 			config.onDisconnect(end.err)
 			if !config.reconnect {
 				return
 			}
-			k.backOff()
-		case <-k.retry:
-			k.connect(ctx)
+			m.backOff()
+		case <-m.retry:
+			m.connect(ctx)
 		}
 	}
 }
 
 // connect opens a new stream.
-func (k *streamKeeper) connect(ctx context.Context) {
-	k.newest++
-	k.state, k.retry = streamConnecting, nil
+func (m *streamManager) connect(ctx context.Context) {
+	m.newest++
+	m.state, m.retry = streamConnecting, nil
 	streamCtx, cancel := context.WithCancel(ctx)
-	k.cancelNewest = cancel
-	number := k.newest
-	go func() { // ends with streamCtx, which is canceled at the latest when keepStream returns
-		err := k.config.read(streamCtx, k.firstHeard(streamCtx, number))
+	m.cancelNewest = cancel
+	number := m.newest
+	go func() { // ends with streamCtx, which is canceled at the latest when maintainStream returns
+		err := m.config.read(streamCtx, m.notifyFirstData(streamCtx, number))
 		cancel()
 		select {
-		case k.ended <- streamEnd{number, err}:
+		case m.ended <- streamEnd{number, err}:
 		case <-ctx.Done():
 		}
 	}()
 }
 
-// firstHeard returns the function that a stream's reader calls whenever something has come; only its first call counts.
-func (k *streamKeeper) firstHeard(ctx context.Context, number int) func() {
+// notifyFirstData returns the function that a stream's reader calls whenever something has come; only its first call counts.
+func (m *streamManager) notifyFirstData(ctx context.Context, number int) func() {
 	reported := false
 	return func() {
 		if reported {
@@ -121,37 +121,37 @@
 		}
 		reported = true
 		select {
-		case k.heard <- number:
+		case m.firstData <- number:
 		case <-ctx.Done():
 		}
 	}
 }
 
 // connected leaves the previous stream, now that something has come on the newest.
-func (k *streamKeeper) connected(number int) {
-	if number != k.newest {
+func (m *streamManager) connected(number int) {
+	if number != m.newest {
 		return
 	}
-	k.cancelPrevious()
-	k.state, k.pause = streamConnected, reconnectPauseMin
+	m.cancelPrevious()
+	m.state, m.pause = streamConnected, reconnectPauseMin
 }
 
 // move opens a stream to the new address. One on which something has come is kept until that is so of the new one; else it is left.
-func (k *streamKeeper) move(ctx context.Context) {
-	if k.state == streamConnected {
-		k.cancelPrevious = k.cancelNewest
+func (m *streamManager) move(ctx context.Context) {
+	if m.state == streamConnected {
+		m.cancelPrevious = m.cancelNewest
 	} else {
-		k.cancelNewest()
+		m.cancelNewest()
 	}
-	k.config.onMove()
-	k.pause = reconnectPauseMin
-	k.connect(ctx)
+	m.config.onMove()
+	m.pause = reconnectPauseMin
+	m.connect(ctx)
 }
 
 // backOff sets the time at which a lost stream is opened again.
-func (k *streamKeeper) backOff() {
-	k.state = streamBackingOff
-	jitter := 0.5 + k.config.rng.Float64()
-	k.retry = time.After(time.Duration(k.pause * jitter * float64(time.Millisecond)))
-	k.pause = min(2*k.pause, reconnectPauseMax)
+func (m *streamManager) backOff() {
+	m.state = streamBackingOff
+	jitter := 0.5 + m.config.rng.Float64()
+	m.retry = time.After(time.Duration(m.pause * jitter * float64(time.Millisecond)))
+	m.pause = min(2*m.pause, reconnectPauseMax)
 }
--- a/internal/httpwire/streams_test.go
+++ b/internal/httpwire/streams_test.go
@@ -19,14 +19,14 @@
 
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-// streamLog is which streams were asked for, and when.
-type streamLog struct {
+// streamRequestLog is which streams were asked for, and when.
+type streamRequestLog struct {
 	paths []string
 	at    []time.Time
 }
 
 // open reads the request for a stream and sends the head and the first part of the response.
-func (l *streamLog) open(conn net.Conn, text string) {
+func (l *streamRequestLog) open(conn net.Conn, text string) {
 	request, err := http.ReadRequest(bufio.NewReader(conn))
 	if err != nil {
 		return
@@ -36,13 +36,13 @@
 }
 
 // A watch that breaks or falls silent is opened again after the version held, and notices likewise.
-func TestStreams(t *testing.T) {
+func TestStreamReconnect(t *testing.T) {
 	t.Run("watch", func(t *testing.T) { synctest.Test(t, testWatchReopened) })
 	t.Run("notices", func(t *testing.T) { synctest.Test(t, testNoticesReopened) })
 }
 
 func testWatchReopened(t *testing.T) {
-	log := &streamLog{}
+	log := &streamRequestLog{}
 	a := newTestInstance(network{"list": func(conn net.Conn) {
 		switch len(log.paths) {
 		case 0: // sends a list, then is silent
@@ -69,7 +69,7 @@
 	if !opened || a.discovery.BackendAddress("u") != "b:1" {
 		t.Fatalf("asked %q", log.paths)
 	}
-	if silent := log.at[1].Sub(from); silent < watchSilence || silent > watchSilence+time.Second {
+	if silent := log.at[1].Sub(from); silent < watchIdleTimeout || silent > watchIdleTimeout+time.Second {
 		t.Errorf("opened again after %v", silent)
 	}
 	if lived := log.at[2].Sub(log.at[1]); lived < 10*time.Second || lived > 11*time.Second {
@@ -79,7 +79,7 @@
 }
 
 func testNoticesReopened(t *testing.T) {
-	log := &streamLog{}
+	log := &streamRequestLog{}
 	state := "event: stage\ndata: release=42&tranche=1&mode=canary&exposure=0.28&old_ms=310\n\n"
 	a := newTestInstance(network{}, NewSockets(0))
 	p := a.newPlatform(network{"control": func(conn net.Conn) {
@@ -91,14 +91,14 @@
 	time.Sleep(6 * time.Second)
 	cancel()
 	synctest.Wait()
-	if len(log.paths) != 2 || log.paths[0] != "/notices" || log.at[1].Sub(log.at[0]) < noticeSilence {
+	if len(log.paths) != 2 || log.paths[0] != "/notices" || log.at[1].Sub(log.at[0]) < noticeIdleTimeout {
 		t.Errorf("asked %q at %v", log.paths, log.at)
 	}
 	a.close()
 }
 
 // What can't be read ends the stream at once, and it is opened again after a pause.
-func TestNoise(t *testing.T) {
+func TestMalformedNotices(t *testing.T) {
 	for _, c := range []struct{ name, text string }{
 		{"a release that is no number", "event: stage\ndata: release=x\n\n"},
 		{"an unknown phase", "event: stage\ndata: release=42&tranche=1&mode=cxnary&exposure=0.28&old_ms=310\n\n"},
@@ -112,7 +112,7 @@
 				a := newTestInstance(network{}, NewSockets(0))
 				p := a.newPlatform(network{"control": func(conn net.Conn) {
 					opened.Add(1)
-					new(streamLog).open(conn, c.text)
+					new(streamRequestLog).open(conn, c.text)
 					drain(conn)
 				}})
 				ctx, cancel := context.WithCancel(t.Context())
@@ -157,11 +157,11 @@
 		s.add(address, 1)
 		defer s.add(address, -1)
 		if address != s.silent {
-			signOfLife := "\n"
+			keepAlive := "\n"
 			if request.RequestURI == noticesPath {
-				signOfLife = ":\n\n"
+				keepAlive = ":\n\n"
 			}
-			send(conn, streamHead+chunk(signOfLife))
+			send(conn, streamHead+chunk(keepAlive))
 		}
 		drain(conn)
 	}
@@ -169,7 +169,7 @@
 
 // A move opens the new stream beside the old one, which stays until the new one sends something, however long that takes and
 // however many moves follow.
-func TestMove(t *testing.T) {
+func TestAddressMove(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		streams := &openStreams{open: map[string]int{}, silent: "b"}
 		n := network{}
--- a/internal/httpwire/trace_test.go
+++ b/internal/httpwire/trace_test.go
@@ -53,7 +53,7 @@
 }
 
 // A value that has no word yet is logged as a number.
-func TestTraceNames(t *testing.T) {
+func TestNameOf(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		result policy.AttemptStatus
--- a/internal/httpwire/trackedconn.go
+++ b/internal/httpwire/trackedconn.go
@@ -28,24 +28,24 @@
 	// What follows is guarded by sockets.mu.
 
 	closed          bool
-	closedIdle      bool      // given up without a byte of the next request, and nothing is read of it any more
+	evicted         bool      // given up without a byte of the next request, and nothing is read of it any more
 	betweenRequests bool      // no byte of the next request has come
 	requestStart    time.Time // when its first byte came; zero: unseen
-	listedIn        *list.List
+	idleList        *list.List
 	element         *list.Element // its place there; nil: it stands in none
 	listedAt        time.Time
 }
 
 // addTo appends the connection to one of the lists of those that carry no request. sockets.mu is held.
 func (c *trackedConn) addTo(idle *list.List) {
-	c.listedIn, c.listedAt = idle, time.Now()
+	c.idleList, c.listedAt = idle, time.Now()
 	c.element = idle.PushBack(c)
 }
 
-// unlist takes the connection off its list, if it stands in one. sockets.mu is held.
-func (c *trackedConn) unlist() {
+// removeFromList takes the connection off its list, if it stands in one. sockets.mu is held.
+func (c *trackedConn) removeFromList() {
 	if c.element != nil {
-		c.listedIn.Remove(c.element)
+		c.idleList.Remove(c.element)
 		c.element = nil
 	}
 }
@@ -58,8 +58,8 @@
 	if c.betweenRequests {
 		c.betweenRequests, c.requestStart = false, time.Now()
 	}
-	if c.listedIn == c.sockets.idleConns {
-		c.unlist()
+	if c.idleList == c.sockets.idleConns {
+		c.removeFromList()
 	}
 }
 
@@ -101,7 +101,7 @@
 func (c *trackedConn) readSocket(fd int, b []byte) (n int, err error) {
 	c.sockets.mu.Lock()
 	defer c.sockets.mu.Unlock()
-	if c.closedIdle {
+	if c.evicted {
 		return 0, net.ErrClosed
 	}
 	for {
@@ -137,15 +137,15 @@
 	s.used--
 	if c.isClient {
 		s.clients--
-		c.unlist()
+		c.removeFromList()
 	}
 	invariant.Check(s.used >= 0 && s.clients >= 0, "a connection is closed once", s.used)
 	return err
 }
 
-// nothingUnread tells that nothing waits to be read on a connection, its end included. It does not block. Of a connection that
+// hasNoUnreadData tells that nothing waits to be read on a connection, its end included. It does not block. Of a connection that
 // is no socket it can't know, and says so too.
-func nothingUnread(conn net.Conn) bool {
+func hasNoUnreadData(conn net.Conn) bool {
 	if tracked, ok := conn.(*trackedConn); ok {
 		conn = tracked.Conn
 	}
--- a/internal/httpwire/upstream.go
+++ b/internal/httpwire/upstream.go
@@ -56,7 +56,7 @@
 		reuseDelay:     minReuseDelay,
 		byAddress:      map[string]*pool{},
 	}
-	config.Sockets.closeIdleBackend = conns.closeIdlest
+	config.Sockets.closeIdleBackend = conns.closeLongestIdle
 	return &Upstream{
 		core:            config.Core,
 		address:         config.BackendAddress,
--- a/internal/httpwire/upstream_crossings_test.go
+++ b/internal/httpwire/upstream_crossings_test.go
@@ -25,7 +25,7 @@
 
 // A second copy of an answer that comes late must not be the next request's, whether that came on the connection of a
 // request or of a probe.
-func TestSecondAnswerLate(t *testing.T) {
+func TestLateDuplicateResponse(t *testing.T) {
 	t.Run("of a request", func(t *testing.T) {
 		backend := newFakeBackend(t)
 		l := newLoopback(t, backend.address(), dialTCP, true)
@@ -39,7 +39,7 @@
 			t.Fatalf("answered %q", body)
 		}
 		send(client, requestWithID("r2"))
-		second := nextToGetRequest(t, backend, first)
+		second := connWithNextRequest(t, backend, first)
 		first.respond("one") // its second copy, just now
 		if second != first {
 			second.respond("two")
@@ -74,8 +74,8 @@
 	})
 }
 
-// nextToGetRequest returns the connection on which the backend gets its next request: the first one or a new one.
-func nextToGetRequest(t *testing.T, backend *fakeBackend, first *peerConn) *peerConn {
+// connWithNextRequest returns the connection on which the backend gets its next request: the first one or a new one.
+func connWithNextRequest(t *testing.T, backend *fakeBackend, first *peerConn) *peerConn {
 	t.Helper()
 	onFirst := make(chan bool, 1)
 	go func() { // ends with the request or with the connection
@@ -93,7 +93,7 @@
 }
 
 // A connection in use while the list says that something else runs at its address is not used for that.
-func TestForgottenInUse(t *testing.T) {
+func TestVacatedAddressConnNotReused(t *testing.T) {
 	restarted := `{"id":"s","addr":"ADDR","state":"Ready","weight":1,"version_no":2,"started_ms":5}`
 	took := `{"id":"u","addr":"ADDR","state":"Terminating","weight":1,"version_no":2}`
 	left := `{"id":"s","addr":"OTHER","state":"Ready","weight":1,"version_no":1}`
@@ -123,8 +123,8 @@
 	}
 }
 
-// gatedDial is a dial that reports when it is asked, and whose connection comes up when it is let.
-func gatedDial(asked chan<- bool, up <-chan bool) Dial {
+// blockedDial is a dial that reports when it is asked, and whose connection comes up when it is let.
+func blockedDial(asked chan<- bool, up <-chan bool) Dial {
 	return func(ctx context.Context, address string) (net.Conn, error) {
 		asked <- true
 		<-up
@@ -143,7 +143,7 @@
 
 // A connection that comes up after its backend has left its address, or after the client has gone, carries nothing: also where
 // attempts under way may not be canceled.
-func TestUpTooLate(t *testing.T) {
+func TestLateBackendConn(t *testing.T) {
 	leaveAddress := func(t *testing.T, l *loopback, _ *peerConn) {
 		l.applyChange(t, 3, `{"id":"s","addr":"127.0.0.1:1","state":"Terminating","weight":1,"version_no":1}`)
 	}
@@ -166,7 +166,7 @@
 
 func (c lateConn) run(t *testing.T) {
 	backend, asked, up := newFakeBackend(t), make(chan bool), make(chan bool)
-	l := newLoopback(t, backend.address(), gatedDial(asked, up), c.cancelAllowed)
+	l := newLoopback(t, backend.address(), blockedDial(asked, up), c.cancelAllowed)
 	l.core.UpdateRelease(policy.ReleaseUpdate{Release: 1, Phase: policy.RollingOut, Cap: 1, HasState: true})
 	client := l.dialFront()
 	send(client, requestWithID("r1"))
--- a/internal/httpwire/upstreamresponse.go
+++ b/internal/httpwire/upstreamresponse.go
@@ -124,14 +124,14 @@
 
 func (c *conn) readBody(r *upstreamResponse) error {
 	bodiless := r.interim() || r.status == http.StatusNoContent || r.status == http.StatusNotModified
-	statesLength := r.contentLength >= 0
+	hasLength := r.contentLength >= 0
 	switch {
 	case bodiless:
 		if r.contentLength > 0 || r.chunked {
 			return errMalformedResponse
 		}
 		return nil
-	case r.chunked == statesLength: // both, or neither: where the response ends can't be told
+	case r.chunked == hasLength: // both, or neither: where the response ends can't be told
 		return errMalformedResponse
 	case r.chunked:
 		return c.readChunks(r)
--- a/internal/httpwire/upstreamresponse_test.go
+++ b/internal/httpwire/upstreamresponse_test.go
@@ -8,7 +8,7 @@
 )
 
 // Whatever bytes come, the parser withstands them, and takes nothing that is too long or begins otherwise.
-func FuzzAnswer(f *testing.F) {
+func FuzzReadResponse(f *testing.F) {
 	whole := "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody"
 	for _, seed := range []string{
 		whole, whole + whole, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n",
--- a/internal/httpwire/votes.go
+++ b/internal/httpwire/votes.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	voteQueue = 64 // votes that may wait for SendVotes
+	voteQueueSize = 64 // votes that may wait for SendVotes
 
-	// voteConnIdle is for how long the votes' connection is reused: the platform closes an idle one after up to 10 s.
-	voteConnIdle = 4 * time.Second
+	// voteConnMaxIdle is for how long the votes' connection is reused: the platform closes an idle one after up to 10 s.
+	voteConnMaxIdle = 4 * time.Second
 )
 
 // verdictWords and voteResponseWords are the words of the wire and of the log.
@@ -54,8 +54,8 @@
 	code   string
 }
 
-// notCounted are the responses that say for certain that a vote does not count.
-var notCounted = map[platformCode]policy.VoteResponse{
+// uncountedResponses are the responses that say for certain that a vote does not count.
+var uncountedResponses = map[platformCode]policy.VoteResponse{
 	{http.StatusBadRequest, "STALE"}:           policy.VoteOutdated,
 	{http.StatusBadRequest, "BUSY"}:            policy.VoteRefused,
 	{http.StatusBadRequest, "SYNTAX"}:          policy.VoteRefused,
@@ -115,7 +115,7 @@
 	c := p.voteConn
 	stop := context.AfterFunc(ctx, c.Cancel)
 	r, err := c.roundTrip(voteRequest(p.voteConnAddress, v))
-	response, state, why := voteOutcome(r, err)
+	response, state, outcomeErr := voteOutcome(r, err)
 	// A late response must not pass for the next vote's, and after one that can't be read nothing can be told from noise.
 	inTime := stop()
 	if !inTime || response == policy.VoteUnanswered || !c.reusable(r) {
@@ -123,7 +123,7 @@
 	} else {
 		c.idleSince = time.Now()
 	}
-	return response, state, why
+	return response, state, outcomeErr
 }
 
 // openVoteConn has a connection ready for the next vote: the one before, where it can be reused, or a new one.
@@ -147,8 +147,8 @@
 // may still be on its way for a moment, and would pass for this vote's.
 func (p *Platform) voteConnReusable(address string) bool {
 	idleFor := time.Since(p.voteConn.idleSince)
-	rested := idleFor >= minReuseDelay && idleFor <= voteConnIdle
-	return rested && p.voteConnAddress == address && nothingUnread(p.voteConn.Conn)
+	idleTimeInRange := idleFor >= minReuseDelay && idleFor <= voteConnMaxIdle
+	return idleTimeInRange && p.voteConnAddress == address && hasNoUnreadData(p.voteConn.Conn)
 }
 
 func (p *Platform) closeVoteConn() {
@@ -185,7 +185,7 @@
 		return policy.VoteCounted, state, nil
 	}
 	code := leaves.text("Code")
-	if response, known := notCounted[platformCode{r.status, code}]; known {
+	if response, known := uncountedResponses[platformCode{r.status, code}]; known {
 		return response, releaseState{}, fmt.Errorf("%w: %s", errVoteNotCounted, code)
 	}
 	return policy.VoteUnanswered, releaseState{}, fmt.Errorf("status %d, code %q", r.status, code)
--- a/internal/httpwire/writer.go
+++ b/internal/httpwire/writer.go
@@ -28,17 +28,17 @@
 }
 
 // writeServed passes on a backend's answer.
-func (r responseWriter) writeServed(a answer) (written bool) {
-	if a.contentType == "" {
-		a.contentType = defaultContentType
+func (r responseWriter) writeServed(response clientResponse) (written bool) {
+	if response.contentType == "" {
+		response.contentType = defaultContentType
 	}
-	if len(a.body) > socketBufferBytes {
+	if len(response.body) > socketBufferBytes {
 		// An error means that the connection is closed, and the write then finds the same.
 		_ = http.NewResponseController(r.writer).SetWriteDeadline(time.Now().Add(writeTimeout))
 	}
-	r.writer.Header().Set("Content-Type", a.contentType)
-	r.writer.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
-	_, err := r.writer.Write(a.body)
+	r.writer.Header().Set("Content-Type", response.contentType)
+	r.writer.Header().Set("Content-Length", strconv.Itoa(len(response.body)))
+	_, err := r.writer.Write(response.body)
 	return err == nil && r.flush()
 }
 
@@ -76,7 +76,7 @@
 // writeBadInput answers a request that has not the form of one and ends its connection: nothing more is read there, neither a
 // body that may never come nor what stands behind it.
 func (f *Front) writeBadInput(w http.ResponseWriter, err error) {
-	f.invalid.Add(1)
+	f.invalidRequests.Add(1)
 	invalid := &validationError{status: http.StatusBadRequest, text: err.Error()}
 	errors.As(err, &invalid)
 	if invalid.allow != "" {
