--- a/internal/httpwire/answers_test.go
+++ b/internal/httpwire/answers_test.go
@@ -14,11 +14,11 @@
 	"onyxgate/internal/core"
 )
 
-// updateAnswers, set in the environment, writes what the front answers now in place of the stored answers.
+// updateAnswers is an environment variable that makes the test write the stored answers instead of comparing with them.
 const updateAnswers = "ONYXGATE_UPDATE_ANSWERS"
 
-// Clients depend on each answer of the front to the byte: status, headers and body, as stored in testdata/answers.txt. Time in a
-// synctest bubble is fixed, so that also the date is.
+// Clients depend on every byte of the front's responses: status line, headers and body, as stored in
+// testdata/answers.txt. The Date header is constant because synctest starts each bubble at the same time.
 func TestAnswerBytes(t *testing.T) {
 	const stored = "testdata/answers.txt"
 	want, err := os.ReadFile(stored)
@@ -33,7 +33,7 @@
 				section := "== " + c.name + "\n" + strings.ReplaceAll(answer, "\r", "\\r") + "\n"
 				got.WriteString(section)
 				if !strings.Contains(string(want), section) && os.Getenv(updateAnswers) == "" {
-					t.Errorf("answered %q, which is not what %s holds", answer, stored)
+					t.Errorf("answer %q is not in %s", answer, stored)
 				}
 			})
 		})
@@ -43,11 +43,11 @@
 			t.Fatal(err)
 		}
 	} else if got.String() != string(want) {
-		t.Errorf("%s holds other answers than these, or in another order", stored)
+		t.Errorf("%d bytes of answers differ from the %d bytes of %s in content or order", got.Len(), len(want), stored)
 	}
 }
 
-// answerCase is what a client sends and how the front stands just then.
+// answerCase is what a client sends and the state of the front at that time.
 type answerCase struct {
 	name, text  string
 	backend     func(net.Conn)
@@ -55,7 +55,7 @@
 	intercepted bool
 }
 
-// requestText is a request's head: its first line less the version, then header lines.
+// requestText returns a request head: the request line without the version, and the header lines.
 func requestText(line string, header ...string) string {
 	return line + " HTTP/1.1\r\nHost: h\r\n" + strings.Join(append(header, "\r\n"), "\r\n")
 }
@@ -80,13 +80,13 @@
 	}
 }
 
-// acceptedAnswers are of requests that have the form of one.
+// acceptedAnswers are the responses to valid requests.
 func acceptedAnswers() []answerCase {
 	served := answerOnce("HTTP/1.1 200 OK\r\nContent-Type: a/b\r\nX-Own: 1\r\nContent-Length: 4\r\n\r\nbody")
 	untyped := answerOnce("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	big := answerOnce("HTTP/1.1 200 OK\r\nContent-Length: 4100\r\n\r\n" + strings.Repeat("x", 4100))
 	rejected := answerOnce("HTTP/1.1 503 E\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
-	panics := func(a *testInstance) { a.upstream.address = func(string) string { panic("lost its map") } }
+	panics := func(a *testInstance) { a.upstream.address = func(string) string { panic("injected panic") } }
 	noRoom := func(a *testInstance) { a.front.maxBodyBytes = -1 }
 	return []answerCase{
 		{name: "served", text: validRequest, backend: served},
@@ -129,7 +129,7 @@
 	}
 }
 
-// interceptedAnswers are some of the accepted ones, which the front writes to their last byte for an interceptor.
+// interceptedAnswers are some of the accepted cases with an interceptor, for which the front writes the whole response.
 func interceptedAnswers() []answerCase {
 	var cases []answerCase
 	for _, c := range acceptedAnswers() {
@@ -141,7 +141,7 @@
 	return cases
 }
 
-// rawAnswer is all that the front writes on the connection on which a client sends the case's text.
+// rawAnswer returns all that the front writes on a connection on which a client sends the text of the case.
 func rawAnswer(t *testing.T, c answerCase) string {
 	t.Helper()
 	instance := newTestInstance(network{"app:1": c.backend}, NewSockets(0))
@@ -153,14 +153,14 @@
 	}
 	server := instance.serve()
 	client := server.dial()
-	go send(client, c.text) // ends with the connection
+	go send(client, c.text) // ends when the connection is closed
 	var answer bytes.Buffer
 	read := make(chan struct{})
-	go func() { // ends with the connection
+	go func() { // ends when the connection is closed
 		defer close(read)
 		_, _ = io.Copy(&answer, client) // until either side closes
 	}()
-	time.Sleep(2 * time.Second) // longer than any case takes, shorter than a kept connection stays idle
+	time.Sleep(2 * time.Second) // longer than any case takes, shorter than the idle timeout
 	client.Close()
 	<-read
 	server.close()
--- a/internal/httpwire/attempt.go
+++ b/internal/httpwire/attempt.go
@@ -1,6 +1,6 @@
 package httpwire
 
-// This file carries out one attempt of a request and tells its outcome by the protocol's table.
+// Sending one attempt of a request, and deriving its status by the protocol's table.
 
 import (
 	"context"
@@ -13,24 +13,24 @@
 	"onyxgate/policy"
 )
 
-// Why nothing of an attempt was sent.
+// Errors of attempts that were not sent.
 var (
-	errNoAddress          = errors.New("the backend is not in the endpoint list")
-	errBackendMoved       = errors.New("the backend left its address while the connection came up")
-	errCanceledBeforeSent = errors.New("canceled before it was sent")
+	errNoAddress          = errors.New("backend not in the endpoint list")
+	errBackendMoved       = errors.New("backend left its address during the dial")
+	errCanceledBeforeSent = errors.New("attempt canceled before it was sent")
 )
 
-// answer is what goes back to the client of a backend's response.
+// clientResponse is the part of a backend's response that is passed on to the client.
 type clientResponse struct {
 	contentType string
 	body        []byte
 }
 
-// Bytes is the body that the client gets.
+// Bytes returns the body.
 func (r clientResponse) Bytes() []byte { return r.body }
 
-// SendAttempt sends one attempt of a request to its backend and reports its end to the attempt. The head comes from requestHead.
-// It returns once the response is there, the connection failed, or the attempt was canceled or has timed out.
+// SendAttempt sends one attempt of a request to its backend and reports the result with attempt.Finish. The head must
+// come from requestHead. SendAttempt returns after the response, a connection failure, cancellation or a timeout.
 func (u *Upstream) SendAttempt(attempt *core.Attempt, head, body []byte) {
 	status, r, err := u.send(attempt, head, body)
 	traceAttempt(attempt, status, err)
@@ -41,7 +41,7 @@
 	attempt.Finish(status, clientResponse{r.contentType, r.body}, report)
 }
 
-// send is one attempt, from the backend's address to the status that its end means.
+// send sends one attempt and returns its status, with the response or the error.
 func (u *Upstream) send(attempt *core.Attempt, head, body []byte) (policy.AttemptStatus, upstreamResponse, error) {
 	c, err := u.connect(attempt)
 	if err != nil {
@@ -62,7 +62,7 @@
 	return responseStatus(r), r, nil
 }
 
-// connect returns a connection on which the attempt is to be sent now. With an error nothing has been sent or will be.
+// connect returns a connection on which the caller must send the attempt now. If it fails, nothing was sent.
 func (u *Upstream) connect(attempt *core.Attempt) (*conn, error) {
 	address := u.address(attempt.Backend)
 	if address == "" {
@@ -89,9 +89,9 @@
 	return c, nil
 }
 
-// attemptRequest is the whole request as it goes out: the head, the time that is left for it now, the body.
+// attemptRequest returns the complete request to send: the head, the time left until the deadline, and the body.
 func (u *Upstream) attemptRequest(attempt *core.Attempt, head, body []byte) []byte {
-	const deadlineRoom = 40 // for the line below
+	const deadlineRoom = 40 // for the Req-Deadline line
 	leftMs := max(int64(attempt.Deadline-u.core.Now()), 1)
 	request := make([]byte, 0, len(head)+len(body)+deadlineRoom)
 	request = append(request, head...)
@@ -101,8 +101,8 @@
 	return append(request, body...)
 }
 
-// unsentStatus is the status of an attempt of which nothing was sent. What this instance wants or lacks itself must not pass for
-// a failure of the backend.
+// unsentStatus returns the status of an attempt that was not sent. Causes that lie in this instance must not count as a
+// failure of the backend.
 func unsentStatus(err error) policy.AttemptStatus {
 	localCause := errors.Is(err, errCanceledBeforeSent) || errors.Is(err, errNoSocket) || errors.Is(err, errBackendMoved)
 	if localCause {
@@ -111,7 +111,7 @@
 	return policy.StatusConnectFailed
 }
 
-// roundTripErrorStatus is the status of an attempt whose round trip ended without a good response.
+// roundTripErrorStatus returns the status of an attempt whose round trip failed.
 func roundTripErrorStatus(err error, canceled, timedOut bool) policy.AttemptStatus {
 	notWritten := errors.Is(err, errNotWritten)
 	switch {
@@ -127,7 +127,7 @@
 	return policy.StatusReset
 }
 
-// responseStatus is the status of an attempt that got a good response.
+// responseStatus returns the status of an attempt that got a valid response.
 func responseStatus(r upstreamResponse) policy.AttemptStatus {
 	mayDecline := r.status == http.StatusServiceUnavailable || r.status == http.StatusGatewayTimeout
 	switch {
@@ -139,7 +139,7 @@
 	return policy.StatusErrored
 }
 
-// hopByHopHeaders belong to a connection and not to the request, or are sent anew with each attempt.
+// hopByHopHeaders are not forwarded: they belong to a connection, or each attempt writes its own.
 var hopByHopHeaders = map[string]bool{
 	"Connection":          true,
 	"Content-Length":      true,
@@ -155,8 +155,8 @@
 	"Upgrade":             true,
 }
 
-// requestHead is a request's head as the client sent it, without what belongs to the connection and without the empty line: each
-// attempt adds the time that is left. The body has so many bytes.
+// requestHead returns the head to forward for a client's request, without hop-by-hop headers and without the final empty
+// line: each attempt appends its own deadline. bodyLength is the length of the body in bytes.
 func requestHead(r *http.Request, bodyLength int) []byte {
 	head := make([]byte, 0, 512)
 	head = append(head, r.Method...)
--- a/internal/httpwire/attempt_test.go
+++ b/internal/httpwire/attempt_test.go
@@ -15,7 +15,8 @@
 	"onyxgate/policy"
 )
 
-// outcomeCase is one way in which a backend ends an attempt: the status that the decisions get, and what the client gets.
+// outcomeCase is a way in which a backend ends an attempt, with the resulting attempt status and the client's response
+// status.
 type outcomeCase struct {
 	name   string
 	peer   func(net.Conn)
@@ -23,7 +24,8 @@
 	status int
 }
 
-// The table of outcomes: what a backend does, what the decisions get, and what the client gets.
+// Every behavior of a backend results in the attempt status and the response to the client that the protocol's table
+// defines.
 func TestAttemptOutcomes(t *testing.T) {
 	for _, c := range slices.Concat(responseOutcomes(), malformedOutcomes(), unfinishedOutcomes(), connectionOutcomes()) {
 		t.Run(c.name, func(t *testing.T) {
@@ -32,13 +34,13 @@
 				from := time.Now()
 				resp, body := a.roundTrip(t, validRequest)
 				if resp.StatusCode != c.status || c.status == 200 && body != "body" {
-					t.Errorf("the client got %d %q", resp.StatusCode, body)
+					t.Errorf("response = %d %q, want status %d (with body %q for status 200)", resp.StatusCode, body, c.status, "body")
 				}
 				if n := a.core.Counts(); n.AttemptsByStatus[c.result] != 1 || n.OpenRequests != 0 || n.OpenAttempts != 0 {
-					t.Errorf("counts %+v", n)
+					t.Errorf("counts = %+v, want one attempt with status %d, and nothing open", n, c.result)
 				}
 				if took := time.Since(from); took > 2*time.Second || c.result == policy.StatusReset && took > responseReadTimeout {
-					t.Errorf("after %v", took)
+					t.Errorf("response after %v, want at most 2s, or %v for a reset", took, responseReadTimeout)
 				}
 				a.close()
 			})
@@ -46,48 +48,48 @@
 	}
 }
 
-// responseOutcomes are good responses.
+// responseOutcomes are valid responses.
 func responseOutcomes() []outcomeCase {
 	ok := "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nSrv-Load: queue=3,util=0.5,new=x\r\n\r\nbody"
 	chunked := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nbod\r\n1\r\ny\r\n0\r\n\r\n"
 	return []outcomeCase{
 		{"served", answerOnce(ok), policy.StatusServed, 200},
-		{"after an interim answer", answerOnce("HTTP/1.1 100 Continue\r\n\r\n" + ok), policy.StatusServed, 200},
+		{"after an interim response", answerOnce("HTTP/1.1 100 Continue\r\n\r\n" + ok), policy.StatusServed, 200},
 		{"chunked", answerOnce(chunked), policy.StatusServed, 200},
 		{"error", answerOnce("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"), policy.StatusErrored, 503},
-		{"503 unmarked", answerOnce("HTTP/1.1 503 E\r\nContent-Length: 0\r\n\r\n"), policy.StatusErrored, 503},
-		{"turned away", answerOnce("HTTP/1.1 503 E\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"), policy.StatusRejected, 503},
-		{"over already", answerOnce("HTTP/1.1 504 E\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"), policy.StatusRejected, 503},
+		{"503 without Srv-Declined", answerOnce("HTTP/1.1 503 E\r\nContent-Length: 0\r\n\r\n"), policy.StatusErrored, 503},
+		{"503 with Srv-Declined", answerOnce("HTTP/1.1 503 E\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"), policy.StatusRejected, 503},
+		{"504 with Srv-Declined", answerOnce("HTTP/1.1 504 E\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"), policy.StatusRejected, 503},
 		{
-			"another answer marked", answerOnce("HTTP/1.1 429 E\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"),
+			"429 with Srv-Declined", answerOnce("HTTP/1.1 429 E\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"),
 			policy.StatusErrored, 503,
 		},
 	}
 }
 
-// malformedOutcomes are whole responses that no good backend sends.
+// malformedOutcomes are complete but invalid responses.
 func malformedOutcomes() []outcomeCase {
 	responses := []struct{ name, text string }{
-		{"no answer", ""},
+		{"no response", ""},
 		{"not HTTP", "hello\r\n\r\n"},
-		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\nbody"},
-		{"until its end", "HTTP/1.1 200 OK\r\n\r\nbody"},
-		{"the same length twice", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 4\r\n\r\nbody"},
+		{"two different lengths", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\nbody"},
+		{"body until end of file", "HTTP/1.1 200 OK\r\n\r\nbody"},
+		{"two equal lengths", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 4\r\n\r\nbody"},
 		{
-			"a length and a coding",
+			"Content-Length and Transfer-Encoding",
 			"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n",
 		},
-		{"a length with a sign", "HTTP/1.1 200 OK\r\nContent-Length: +4\r\n\r\nbody"},
-		{"no length", "HTTP/1.1 200 OK\r\nContent-Length: \r\n\r\nbody"},
+		{"signed length", "HTTP/1.1 200 OK\r\nContent-Length: +4\r\n\r\nbody"},
+		{"empty length", "HTTP/1.1 200 OK\r\nContent-Length: \r\n\r\nbody"},
 		{"bare line feeds", "HTTP/1.1 200 OK\nContent-Length: 4\n\nbody"},
-		{"a name that is none", "HTTP/1.1 200 OK\r\nContent Length: 4\r\n\r\nbody"},
-		{"a value that is none", "HTTP/1.1 200 OK\r\nA: \x01\r\nContent-Length: 4\r\n\r\nbody"},
-		{"another version", "HTTP/1.0 200 OK\r\nContent-Length: 4\r\n\r\nbody"},
-		{"a status that is none", "HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\nbody"},
-		{"other protocols", "HTTP/1.1 101 S\r\nContent-Length: 4\r\n\r\nbody"},
+		{"invalid header name", "HTTP/1.1 200 OK\r\nContent Length: 4\r\n\r\nbody"},
+		{"invalid header value", "HTTP/1.1 200 OK\r\nA: \x01\r\nContent-Length: 4\r\n\r\nbody"},
+		{"HTTP/1.0", "HTTP/1.0 200 OK\r\nContent-Length: 4\r\n\r\nbody"},
+		{"invalid status", "HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\nbody"},
+		{"switching protocols", "HTTP/1.1 101 S\r\nContent-Length: 4\r\n\r\nbody"},
 		{"trailers", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\nA: b\r\n\r\n"},
-		{"too long", "HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n"},
-		{"no end of lines", "HTTP/1.1 200 OK\r\nA: " + strings.Repeat("a", 9000)},
+		{"body too long", "HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n"},
+		{"endless line", "HTTP/1.1 200 OK\r\nA: " + strings.Repeat("a", 9000)},
 		{"too many lines", "HTTP/1.1 200 OK\r\n" + strings.Repeat("A: b\r\n", 99) + "\r\n"},
 	}
 	var cases []outcomeCase
@@ -97,23 +99,23 @@
 	return cases
 }
 
-// unfinishedOutcomes are responses that begin and never end, or end before they are whole.
+// unfinishedOutcomes are responses that begin and do not end, or are cut off.
 func unfinishedOutcomes() []outcomeCase {
 	chunks := strings.Repeat("4000\r\n"+strings.Repeat("a", 0x4000)+"\r\n", 9)
 	peers := []struct {
 		name string
 		peer func(net.Conn)
 	}{
-		{"cut off", answerOnce("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nbody")},
-		{"cut off in a chunk", answerOnce("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nbody")},
-		{"chunks without end", answerOnce("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks)},
-		{"interim answers without end", answerOnce(strings.Repeat("HTTP/1.1 100 C\r\n\r\n", 99))},
-		{"part of a head, then silence", answerAndHold("HTTP/1.1 200 OK\r\nConte")},
-		{"part of a body, then silence", answerAndHold("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nbody")},
-		{"noise, then silence", answerAndHold("\x00\x01\x02 and so on")},
+		{"incomplete body", answerOnce("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nbody")},
+		{"incomplete chunk", answerOnce("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nbody")},
+		{"chunked body too long", answerOnce("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks)},
+		{"too many interim responses", answerOnce(strings.Repeat("HTTP/1.1 100 C\r\n\r\n", 99))},
+		{"incomplete head, then silence", answerAndHold("HTTP/1.1 200 OK\r\nConte")},
+		{"incomplete body, then silence", answerAndHold("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nbody")},
+		{"binary data, then silence", answerAndHold("\x00\x01\x02 and so on")},
 		{"a few bytes, then silence", answerAndHold("HT")},
-		{"an interim answer and part of the next", answerAndHold("HTTP/1.1 100 C\r\n\r\nHTTP/1.1 2")},
-		{"3 GB", answerAndHold("HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nbody")},
+		{"interim response and part of the next", answerAndHold("HTTP/1.1 100 C\r\n\r\nHTTP/1.1 2")},
+		{"length of 3 GB", answerAndHold("HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nbody")},
 	}
 	var cases []outcomeCase
 	for _, p := range peers {
@@ -122,21 +124,21 @@
 	return cases
 }
 
-// connectionOutcomes are ends without any response.
+// connectionOutcomes are attempts that end without a response.
 func connectionOutcomes() []outcomeCase {
 	return []outcomeCase{
-		{"breaks before the last byte", closeAfter(9), policy.StatusConnectFailed, 503},
+		{"closed before the last byte", closeAfter(9), policy.StatusConnectFailed, 503},
 		{"silent", holdSilent, policy.StatusCanceled, 503},
 		{"refused", nil, policy.StatusConnectFailed, 503},
 	}
 }
 
-// closeAfter serves one connection: it reads up to so many bytes and closes.
+// closeAfter serves one connection: it reads up to the given number of bytes and closes the connection.
 func closeAfter(bytes int) func(net.Conn) {
-	return func(conn net.Conn) { _, _ = conn.Read(make([]byte, bytes)) } // an error is the end too
+	return func(conn net.Conn) { _, _ = conn.Read(make([]byte, bytes)) } // an error ends it too
 }
 
-// What goes on is what came, less what belongs to a connection.
+// Requests and responses are forwarded unchanged, except for hop-by-hop headers.
 func TestRequestForwarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var got bytes.Buffer
@@ -155,11 +157,12 @@
 			"\r\nIdempotency-Key: MiXed\r\n", "\r\nReq-Deadline: 480m\r\n", "\r\n\r\nab\x00cd",
 		} {
 			if !strings.Contains(text, want) {
-				t.Errorf("%q is not in %q", want, text)
+				t.Errorf("forwarded request %q does not contain %q", text, want)
 			}
 		}
 		if strings.Contains(text, "Keep-Alive") || body != "hi" || resp.Header.Get("Content-Type") != "a/b" {
-			t.Errorf("%q, answered %q", text, body)
+			t.Errorf("forwarded request %q, response %q of type %q; want no Keep-Alive, response %q of type a/b",
+				text, body, resp.Header.Get("Content-Type"), "hi")
 		}
 		a.close()
 	})
--- a/internal/httpwire/conn.go
+++ b/internal/httpwire/conn.go
@@ -1,6 +1,6 @@
 package httpwire
 
-// This file is one connection, to a backend or for votes, and one round trip on it.
+// A conn is one connection, to a backend or to the platform, on which one request at a time is sent.
 
 import (
 	"bufio"
@@ -14,42 +14,43 @@
 )
 
 const (
-	maxInterimResponses = 8 // with a status below 200, ahead of the real response
+	maxInterimResponses = 8 // responses with a status below 200 before the final one
 
-	// A backend writes its response in one go, 64 KiB at most. One that has begun and does not end is spoilt, on a connection
-	// that stays open for good: to wait any longer is to wait for nothing.
+	// A backend writes its response, of at most 64 KiB, at once. If a response has begun and does not end, it is
+	// broken, and its connection may stay open forever: waiting longer is useless.
 	responseReadTimeout = 200 * time.Millisecond
 )
 
-// errNotWritten proves that a call never ran: its last byte was never written.
-var errNotWritten = errors.New("the request was not written to its last byte")
+// errNotWritten proves that a backend did not run the request: its last byte was never written.
+var errNotWritten = errors.New("request not completely written")
 
-// expiredDeadline has long passed: set as a deadline it interrupts a call under way.
+// expiredDeadline is a time in the past: setting it as a deadline interrupts a call in progress.
 var expiredDeadline = time.Unix(1, 0)
 
-// conn is one connection to a backend or to the platform. One goroutine at a time uses it; any may cancel it.
+// conn is one connection to a backend or to the platform. Only one goroutine at a time may use it, but any may call
+// Cancel.
 type conn struct {
 	net.Conn
 	in        *bufio.Reader
-	pool      *pool  // of a backend's connection; nil towards the platform
-	probeBody []byte // the last response, where the last call was a probe
+	pool      *pool  // nil for a connection to the platform
+	probeBody []byte // body of the last response if the last call was a probe
 	idleSince time.Time
 
-	mu       sync.Mutex // orders Cancel and setReadTimeout
+	mu       sync.Mutex // serializes Cancel and setReadTimeout
 	canceled bool
 }
 
 func newConn(c net.Conn) *conn { return &conn{Conn: c, in: bufio.NewReader(c)} }
 
-// Cancel interrupts the call under way, for good: the connection can't be used again.
+// Cancel interrupts the call in progress. The connection can't be used afterwards.
 func (c *conn) Cancel() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.canceled = true
-	_ = c.SetDeadline(expiredDeadline) // it fails on a closed connection only, whose calls have ended
+	_ = c.SetDeadline(expiredDeadline) // fails only on a closed connection, whose calls have ended
 }
 
-// setReadTimeout limits reading from now on; 0: no limit. After Cancel it does nothing.
+// setReadTimeout limits the time for reading from now on; 0 means no limit. After Cancel it has no effect.
 func (c *conn) setReadTimeout(timeout time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -60,11 +61,11 @@
 	if timeout > 0 {
 		deadline = time.Now().Add(timeout)
 	}
-	_ = c.SetReadDeadline(deadline) // it fails on a closed connection only, and then reading does too
+	_ = c.SetReadDeadline(deadline) // fails only on a closed connection, and then Read fails too
 }
 
-// roundTrip writes one request and reads its response whole. An error that is errNotWritten proves that the call never ran;
-// after any other it may have run. With an error the response holds what had been read of it.
+// roundTrip writes one request and reads its whole response. An error that wraps errNotWritten proves that the request
+// was not run; after any other error it may have been run. With an error, the response holds what was parsed before it.
 func (c *conn) roundTrip(request []byte) (upstreamResponse, error) {
 	if n, err := c.Write(request); n < len(request) {
 		return upstreamResponse{}, fmt.Errorf("%w: %w", errNotWritten, err)
@@ -75,7 +76,7 @@
 		}
 		r, err := c.readResponse()
 		if err == nil && (r.interim() || c.duplicatesProbeResponse(r)) {
-			continue // the real one follows
+			continue // the final response follows
 		}
 		c.probeBody = nil
 		return r, err
@@ -83,7 +84,7 @@
 	return upstreamResponse{}, errMalformedResponse
 }
 
-// awaitResponse waits as long as it takes for a response to begin, and from then on limits the time for all of it.
+// awaitResponse waits for a response to begin, without a time limit, and then limits the time for reading all of it.
 func (c *conn) awaitResponse() error {
 	c.setReadTimeout(0)
 	if _, err := c.in.Peek(1); err != nil {
@@ -94,17 +95,17 @@
 	if err != nil {
 		return err
 	}
-	if string(start) != httpVersion { // what begins otherwise never ends as a response
+	if string(start) != httpVersion { // data with any other beginning is never a valid response
 		return errMalformedResponse
 	}
 	return nil
 }
 
-// duplicatesProbeResponse reports whether a response is a second copy of the one that the probe before this call got.
+// duplicatesProbeResponse reports whether a response is a second copy of the response to the preceding probe.
 func (c *conn) duplicatesProbeResponse(r upstreamResponse) bool {
 	return len(c.probeBody) > 0 && r.status == http.StatusOK && bytes.Equal(r.body, c.probeBody)
 }
 
-// reusable reports whether the next call may use the connection after this response: it stays open, and nothing but the
-// response has come on it.
+// reusable reports whether the connection can be reused after this response: it stays open and has no further data
+// buffered.
 func (c *conn) reusable(r upstreamResponse) bool { return !r.closes && c.in.Buffered() == 0 }
--- a/internal/httpwire/control.go
+++ b/internal/httpwire/control.go
@@ -1,7 +1,7 @@
 package httpwire
 
-// This file opens the connections on which discovery and the platform send their streams: one GET, one response, read as it
-// comes.
+// Connections for the streams from discovery and from the platform. Each carries one GET request and its response,
+// which is read as it arrives.
 
 import (
 	"bufio"
@@ -15,21 +15,21 @@
 	"time"
 )
 
-// controlConnectTimeout is for a connection to discovery or the platform to come up, and again for a response's head: both
-// answer at once.
+// controlConnectTimeout limits connecting to discovery or the platform, and separately the wait for a response head:
+// both respond immediately.
 const controlConnectTimeout = 500 * time.Millisecond
 
-var errStreamEnded = errors.New("the stream ended")
+var errStreamEnded = errors.New("stream ended")
 
-// controlStream is the body of one response. Reading it fails after a silence, or when the context it was opened with ends.
+// controlStream is the body of one response. Reading fails after an idle timeout or when its context is done.
 type controlStream struct {
 	conn         net.Conn
 	body         io.ReadCloser
 	stopCtxWatch func() bool
 }
 
-// openControlStream connects, sends the request and reads the response's head, whose status has to be 200. Reading of the body
-// may be silent for so long. The caller closes the stream.
+// openControlStream connects, sends the request and reads the response head, whose status must be 200. Reads of the body
+// fail after idleTimeout unless extendReadDeadline is called. The caller must close the stream.
 func openControlStream(ctx context.Context, dial Dial, address, path string, idleTimeout time.Duration) (*controlStream, error) {
 	dialCtx, cancel := context.WithTimeout(ctx, controlConnectTimeout)
 	defer cancel()
@@ -47,9 +47,9 @@
 	return s, nil
 }
 
-// get sends the request and reads the response's head.
+// get sends the request and reads the response head.
 func (s *controlStream) get(address, path string) error {
-	// For all of it: a part of a head may be all that ever comes.
+	// The deadline covers the whole head, because the peer may stop in the middle of it.
 	if err := s.conn.SetDeadline(time.Now().Add(controlConnectTimeout)); err != nil {
 		return err
 	}
@@ -62,24 +62,24 @@
 	}
 	s.body = response.Body
 	if response.StatusCode != http.StatusOK {
-		return fmt.Errorf("status %d", response.StatusCode)
+		return fmt.Errorf("GET %s: status %d, want %d", path, response.StatusCode, http.StatusOK)
 	}
 	return nil
 }
 
-// extendReadDeadline has reading fail unless something comes within so long.
+// extendReadDeadline makes reads fail after idleTimeout from now.
 func (s *controlStream) extendReadDeadline(idleTimeout time.Duration) {
-	_ = s.conn.SetReadDeadline(time.Now().Add(idleTimeout)) // it fails on a closed connection only, and then reading does too
+	_ = s.conn.SetReadDeadline(time.Now().Add(idleTimeout)) // fails only on a closed connection, and then Read fails too
 }
 
-// Read reads the body.
+// Read reads from the response body.
 func (s *controlStream) Read(b []byte) (int, error) { return s.body.Read(b) }
 
-// Close closes the connection. It never waits for the rest of the body.
+// Close closes the connection without waiting for the rest of the body.
 func (s *controlStream) Close() {
 	s.stopCtxWatch()
 	s.conn.Close()
 	if s.body != nil {
-		s.body.Close() // after the connection: else it would read on to the body's end
+		s.body.Close() // after the connection: otherwise it would read to the end of the body
 	}
 }
--- a/internal/httpwire/directory.go
+++ b/internal/httpwire/directory.go
@@ -1,17 +1,18 @@
 package httpwire
 
-// This file knows which backend is at which address, and which addresses a list leaves: what is connected there leads to
-// something else from then on, or to nothing.
+// The directory maps backends to addresses and finds the addresses that a list vacates: connections to them lead to
+// another process from then on, or to none.
 
 import "onyxgate/policy"
 
-// directory is who is where, as the lists taken so far tell it. It has no lock.
+// directory maps backends to addresses and back, according to the lists applied so far. It is not safe for concurrent
+// use.
 type directory struct {
 	addressOf map[string]string   // by backend
 	occupants map[string]occupant // by address
 }
 
-// occupant is the backend that runs at an address, and the time of its start: one that was started anew is another occupant.
+// occupant is the backend at an address with its start time: a restarted backend is a different occupant.
 type occupant struct {
 	backend   string
 	startedAt float64
@@ -21,13 +22,13 @@
 	return directory{addressOf: map[string]string{}, occupants: map[string]occupant{}}
 }
 
-// apply takes in one list and returns the addresses at which another occupant runs now, or none.
+// apply applies one list and returns the addresses at which no backend runs any more, or another occupant than before.
 func (d *directory) apply(list endpointList) (vacated []string) {
 	isVacated := map[string]bool{}
-	before := d.occupants // a change edits these in place: what an earlier entry of it has removed is not there any more
+	before := d.occupants // a change modifies this map: occupants removed by its earlier entries are missing
 	if list.snapshot {
 		for address := range before {
-			isVacated[address] = true // unless an entry says that its occupant is still there
+			isVacated[address] = true // unless an entry confirms its occupant
 		}
 		*d = newDirectory()
 	}
@@ -50,8 +51,8 @@
 	return vacated
 }
 
-// vacate takes a backend off the address at which it has been, where the entry says that it is elsewhere now or removed. The
-// address stays with another backend that an earlier entry has put there.
+// vacate removes a backend from its previous address if the entry has a new address for it or marks it as removed. The
+// address is not vacated if an earlier entry of the list has assigned it to another backend.
 func (d *directory) vacate(entry listEntry, isVacated map[string]bool) {
 	removed := entry.State == policy.EndpointRemoved
 	previous, listed := d.addressOf[entry.ID]
--- a/internal/httpwire/discovery.go
+++ b/internal/httpwire/discovery.go
@@ -1,9 +1,9 @@
 package httpwire
 
-// This file follows discovery: the watch, snapshots asked for by themselves, and moves to another address. It hands every change
-// to the decisions as it comes, and must never hold one back, drop a backend that is only unreachable, or wait on traffic. The
-// parts are stream.go (the watch kept open), framing.go and endpointlist.go (the lists), listversion.go (which lists are taken)
-// and directory.go (who is at which address).
+// Discovery maintains the watch, fetches single snapshots and handles changes of discovery's address. It passes every
+// change on immediately. It must never delay a change, remove a backend that is only unreachable, or wait for traffic.
+// Its parts are stream.go (keeping the watch open), framing.go and endpointlist.go (parsing lists), listversion.go
+// (which lists are accepted) and directory.go (which backend is at which address).
 
 import (
 	"cmp"
@@ -23,60 +23,62 @@
 const (
 	endpointsPath = "/discovery/hosts"
 
-	// An empty line comes every 2 s. What a silent watch misses counts as known 6 s after it fell silent: by then the silence has
-	// been noticed, a second watch that stays as silent as the first has been given up, and the third is connected.
+	// Discovery sends an empty line every 2 s. A change that a silent watch misses counts as known 6 s after the silence
+	// began. Within that time this timeout can expire twice, for the silent watch and for a second watch that is silent
+	// too, and a third watch is connected.
 	watchIdleTimeout = 2500 * time.Millisecond
 	fetchTimeout     = 2 * time.Second // for a snapshot
 
-	refreshQueueSize = 16 // calls of Refresh that may wait for Run
+	refreshQueueSize = 16 // calls of Refresh that can be queued for Run
 )
 
-var errEmptySnapshot = errors.New("an empty answer")
+var errEmptySnapshot = errors.New("empty response")
 
-// DiscoveryConfig says where discovery is and what its words mean.
+// DiscoveryConfig configures how discovery is reached and how its endpoint lists are interpreted.
 type DiscoveryConfig struct {
 	Core    *core.Core
 	Dial    Dial
-	Address string // of discovery, until SetAddress names another
+	Address string // of discovery; SetAddress replaces it
 
-	Zones           []string // the decisions know a zone by its index here
-	HardwareClasses []string // and a hardware class by its index here
+	Zones           []string // zone names by policy.Endpoint.Zone
+	HardwareClasses []string // hardware class names by policy.Endpoint.HardwareClass
 
-	// OnDemand has the decisions open the watch by Refresh: discovery sends its list only to those who ask. A lost watch is not
-	// opened again then but reported to the core.
+	// OnDemand is set if discovery sends its list only on request: the watch is opened by Refresh, and a lost watch is
+	// reported to the core instead of being reopened.
 	OnDemand bool
 
-	Seed uint64 // of the jitter of reconnects
+	Seed uint64 // for the jitter of reconnects
 }
 
-// Discovery follows the endpoint list. Its methods may be called by any goroutine, OnRemove and OnUpdate only before Run and Apply.
+// Discovery follows the endpoint list. Its methods are safe for concurrent use, except that OnAddressVacated and
+// OnUpdate must be called before Run and Apply.
 type Discovery struct {
 	core     *core.Core
 	dial     Dial
 	parser   listParser
 	onDemand bool
-	rng      *rand.Rand // used by the watch's keeper only
+	rng      *rand.Rand // used only by maintainWatch
 
 	onAddressVacated func(address string)
 	onUpdate         func(update policy.EndpointUpdate, addresses []string)
 	onDisconnect     func()
 
-	refreshes   chan bool     // true: a snapshot is wanted, false: the watch
-	moved       chan bool     // the address has changed
+	refreshes   chan bool     // true: fetch a snapshot; false: open the watch
+	moved       chan bool     // receives when the address has changed
 	firstUpdate chan struct{} // closed once discovery has sent a list
 
-	// applyOrder is a lock that is held until a list has been handed on, so that lists are handed on in the order in which they
-	// were taken. A channel, since a test has to see that a goroutine waits for it.
+	// applyOrder is a lock held until an accepted list has been passed on, so that lists are passed on in the order in
+	// which they were accepted. It is a channel because a test must detect that a goroutine is blocked on it.
 	applyOrder chan bool
 
-	mu         sync.RWMutex // guards what follows
+	mu         sync.RWMutex // guards the fields below
 	address    string
-	generation int // counts the addresses so far
+	generation int // number of changes of the address so far
 	held       listPosition
 	directory  directory
 }
 
-// NewDiscovery returns a Discovery that holds no list yet; Run follows the list.
+// NewDiscovery returns a Discovery without a list. Run must be called to follow discovery.
 func NewDiscovery(config DiscoveryConfig) *Discovery {
 	return &Discovery{
 		core:             config.Core,
@@ -96,33 +98,33 @@
 	}
 }
 
-// OnAddressVacated sets what is called for an address that its backend has left.
+// OnAddressVacated sets the function that is called with each address that its backend has left.
 func (d *Discovery) OnAddressVacated(onAddressVacated func(address string)) {
 	d.onAddressVacated = onAddressVacated
 }
 
-// OnUpdate sets what is called with each list in place of the core: a merge with other sources. onDisconnect is called whenever
-// a watch breaks or falls silent.
+// OnUpdate sets the function that receives each list instead of the core, for merging with other sources. onDisconnect
+// is called whenever a watch breaks or becomes silent.
 func (d *Discovery) OnUpdate(onUpdate func(update policy.EndpointUpdate, addresses []string), onDisconnect func()) {
 	d.onUpdate, d.onDisconnect = onUpdate, onDisconnect
 }
 
-// BackendAddress is where a backend listens; empty: it is not in the endpoint list.
+// BackendAddress returns the address of a backend, or "" if the backend is not in the endpoint list.
 func (d *Discovery) BackendAddress(backend string) string {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return d.directory.addressOf[backend]
 }
 
-// Version is the version of the list held and how many backends the list names.
+// Version returns the version of the current list and the number of backends in it.
 func (d *Discovery) Version() (version int64, backends int) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return d.held.version, len(d.directory.addressOf)
 }
 
-// Refresh asks Run for a snapshot, or to open the watch where it is not open. It never waits; where too many calls wait already,
-// it does nothing.
+// Refresh asks Run to fetch a snapshot, or to open the watch if it is not open. It does not block: if too many requests
+// are queued, the request is dropped.
 func (d *Discovery) Refresh(snapshot bool) {
 	select {
 	case d.refreshes <- snapshot:
@@ -130,11 +132,12 @@
 	}
 }
 
-// FirstUpdate is closed once discovery has sent a list. Until then the instance has only what it was started with.
+// FirstUpdate returns a channel that is closed once discovery has sent a list. Until then, only the list from the
+// configuration is known.
 func (d *Discovery) FirstUpdate() <-chan struct{} { return d.firstUpdate }
 
-// SetAddress names another address of discovery. The watch there is opened at once; the old one is kept until the new one sends
-// something.
+// SetAddress sets a new address of discovery. The watch there is opened at once, and the old one is kept until the new
+// one delivers data.
 func (d *Discovery) SetAddress(address string) {
 	d.mu.Lock()
 	d.address = address
@@ -142,20 +145,20 @@
 	d.mu.Unlock()
 	select {
 	case d.moved <- true:
-	default: // a move is under way, and takes the address when it gets to it
+	default: // a move is already pending and will use the new address
 	}
 }
 
-// position is where to ask, the generation of that address, and the version held.
+// position returns the address of discovery, the generation of that address, and the version of the current list.
 func (d *Discovery) position() (address string, generation int, version int64) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return d.address, d.generation, d.held.version
 }
 
-// Run follows discovery until ctx ends. The goroutines that it starts end with ctx, or before.
+// Run follows discovery until ctx is done. The goroutines that it starts end at that time or earlier.
 func (d *Discovery) Run(ctx context.Context) {
-	watchEnded := make(chan bool, 1) // room for the one watch that runs at a time: its goroutine never waits
+	watchEnded := make(chan bool, 1) // buffered for the one watch that runs at a time: its goroutine never blocks
 	startWatch := func() {
 		go func() {
 			d.maintainWatch(ctx)
@@ -178,7 +181,7 @@
 				startWatch()
 			}
 		case <-watchEnded:
-			if ctx.Err() == nil { // the decisions say when to ask again
+			if ctx.Err() == nil { // the core asks for a new watch
 				watching = false
 				d.core.EndpointsFailed()
 			}
@@ -186,7 +189,7 @@
 	}
 }
 
-// maintainWatch keeps the watch open until ctx ends; where the list comes on demand only, until the watch is lost.
+// maintainWatch keeps the watch open until ctx is done or, with onDemand, until the watch is lost.
 func (d *Discovery) maintainWatch(ctx context.Context) {
 	maintainStream(ctx, streamConfig{
 		read:         d.watch,
@@ -198,7 +201,7 @@
 	})
 }
 
-// watch reads one watch until it breaks, falls silent or sends what can't be read.
+// watch reads one watch until it breaks, becomes silent or sends malformed data.
 func (d *Discovery) watch(ctx context.Context, onData func()) error {
 	defer d.onDisconnect()
 	address, generation, version := d.position()
@@ -211,7 +214,7 @@
 	logrus.WithField("after", version).Info("endpoint stream connected")
 	lists := newListScanner(stream)
 	for lists.Scan() {
-		stream.extendReadDeadline(watchIdleTimeout) // not for a part of a list: half of one is silence
+		stream.extendReadDeadline(watchIdleTimeout) // not after a part of a list: a stalled list counts as silence
 		if len(lists.Bytes()) > 0 {
 			if err := d.apply(lists.Bytes(), FromWatch, generation, onData); err != nil {
 				return err
@@ -222,7 +225,7 @@
 	return cmp.Or(lists.Err(), errStreamEnded)
 }
 
-// fetchSnapshot asks for the whole list once. A failure goes to the core, which has the decisions ask again.
+// fetchSnapshot fetches the whole list once. It reports a failure to the core, which then asks for another fetch.
 func (d *Discovery) fetchSnapshot(ctx context.Context) {
 	if err := d.fetch(ctx); err != nil && ctx.Err() == nil {
 		logrus.WithError(err).Warn("endpoint snapshot failed")
@@ -239,7 +242,7 @@
 	defer stream.Close()
 	lists := newListScanner(stream)
 	for lists.Scan() {
-		if len(lists.Bytes()) > 0 { // else an empty line ahead of the list
+		if len(lists.Bytes()) > 0 { // skip empty lines before the list
 			return d.apply(lists.Bytes(), FromFetch, generation, func() {})
 		}
 	}
--- a/internal/httpwire/doc.go
+++ b/internal/httpwire/doc.go
@@ -1,7 +1,8 @@
-// Package httpwire speaks the users' HTTP/1.1 protocol around the core: to clients, backends, discovery and the release
-// platform. It reports events to the core and carries out the actions that come back. It decides nothing itself: no retry, choice
-// of a backend, health or timeout beyond what the protocol fixes.
+// Package httpwire implements the HTTP/1.1 protocol between an instance and its clients, its backends, discovery and
+// the release platform. It reports events to the core and carries out the actions that the core returns. Decisions are
+// made elsewhere: apart from what the protocol fixes, this package does not retry, choose backends, judge health or set
+// timeouts.
 //
-// The clients' side is Front: it reads and validates a request, hands it to the core and writes its one answer. The backends' side
-// is Upstream. Sockets is the budget of open connections that both share.
+// Front is the client side: it reads and validates a request, passes it to the core and writes its single response.
+// Upstream is the backend side. Sockets is the budget of open connections that both share.
 package httpwire
--- a/internal/httpwire/endpointlist.go
+++ b/internal/httpwire/endpointlist.go
@@ -1,7 +1,8 @@
 package httpwire
 
-// This file parses endpoint lists: snapshots and changes, as discovery sends them and the configuration holds them. A list is
-// read whole or not at all; a word that the protocol does not know is noise, and the list with it.
+// The parser for endpoint lists, that is, snapshots and changes from discovery and the list in the configuration. A
+// list is accepted or rejected as a whole. A word that the protocol does not define indicates corruption, and the list
+// is rejected.
 
 import (
 	"errors"
@@ -17,37 +18,37 @@
 
 const (
 	defaultWeight = 1.0
-	maxListNumber = 1e15 // of a release or a start time; a larger one is noise
+	maxListNumber = 1e15 // of a release or a start time; larger numbers indicate corruption
 )
 
 var (
-	errMalformedList  = errors.New("a list that can't be read")
-	errIncompleteList = errors.New("a list without version, kind or entries")
-	errMalformedEntry = errors.New("an entry that can't be read")
-	errInvalidEntry   = errors.New("an entry that can't be used")
+	errMalformedList  = errors.New("endpoint list: malformed JSON or UTF-8")
+	errIncompleteList = errors.New("endpoint list: version, full or servers missing or of the wrong type")
+	errMalformedEntry = errors.New("endpoint list: entry without id or known state")
+	errInvalidEntry   = errors.New("endpoint list: entry with invalid addr, version_no or started_ms")
 )
 
-// endpointStates are the protocol's words.
+// endpointStates maps the protocol's names of states.
 var endpointStates = map[string]policy.EndpointState{
 	"Ready":       policy.EndpointRunning,
 	"Terminating": policy.EndpointDraining,
 	"Gone":        policy.EndpointRemoved,
 }
 
-// endpointList is one list that could be read.
+// endpointList is a parsed endpoint list.
 type endpointList struct {
 	version  int64
-	snapshot bool // it replaces the list held; else it changes it
+	snapshot bool // replaces the current list; otherwise changes it
 	entries  []listEntry
 }
 
-// listEntry is one backend of a list.
+// listEntry is one backend in an endpoint list.
 type listEntry struct {
 	policy.Endpoint
-	address string // of a removed one anything
+	address string // not validated for a removed backend
 }
 
-// update is the list as the decisions take it, and the address of each of its endpoints.
+// update converts the list to an update for the core. addresses holds the address of each of the update's endpoints.
 func (l endpointList) update(source Source) (update policy.EndpointUpdate, addresses []string) {
 	update = policy.EndpointUpdate{Snapshot: l.snapshot, Cached: source == FromConfiguration}
 	for _, entry := range l.entries {
@@ -57,14 +58,14 @@
 	return update, addresses
 }
 
-// listParser parses endpoint lists. The decisions know zones and hardware classes by their index in these; an unknown one counts
-// as the first.
+// listParser parses endpoint lists. Zones and hardware classes are identified by their index in these slices; unknown
+// ones count as the first.
 type listParser struct {
 	zones           []string
 	hardwareClasses []string
 }
 
-// parse reads one list. An error is errMalformedList, errIncompleteList, errMalformedEntry or errInvalidEntry.
+// parse parses one list. The error wraps errMalformedList, errIncompleteList, errMalformedEntry or errInvalidEntry.
 func (p listParser) parse(text []byte) (endpointList, error) {
 	if !gjson.ValidBytes(text) || !utf8.Valid(text) {
 		return endpointList{}, errMalformedList
@@ -85,7 +86,7 @@
 	return list, nil
 }
 
-// parseEntry reads one entry. Of a removed backend the id is all that counts.
+// parseEntry parses one entry. For a removed backend only the id is required.
 func (p listParser) parseEntry(e gjson.Result) (listEntry, error) {
 	id, release, startedAt := e.Get("id"), e.Get("version_no"), e.Get("started_ms")
 	address := e.Get("addr").Str
--- a/internal/httpwire/framing.go
+++ b/internal/httpwire/framing.go
@@ -1,7 +1,7 @@
 package httpwire
 
-// This file cuts discovery's stream into endpoint lists: JSON objects, in one line or indented, with empty lines between them as
-// signs of life.
+// listFramer splits the stream from discovery into endpoint lists: JSON objects, on one line or indented, with empty
+// lines between them as keep-alives.
 
 import (
 	"bufio"
@@ -10,11 +10,11 @@
 	"io"
 )
 
-const maxListBytes = 8 << 20 // of one endpoint list
+const maxListBytes = 8 << 20 // per endpoint list
 
-var errNotAList = errors.New("something other than a list")
+var errNotAList = errors.New("not an endpoint list object")
 
-// newListScanner returns a scanner whose tokens are whole endpoint lists. An empty line between them is an empty token.
+// newListScanner returns a scanner whose tokens are whole endpoint lists. An empty line between lists is an empty token.
 func newListScanner(from io.Reader) *bufio.Scanner {
 	scanner := bufio.NewScanner(from)
 	scanner.Buffer(nil, maxListBytes)
@@ -22,15 +22,15 @@
 	return scanner
 }
 
-// listFramer is how far the list that is coming has been looked at.
+// listFramer is the scan state of an incomplete list.
 type listFramer struct {
-	scanned  int // bytes of the list seen so far
+	scanned  int // bytes of the list scanned so far
 	depth    int // open braces and brackets; 0: between lists
 	inString bool
-	escaped  bool // the last byte was a backslash in a string
+	escaped  bool // the previous byte was a backslash in a string
 }
 
-// split is a bufio.SplitFunc.
+// split implements bufio.SplitFunc.
 func (f *listFramer) split(data []byte, atEOF bool) (advance int, token []byte, err error) {
 	if f.depth > 0 {
 		return f.splitList(data, atEOF)
@@ -41,7 +41,7 @@
 		case '\n':
 			return i + 1, data[:0], nil
 		case '{':
-			if i > 0 { // what comes before the list is dropped first
+			if i > 0 { // drop the spaces before the list first
 				return i, nil, nil
 			}
 			return f.splitList(data, atEOF)
@@ -52,7 +52,7 @@
 	return len(data), nil, nil
 }
 
-// splitList looks for the end of the list that data begins with.
+// splitList returns the list at the start of data if it is complete.
 func (f *listFramer) splitList(data []byte, atEOF bool) (advance int, token []byte, err error) {
 	for ; f.scanned < len(data); f.scanned++ {
 		if f.endsList(data[f.scanned]) {
@@ -67,7 +67,7 @@
 	return 0, nil, nil
 }
 
-// endsList takes in the next byte of a list and reports whether it is the last.
+// endsList processes the next byte of a list and reports whether it is the last one.
 func (f *listFramer) endsList(c byte) bool {
 	switch {
 	case f.escaped:
--- a/internal/httpwire/framing_test.go
+++ b/internal/httpwire/framing_test.go
@@ -6,35 +6,35 @@
 	"testing"
 )
 
-// Lists come in one line or indented, on streams that cut them anywhere; empty lines between them are signs of life, and a
-// list that stops half way is none.
+// Lists may be on one line or indented, and reads may split the stream anywhere. Empty lines between lists are
+// keep-alives, and an incomplete list is not returned.
 func TestListScanner(t *testing.T) {
 	line := `{"a":"}\"{","b":[1,{"c":2}]}`
 	indented := "{\n  \"a\": [\n\n    1\n  ]\n}"
 	for _, c := range []struct{ name, text, want string }{
 		{"two lists", line + "\n\n" + line + "\n", line + "|||" + line + "||"},
 		{"indented", "\n\r\n" + indented + "\n\n", "||" + indented + "|||"},
-		{"on one line", "  " + line + line, line + "|" + line + "|"},
-		{"the second cut off", line + "\n{\"a\":\n", line + "||unexpected EOF"},
-		{"no list", "no list\n", `something other than a list: "no list\n"`},
-		{"an array", "[1]\n", `something other than a list: "[1]\n"`},
-		{"cut off", "\n" + line[:len(line)-1], "|unexpected EOF"},
+		{"two lists on one line", "  " + line + line, line + "|" + line + "|"},
+		{"second list incomplete", line + "\n{\"a\":\n", line + "||unexpected EOF"},
+		{"text", "no list\n", `not an endpoint list object: "no list\n"`},
+		{"array", "[1]\n", `not an endpoint list object: "[1]\n"`},
+		{"incomplete list", "\n" + line[:len(line)-1], "|unexpected EOF"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for _, step := range []int{1, 3, 1000} {
 				got := scanLists(&sizedReader{c.text, step})
-				// A stream that is cut shows less of what is not a list.
+				// With small reads, the error quotes less of the text.
 				prefix, isError := cutError(c.want)
 				matches := got == c.want || step < 1000 && isError && strings.HasPrefix(got, prefix)
 				if !matches {
-					t.Errorf("%q by %d: %q, want %q", c.text, step, got, c.want)
+					t.Errorf("text %q in reads of %d bytes: got %q, want %q", c.text, step, got, c.want)
 				}
 			}
 		})
 	}
 }
 
-// scanLists returns all tokens of a stream, each followed by a bar, and the error that ended it.
+// scanLists returns all tokens of a stream, each followed by a bar, and the error at its end.
 func scanLists(from io.Reader) (tokens string) {
 	lists := newListScanner(from)
 	for lists.Scan() {
@@ -46,7 +46,7 @@
 	return tokens
 }
 
-// cutError is the part of a wanted errNotAList that doesn't depend on how the stream is cut.
+// cutError returns the part of an expected errNotAList that does not depend on the size of the reads.
 func cutError(want string) (prefix string, isError bool) {
 	if !strings.HasPrefix(want, errNotAList.Error()) {
 		return "", false
@@ -54,7 +54,7 @@
 	return want[:27], true
 }
 
-// sizedReader reads a text so many bytes at a time.
+// sizedReader returns at most step bytes from each Read.
 type sizedReader struct {
 	text string
 	step int
--- a/internal/httpwire/front.go
+++ b/internal/httpwire/front.go
@@ -8,25 +8,26 @@
 	"onyxgate/policy"
 )
 
-// FrontConfig is what a Front needs. All of it is fixed from NewFront on.
+// FrontConfig configures a Front. It must not change after NewFront.
 type FrontConfig struct {
 	Core     *core.Core
 	Upstream *Upstream
 	Sockets  *Sockets
-	// Classes are the request classes by index, as the core knows them; ClassNames[i] is the first element of the paths of
-	// Classes[i].
+	// Classes holds the request classes by their index in the core. ClassNames[i] is the first path element of requests
+	// of class Classes[i].
 	ClassNames []string
 	Classes    []policy.RequestClass
-	// CancelAllowed tells that an attempt under way may be called off. Where it may not, each attempt has its own goroutine.
+	// CancelAllowed states that an attempt in progress may be canceled. Otherwise each attempt runs in its own
+	// goroutine.
 	CancelAllowed bool
-	// MaxOpenRequests is how many requests may be open at once before further ones are rejected; 0 means no limit.
+	// MaxOpenRequests is the number of open requests above which further requests are rejected; 0 means no limit.
 	MaxOpenRequests int
-	// MaxBodyBytes is how much the bodies of all open requests may hold together before further ones are rejected.
+	// MaxBodyBytes is the total size of the bodies of open requests above which further requests are rejected.
 	MaxBodyBytes int64
 }
 
-// Front is the clients' side: it takes requests and gives each exactly one answer. Bad input gets as far as its parser and reaches
-// neither the core nor a backend. All methods may be called from any goroutine.
+// Front serves clients and gives each request exactly one response. Invalid requests are rejected by its parser and
+// reach neither the core nor a backend. Its methods are safe for concurrent use.
 type Front struct {
 	core            *core.Core
 	upstream        *Upstream
@@ -34,26 +35,26 @@
 	classes         map[string]class // by name
 	cancelAllowed   bool
 	maxOpenRequests int   // 0: no limit
-	maxBodyBytes    int64 // of all open requests together
+	maxBodyBytes    int64 // total of all open requests
 
 	ready           atomic.Bool
 	shuttingDown    atomic.Bool  // no longer ready, but requests are served
-	closingConns    atomic.Bool  // connections end with their request
-	openRequests    atomic.Int64 // from the end of their head to the end of their answer
-	bodyBytes       atomic.Int64 // of requests that are open
+	closingConns    atomic.Bool  // connections are closed after their request
+	openRequests    atomic.Int64 // requests between the end of their head and the end of their response
+	bodyBytes       atomic.Int64 // total size of the bodies of open requests
 	invalidRequests atomic.Int64
 	startedAt       time.Time
-	lastActivity    atomic.Int64  // when a request last began or ended, in ns since startedAt: the wall clock may be stepped
-	killDelay       time.Duration // from the signal to shut down until the process may be killed, at the soonest
+	lastActivity    atomic.Int64  // when a request last began or ended (ns since startedAt: the wall clock may be stepped)
+	killDelay       time.Duration // minimum time from the shutdown signal until the process may be killed
 }
 
-// class is a request class as the parser needs it.
+// class holds the properties of a request class that the parser needs.
 type class struct {
-	index     int // in the core
+	index     int // index in the core
 	semantics policy.Semantics
 }
 
-// NewFront makes a front that is not ready yet. Its server runs once the caller serves Server.
+// NewFront returns a Front that is not ready yet. The caller must serve the http.Server that Server returns.
 func NewFront(config FrontConfig) *Front {
 	f := &Front{
 		core: config.Core, upstream: config.Upstream, sockets: config.Sockets,
@@ -70,11 +71,11 @@
 	return f
 }
 
-// SetReady lets the health check /up succeed. It is called once the endpoint list and the state of the release are known and the
-// decisions run.
+// SetReady makes the health check /up succeed. The caller must wait until the endpoint list and the state of the release
+// are known and the core is running.
 func (f *Front) SetReady() { f.ready.Store(true) }
 
-// InvalidRequests counts the requests refused as bad input, by whatever status.
+// InvalidRequests returns the number of requests rejected as invalid, with any status.
 func (f *Front) InvalidRequests() int64 { return f.invalidRequests.Load() }
 
 // beginRequest counts a request as open until the returned function is called.
@@ -89,7 +90,7 @@
 
 func (f *Front) noteActivity() { f.lastActivity.Store(int64(time.Since(f.startedAt))) }
 
-// sinceActivity is how long ago a request last began or ended.
+// sinceActivity returns the time since a request last began or ended.
 func (f *Front) sinceActivity() time.Duration {
 	return time.Since(f.startedAt) - time.Duration(f.lastActivity.Load())
 }
--- a/internal/httpwire/front_test.go
+++ b/internal/httpwire/front_test.go
@@ -10,48 +10,48 @@
 	"time"
 )
 
-// What does not have the form of a request is refused at the door; nothing of it reaches the core.
+// Invalid requests get an error response and do not reach the core.
 func TestRequestValidation(t *testing.T) {
 	id, deadline, key := "Req-Id: r", "Req-Deadline: 500m", "Idempotency-Key: m"
 	for _, c := range []struct {
 		name, text       string
 		status, accepted int
 	}{
-		{"in form", requestText("POST /save/x", id, deadline, key, "Content-Length: 0"), 200, 1},
-		{"in microseconds", requestText("GET /look/x", id, "Req-Deadline: 500000u"), 200, 1},
+		{"valid", requestText("POST /save/x", id, deadline, key, "Content-Length: 0"), 200, 1},
+		{"timeout in microseconds", requestText("GET /look/x", id, "Req-Deadline: 500000u"), 200, 1},
 		{"no id", requestText("GET /look/x", deadline), 400, 0},
 		{"malformed id", requestText("GET /look/x", "Req-Id: a b", deadline), 400, 0},
 		{"unknown class", requestText("GET /other/x", id, deadline), 404, 0},
 		{"wrong method", requestText("POST /look/x", id, deadline, "Content-Length: 0"), 405, 0},
-		{"reading an idempotent class", requestText("GET /save/x", id, deadline, key), 405, 0},
+		{"GET for an idempotent class", requestText("GET /save/x", id, deadline, key), 405, 0},
 		{"no idempotency key", requestText("POST /save/x", id, deadline, "Content-Length: 0"), 400, 0},
 		{"no deadline", requestText("GET /look/x", id), 400, 0},
 		{"deadline without unit", requestText("GET /look/x", id, "Req-Deadline: 500"), 400, 0},
-		{"deadline past", requestText("GET /look/x", id, "Req-Deadline: -1m"), 400, 0},
+		{"negative deadline", requestText("GET /look/x", id, "Req-Deadline: -1m"), 400, 0},
 		{"deadline not a number", requestText("GET /look/x", id, "Req-Deadline: NaNm"), 400, 0},
-		{"deadline of odd form", requestText("GET /look/x", id, "Req-Deadline: 0x9m"), 400, 0},
+		{"hexadecimal deadline", requestText("GET /look/x", id, "Req-Deadline: 0x9m"), 400, 0},
 		{"two deadlines", requestText("GET /look/x", id, deadline, "Req-Deadline: 9m"), 400, 0},
 		{"two units", requestText("GET /look/x", id, "Req-Deadline: 9mu"), 400, 0},
 		{"two ids", requestText("GET /look/x", id, "Req-Id: q", deadline), 400, 0},
 		{"two idempotency keys", requestText("POST /save/x", id, deadline, key, "Idempotency-Key: n", "Content-Length: 0"), 400, 0},
-		{"a body where none belongs", requestText("GET /look/x", id, deadline, "Content-Length: 1") + "a", 400, 0},
-		{"no length", requestText("POST /save/x", id, deadline, key), 411, 0},
+		{"unexpected body", requestText("GET /look/x", id, deadline, "Content-Length: 1") + "a", 400, 0},
+		{"no Content-Length", requestText("POST /save/x", id, deadline, key), 411, 0},
 		{"no path", requestText("GET look", id, deadline), 400, 0},
-		{"all of the server", requestText("OPTIONS *", id, deadline), 404, 0},
-		{"a length and a coding", requestText("POST /save/x", id, deadline, key, "Content-Length: 9", "Transfer-Encoding: chunked") +
+		{"OPTIONS *", requestText("OPTIONS *", id, deadline), 404, 0},
+		{"Content-Length and Transfer-Encoding", requestText("POST /save/x", id, deadline, key, "Content-Length: 9", "Transfer-Encoding: chunked") +
 			"0\r\n\r\n" + requestText("GET /look/x", id, deadline), 411, 0},
-		{"the same of HTTP/1.0", strings.Replace(requestText("POST /save/x", id, deadline, key, "Content-Length: 5",
+		{"Content-Length and Transfer-Encoding, HTTP/1.0", strings.Replace(requestText("POST /save/x", id, deadline, key, "Content-Length: 5",
 			"Transfer-Encoding: chunked"), "/1.1", "/1.0", 1) + "0\r\n\r\n" + requestText("GET /look/x", id, deadline), 505, 0},
 		{"negative length", requestText("POST /save/x", id, deadline, key, "Content-Length: -1"), 400, 0},
 		{"huge length", requestText("POST /save/x", id, deadline, key, "Content-Length: 99999999999999999999"), 400, 0},
 		{"body too long", requestText("POST /save/x", id, deadline, key, "Content-Length: 70000"), 413, 0},
-		{"body in chunks", requestText("POST /save/x", id, deadline, key, "Transfer-Encoding: chunked") + "11170\r\n" +
+		{"chunked body", requestText("POST /save/x", id, deadline, key, "Transfer-Encoding: chunked") + "11170\r\n" +
 			strings.Repeat("a", 70000), 411, 0},
-		{"body that does not come", requestText("POST /save/x", id, deadline, key, "Content-Length: 9") + "ab", 400, 0},
-		{"body that never ends", requestText("POST /save/x", id, "Req-Deadline: 9000000m", key, "Content-Length: 9") + "ab", 400, 0},
-		{"another method and nothing else right", requestText("PUT /look/x"), 405, 0},
-		{"head without end", "GET /look/x HTTP/1.1\r\n" + strings.Repeat("A: b\r\n", 9000), 431, 0},
-		{"noise", "\x00\x01 hello\r\n\r\n", 400, 0},
+		{"incomplete body", requestText("POST /save/x", id, deadline, key, "Content-Length: 9") + "ab", 400, 0},
+		{"incomplete body, long deadline", requestText("POST /save/x", id, "Req-Deadline: 9000000m", key, "Content-Length: 9") + "ab", 400, 0},
+		{"wrong method and missing headers", requestText("PUT /look/x"), 405, 0},
+		{"endless head", "GET /look/x HTTP/1.1\r\n" + strings.Repeat("A: b\r\n", 9000), 431, 0},
+		{"binary data", "\x00\x01 hello\r\n\r\n", 400, 0},
 		{"not ready", requestText("GET /up"), 503, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -60,13 +60,13 @@
 				from := time.Now()
 				resp, _ := a.roundTrip(t, c.text)
 				if n := a.core.Counts(); resp.StatusCode != c.status || n.Accepted != c.accepted || n.OpenRequests != 0 {
-					t.Errorf("got %d, %+v", resp.StatusCode, n)
+					t.Errorf("status = %d, counts = %+v; want status %d, %d accepted, none open", resp.StatusCode, n, c.status, c.accepted)
 				}
 				if c.status != 200 && (!resp.Close && c.status != 503 || time.Since(from) > newConnRequestTimeout) {
-					t.Errorf("close %v after %v", resp.Close, time.Since(from))
+					t.Errorf("close = %v after %v, want a close (unless the status is 503) within %v", resp.Close, time.Since(from), newConnRequestTimeout)
 				}
 				if invalid := a.front.InvalidRequests(); c.status == 200 && invalid != 0 || invalid > 1 {
-					t.Errorf("%d counted as invalid", invalid)
+					t.Errorf("InvalidRequests() = %d for status %d, want 0 for a valid request and at most 1 otherwise", invalid, c.status)
 				}
 				a.close()
 			})
@@ -74,20 +74,21 @@
 	}
 }
 
-// A handler that fails still answers, and its attempt ends.
+// If a handler panics, the client still gets a response, and the attempt in progress ends.
 func TestHandlerPanic(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := newTestInstance(network{}, NewSockets(0))
-		a.upstream.address = func(string) string { panic("lost its map") }
+		a.upstream.address = func(string) string { panic("injected panic") }
 		resp, _ := a.roundTrip(t, validRequest)
 		if n := a.core.Counts(); resp.StatusCode != http.StatusBadGateway || n.OpenRequests != 0 || n.OpenAttempts != 0 {
-			t.Errorf("%d, %+v", resp.StatusCode, n)
+			t.Errorf("status = %d, counts = %+v; want status %d, nothing open", resp.StatusCode, n, http.StatusBadGateway)
 		}
 		a.close()
 	})
 }
 
-// A slow client's request is waited for, on a new connection and a kept one, which is not closed for want of sockets meanwhile.
+// A request that arrives slowly is served, on a new connection and on a reused one. The reused connection must not be
+// evicted meanwhile when sockets are short.
 func TestSlowClient(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := newTestInstance(network{
@@ -107,18 +108,18 @@
 			"POST /save/x HTTP/1.1\r\nHost: h\r\n",
 			"Req-Id: c\r\nReq-Deadline: 9000m\r\n", "Idempotency-Key: m\r\nContent-Length: 3\r\n\r\na", "b", "c", "",
 		}} {
-			go func() { // ends with its last piece
+			go func() { // ends after the last piece
 				for _, piece := range pieces {
 					send(client, piece)
 					time.Sleep(800 * time.Millisecond)
 				}
 			}()
 			time.Sleep(time.Second)
-			addClients(4 * k) // others have come; a new connection would have a second only
+			addClients(4 * k) // as if other clients had connected; a new connection would be evicted after newConnGrace
 			a.front.sockets.makeRoom(true)
 			answer, _, err := readAnswer(client.in)
 			if err != nil || answer.StatusCode != 200 {
-				t.Fatalf("request %d: %v, %v", k, answer, err)
+				t.Fatalf("request %d: response %v, error %v; want status 200", k, answer, err)
 			}
 			addClients(-4 * k)
 			time.Sleep(time.Second)
@@ -129,7 +130,8 @@
 	})
 }
 
-// The client's time runs from when it sent: no backend is given what a head or body in pieces took of it.
+// A client's timeout starts with the first byte of its request: the deadline forwarded to the backend excludes the time
+// in which the head or the body arrived.
 func TestSlowRequestReducesTimeLeft(t *testing.T) {
 	for _, c := range []struct{ name, first, rest string }{
 		{"head", validRequest[:20], validRequest[20:]},
@@ -142,7 +144,7 @@
 					backend := &peerConn{conn, bufio.NewReader(conn)}
 					_, deadline, err := backend.readRequest()
 					if err != nil {
-						t.Error(err)
+						t.Errorf("backend: reading the request: %v", err)
 					}
 					deadlines <- deadline
 					backend.respond("x")
@@ -151,12 +153,12 @@
 				client := server.dial()
 				send(client, c.first)
 				time.Sleep(700 * time.Millisecond)
-				go send(client, c.rest) // ends with the connection
+				go send(client, c.rest) // ends when the connection is closed
 				if _, _, err := readAnswer(client.in); err != nil {
-					t.Error(err)
+					t.Errorf("client: reading the response: %v", err)
 				}
 				if got := <-deadlines; got != "1300m" {
-					t.Errorf("the backend is given %s of 2000m, 700 of which had gone", got)
+					t.Errorf("Req-Deadline at the backend = %s, want 1300m: 700 of 2000 ms had passed", got)
 				}
 				client.Close()
 				server.close()
@@ -166,7 +168,8 @@
 	}
 }
 
-// A head in pieces has the time of a body on a connection that has been served; on a new one a close is owed soon.
+// On a connection that was served before, a request head may take as long as a body. On a new connection it must arrive
+// within newConnHeadTimeout, because the protocol requires that bad clients are disconnected soon.
 func TestSlowHead(t *testing.T) {
 	respondToAll := func(conn net.Conn) {
 		backend := &peerConn{conn, bufio.NewReader(conn)}
@@ -174,12 +177,12 @@
 			backend.respond("body")
 		}
 	}
-	// slowHead sends a head whose second half comes after 3 s, and returns its answer and when it came.
+	// slowHead sends a head whose second half arrives after 3 s, and returns the response and the time that it took.
 	slowHead := func(client *peerConn) (answer clientAnswer, took time.Duration, err error) {
 		text := strings.Replace(requestWithID("r2"), "2000m", "5000m", 1)
 		send(client, text[:30])
 		from := time.Now()
-		go func() { // ends with the connection
+		go func() { // ends when the connection is closed
 			time.Sleep(3 * time.Second)
 			send(client, text[30:])
 		}()
@@ -194,7 +197,7 @@
 			send(client, validRequest)
 			client.readResponse(t)
 			if answer, took, err := slowHead(client); err != nil || answer.StatusCode != 200 {
-				t.Errorf("%v, %v after %v", answer, err, took)
+				t.Errorf("response %v, error %v after %v; want status 200", answer, err, took)
 			}
 			client.Close()
 			server.close()
@@ -208,7 +211,7 @@
 			client := server.dial()
 			answer, took, err := slowHead(client)
 			if took > newConnHeadTimeout || err == nil && answer.StatusCode < 400 {
-				t.Errorf("%v, %v after %v", answer, err, took)
+				t.Errorf("response %v, error %v after %v; want an error status or a close within %v", answer, err, took, newConnHeadTimeout)
 			}
 			client.Close()
 			server.close()
@@ -217,7 +220,8 @@
 	})
 }
 
-// On a kept connection the time of a request runs from its own first byte, and between two requests the connection is idle.
+// On a reused connection, a request's timeout starts with its own first byte. Between two requests the connection is
+// idle.
 func TestClientConnReuse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		deadlines := make(chan string, 2)
@@ -237,14 +241,14 @@
 		} {
 			send(client, text)
 			if status, _ := client.readResponse(t); status != 200 {
-				t.Errorf("request %d: answered %d", k, status)
+				t.Errorf("request %d: status = %d, want 200", k, status)
 			}
 			if got := <-deadlines; got != "2000m" {
-				t.Errorf("request %d: the backend is given %s of 2000m", k, got)
+				t.Errorf("request %d: Req-Deadline at the backend = %s, want 2000m", k, got)
 			}
 			time.Sleep(500 * time.Millisecond)
 			if _, _, idle := a.front.sockets.Used(); idle != 1 {
-				t.Errorf("after request %d: %d connections are idle", k, idle)
+				t.Errorf("after request %d: idle client connections = %d, want 1", k, idle)
 			}
 		}
 		client.Close()
--- a/internal/httpwire/handler.go
+++ b/internal/httpwire/handler.go
@@ -10,10 +10,10 @@
 	"onyxgate/policy"
 )
 
-// rejectNoRoom is the reason of a request rejected because the front holds as much as it may.
+// rejectNoRoom is the reason for rejecting a request when the limit on open requests or on their bodies is exceeded.
 const rejectNoRoom = "room"
 
-// serveRequest is the life of one request, whose first byte came at arrivedAt (ms of the core's clock), up to its one answer.
+// serveRequest handles one request, whose first byte arrived at arrivedAt (ms of the core's clock), up to its response.
 func (f *Front) serveRequest(w http.ResponseWriter, r *http.Request, path string, arrivedAt float64) {
 	defer f.beginRequest()()
 	parsed, err := f.parseRequest(r, path)
@@ -47,7 +47,8 @@
 	h.run(r.Context())
 }
 
-// rejectReason tells why there is no room for a request whose body is held already; empty: there is.
+// rejectReason returns the reason to reject a request that exceeds the front's limits, or "". The request's body already
+// counts in openBodyBytes.
 func (f *Front) rejectReason(id string, openBodyBytes int64) string {
 	openRequests := f.openRequests.Load()
 	tooManyRequests := f.maxOpenRequests > 0 && openRequests > int64(f.maxOpenRequests)
@@ -59,18 +60,18 @@
 	return rejectNoRoom
 }
 
-// requestHandler carries out the actions of one request that the core has accepted. It lives in the goroutine of the server's
+// requestHandler carries out the core's actions for one accepted request. It runs in the goroutine of the client's
 // connection.
 type requestHandler struct {
 	request        *core.Request
 	response       responseWriter
 	send           func(*core.Attempt)
 	cancelAllowed  bool
-	currentAttempt *core.Attempt // which this goroutine carries out
-	answered       bool          // writing of the answer has begun
+	currentAttempt *core.Attempt // attempt that is sent in this goroutine
+	answered       bool          // writing the response has begun
 }
 
-// run takes the request's actions until one ends it.
+// run performs the request's actions until one ends it.
 func (h *requestHandler) run(ctx context.Context) {
 	defer h.close()
 	stopWatching := context.AfterFunc(ctx, h.request.ClientGone)
@@ -79,7 +80,7 @@
 	}
 }
 
-// perform carries out one action and tells whether others follow.
+// perform carries out one action and reports whether more actions follow.
 func (h *requestHandler) perform(action core.Action) (more bool) {
 	if action.Kind == core.ActionSendAttempt {
 		h.sendAttempt(action.Attempt)
@@ -96,15 +97,15 @@
 	case core.ActionFail:
 		h.answered = true
 		h.request.ResponseWritten(h.response.writeFailed())
-	case core.ActionAbandon: // nobody waits for an answer
+	case core.ActionAbandon: // no client waits for a response
 	default:
 		return true
 	}
 	return false
 }
 
-// sendAttempt carries out an attempt in this goroutine where the core can interrupt it for what it wants next, else in one of
-// its own, which ends with the attempt.
+// sendAttempt sends an attempt in this goroutine if the core can cancel it when it needs the goroutine for the next
+// action. Otherwise it starts a goroutine that ends with the attempt.
 func (h *requestHandler) sendAttempt(attempt *core.Attempt) {
 	if !h.cancelAllowed {
 		go h.send(attempt)
@@ -115,8 +116,8 @@
 	h.currentAttempt = nil
 }
 
-// close ends the request, whatever has failed: after a panic the attempt under way gets its result and the client an answer, if
-// none was begun.
+// close ends the request in all cases. After a panic it finishes the attempt in progress, and sends a failure response
+// unless a response was begun.
 func (h *requestHandler) close() {
 	if failure := recover(); failure != nil {
 		logrus.WithFields(logrus.Fields{"request": h.request.ID, "panic": failure}).Error("request handler panicked")
--- a/internal/httpwire/helpers_test.go
+++ b/internal/httpwire/helpers_test.go
@@ -15,7 +15,7 @@
 	"onyxgate/policy"
 )
 
-// nopTransport drops every action of the decisions that belongs to no request.
+// nopTransport ignores all actions that belong to no request.
 type nopTransport struct{}
 
 func (nopTransport) SendVote(policy.ReleaseID, policy.Verdict, int) {}
@@ -23,7 +23,7 @@
 func (nopTransport) WatchEndpoints()                                {}
 func (nopTransport) FetchEndpoints()                                {}
 
-// network dials in-memory pipes: the peer's side of a connection is served by the function at its address.
+// network is a dialer of in-memory pipes. The function at an address serves the peer's end of its connections.
 type network map[string]func(net.Conn)
 
 func (n network) dial(_ context.Context, address string) (net.Conn, error) {
@@ -39,8 +39,8 @@
 	return here, nil
 }
 
-// testInstance is a whole instance on a network: the classes look (safe), save (idempotent) and pay (non-idempotent), and one
-// backend s at the address app:1.
+// testInstance is an instance on an in-memory network. It has the classes look (safe), save (idempotent) and pay
+// (non-idempotent) and the backend s at the address app:1.
 type testInstance struct {
 	core      *core.Core
 	upstream  *Upstream
@@ -75,30 +75,31 @@
 	})
 	list := listJSON(1, true, `{"id":"s","addr":"app:1","state":"Ready","weight":1,"version_no":1}`)
 	if err := a.discovery.Apply([]byte(list), FromConfiguration, func() {}); err != nil {
-		panic(err) // the list above is wrong
+		panic(err) // the list above is malformed
 	}
 	return a
 }
 
-// newPlatform is the instance's side towards a platform at the address "control".
+// newPlatform returns a client for a platform at the address "control".
 func (a *testInstance) newPlatform(n network) *Platform {
 	return NewPlatform(PlatformConfig{Core: a.core, Dial: n.dial, Address: "control", VoteTimeout: 800 * time.Millisecond, Seed: 1})
 }
 
-// listJSON is an endpoint list as discovery sends it.
+// listJSON returns an endpoint list in discovery's format.
 func listJSON(version int, full bool, entries string) string {
 	return fmt.Sprintf(`{"version":%d,"full":%v,"servers":[%s]}`, version, full, entries)
 }
 
-// close ends what an instance keeps, so that a synctest bubble ends only if no other goroutine was left.
+// close closes the instance's connections and waits for its timers. Any other goroutine that is left then fails the
+// synctest bubble.
 func (a *testInstance) close() {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	a.upstream.Sweep(ctx)
-	time.Sleep(time.Minute) // the last timers of the decisions
+	time.Sleep(time.Minute) // until the core's last timers have fired
 }
 
-// answerOnce serves one connection: it reads one request whole, writes the given answer and closes.
+// answerOnce serves one connection: it reads one whole request, writes the given response and closes the connection.
 func answerOnce(answer string) func(net.Conn) {
 	return func(conn net.Conn) {
 		request, err := http.ReadRequest(bufio.NewReader(conn))
@@ -110,7 +111,7 @@
 	}
 }
 
-// answerAndHold does the same and leaves the connection open until the other side closes it.
+// answerAndHold is like answerOnce, but keeps the connection open until the other side closes it.
 func answerAndHold(answer string) func(net.Conn) {
 	return func(conn net.Conn) {
 		answerOnce(answer)(conn)
@@ -118,16 +119,16 @@
 	}
 }
 
-// holdSilent serves one connection: it reads whatever comes and says nothing.
+// holdSilent serves one connection: it reads everything and never responds.
 func holdSilent(conn net.Conn) { drain(conn) }
 
-// send writes text. Where the other side has closed first an error is expected, and what is read next shows it.
+// send writes text. If the other side has already closed, the error is expected and the next read shows it.
 func send(conn io.Writer, text string) { _, _ = io.WriteString(conn, text) }
 
-// drain reads to the end, whatever that is: end of file or a connection that breaks.
+// drain reads to the end of file or until the connection fails.
 func drain(from io.Reader) { _, _ = io.Copy(io.Discard, from) }
 
-// pipeListener is a listener that accepts the connections sent on the channel.
+// pipeListener accepts the connections sent on the channel.
 type pipeListener chan net.Conn
 
 func (p pipeListener) Accept() (net.Conn, error) {
@@ -140,19 +141,19 @@
 func (p pipeListener) Close() error   { close(p); return nil }
 func (p pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// frontServer is an instance's front that serves in-memory connections.
+// frontServer serves a front on in-memory connections.
 type frontServer struct {
 	listener pipeListener
 	server   *http.Server
-	ended    chan struct{} // closed once the server's goroutine has
+	ended    chan struct{} // closed when the server's goroutine has ended
 }
 
-// serve starts the front's server; its goroutine runs until close.
+// serve starts the front's server in a goroutine that runs until close.
 func (a *testInstance) serve() *frontServer {
 	s := &frontServer{make(pipeListener, 1), a.front.Server(), make(chan struct{})}
 	go func() {
 		defer close(s.ended)
-		_ = s.server.Serve(Listener{s.listener, a.front.sockets}) // always fails, with ErrServerClosed
+		_ = s.server.Serve(Listener{s.listener, a.front.sockets}) // always returns ErrServerClosed
 	}()
 	return s
 }
@@ -169,14 +170,14 @@
 	<-s.ended
 }
 
-// clientAnswer is what a client gets from the front, less its body.
+// clientAnswer is the head of a response from the front.
 type clientAnswer struct {
 	StatusCode int
 	Header     http.Header
-	Close      bool // the front ends the connection with it
+	Close      bool // the front closes the connection after the response
 }
 
-// readAnswer reads one answer with its body.
+// readAnswer reads one response and its body.
 func readAnswer(from *bufio.Reader) (answer clientAnswer, body string, err error) {
 	response, err := http.ReadResponse(from, nil)
 	if err != nil {
@@ -187,20 +188,20 @@
 	return clientAnswer{response.StatusCode, response.Header, response.Close}, string(text), err
 }
 
-// roundTrip sends text to the front on a new connection and returns the answer and its body.
+// roundTrip sends text to the front on a new connection and returns the response and its body.
 func (a *testInstance) roundTrip(t *testing.T, text string) (clientAnswer, string) {
 	t.Helper()
 	server := a.serve()
 	defer server.close()
 	client := server.dial()
 	defer client.Close()
-	go send(client, text) // ends with the connection
+	go send(client, text) // ends when the connection is closed
 	answer, body, err := readAnswer(client.in)
 	if err != nil {
-		t.Error(err)
+		t.Errorf("reading the response to %q: %v", text, err)
 	}
 	return answer, body
 }
 
-// validRequest is a request of class look with nothing wrong in it.
+// validRequest is a valid request of class look.
 const validRequest = "GET /look/k1?q=1 HTTP/1.1\r\nHost: h\r\nReq-Id: r1\r\nReq-Deadline: 2000m\r\nX-Other: o\r\n\r\n"
--- a/internal/httpwire/interceptor_test.go
+++ b/internal/httpwire/interceptor_test.go
@@ -14,13 +14,13 @@
 	"onyxgate/internal/core"
 )
 
-// recordingInterceptor writes down its calls.
+// recordingInterceptor records its calls.
 type recordingInterceptor struct {
 	mu           sync.Mutex
 	calls        []string
-	rejectReason string        // empty: it admits every request
-	delay        time.Duration // how long it holds each answer back
-	overrun      []float64     // of each answer: ms between the end of the delay and what was allowed
+	rejectReason string        // empty: every request is admitted
+	delay        time.Duration // how long each response is delayed
+	overrun      []float64     // per response: ms by which the delay exceeded the permitted time
 	core         *core.Core
 }
 
@@ -56,7 +56,8 @@
 	return slices.Clone(r.calls)
 }
 
-// An interceptor sees each request's one end before its first byte, whatever the end, and then whether it went whole.
+// An interceptor is called before the first byte of each response, whatever the outcome, and again after the response
+// with whether it was completely written.
 func TestInterceptors(t *testing.T) {
 	ok := answerOnce("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody")
 	served := fmt.Sprintf("r1 %d answered s 1 1 body|r1 true", core.ActionServe)
@@ -73,10 +74,10 @@
 	}{
 		{"served", ok, "", 0, served, 200},
 		{"served and delayed", ok, "", 500 * time.Millisecond, served, 200},
-		{"delayed for longer than the client waits", ok, "", time.Hour, served, 200},
+		{"delayed beyond the client's timeout", ok, "", time.Hour, served, 200},
 		{"errored", answerOnce("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"), "", 0, rejected("errored", 1), 503},
-		{"nobody there", nil, "", 0, rejected("unconnected", 1), 503},
-		{"silence", holdSilent, "", 0, rejected("late", 1), 503},
+		{"connection refused", nil, "", 0, rejected("unconnected", 1), 503},
+		{"silent backend", holdSilent, "", 0, rejected("late", 1), 503},
 		{"rejected by an interceptor", ok, "unrecorded", 0, rejected("unrecorded", 0), 503},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -87,15 +88,15 @@
 				from := time.Now()
 				answer, body := a.roundTrip(t, validRequest)
 				if took := time.Since(from); answer.StatusCode != c.status || took > 2*time.Second {
-					t.Errorf("%d %q after %v", answer.StatusCode, body, took)
+					t.Errorf("response = %d %q after %v, want status %d within 2s", answer.StatusCode, body, took, c.status)
 				}
 				synctest.Wait()
 				if got := strings.Join(interceptor.recorded(), "|"); got != c.want {
-					t.Errorf("called with %q, want %q", got, c.want)
+					t.Errorf("interceptor calls = %q, want %q", got, c.want)
 				}
 				for _, overrun := range interceptor.overrun {
 					if overrun > 0.01 {
-						t.Errorf("an answer may be held %v ms past its time", overrun)
+						t.Errorf("response delayed %v ms beyond the permitted time, want at most 0.01", overrun)
 					}
 				}
 				a.close()
@@ -104,8 +105,8 @@
 	}
 }
 
-// An interceptor hears that the answer is written once its last byte has gone to the client, also where the server would hold
-// back a short one; and that it is not where a client does not read a long one in time.
+// An interceptor learns that a response was written only when its last byte was sent, even if the server would buffer a
+// short response. It learns that the write failed if the client does not read a long response in time.
 func TestInterceptorsSlowReader(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -113,8 +114,8 @@
 		reads bool
 		want  string
 	}{
-		{"a short answer, read late", 4, true, "r1 true"},
-		{"a long answer, never read", socketBufferBytes + 1, false, "r1 false"},
+		{"short response, read late", 4, true, "r1 true"},
+		{"long response, never read", socketBufferBytes + 1, false, "r1 false"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -125,14 +126,14 @@
 				send(client, validRequest)
 				time.Sleep(writeTimeout - time.Second)
 				if calls := interceptor.recorded(); len(calls) != 1 {
-					t.Errorf("called with %v before the client has read", calls)
+					t.Errorf("interceptor calls = %v before the client has read, want one", calls)
 				}
 				if c.reads {
 					client.readResponse(t)
 				}
 				time.Sleep(2 * time.Second)
 				if calls := interceptor.recorded(); len(calls) != 2 || calls[1] != c.want {
-					t.Errorf("called with %v, want %s", calls, c.want)
+					t.Errorf("interceptor calls = %v, want two, the second %q", calls, c.want)
 				}
 				client.Close()
 				server.close()
@@ -142,22 +143,22 @@
 	}
 }
 
-// A client that goes before its answer is reported as gone, one that goes within it as not written, a handler that fails as failed,
-// and no room is an answer like any other.
+// The interceptor is told the outcome when a client disconnects before or during its response, when a handler fails,
+// and when a request is rejected because the front's limits are exceeded.
 func TestInterceptorsFailures(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		run  func(*testing.T)
 	}{
-		{"an answer cut off", testAnswerCutOff},
+		{"client disconnects during the response", testAnswerCutOff},
 		{"no room", testNoRoomIntercepted},
-		{"client gone, handler failed", testGoneAndFailed},
+		{"client gone, failed request", testGoneAndFailed},
 	} {
 		t.Run(c.name, func(t *testing.T) { synctest.Test(t, c.run) })
 	}
 }
 
-// intercepted is an instance with a recording interceptor.
+// intercepted returns an instance with a recording interceptor.
 func intercepted(backend func(net.Conn)) (*testInstance, *recordingInterceptor) {
 	a := newTestInstance(network{"app:1": backend}, NewSockets(0))
 	interceptor := &recordingInterceptor{core: a.core}
@@ -171,15 +172,15 @@
 	server := a.serve()
 	client := server.dial()
 	send(client, validRequest)
-	// Without a buffer the rest stays with the front, which is still writing.
+	// The pipe has no buffer, so the front is still writing the rest.
 	begun := make([]byte, 200)
 	if _, err := io.ReadFull(client.Conn, begun); err != nil || !strings.HasPrefix(string(begun), "HTTP/1.1 200 OK\r\n") {
-		t.Fatalf("%q, %v", begun, err)
+		t.Fatalf("first bytes of the response = %q, error %v; want status 200", begun, err)
 	}
 	client.Close()
 	synctest.Wait()
 	if calls := interceptor.recorded(); len(calls) != 2 || calls[1] != "r1 false" {
-		t.Errorf("called with %v", calls)
+		t.Errorf("interceptor calls = %v, want two, the second %q", calls, "r1 false")
 	}
 	server.close()
 	a.close()
@@ -187,14 +188,14 @@
 
 func testNoRoomIntercepted(t *testing.T) {
 	a, interceptor := intercepted(answerOnce(""))
-	a.front.maxBodyBytes = -1 // no room
+	a.front.maxBodyBytes = -1 // every request exceeds the limit
 	answer, _ := a.roundTrip(t, validRequest)
 	if answer.StatusCode != 503 {
-		t.Fatal(answer)
+		t.Fatalf("status = %d, want 503", answer.StatusCode)
 	}
-	synctest.Wait() // the handler ends after its client has the answer
+	synctest.Wait() // the handler returns after the client has the response
 	if calls := interceptor.recorded(); len(calls) != 2 || !strings.Contains(calls[0], " room ") || calls[1] != "r1 true" {
-		t.Errorf("called with %v", calls)
+		t.Errorf("interceptor calls = %v, want two, the first with reason %q, the second %q", calls, rejectNoRoom, "r1 true")
 	}
 	a.close()
 }
@@ -205,7 +206,7 @@
 	gone.NextAction()
 	gone.ClientGone()
 	if gone.NextAction().Kind != core.ActionAbandon {
-		t.Error("no end")
+		t.Errorf("last action of an abandoned request is not %d (ActionAbandon)", core.ActionAbandon)
 	}
 	gone.Close()
 	failed := a.core.Accept(core.IncomingRequest{ID: "u", ArrivedAt: a.core.Now(), TimeLeft: 500})
@@ -213,10 +214,10 @@
 	failed.ResponseWritten(true)
 	failed.Close()
 	if want := fmt.Sprintf("gone|u %d failed  0 1 |u true", core.ActionFail); strings.Join(interceptor.recorded(), "|") != want {
-		t.Errorf("called with %v", interceptor.recorded())
+		t.Errorf("interceptor calls = %v, want %q", interceptor.recorded(), want)
 	}
 	if n := a.core.Counts(); n.ClientGone != 1 || n.Failed != 1 {
-		t.Errorf("%+v", n)
+		t.Errorf("counts = %+v, want one client gone and one failed request", n)
 	}
 	time.Sleep(time.Minute)
 	a.close()
--- a/internal/httpwire/listener.go
+++ b/internal/httpwire/listener.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// acceptRetry is how long Accept waits before it looks again whether there is room.
+// acceptRetry is the pause before Accept checks again for room.
 const acceptRetry = time.Millisecond
 
-// Listener accepts clients' connections as long as the budget has room. What waits in the backlog meanwhile waits for idle
-// connections to be closed, idleGrace at the most where there are any.
+// Listener accepts client connections while the socket budget has room. Otherwise new connections stay in the backlog
+// until idle connections are closed, which takes at most idleGrace if there are any.
 type Listener struct {
 	net.Listener
 	Sockets *Sockets
 }
 
-// Accept returns the next connection, which counts against the budget until it is closed. It waits while the budget or the
-// process has no room, and fails as the inner listener does otherwise.
+// Accept returns the next connection, which counts against the budget until it is closed. It blocks while the budget or
+// the process has no free socket, and returns all other errors of the underlying listener.
 func (l Listener) Accept() (net.Conn, error) {
 	for {
 		if !l.Sockets.makeRoom(true) {
@@ -29,7 +29,7 @@
 		if err == nil {
 			return l.Sockets.track(conn, true), nil
 		}
-		// With no descriptor left the connection waits in the backlog until one is free.
+		// If the process has no free descriptor, the connection waits in the backlog until there is one.
 		noDescriptor := errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
 		if !noDescriptor {
 			return nil, err
--- a/internal/httpwire/lists_test.go
+++ b/internal/httpwire/lists_test.go
@@ -1,6 +1,6 @@
 package httpwire
 
-// What crosses on the way of a list: frames, silences, order, moves.
+// Tests of how lists reach the core: framing, silent watches, ordering and changes of discovery's address.
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"onyxgate/policy"
 )
 
-// An indented list reaches the instance by the watch, also where a snapshot is fetched.
+// An indented list is applied, whether it comes from the watch or from a fetched snapshot.
 func TestIndentedList(t *testing.T) {
 	list := "{\n \"version\": 9,\n \"full\": true,\n \"servers\": [\n  {\"id\": \"u\", \"addr\": \"u:1\", \"state\": \"Ready\",\n" +
 		"   \"version_no\": 1}\n ]\n}\n"
@@ -35,26 +35,26 @@
 			send(conn, streamHead+chunk(list))
 			<-a.discovery.FirstUpdate()
 			if a.discovery.BackendAddress("u") != "u:1" {
-				t.Error("not accepted")
+				t.Errorf("address of u = %q, want u:1", a.discovery.BackendAddress("u"))
 			}
 		})
 	}
 }
 
-// What a silent watch misses counts as known 6 s after the silence began. It is made up before that, also where the first
-// reconnect fails, or where it comes up and is as silent.
+// A change that a silent watch misses counts as known 6 s after the silence began. It must be received before that,
+// even if the first reconnect fails or leads to another silent stream.
 func TestWatchSilence(t *testing.T) {
 	change := listJSON(6, false, `{"id":"u","addr":"u:1","state":"Ready","version_no":1}`) + "\n"
 	for _, c := range []struct {
 		name   string
 		second func(net.Conn)
 	}{
-		{"connected at once", nil},
+		{"second stream sends", nil},
 		{"refused", func(net.Conn) {}},
-		{"takes the call and says nothing", holdSilent},
-		{"a head and nothing more", answerAndHold(streamHead)},
-		{"half a list", answerAndHold(streamHead + chunk(change[:30]))},
-		{"a part of a head", answerAndHold(streamHead[:9])},
+		{"connection accepted, no response", holdSilent},
+		{"response head only", answerAndHold(streamHead)},
+		{"incomplete list", answerAndHold(streamHead + chunk(change[:30]))},
+		{"incomplete response head", answerAndHold(streamHead[:9])},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -74,7 +74,7 @@
 				go a.discovery.Run(ctx)
 				<-a.discovery.FirstUpdate()
 				if late := time.Since(silentAt); late >= 5800*time.Millisecond {
-					t.Errorf("made up after %v", late)
+					t.Errorf("first list received %v after the silence began, want less than 5.8s", late)
 				}
 				cancel()
 				a.close()
@@ -83,7 +83,7 @@
 	}
 }
 
-// Lists reach the decisions in the order in which they were taken, whoever took them.
+// Lists are passed on in the order in which they were accepted, even if they are applied by different goroutines.
 func TestListsPassedOnInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := newTestInstance(network{}, NewSockets(0))
@@ -102,71 +102,72 @@
 		for version := 2; version <= 3; version++ {
 			list := listJSON(version, false, fmt.Sprintf(entry, version))
 			go func() { done <- a.discovery.Apply([]byte(list), FromWatch, func() {}) }()
-			synctest.Wait() // the first is on its way to the decisions, and the second has come as far as it can
+			synctest.Wait() // the first list is being passed on, and the second one waits
 		}
 		<-inside
 		close(resume)
 		for range 2 {
 			if err := <-done; err != nil {
-				t.Error(err)
+				t.Errorf("Apply: %v", err)
 			}
 		}
 		if fmt.Sprint(got) != "[2 3]" {
-			t.Errorf("the decisions got %v", got)
+			t.Errorf("releases of the lists passed on = %v, want [2 3]", got)
 		}
 		a.close()
 	})
 }
 
-// movedList is one list that comes after moves of discovery, and what becomes of it.
+// movedList is one list received after changes of discovery's address, with the expected result.
 type movedList struct {
 	generation int
 	version    int
 	snapshot   bool
-	id         string // of the one backend in it
+	id         string // of the only backend in the list
 	accepted   bool
 	wantErr    bool
 }
 
-// Discovery moves: what the address that was left still sends, a count that starts lower, and one that skips.
+// After a change of discovery's address, lists of the old address are ignored once the new one has sent a list. The
+// versions of the new address may be lower, or continue after a gap.
 func TestListsAfterMove(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		lists []movedList
 		held  int64
 	}{
-		{"the old one goes on until the new one sends", []movedList{
+		{"old address is used until the new one sends", []movedList{
 			{0, 6, false, "u", true, false},
 			{1, 7, false, "v", true, false},
 			{0, 8, false, "w", false, false},
 		}, 7},
-		{"a whole list of the old one after the new one", []movedList{
+		{"snapshot from the old address after the new one", []movedList{
 			{1, 7, false, "v", true, false},
 			{0, 9, true, "w", false, false},
 		}, 7},
-		{"the new one starts lower, whole", []movedList{
+		{"new address starts with a snapshot of a lower version", []movedList{
 			{1, 2, true, "v", true, false},
 			{1, 3, false, "w", true, false},
 			{0, 9, false, "x", false, false},
 		}, 3},
-		{"the new one starts lower with a change: all is asked for", []movedList{
+		{"new address starts with a change of a lower version", []movedList{
 			{1, 2, false, "v", true, true},
 			{1, 3, true, "w", true, false},
 		}, 3},
-		{"twice moved", []movedList{{2, 3, true, "v", true, false}, {1, 9, true, "w", false, false}}, 3},
-		{"no move, an older change", []movedList{{0, 3, false, "v", false, false}}, 5},
+		{"two moves", []movedList{{2, 3, true, "v", true, false}, {1, 9, true, "w", false, false}}, 3},
+		{"older change without a move", []movedList{{0, 3, false, "v", false, false}}, 5},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				a := newTestInstance(network{}, NewSockets(0))
 				if err := a.discovery.Apply([]byte(listJSON(5, true, entryAt("s"))), FromWatch, func() {}); err != nil {
-					t.Error(err)
+					t.Errorf("applying the first list: %v", err)
 				}
 				for _, l := range c.lists {
 					l.apply(t, a.discovery)
 				}
 				if version, _ := a.discovery.Version(); version != c.held {
-					t.Errorf("version %d held", version)
+					t.Errorf("current version = %d, want %d", version, c.held)
 				}
 				a.close()
 			})
@@ -174,7 +175,7 @@
 	}
 }
 
-// entryAt is the entry of a running backend.
+// entryAt returns the entry of a running backend.
 func entryAt(id string) string {
 	return `{"id":"` + id + `","addr":"` + id + `:1","state":"Ready","version_no":1}`
 }
@@ -183,9 +184,10 @@
 	t.Helper()
 	err := d.apply([]byte(listJSON(l.version, l.snapshot, entryAt(l.id))), FromWatch, l.generation, func() {})
 	if accepted := d.BackendAddress(l.id) != ""; accepted != l.accepted || (err != nil) != l.wantErr {
-		t.Errorf("version %d of generation %d accepted %v, %v", l.version, l.generation, accepted, err)
+		t.Errorf("version %d of generation %d: accepted %v, want %v; error %v, want an error: %v",
+			l.version, l.generation, accepted, l.accepted, err, l.wantErr)
 	}
 	if _, _, version := d.position(); l.wantErr && version != 0 {
-		t.Errorf("the next watch asks from %d on", version)
+		t.Errorf("next watch starts after version %d, want 0", version)
 	}
 }
--- a/internal/httpwire/listversion.go
+++ b/internal/httpwire/listversion.go
@@ -1,27 +1,28 @@
 package httpwire
 
-// This file says which endpoint lists are taken, and hands them on in the order in which they were.
+// Which endpoint lists are accepted, and in which order they are passed on.
 //
-// What identifies a list: the address of discovery that it came from, counted by generation (SetAddress starts the next one),
-// and its version within that generation. Versions of two generations don't compare.
+// A list is identified by the generation of the discovery address that sent it (SetAddress starts the next generation)
+// and by its version within that generation. Versions of different generations are not comparable.
 //
-// What orders lists: the generation, then the version. In one generation the watch sends in order, so a snapshot on the watch is
-// newer than all before it, whatever its version: a discovery that has lost its count begins with one.
+// Lists are ordered by generation, then by version. Within one generation the watch delivers lists in order, so a
+// snapshot on the watch is newer than all lists before it, whatever its version: a discovery that has lost its count
+// starts with a snapshot.
 //
-// What is accepted, against what is held:
+// A list is compared with the current generation and version as follows:
 //
-//	generation  version          list                     taken
-//	older       any              any                      no: that address is left once the next one has sent something
+//	generation  version          list                     accepted
+//	older       any              any                      no: a newer address has already sent a list
 //	same        same or newer    any                      yes
-//	same        older            snapshot on the watch    yes: versions count anew from it
+//	same        older            snapshot on the watch    yes: discovery has restarted its versions
 //	same        older            from the configuration   yes
 //	same        older            any other                no: stale
 //	newer       same or newer    any                      yes
 //	newer       older            snapshot                 yes
-//	newer       older            change                   yes, but what was left out between the two counts can't be known:
-//	                                                      the version held becomes 0, so that the next watch asks for all
+//	newer       older            change                   yes, but changes may have been missed: the current version
+//	                                                      becomes 0, so that the next watch requests a snapshot
 //
-// Until discovery has sent a list, what the configuration holds is assumed.
+// Until discovery has sent a list, the list from the configuration is used.
 
 import (
 	"errors"
@@ -29,35 +30,35 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Source is how a list came.
+// Source is the origin of a list.
 type Source uint8
 
-// The sources of lists.
+// The origins of lists.
 const (
-	FromConfiguration Source = iota // held since before this process started
-	FromFetch                       // asked for by itself: it may have crossed with the watch
+	FromConfiguration Source = iota // known before this process started
+	FromFetch                       // a requested snapshot: the watch may have delivered a newer list meanwhile
 	FromWatch
 )
 
-// errVersionRestarted ends a watch after a change that was taken although its version is older than the one held.
-var errVersionRestarted = errors.New("its versions count otherwise than those before")
+// errVersionRestarted ends a watch after a change that was accepted although its version is older than the current one.
+var errVersionRestarted = errors.New("list versions of the new discovery address are lower than the current version")
 
-// listPosition orders lists.
+// listPosition is the position of a list in the order of lists.
 type listPosition struct {
 	generation int
 	version    int64
 }
 
-// listDecision says what is done with a list.
+// listDecision is the decision whether a list is accepted.
 type listDecision uint8
 
 const (
 	listStale           listDecision = iota // ignored
-	listAccepted                            // taken
-	listAcceptedRestart                     // taken; the next watch has to ask for all
+	listAccepted                            // accepted
+	listAcceptedRestart                     // accepted; the next watch must request a snapshot
 )
 
-// decide says what is done with a list that came from a generation's address.
+// decide decides about a list from the address of the given generation.
 func (held listPosition) decide(list endpointList, source Source, generation int) listDecision {
 	older := list.version < held.version
 	switch {
@@ -75,14 +76,15 @@
 	return listStale
 }
 
-// Apply takes one list and hands it on, whole or not at all; a stale one is ignored. It calls readable once the list is seen to be
-// one. An error says why it could not be read, or is errVersionRestarted. Any goroutine may call it.
+// Apply parses one list and passes it on; a stale list is ignored. It calls onParsed once the list has been parsed. The
+// error is that of the parser or errVersionRestarted. With an error of the parser, nothing is applied. Apply is safe
+// for concurrent use.
 func (d *Discovery) Apply(text []byte, source Source, onParsed func()) error {
 	_, generation, _ := d.position()
 	return d.apply(text, source, generation, onParsed)
 }
 
-// apply is Apply for a list from the address of a generation.
+// apply is Apply for a list from the address of the given generation.
 func (d *Discovery) apply(text []byte, source Source, generation int, onParsed func()) error {
 	list, err := d.parser.parse(text)
 	if err != nil {
@@ -111,7 +113,7 @@
 	return nil
 }
 
-// store takes a list in, unless it is stale, and returns the addresses that it leaves.
+// store applies a list to the directory unless it is stale, and returns the addresses that it vacates.
 func (d *Discovery) store(list endpointList, source Source, generation int) (decision listDecision, vacated []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -126,10 +128,10 @@
 	return decision, d.directory.apply(list)
 }
 
-// closeFirstUpdate wakes those who wait until discovery has sent a list. applyOrder is held.
+// closeFirstUpdate closes firstUpdate. applyOrder must be held.
 func (d *Discovery) closeFirstUpdate() {
 	select {
-	case <-d.firstUpdate: // closed before
+	case <-d.firstUpdate: // already closed
 	default:
 		close(d.firstUpdate)
 	}
--- a/internal/httpwire/loadprobe.go
+++ b/internal/httpwire/loadprobe.go
@@ -1,6 +1,6 @@
 package httpwire
 
-// This file asks one backend whether it is alive and how loaded it is, on a connection like any other.
+// Probes check whether a backend is alive and how loaded it is. They use the same connections as requests.
 
 import (
 	"net/http"
@@ -10,12 +10,12 @@
 )
 
 const (
-	probeTimeout  = 500 * time.Millisecond // from the request on, with the connection up
+	probeTimeout  = 500 * time.Millisecond // from sending the request on an established connection
 	alivePath     = "/alive"
 	loadProbePath = "/metrics/load"
 )
 
-// Probe sends one load probe and reports its result to the core, whatever it is. It returns when the result is there.
+// Probe sends one load probe and reports its result to the core. It returns when the result is known.
 func (u *Upstream) Probe(backend string) {
 	startedAt := u.core.Now()
 	address := u.address(backend)
@@ -23,14 +23,14 @@
 	u.core.ReportProbe(policy.ProbeResult{Backend: backend, OK: ok, Elapsed: u.core.Now() - startedAt, Load: report})
 }
 
-// probe asks the backend at an address and reports whether it said 200. The load report is the zero one where backends report
-// their load otherwise.
+// probe sends a load probe to an address and reports whether the backend responded with status 200. The load report is
+// zero unless backends report their load in responses to probes.
 func (u *Upstream) probe(address string) (report policy.LoadReport, ok bool) {
 	c, err := u.conns.get(nil, address)
 	if err != nil {
 		return report, false
 	}
-	c.probeBody = nil // of two probes' responses either will do
+	c.probeBody = nil // a duplicate of an earlier probe's response is as good as the response to this one
 	timeout := time.AfterFunc(probeTimeout, c.Cancel)
 	r, err := c.roundTrip(u.probeRequest(address))
 	c.setReadTimeout(0)
--- a/internal/httpwire/loadreport.go
+++ b/internal/httpwire/loadreport.go
@@ -1,6 +1,6 @@
 package httpwire
 
-// This file parses the load reports that come with responses or as a probe's response: "queue=3,util=0.5".
+// The parser for load reports such as "queue=3,util=0.5", which backends send with responses or as responses to probes.
 
 import (
 	"strconv"
@@ -10,12 +10,12 @@
 )
 
 const (
-	maxLoadFigure = 1e6  // a larger figure is noise
-	notReported   = -1.0 // a figure that the report does not hold
+	maxLoadFigure = 1e6  // larger figures indicate corruption
+	notReported   = -1.0 // the report lacks this figure
 )
 
-// parseLoadReport reads a load report, whole or not at all: of one that is malformed anywhere, nothing counts. The settings name
-// the figures by the simulator's words, the protocol's example by its own: both are read.
+// parseLoadReport parses a load report, or returns the zero report if any part of it is malformed. The settings use the
+// simulator's names of figures and the protocol's example uses other ones; both are accepted.
 func parseLoadReport(report string) policy.LoadReport {
 	waiting, utilization, inFlight := notReported, notReported, notReported
 	for part := range strings.SplitSeq(report, ",") {
@@ -39,7 +39,7 @@
 	return policy.LoadReport{Present: waiting >= 0 || utilization >= 0, Waiting: max(waiting, 0), Utilization: max(utilization, 0)}
 }
 
-// parseLoadFigure reads digits with at most one point, none of what else a float may be.
+// parseLoadFigure parses digits with at most one decimal point. Other forms of floating-point numbers are invalid.
 func parseLoadFigure(text string) (figure float64, ok bool) {
 	hasOtherChars := strings.ContainsFunc(text, func(c rune) bool { return c != '.' && (c < '0' || c > '9') })
 	figure, err := strconv.ParseFloat(text, 64)
--- a/internal/httpwire/loadreport_test.go
+++ b/internal/httpwire/loadreport_test.go
@@ -6,7 +6,7 @@
 	"onyxgate/policy"
 )
 
-// A load report is read whole or not at all.
+// A load report is accepted or rejected as a whole.
 func TestParseLoadReport(t *testing.T) {
 	for _, c := range []struct {
 		report               string
@@ -32,7 +32,7 @@
 		t.Run(c.report, func(t *testing.T) {
 			want := policy.LoadReport{Present: c.waiting >= 0 || c.utilization >= 0, Waiting: max(c.waiting, 0), Utilization: max(c.utilization, 0)}
 			if got := parseLoadReport(c.report); got != want {
-				t.Errorf("%q: %+v, want %+v", c.report, got, want)
+				t.Errorf("parseLoadReport(%q) = %+v, want %+v", c.report, got, want)
 			}
 		})
 	}
--- a/internal/httpwire/loopback_test.go
+++ b/internal/httpwire/loopback_test.go
@@ -12,13 +12,13 @@
 	"time"
 )
 
-// fakeBackend listens on loopback and hands each accepted connection to the test.
+// fakeBackend listens on loopback and sends each accepted connection to the test.
 type fakeBackend struct {
 	net.Listener
 	conns chan *peerConn
 }
 
-// peerConn is one connection with its buffered reader, as a backend or as a client.
+// peerConn is a connection with a buffered reader, used as a backend or as a client.
 type peerConn struct {
 	net.Conn
 	in *bufio.Reader
@@ -28,7 +28,7 @@
 	t.Helper()
 	listener := listenTCP(t)
 	backend := &fakeBackend{listener, make(chan *peerConn, 16)}
-	go func() { // ends with the listener
+	go func() { // ends when the listener is closed
 		defer close(backend.conns)
 		for {
 			conn, err := listener.Accept()
@@ -43,7 +43,7 @@
 
 func (b *fakeBackend) address() string { return b.Addr().String() }
 
-// readRequest reads one request and returns its id and its deadline header, or the error that came instead.
+// readRequest reads one request and returns its id and its Req-Deadline header.
 func (p *peerConn) readRequest() (id, deadline string, err error) {
 	request, err := http.ReadRequest(p.in)
 	if err != nil {
@@ -53,19 +53,19 @@
 	return request.Header.Get("Req-Id"), request.Header.Get("Req-Deadline"), nil
 }
 
-// respond writes one answer 200 with the body.
+// respond writes one response with status 200 and the given body.
 func (p *peerConn) respond(body string) {
 	send(p, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
 }
 
-// loopback is an instance on loopback sockets with the backend s at an address.
+// loopback is an instance on loopback sockets whose backend s has the given address.
 type loopback struct {
 	*testInstance
 	t        *testing.T
 	listener net.Listener
 }
 
-// listenTCP listens on a loopback port of the kernel's choice until the test ends.
+// listenTCP listens on a free loopback port until the test ends.
 func listenTCP(t *testing.T) net.Listener {
 	t.Helper()
 	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -76,7 +76,7 @@
 	return listener
 }
 
-// connectTCP opens a connection that is closed with the test.
+// connectTCP opens a connection that is closed when the test ends.
 func connectTCP(t *testing.T, address string) net.Conn {
 	t.Helper()
 	conn, err := dialTCP(t.Context(), address)
@@ -99,7 +99,7 @@
 	a.applyChange(t, 2, `{"id":"s","addr":"`+address+`","state":"Ready","weight":1,"version_no":1}`)
 	listener := listenTCP(t)
 	server := a.front.Server()
-	go func() { _ = server.Serve(Listener{listener, a.front.sockets}) }() // ends, always with ErrServerClosed, at Close
+	go func() { _ = server.Serve(Listener{listener, a.front.sockets}) }() // returns ErrServerClosed after Close
 	t.Cleanup(func() {
 		server.Close()
 		ctx, cancel := context.WithCancel(context.Background())
@@ -109,35 +109,35 @@
 	return &loopback{a, t, listener}
 }
 
-// applyChange hands one changed entry to discovery, as its stream would.
+// applyChange applies a change with one entry, as if it came from the watch.
 func (a *testInstance) applyChange(t *testing.T, version int, entry string) {
 	t.Helper()
 	if err := a.discovery.Apply([]byte(listJSON(version, false, entry)), FromWatch, func() {}); err != nil {
-		t.Error(err)
+		t.Errorf("applying version %d with %s: %v", version, entry, err)
 	}
 }
 
-// dialFront opens a client connection to the front; it is closed with the test.
+// dialFront opens a client connection to the front that is closed when the test ends.
 func (l *loopback) dialFront() *peerConn {
 	l.t.Helper()
 	conn := connectTCP(l.t, l.listener.Addr().String())
 	return &peerConn{conn, bufio.NewReader(conn)}
 }
 
-// requestWithID is validRequest with another id.
+// requestWithID returns validRequest with another id.
 func requestWithID(id string) string { return strings.Replace(validRequest, "r1", id, 1) }
 
-// readResponse reads one answer and returns its status and body.
+// readResponse reads one response and returns its status and body.
 func (p *peerConn) readResponse(t *testing.T) (status int, body string) {
 	t.Helper()
 	answer, body, err := readAnswer(p.in)
 	if err != nil {
-		t.Error(err)
+		t.Errorf("reading a response: %v", err)
 	}
 	return answer.StatusCode, body
 }
 
-// waitUntil yields until another goroutine has made the condition true.
+// waitUntil yields the processor until the condition is true.
 func waitUntil(holds func() bool) {
 	for !holds() {
 		runtime.Gosched()
--- a/internal/httpwire/notices.go
+++ b/internal/httpwire/notices.go
@@ -1,6 +1,6 @@
 package httpwire
 
-// This file follows the platform's notices, a stream of events that hold the states of releases.
+// The platform's notices are a stream of events that carry the states of releases.
 
 import (
 	"bufio"
@@ -17,15 +17,15 @@
 
 const (
 	noticesPath       = "/notices"
-	noticeIdleTimeout = 3500 * time.Millisecond // a sign of life comes every second
-	maxNoticeBytes    = 64 << 10                // of one line
-	stageEvent        = "stage"                 // the event that holds a release's state
+	noticeIdleTimeout = 3500 * time.Millisecond // the platform sends a comment line every second as a keep-alive
+	maxNoticeBytes    = 64 << 10                // per line
+	stageEvent        = "stage"                 // the event that carries the state of a release
 )
 
-// errMalformedNotice ends a stream: what can't be read is noise, and the connection of no further use.
-var errMalformedNotice = errors.New("a notice that can't be read")
+// errMalformedNotice ends a stream: malformed data indicates corruption, and the rest of the connection can't be trusted.
+var errMalformedNotice = errors.New("malformed release notice")
 
-// WatchReleases follows the notices until ctx ends.
+// WatchReleases follows the notices until ctx is done.
 func (p *Platform) WatchReleases(ctx context.Context) {
 	maintainStream(ctx, streamConfig{
 		read:         p.readNotices,
@@ -37,7 +37,7 @@
 	})
 }
 
-// readNotices reads one stream until it breaks, falls silent or sends what can't be read.
+// readNotices reads one stream until it breaks, becomes silent or sends malformed data.
 func (p *Platform) readNotices(ctx context.Context, onData func()) error {
 	stream, err := openControlStream(ctx, p.dial, p.currentAddress(), noticesPath, noticeIdleTimeout)
 	if err != nil {
@@ -67,13 +67,13 @@
 	return cmp.Or(lines.Err(), errStreamEnded)
 }
 
-// notice is one event as far as its lines have come.
+// notice is an event, possibly incomplete.
 type notice struct {
 	event string
 	data  string
 }
 
-// addLine takes in one line. An empty line makes the notice whole; a line without a name is a sign of life.
+// addLine adds one line. An empty line completes the notice; a line that starts with a colon is a keep-alive.
 func (n *notice) addLine(line string) (complete, keepAlive bool, err error) {
 	name, value, colon := strings.Cut(line, ":")
 	value = strings.TrimPrefix(value, " ")
@@ -92,7 +92,7 @@
 	return false, false, nil
 }
 
-// applyNotice hands on the release's state that a notice holds. Events of other kinds are passed over.
+// applyNotice passes on the release state in a notice. Events of other types are ignored.
 func (p *Platform) applyNotice(n notice) error {
 	if n.event != stageEvent {
 		return nil
--- a/internal/httpwire/platform.go
+++ b/internal/httpwire/platform.go
@@ -1,8 +1,8 @@
 package httpwire
 
-// This file holds what the two connections to the platform share. notices.go follows the notices of releases' states,
-// votes.go sends the votes, releasestate.go parses a release's state. They must never vote, repeat a vote or read more into a
-// response than the protocol's table says; notices never wait on votes, nor either on traffic.
+// Platform's configuration and state. notices.go follows the notices about release states, votes.go sends votes, and
+// releasestate.go parses release states. The platform client must never vote on its own, repeat a vote or infer more
+// from a response than the protocol's table states. Notices and votes must not wait for each other, nor for traffic.
 
 import (
 	"math/rand/v2"
@@ -15,33 +15,33 @@
 	"onyxgate/policy"
 )
 
-// PlatformConfig says where the platform is.
+// PlatformConfig configures the connections to the platform.
 type PlatformConfig struct {
 	Core        *core.Core
 	Dial        Dial
-	Address     string        // until SetAddress names another
-	VoteTimeout time.Duration // for a vote, from connecting to its response
-	Seed        uint64        // of the jitter of reconnects
+	Address     string        // SetAddress replaces it
+	VoteTimeout time.Duration // from connecting to the response of a vote
+	Seed        uint64        // for the jitter of reconnects
 }
 
-// Platform receives releases' states and sends votes. Its methods may be called by any goroutine.
+// Platform receives release states and sends votes. Its methods are safe for concurrent use.
 type Platform struct {
 	core        *core.Core
 	dial        Dial
 	voteTimeout time.Duration
-	rng         *rand.Rand // used by the notices' keeper only
-	moved       chan bool  // the address has changed
+	rng         *rand.Rand // used only by WatchReleases
+	moved       chan bool  // receives when the address has changed
 	votes       chan vote
 
-	mu      sync.Mutex // guards what follows
+	mu      sync.Mutex // guards the fields below
 	address string
 
-	// SendVotes owns these.
-	voteConn        *conn // nil: none is open
+	// Used only by SendVotes.
+	voteConn        *conn // nil: not connected
 	voteConnAddress string
 }
 
-// NewPlatform returns a Platform; Listen and SendVotes do its work.
+// NewPlatform returns a Platform. WatchReleases and SendVotes must be run for it to work.
 func NewPlatform(config PlatformConfig) *Platform {
 	return &Platform{
 		core:        config.Core,
@@ -54,14 +54,14 @@
 	}
 }
 
-// SetAddress names another address: for the notices at once, for votes from the next one on.
+// SetAddress sets a new address. Notices move at once, votes use it from the next one on.
 func (p *Platform) SetAddress(address string) {
 	p.mu.Lock()
 	p.address = address
 	p.mu.Unlock()
 	select {
 	case p.moved <- true:
-	default: // a move is under way, and takes the address when it gets to it
+	default: // a move is already pending and will use the new address
 	}
 }
 
@@ -71,8 +71,8 @@
 	return p.address
 }
 
-// Apply hands a release's state to the decisions, as the configuration or a notice holds it. An error says that it could not be
-// read, and then nothing is handed on.
+// Apply passes on the state of a release from the configuration or a notice. If the fields are invalid, it returns an
+// error and passes nothing on.
 func (p *Platform) Apply(fields ReleaseFields) error {
 	state, err := parseReleaseState(fields)
 	if err != nil {
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// update hands a release's state to the decisions.
+// update passes the state of a release to the core.
 func (p *Platform) update(state releaseState, response policy.VoteResponse) {
 	p.core.UpdateRelease(policy.ReleaseUpdate{
 		Release:  state.release,
--- a/internal/httpwire/platform_test.go
+++ b/internal/httpwire/platform_test.go
@@ -15,16 +15,16 @@
 	"onyxgate/policy"
 )
 
-// voteCase is one way in which the platform answers a vote, and what it means.
+// voteCase is a response of the platform to a vote, with the expected result.
 type voteCase struct {
 	name         string
 	peer         func(net.Conn)
 	response     policy.VoteResponse
 	state        releaseState
-	formReceived bool // the vote reaches the platform whole
+	formReceived bool // the platform receives the complete vote
 }
 
-// The table of the platform's responses to votes.
+// Every response of the platform to a vote has the result that the protocol's table defines.
 func TestVoteResponses(t *testing.T) {
 	for _, c := range voteCases() {
 		t.Run(c.name, func(t *testing.T) { synctest.Test(t, c.run) })
@@ -43,18 +43,18 @@
 	none := releaseState{}
 	return []voteCase{
 		{"counted", xml("200", state), policy.VoteCounted, counted, true},
-		{"full", code("400", "BUSY"), policy.VoteRefused, none, true},
+		{"busy", code("400", "BUSY"), policy.VoteRefused, none, true},
 		{"outdated", code("400", "STALE"), policy.VoteOutdated, none, true},
 		{"error", code("500", "FAILED"), policy.VoteRefused, none, true},
-		{"wrong field", code("400", "SYNTAX"), policy.VoteRefused, none, true},
+		{"syntax error", code("400", "SYNTAX"), policy.VoteRefused, none, true},
 		{"unknown code", code("400", "ODD"), policy.VoteUnanswered, none, true},
 		{"not XML", xml("200", "<Response"), policy.VoteUnanswered, none, true},
-		{"a word that is not on the page", xml("200", unknownPhase), policy.VoteUnanswered, none, true},
-		{"a code with another status", code("200", "BUSY"), policy.VoteUnanswered, none, true},
-		{"says nothing", xml("200", ""), policy.VoteUnanswered, none, true},
-		{"cut off", answerOnce("HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n<Resp"), policy.VoteUnanswered, none, true},
+		{"unknown phase", xml("200", unknownPhase), policy.VoteUnanswered, none, true},
+		{"error code with status 200", code("200", "BUSY"), policy.VoteUnanswered, none, true},
+		{"empty body", xml("200", ""), policy.VoteUnanswered, none, true},
+		{"incomplete response", answerOnce("HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n<Resp"), policy.VoteUnanswered, none, true},
 		{"silent", holdSilent, policy.VoteUnanswered, none, true},
-		{"breaks before the last byte", closeAfter(5), policy.VoteRefused, none, false},
+		{"closed before the last byte", closeAfter(5), policy.VoteRefused, none, false},
 		{"refused", nil, policy.VoteRefused, none, false},
 	}
 }
@@ -73,10 +73,10 @@
 	from := time.Now()
 	response, state, err := p.castVote(t.Context(), vote{42, policy.Promote, 1})
 	if took := time.Since(from); response != c.response || took > 800*time.Millisecond {
-		t.Errorf("response %d after %v", response, took)
+		t.Errorf("result = %d after %v, want %d within 800ms", response, took, c.response)
 	}
 	if state != c.state || (err == nil) != (response == policy.VoteCounted) {
-		t.Errorf("state %+v, %v", state, err)
+		t.Errorf("state = %+v, error %v; want %+v, and an error unless the vote was counted", state, err, c.state)
 	}
 	if err == nil {
 		p.update(state, response)
@@ -84,31 +84,31 @@
 	p.closeVoteConn()
 	synctest.Wait()
 	if c.formReceived && form != "Action=CastVote&release=42&tranche=1&ruling=promote" {
-		t.Errorf("form %q", form)
+		t.Errorf("body of the vote = %q, want %q", form, "Action=CastVote&release=42&tranche=1&ruling=promote")
 	}
 	a.close()
 }
 
-// recordForm serves a connection by another peer and keeps the body of the request.
+// recordForm serves a connection with another peer function and stores the body of the request.
 func recordForm(peer func(net.Conn), form *string) func(net.Conn) {
 	return func(conn net.Conn) {
 		here, there := net.Pipe()
-		go func() { // ends with the peer
+		go func() { // ends with the peer function
 			peer(there)
 			there.Close()
 		}()
 		go func() { // ends when the peer has closed
-			_, _ = io.Copy(conn, here) // an error is the connection's end too
+			_, _ = io.Copy(conn, here) // an error is the end of the connection too
 			conn.Close()
 		}()
 		var seen bytes.Buffer
-		_, _ = io.Copy(here, io.TeeReader(conn, &seen)) // an error is the connection's end too
+		_, _ = io.Copy(here, io.TeeReader(conn, &seen)) // an error is the end of the connection too
 		here.Close()
 		_, *form, _ = strings.Cut(seen.String(), "\r\n\r\n")
 	}
 }
 
-// A vote's response that comes twice is not the next vote's.
+// A second copy of the response to a vote must not be taken for the response to the next vote.
 func TestDuplicateVoteResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		conns := 0
@@ -121,18 +121,19 @@
 			release := policy.ReleaseID(want)
 			got, state, err := p.castVote(t.Context(), vote{release, policy.Promote, 0})
 			if err != nil || got != policy.VoteCounted || state.release != release {
-				t.Errorf("vote %d: response %v, release %d, %v", want, got, state.release, err)
+				t.Errorf("vote %d: result %v, release %d, error %v; want %v, release %d", want, got, state.release, err, policy.VoteCounted, release)
 			}
 		}
 		if conns != 2 {
-			t.Errorf("%d connections", conns)
+			t.Errorf("connections to the platform = %d, want 2", conns)
 		}
 		p.closeVoteConn()
 		a.close()
 	})
 }
 
-// answerVotes answers each vote on a connection by the state of one release: to a second vote that is the first response once more.
+// answerVotes answers each vote on a connection with the state of the same release: a second vote would get a copy of
+// the first response.
 func answerVotes(conn net.Conn, release int) {
 	xml := fmt.Sprintf("<Response><groups><item><release>%d</release><tranche>0</tranche><mode>canary</mode>"+
 		"<exposure>0.5</exposure><old_ms>1</old_ms></item></groups></Response>", release)
--- a/internal/httpwire/pool.go
+++ b/internal/httpwire/pool.go
@@ -1,7 +1,7 @@
 package httpwire
 
-// This file keeps connections to backends for reuse, one pool for each address. It must never hand out a connection on which
-// a byte may still come that belongs to an earlier call, nor one that leads to a backend which has left its address.
+// Backend connections are pooled per address. The pool must never hand out a connection on which a byte of an earlier
+// call may still arrive, nor one to a backend that has left its address.
 
 import (
 	"context"
@@ -15,48 +15,48 @@
 )
 
 const (
-	// A second copy of a response may come some milliseconds after the first. On a connection that is in use again by then it
-	// would pass for the next call's response. So no connection is reused sooner than this, and one on which something has
-	// come meanwhile is closed. Only a probe's connection is reused at once: a copy of its load report can be told from a
-	// request's response.
+	// A backend may send a second copy of a response some milliseconds after the first. On a connection that is already
+	// in use again, that copy would be taken for the response to the next call. Therefore no connection is reused
+	// before this delay, and a connection on which data arrived in the meantime is closed. Only a probe's connection is
+	// reused at once: a copy of its load report can be distinguished from the response to a request.
 	minReuseDelay = 50 * time.Millisecond
 	sweepInterval = time.Second
 )
 
 var errNoSocket = errors.New("no socket left")
 
-// connPools holds the connections to all backends.
+// connPools holds the connection pools of all backends.
 type connPools struct {
 	dial           Dial
 	sockets        *Sockets
 	connectTimeout time.Duration
 	idleTimeout    time.Duration // connections idle for longer are closed
-	reuseDelay     time.Duration // no connection is reused sooner after its last call
+	reuseDelay     time.Duration // minimum time between the end of a call and reuse
 
 	mu        sync.Mutex
 	byAddress map[string]*pool
-	opened    int // connections that came up
-	noSocket  int // calls for which no socket was left
+	opened    int // connections opened so far
+	noSocket  int // calls that failed with errNoSocket
 }
 
-// pool holds the connections to one address. It lasts while a connection to the address is idle, in use or coming up, and no
-// longer than the same backend runs there: closeAddress takes it out of connPools, and what was connected or dialed before is
-// of no use after that.
+// pool holds the connections to one address. It exists while a connection to the address is idle, in use or being
+// dialed, and only as long as the same backend runs there: closeAddress removes it from connPools, after which none of
+// its connections is reused.
 type pool struct {
 	address string
-	idle    []*conn // the last used at the end
-	inUse   int     // connections in use or coming up
+	idle    []*conn // most recently used last
+	inUse   int     // connections in use or being dialed
 }
 
-// dialCanceler is a connection that is not up yet.
+// dialCanceler cancels the dial of a connection.
 type dialCanceler context.CancelFunc
 
-// Cancel gives up the connection.
+// Cancel aborts the dial.
 func (d dialCanceler) Cancel() { d() }
 
-// get returns a connection to an address: an idle one, the last used first, or else a new one. The caller returns it by put or
-// discard. The attempt, nil for a probe, can be canceled while a new connection comes up. An error is errNoSocket,
-// context.Canceled, or what the dial returned.
+// get returns a connection to an address: the most recently used idle one that is reusable, or a new one. The caller
+// must return it with put or discard. The attempt, which is nil for a probe, can be canceled during the dial. The error
+// is errNoSocket, context.Canceled or the error of the dial.
 func (ps *connPools) get(attempt *core.Attempt, address string) (*conn, error) {
 	p, c := ps.takeIdle(address)
 	if c != nil {
@@ -73,7 +73,8 @@
 	return c, nil
 }
 
-// takeIdle counts one more use of an address's pool and takes an idle connection out of it, nil where none can be reused.
+// takeIdle counts one more use of an address's pool and removes a reusable idle connection from it, or returns a nil
+// conn.
 func (ps *connPools) takeIdle(address string) (*pool, *conn) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
@@ -90,7 +91,7 @@
 			continue
 		}
 		p.idle = slices.Delete(p.idle, i, i+1)
-		// Whatever has come meanwhile, the connection's end included, belongs to no call of ours.
+		// Anything that arrived while the connection was idle, including its end of file, belongs to no call.
 		if idleFor < ps.idleTimeout && hasNoUnreadData(c.Conn) {
 			return p, c
 		}
@@ -99,8 +100,8 @@
 	return p, nil
 }
 
-// open dials a new connection. It does not follow the client's context: an attempt may be wanted after its client has gone,
-// and only its cancellation ends it.
+// open dials a new connection. The dial is not bound to the client's context: an attempt may still be wanted after its
+// client has gone, and only cancellation of the attempt ends the dial.
 func (ps *connPools) open(attempt *core.Attempt, address string) (*conn, error) {
 	if !ps.sockets.makeRoom(false) {
 		ps.mu.Lock()
@@ -128,12 +129,12 @@
 	return newConn(ps.sockets.track(c, false)), nil
 }
 
-// outOfSockets reports whether a dial failed for want of descriptors or ports of our own.
+// outOfSockets reports whether a dial failed because this process is out of file descriptors or local ports.
 func outOfSockets(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.EADDRNOTAVAIL)
 }
 
-// put returns a connection for the next call, or closes it where its backend has left the address.
+// put returns a connection to its pool, or closes it if its backend has left the address.
 func (ps *connPools) put(c *conn) {
 	c.idleSince = time.Now()
 	ps.mu.Lock()
@@ -148,7 +149,7 @@
 	}
 }
 
-// discard closes a connection that is of no further use.
+// discard closes a connection that must not be reused.
 func (ps *connPools) discard(c *conn) {
 	c.Close()
 	ps.mu.Lock()
@@ -156,17 +157,17 @@
 	ps.mu.Unlock()
 }
 
-// alive reports whether a connection still leads to the backend for which it was opened.
+// alive reports whether the backend for which a connection was opened still runs at its address.
 func (ps *connPools) alive(c *conn) bool {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	return ps.current(c.pool)
 }
 
-// current reports whether a pool is still its address's. The lock is held.
+// current reports whether a pool is still the one of its address. ps.mu must be held.
 func (ps *connPools) current(p *pool) bool { return ps.byAddress[p.address] == p }
 
-// release ends one use of a pool, and the pool where nothing is left in it. The lock is held.
+// release ends one use of a pool and deletes the pool if it is empty. ps.mu must be held.
 func (ps *connPools) release(p *pool) {
 	p.inUse--
 	if p.inUse == 0 && len(p.idle) == 0 && ps.current(p) {
@@ -174,7 +175,7 @@
 	}
 }
 
-// closeLongestIdle closes the connection that has been idle longest, and reports whether there was one.
+// closeLongestIdle closes the connection that has been idle longest and reports whether there was one.
 func (ps *connPools) closeLongestIdle() bool {
 	c := ps.popLongestIdle()
 	if c == nil {
@@ -184,7 +185,7 @@
 	return true
 }
 
-// popLongestIdle takes the connection that has been idle longest out of its pool, nil where none is idle.
+// popLongestIdle removes the connection that has been idle longest from its pool, or returns nil if none is idle.
 func (ps *connPools) popLongestIdle() *conn {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
@@ -199,12 +200,12 @@
 	}
 	c := oldest.idle[0]
 	oldest.idle = oldest.idle[1:]
-	oldest.inUse++ // so that release ends the pool where this was its last connection
+	oldest.inUse++ // balances release, which deletes the pool if this was its last connection
 	ps.release(oldest)
 	return c
 }
 
-// closeAddress ends the pool of an address. Connections in use or coming up are closed when they are put back.
+// closeAddress removes the pool of an address. Connections in use or being dialed are closed when they are returned.
 func (ps *connPools) closeAddress(address string) {
 	ps.mu.Lock()
 	p := ps.byAddress[address]
@@ -213,12 +214,12 @@
 	if p == nil {
 		return
 	}
-	for _, c := range p.idle { // nobody else reaches the pool any more
+	for _, c := range p.idle { // the pool is no longer reachable
 		c.Close()
 	}
 }
 
-// sweep closes connections that have been idle for too long, until ctx ends; then it closes all idle ones.
+// sweep closes connections that have been idle for too long until ctx is done, then closes all idle ones.
 func (ps *connPools) sweep(ctx context.Context) {
 	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
@@ -233,7 +234,7 @@
 	}
 }
 
-// closeIdle closes the connections that have been idle for at least so long.
+// closeIdle closes the connections that have been idle for at least the given duration.
 func (ps *connPools) closeIdle(atLeast time.Duration) {
 	ps.mu.Lock()
 	var expired []*conn
@@ -244,7 +245,7 @@
 		}
 		expired = append(expired, p.idle[:n]...)
 		p.idle = p.idle[n:]
-		p.inUse++ // so that release ends the pool where nothing is left in it
+		p.inUse++ // balances release, which deletes the pool if it is now empty
 		ps.release(p)
 	}
 	ps.mu.Unlock()
@@ -253,7 +254,7 @@
 	}
 }
 
-// counts returns the connections opened so far, those idle now, and the calls for which no socket was left.
+// counts returns the number of connections opened so far, of idle ones, and of calls that failed with errNoSocket.
 func (ps *connPools) counts() (opened, idle, noSocket int) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
--- a/internal/httpwire/pool_test.go
+++ b/internal/httpwire/pool_test.go
@@ -10,21 +10,21 @@
 	"time"
 )
 
-// A connection is reused while it stays open, given up well before the backend closes it, and closed after an attempt that was
-// not answered whole.
+// A connection is reused while it is open, but not after half of the backend's idle timeout, nor if more data than one
+// complete response arrived on it.
 func TestBackendConnReuse(t *testing.T) {
 	ok := "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	closing := "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 	for _, c := range []struct {
 		name         string
-		pause        time.Duration // between two requests
+		pause        time.Duration // between the two requests
 		answer       string
-		opened, idle int // after both
+		opened, idle int // after both requests
 	}{
-		{"used again", time.Second, ok, 1, 1},
-		{"idle for long", 16 * time.Second, ok, 2, 1},
-		{"told to close", 0, closing, 2, 0},
-		{"more than asked for", 0, ok + "HTTP", 2, 0},
+		{"reused", time.Second, ok, 1, 1},
+		{"idle too long", 16 * time.Second, ok, 2, 1},
+		{"Connection: close", 0, closing, 2, 0},
+		{"data after the response", 0, ok + "HTTP", 2, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -34,18 +34,18 @@
 				a.roundTrip(t, requestWithID("r2"))
 				opened, idle, _ := a.upstream.Connections()
 				if opened != c.opened || idle != c.idle {
-					t.Errorf("%d opened, %d idle", opened, idle)
+					t.Errorf("connections: opened %d, idle %d; want %d and %d", opened, idle, c.opened, c.idle)
 				}
 				a.close()
 				if all, _, _ := a.front.sockets.Used(); all != 0 {
-					t.Errorf("%d sockets left", all)
+					t.Errorf("sockets in use after closing = %d, want 0", all)
 				}
 			})
 		})
 	}
 }
 
-// answerEach serves one connection: it answers each request without a body, until the other side closes.
+// answerEach serves one connection: it sends the same response to each request until the other side closes.
 func answerEach(answer string) func(net.Conn) {
 	return func(conn net.Conn) {
 		in := bufio.NewReader(conn)
--- a/internal/httpwire/releasestate.go
+++ b/internal/httpwire/releasestate.go
@@ -1,6 +1,6 @@
 package httpwire
 
-// This file parses the state of a release. Notices, responses to votes and the configuration hold it with the same fields.
+// The parser for the state of a release. Notices, responses to votes and the configuration use the same fields.
 
 import (
 	"cmp"
@@ -10,11 +10,11 @@
 	"onyxgate/policy"
 )
 
-const maxAgeMs = 1e12 // a larger age is noise
+const maxAgeMs = 1e12 // larger ages indicate corruption
 
-var errStateOutOfRange = errors.New("news out of range")
+var errStateOutOfRange = errors.New("release state: unknown mode, or a field out of range")
 
-// phases are the protocol's words.
+// phases maps the protocol's names of phases.
 var phases = map[string]policy.Phase{
 	"canary":    policy.RollingOut,
 	"reverting": policy.RollingBack,
@@ -22,16 +22,16 @@
 	"reverted":  policy.Withdrawn,
 }
 
-// ReleaseFields is the state of a release as text, by the protocol's names of its fields. An absent field is empty.
+// ReleaseFields holds the unparsed state of a release, under the protocol's field names. An absent field is empty.
 type ReleaseFields struct {
 	Release  string
-	Tranche  string // the stage
-	Mode     string // the phase
-	Exposure string // the share of requests that may go to the release, 0 to 1
-	OldMs    string // for how long it has been in this state, ms
+	Tranche  string // stage
+	Mode     string // phase
+	Exposure string // maximum share of requests for the release, 0 to 1
+	OldMs    string // time since the release entered this state, ms
 }
 
-// ReadReleaseFields reads each field by its name on the wire.
+// ReadReleaseFields reads the fields with a function that returns the value of a field by its name on the wire.
 func ReadReleaseFields(field func(name string) string) ReleaseFields {
 	return ReleaseFields{
 		Release:  field("release"),
@@ -42,17 +42,17 @@
 	}
 }
 
-// releaseState is the state of one release.
+// releaseState is the parsed state of a release.
 type releaseState struct {
 	release policy.ReleaseID
 	stage   int
 	phase   policy.Phase
-	mode    string  // the phase in the protocol's word
+	mode    string  // the protocol's name of the phase
 	cap     float64 // share of requests, 0 to 1
 	ageMs   float64
 }
 
-// parseReleaseState reads a release's state, whole or not at all.
+// parseReleaseState parses the state of a release. All fields must be valid.
 func parseReleaseState(fields ReleaseFields) (releaseState, error) {
 	release, releaseErr := strconv.Atoi(fields.Release)
 	stage, stageErr := strconv.Atoi(fields.Tranche)
@@ -62,7 +62,7 @@
 		return releaseState{}, err
 	}
 	phase, phaseKnown := phases[fields.Mode]
-	capInRange := exposure >= 0 && exposure <= 1 // not of NaN
+	capInRange := exposure >= 0 && exposure <= 1 // false for NaN
 	ageInRange := ageMs >= 0 && ageMs < maxAgeMs
 	if !phaseKnown || release < 0 || stage < 0 || !capInRange || !ageInRange {
 		return releaseState{}, errStateOutOfRange
--- a/internal/httpwire/server.go
+++ b/internal/httpwire/server.go
@@ -13,32 +13,33 @@
 
 const (
 	maxHeadBytes = 16 << 10
-	// A connection without a request may be closed after 2 s; each one kept longer that never speaks again would hold a
-	// descriptor.
+	// The protocol allows closing a connection that has carried no request for 2 s. Keeping it much longer would waste a
+	// descriptor on each client that never sends again.
 	idleTimeout = 2500 * time.Millisecond
-	// readTimeout is the time for the head of a request on a connection that has been served before, from its first byte, and the
-	// most that a body may take.
+	// readTimeout limits reading a request head, from its first byte, on a connection that was served before. It is also
+	// the upper limit for reading a body.
 	readTimeout = 5 * time.Second
-	// The protocol owes a bad client an error or a close 3 s after it connected, and some of that may have been spent in the
-	// backlog. Slow clients send their requests in pieces and get all of that time. Once a connection has been served it counts
-	// as good, and readTimeout holds.
-	newConnHeadTimeout    = 2500 * time.Millisecond // head of the first request, from connecting
-	newConnRequestTimeout = 2800 * time.Millisecond // head and body of the first request, from connecting
+	// The protocol requires that a bad client gets an error or a close within 3 s of connecting, and the connection may
+	// have spent part of that in the backlog. Slow clients send their requests in pieces and may use all of that time.
+	// A connection on which a request was answered counts as good, and readTimeout applies.
+	newConnHeadTimeout    = 2500 * time.Millisecond // head of the first request, since the connection was accepted
+	newConnRequestTimeout = 2800 * time.Millisecond // whole first request, since the connection was accepted
 )
 
 const healthPath = "/up"
 
-// connContextKey is the key of a request's connection in its context.
+// connContextKey is the context key of a request's connection.
 type connContextKey struct{}
 
-// Server returns the net/http server that drives the front. The caller serves it on a Listener of the same Sockets and closes it.
+// Server returns an http.Server for the front. The caller must serve it on a Listener with the same Sockets, and close
+// it.
 func (f *Front) Server() *http.Server {
 	return &http.Server{
 		Handler:           f,
 		ReadHeaderTimeout: readTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeadBytes,
-		// The general handler would answer 200 to OPTIONS *, which no client of the protocol sends.
+		// net/http's default handler would answer OPTIONS * with 200. The protocol's clients never send it.
 		DisableGeneralOptionsHandler: true,
 		ErrorLog:                     log.New(serverLog{}, "", 0),
 		ConnContext: func(ctx context.Context, conn net.Conn) context.Context {
@@ -48,7 +49,7 @@
 	}
 }
 
-// onConnState tells the budget of sockets which connections carry no request.
+// onConnState records in the socket budget whether a connection carries a request.
 func (f *Front) onConnState(conn net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew, http.StateIdle:
@@ -68,7 +69,7 @@
 	if conn != nil {
 		conn.firstHeadRead = true
 	}
-	// The client's time runs from when it sent, and a head may come in pieces.
+	// The client's timeout runs from the first byte of the request, and a head may arrive in pieces.
 	age := f.sockets.RequestAge(conn)
 	if r.ContentLength == 0 {
 		f.sockets.RequestRead(conn)
@@ -80,20 +81,20 @@
 	f.serveRequest(w, r, path, f.core.Now()-toMilliseconds(age))
 }
 
-// writeHealth answers 200 while new requests are wanted here, else 503.
+// writeHealth responds with 200 if the front accepts new requests, and with 503 otherwise.
 func (f *Front) writeHealth(w http.ResponseWriter) {
 	if !f.ready.Load() || f.shuttingDown.Load() {
 		http.Error(w, "not ready", http.StatusServiceUnavailable)
 	}
 }
 
-// connOf returns the request's connection, or nil where it came over a listener that does not track its connections.
+// connOf returns the request's connection, or nil if the listener does not track its connections.
 func connOf(r *http.Request) *trackedConn {
 	conn, _ := r.Context().Value(connContextKey{}).(*trackedConn)
 	return conn
 }
 
-// serverLog takes the net/http server's own messages. Most are of clients that break off, hence the level.
+// serverLog logs the messages of the http.Server at debug level: most are about clients that disconnect.
 type serverLog struct{}
 
 func (serverLog) Write(line []byte) (int, error) {
--- a/internal/httpwire/shutdown.go
+++ b/internal/httpwire/shutdown.go
@@ -7,34 +7,35 @@
 )
 
 const (
-	// acceptWindow: new connections come for up to 0.4 s after the signal.
+	// acceptWindow is how long new connections are accepted at least: they arrive for up to 0.4 s after the signal.
 	acceptWindow = 700 * time.Millisecond
-	// maxKillDelayMs: the kill comes no sooner than the longest timeout of a request, at most this (ms), and acceptWindow after
-	// the signal.
+	// The process is not killed before acceptWindow plus the longest request timeout have passed since the signal.
+	// maxKillDelayMs is the upper limit of the second term (ms).
 	maxKillDelayMs = 3000.0
-	// closeBeforeKill is how long before the kill connections begin to end with their request.
+	// closeBeforeKill is the time before the kill from which on connections are closed after their request.
 	closeBeforeKill = 1500 * time.Millisecond
-	// answerBeforeKill is how long before the kill whatever is still open has its answer.
+	// answerBeforeKill is the time before the kill by which every open request must have a response.
 	answerBeforeKill = 300 * time.Millisecond
-	// exitBeforeKill is how long before the kill the front gives up what is still connected.
+	// exitBeforeKill is the time before the kill at which the remaining connections are abandoned.
 	exitBeforeKill = 150 * time.Millisecond
-	// quietBeforeClose is how long no request must have come before the listener is closed while clients are connected.
+	// quietBeforeClose is how long no request may have begun or ended before the listener is closed with clients
+	// connected.
 	quietBeforeClose = 150 * time.Millisecond
-	// shutdownPoll is how often the shutdown looks whether it is done.
+	// shutdownPoll is the interval between two checks whether the shutdown is complete.
 	shutdownPoll = 20 * time.Millisecond
 )
 
-// Shutdown serves what is open and what still comes, and returns once nothing does, shortly before the kill at the latest, or when
-// ctx ends. Connections arrive for a while after the signal, and clients use those that they hold for as long as these stay open.
-// They do so until the kill is near: the next instance may be away just then, and clients that were sent off would find nobody.
-// The listener is closed in between; the server is the caller's to close.
+// Shutdown serves open and new requests and returns when there are none left, shortly before the kill at the latest, or
+// when ctx is done. Connections keep arriving for a while after the signal, and clients keep using those that they
+// hold. These stay open until the kill is near: the next instance may be unavailable at that moment, and clients whose
+// connections were closed would have nowhere to go. Shutdown closes the listener; the caller must close the server.
 func (f *Front) Shutdown(ctx context.Context, listener net.Listener) {
 	signaledAt := time.Now()
 	f.shuttingDown.Store(true)
 	f.core.Shutdown(f.core.Now() + toMilliseconds(f.killDelay-answerBeforeKill))
 	poll(ctx, func() bool { return f.drained(time.Since(signaledAt)) })
-	// No new connection from here on. One that is still there has begun to send: it is waited for until the kill is near, for
-	// closing it could cross the request's last byte.
+	// No new connections from here on. A connection that remains has begun to send a request. It may stay until shortly
+	// before the kill, because a close could cross the last byte of the request.
 	f.closingConns.Store(true)
 	listener.Close()
 	poll(ctx, func() bool {
@@ -46,8 +47,8 @@
 	})
 }
 
-// drained tells, at a time since the signal, that no request is open and none is to be expected any more. From closeBeforeKill on
-// it closes the connections that carry none.
+// drained reports whether no request is open and no more are expected, at the given time since the signal. From
+// closeBeforeKill on it also closes the connections that carry no request.
 func (f *Front) drained(sinceSignal time.Duration) bool {
 	if sinceSignal < acceptWindow {
 		return false
@@ -61,13 +62,13 @@
 	return f.openRequests.Load() == 0 && (clients == 0 || isQuiet)
 }
 
-// clientConns is how many connections clients have open.
+// clientConns returns the number of open client connections.
 func (f *Front) clientConns() int {
 	_, clients, _ := f.sockets.Used()
 	return clients
 }
 
-// poll returns once done holds or ctx has ended, and asks at once and then every shutdownPoll.
+// poll calls done at once and then every shutdownPoll, and returns when done reports true or ctx is done.
 func poll(ctx context.Context, done func() bool) {
 	ticker := time.NewTicker(shutdownPoll)
 	defer ticker.Stop()
--- a/internal/httpwire/shutdown_test.go
+++ b/internal/httpwire/shutdown_test.go
@@ -11,18 +11,19 @@
 
 const healthCheck = "GET /up HTTP/1.1\r\nHost: h\r\n\r\n"
 
-// Shutdown: /up refuses at once, what comes is served on connections that stay until the kill is near, nothing stays open
-// beyond that, and it ends once nothing has come for a while; at once where nobody is connected.
+// During a shutdown, /up fails at once. Requests are served on connections that stay open until shortly before the
+// kill, and nothing is open afterwards. Shutdown returns when no request has arrived for a while, or after acceptWindow
+// if no client is connected.
 func TestShutdown(t *testing.T) {
-	t.Run("clients are connected", func(t *testing.T) { synctest.Test(t, testShutdownWithClients) })
-	t.Run("a request stays open", func(t *testing.T) { synctest.Test(t, testShutdownWithOpenRequest) })
-	t.Run("nobody is connected", func(t *testing.T) {
+	t.Run("clients connected", func(t *testing.T) { synctest.Test(t, testShutdownWithClients) })
+	t.Run("request stays open", func(t *testing.T) { synctest.Test(t, testShutdownWithOpenRequest) })
+	t.Run("no client connected", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			a := newTestInstance(network{}, NewSockets(0))
 			from := time.Now()
 			a.front.Shutdown(t.Context(), make(pipeListener))
 			if took := time.Since(from); took < acceptWindow || took > acceptWindow+50*time.Millisecond {
-				t.Errorf("ended after %v", took)
+				t.Errorf("Shutdown returned after %v, want %v to %v", took, acceptWindow, acceptWindow+50*time.Millisecond)
 			}
 			a.close()
 		})
@@ -40,7 +41,7 @@
 	}}, NewSockets(0))
 	a.front.SetReady()
 	if answer, _ := a.roundTrip(t, healthCheck); answer.StatusCode != 200 {
-		t.Errorf("/up %d", answer.StatusCode)
+		t.Errorf("status of /up = %d, want 200", answer.StatusCode)
 	}
 	client, conn := net.Pipe()
 	defer client.Close()
@@ -48,7 +49,7 @@
 	a.front.sockets.ConnIdle(idle, false)
 
 	from, ended := time.Now(), make(chan time.Duration, 1)
-	go func() { // ends with the shutdown
+	go func() { // ends with Shutdown
 		a.front.Shutdown(t.Context(), make(pipeListener))
 		ended <- time.Since(from)
 	}()
@@ -62,24 +63,24 @@
 	} {
 		time.Sleep(c.at - time.Since(from))
 		if answer, _ := a.roundTrip(t, healthCheck); answer.StatusCode != 503 {
-			t.Errorf("at %v: /up %d", c.at, answer.StatusCode)
+			t.Errorf("%v after the signal: status of /up = %d, want 503", c.at, answer.StatusCode)
 		}
 		answer, _ := a.roundTrip(t, requestWithID(c.at.String()))
 		if answer.StatusCode != 200 || answer.Close != c.closesConn {
-			t.Errorf("at %v: %d, close %v", c.at, answer.StatusCode, answer.Close)
+			t.Errorf("%v after the signal: status = %d, close = %v; want 200 and %v", c.at, answer.StatusCode, answer.Close, c.closesConn)
 		}
 	}
 	if !idle.closed {
-		t.Error("an idle connection is open although the kill is near")
+		t.Errorf("idle connection is still open %v after the signal, want it closed", time.Since(from))
 	}
 
 	silent.Store(true)
 	answer, _ := a.roundTrip(t, strings.Replace(validRequest, "2000m", "9000m", 1))
 	if took := time.Since(from); answer.StatusCode != 503 || took > 3400*time.Millisecond {
-		t.Errorf("a request that finds no answer got %d after %v", answer.StatusCode, took)
+		t.Errorf("request to a silent backend: status = %d after %v, want 503 within 3.4s of the signal", answer.StatusCode, took)
 	}
 	if took := <-ended; took < 2200*time.Millisecond || took > 3700*time.Millisecond {
-		t.Errorf("ended after %v", took)
+		t.Errorf("Shutdown returned after %v, want 2.2s to 3.7s", took)
 	}
 	a.close()
 }
@@ -100,19 +101,19 @@
 	}()
 	synctest.Wait()
 	from, ended := time.Now(), make(chan time.Duration, 1)
-	go func() { // ends with the shutdown
+	go func() { // ends with Shutdown
 		a.front.Shutdown(t.Context(), make(pipeListener))
 		ended <- time.Since(from)
 	}()
 	time.Sleep(2300 * time.Millisecond)
 	if answer, _ := a.roundTrip(t, requestWithID("r2")); answer.StatusCode != 200 || !answer.Close {
-		t.Errorf("near the kill: %d, close %v", answer.StatusCode, answer.Close)
+		t.Errorf("request shortly before the kill: status = %d, close = %v; want 200 and true", answer.StatusCode, answer.Close)
 	}
 	if answer := <-opened; answer.StatusCode != 503 || time.Since(from) > 3400*time.Millisecond {
-		t.Errorf("the open request got %d after %v", answer.StatusCode, time.Since(from))
+		t.Errorf("open request: status = %d after %v, want 503 within 3.4s of the signal", answer.StatusCode, time.Since(from))
 	}
 	if took := <-ended; took > 3700*time.Millisecond {
-		t.Errorf("ended after %v", took)
+		t.Errorf("Shutdown returned after %v, want at most 3.7s", took)
 	}
 	a.close()
 }
--- a/internal/httpwire/sockets.go
+++ b/internal/httpwire/sockets.go
@@ -11,55 +11,57 @@
 )
 
 const (
-	// reservedSockets are held back for what is no client or backend: standard streams, the runtime's poller, the listener,
-	// discovery, the platform.
+	// reservedSockets are descriptors withheld from clients and backends: the standard streams, the runtime's poller,
+	// the listener, discovery and the platform need them.
 	reservedSockets = 16
-	// minSockets is the least budget, however low the limit.
+	// minSockets is the smallest budget, however low the descriptor limit is.
 	minSockets = 4
-	// unlimitedSockets stands for no limit.
+	// unlimitedSockets is the limit for a process that has none.
 	unlimitedSockets = 1 << 20
 
-	// clientShare of the budget is what clients' connections may fill before idle ones make room for new ones. They need a third
-	// for their requests and no more: those that asked once and stay would fill it, and no other client would get a connection.
-	// So the longest idle ones make room before that.
+	// clientShare is the share of the budget that client connections may occupy before idle ones are closed to make room
+	// for new ones. Clients need a third of the budget for their requests. If nothing was closed before that share is
+	// filled, clients that sent one request and stay connected would fill it and lock out all others.
 	clientShare = 0.25
-	// maxClientShare of the budget is the most for clients: without the backends' share no open request would get on.
+	// maxClientShare is the largest share of the budget for clients. Without sockets for backends, no open request could
+	// make progress.
 	maxClientShare = 0.8
 
-	// idleGrace protects a connection from being closed that carried a request, or came up, less than this ago: it may be about
-	// to be used. It is no longer, for clients use theirs in turn, and with hundreds of them idle none would ever be old.
+	// idleGrace is how long a connection is kept at least after its last request or after it was accepted: it may be
+	// about to be used. A longer grace would protect every connection, because clients rotate through theirs: even with
+	// hundreds of them idle, none would ever reach it.
 	idleGrace = 20 * time.Millisecond
-	// newConnGrace protects a connection on which no request has come yet. A slow client's head takes its time, and its request
-	// is lost to it where the connection is closed: less than this says nothing of a client. Beyond it a silent one may be one of
-	// hundreds that never speak.
+	// newConnGrace is how long a connection is normally kept at least before its first request. A slow client takes time
+	// to send a request head, and its request is lost if the connection is closed; a shorter silence does not tell a
+	// slow client from a dead one. After that, a silent connection may be one of hundreds that never carry a request.
 	newConnGrace = time.Second
 
-	// shortageLogInterval is the least time between two warnings that the budget is exhausted.
+	// shortageLogInterval is the minimum time between two warnings that the budget is exhausted.
 	shortageLogInterval = 5 * time.Second
 )
 
-// Sockets is the budget of open connections that clients and backends share: it counts them and, when it runs short, closes idle
-// ones. It never closes a connection that carries a request, and it doesn't let clients that say nothing keep others waiting: what
-// waits in the listener's backlog may already be a request sent.
+// Sockets is the budget of open connections that clients and backends share. It counts them and closes idle ones when
+// the budget runs short. It never closes a connection that carries a request, and it does not let silent clients block
+// others: a connection that waits in the listener's backlog may already have sent a request.
 //
-// All methods may be called from any goroutine.
+// Its methods are safe for concurrent use.
 type Sockets struct {
-	limit int // never changed
-	// closeIdleBackend closes one idle connection to a backend and tells whether there was one. NewUpstream sets it before any
-	// connection is made. It is called without mu held, for it closes a tracked connection.
+	limit int // immutable
+	// closeIdleBackend closes one idle connection to a backend and reports whether there was one. NewUpstream sets it
+	// before any connection is opened. It is called without mu held, because closing a tracked connection locks mu.
 	closeIdleBackend func() bool
 
-	// mu guards what follows, and the fields of trackedConn that say so. Under it run the two looks at a client's socket: the read
-	// that takes a request's bytes and the check that nothing is unread. Neither blocks. No other callback runs under it.
+	// mu guards the fields below and the fields of trackedConn that are marked so. Two non-blocking operations on a
+	// client's socket also run with mu held: reading request bytes and checking for unread data. No other callback does.
 	mu               sync.Mutex
 	used             int        // open connections
-	clients          int        // of them clients'
-	newConns         *list.List // *trackedConn of clients on which no request has come yet, the longest so first
-	idleConns        *list.List // *trackedConn of clients between two requests, the longest so first
+	clients          int        // open client connections
+	newConns         *list.List // of *trackedConn: clients that have not sent a request yet, oldest entry first
+	idleConns        *list.List // of *trackedConn: clients between two requests, oldest entry first
 	shortageLoggedAt time.Time
 }
 
-// NewSockets makes a budget for a process that may open limit descriptors; 0 means no limit.
+// NewSockets returns a budget for a process that may open limit descriptors; 0 means no limit.
 func NewSockets(limit int) *Sockets {
 	if limit <= 0 {
 		limit = unlimitedSockets
@@ -72,28 +74,29 @@
 	}
 }
 
-// Used counts the open connections, those of clients among them, and those of clients that carry no request.
+// Used returns the number of open connections, how many of them belong to clients, and how many client connections
+// carry no request.
 func (s *Sockets) Used() (all, clients, idle int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.used, s.clients, s.idleConns.Len() + s.newConns.Len()
 }
 
-// ClientLimit is how many connections clients can have at most.
+// ClientLimit returns the maximum number of client connections.
 func (s *Sockets) ClientLimit() int { return int(maxClientShare * float64(s.limit)) }
 
-// Full tells that the budget is used up, so that a client's connection had better end with its request.
+// Full reports whether the budget is used up, in which case a client connection should close after its request.
 func (s *Sockets) Full() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.used >= s.limit
 }
 
-// occupancy is how full the budget is for one more connection.
+// occupancy describes how full the budget is when one more connection is requested.
 type occupancy struct {
-	full             bool // nothing is left for anyone
-	clientsOverShare bool // clients have more than clientShare
-	hasRoom          bool // for the connection asked for
+	full             bool // no connection can be added
+	clientsOverShare bool // clients hold at least clientShare of the budget
+	hasRoom          bool // there is room for the requested connection
 }
 
 func (s *Sockets) occupancy(isClient bool) occupancy {
@@ -108,8 +111,8 @@
 	return o
 }
 
-// makeRoom closes at most one idle connection where room for one more, a client's or a backend's, is short, and tells whether there
-// is room now. It reserves nothing: track counts the connection once it is up.
+// makeRoom closes at most one idle connection if room is short for one more connection of a client or to a backend, and
+// reports whether there is room afterwards. It reserves nothing: track counts the connection once it is established.
 func (s *Sockets) makeRoom(isClient bool) bool {
 	before := s.occupancy(isClient)
 	shouldFree := !before.hasRoom || isClient && before.clientsOverShare
@@ -124,8 +127,10 @@
 	return after.hasRoom
 }
 
-// closeOneIdle closes the idle connection that is missed least: first one that has said nothing for long; then an idle one, of
-// the side that has more than its share first; and last one that came a moment ago and may be about to say something.
+// closeOneIdle closes the idle connection that is least likely to be needed. A connection that has been silent since it
+// was accepted, for newConnGrace or longer, goes first. Then come connections between requests: clients' before
+// backends' if clients exceed their share. A recently accepted connection goes last, because its client may be about to
+// send a request.
 func (s *Sockets) closeOneIdle(o occupancy) {
 	if s.closeIdleClient(s.newConns, newConnGrace) {
 		return
@@ -145,7 +150,7 @@
 	s.closeIdleClient(s.newConns, idleGrace)
 }
 
-// logShortage warns that the budget is used up by connections in use, at most every shortageLogInterval.
+// logShortage warns that the budget is exhausted, at most once per shortageLogInterval.
 func (s *Sockets) logShortage() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -156,12 +161,12 @@
 	logrus.WithFields(logrus.Fields{"open": s.used, "clients": s.clients, "limit": s.limit}).Warn("no socket left, and none is idle")
 }
 
-// maxBusySkipped is how many connections closeIdleClient passes over that turn out not to be idle.
+// maxBusySkipped limits how many connections closeIdleClient skips because they turn out not to be idle.
 const maxBusySkipped = 8
 
-// closeIdleClient closes the first connection of a list, the one that stands there longest, if it has stood there for grace at the
-// least, and tells whether it closed one. A connection with unread bytes is taken off the list instead and the next one tried: it
-// carries a request.
+// closeIdleClient closes the first connection of a list, which is its oldest entry, if it has been listed for at least
+// the grace period, and reports whether it closed one. A connection with unread bytes carries a request: it is removed
+// from the list and the next one is tried.
 func (s *Sockets) closeIdleClient(from *list.List, grace time.Duration) (closed bool) {
 	for range maxBusySkipped {
 		conn, isIdle := s.popIdleClient(from, grace)
@@ -176,8 +181,9 @@
 	return false
 }
 
-// popIdleClient takes the first connection off a list, nil where there is none or it has not stood there for grace. Where
-// nothing is unread on it, it is marked so that no byte is read of it from here on: isIdle.
+// popIdleClient removes and returns the first connection of a list, or returns nil if the list is empty or its first
+// entry has not been listed for the grace period. If the connection has no unread data, isIdle is true and the
+// connection is marked as evicted, so that nothing is read from it any more.
 func (s *Sockets) popIdleClient(from *list.List, grace time.Duration) (conn *trackedConn, isIdle bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -190,19 +196,20 @@
 		return nil, false
 	}
 	conn.removeFromList()
-	// The look and the mark are under the lock under which Read takes bytes: one of the two comes first.
+	// Read holds the same lock, so it either takes the bytes before this check or sees the mark after it.
 	conn.evicted = hasNoUnreadData(conn.Conn)
 	return conn, conn.evicted
 }
 
-// CloseIdleClients closes all connections of clients that carry no request, except those used less than idleGrace ago.
+// CloseIdleClients closes all client connections that carry no request, except those active less than idleGrace ago.
 func (s *Sockets) CloseIdleClients() {
 	for s.closeIdleClient(s.idleConns, idleGrace) || s.closeIdleClient(s.newConns, idleGrace) {
 	}
 }
 
-// ConnIdle tells that a client's connection carries no request: none has come on it yet (isNew), or its last one was answered. The
-// connection's serving goroutine calls it, or the one that accepted it, before that runs.
+// ConnIdle records that a client connection carries no request: it is new and has not received one yet (isNew), or its
+// last request was answered. It must be called by the goroutine that serves the connection, or by the accepting
+// goroutine before that one starts.
 func (s *Sockets) ConnIdle(conn net.Conn, isNew bool) {
 	c, ok := conn.(*trackedConn)
 	if !ok {
@@ -211,8 +218,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c.servedBefore = !isNew
-	// A server that looks whether its client has gone may have read the next request's first byte already: then the connection
-	// is not idle.
+	// The server's check whether the client has disconnected may already have read the first byte of the next request.
+	// Then the connection is not idle.
 	canBeIdle := c.betweenRequests && c.element == nil && !c.closed
 	if !canBeIdle {
 		return
@@ -224,7 +231,7 @@
 	}
 }
 
-// ConnActive tells that a client's connection carries a request, or is closed.
+// ConnActive records that a client connection carries a request or is closed.
 func (s *Sockets) ConnActive(conn net.Conn) {
 	if c, ok := conn.(*trackedConn); ok {
 		s.mu.Lock()
@@ -233,8 +240,8 @@
 	}
 }
 
-// RequestRead tells that a request has been read to its end: what comes from here on belongs to the next one. A nil connection
-// is no error.
+// RequestRead records that a request has been read completely: further bytes belong to the next one. The connection may
+// be nil.
 func (s *Sockets) RequestRead(c *trackedConn) {
 	if c == nil {
 		return
@@ -244,8 +251,8 @@
 	c.betweenRequests, c.requestStart = true, time.Time{}
 }
 
-// RequestAge is how long ago the first byte of the request that is being read came; 0 where that was not seen or the connection
-// is nil.
+// RequestAge returns the time since the first byte of the current request arrived, or 0 if that was not observed or the
+// connection is nil.
 func (s *Sockets) RequestAge(c *trackedConn) time.Duration {
 	if c == nil {
 		return 0
@@ -258,11 +265,11 @@
 	return time.Since(c.requestStart)
 }
 
-// track counts a connection until it is closed.
+// track counts a connection against the budget until it is closed.
 func (s *Sockets) track(conn net.Conn, isClient bool) *trackedConn {
 	c := &trackedConn{Conn: conn, sockets: s, isClient: isClient, betweenRequests: true, openedAt: time.Now()}
 	if socket, ok := conn.(syscall.Conn); ok && isClient {
-		// Without a descriptor Read falls back to the connection's own.
+		// Without a raw connection, Read falls back to the Read method of conn.
 		c.rawConn, _ = socket.SyscallConn()
 	}
 	s.mu.Lock()
--- a/internal/httpwire/sockets_test.go
+++ b/internal/httpwire/sockets_test.go
@@ -12,10 +12,10 @@
 	"onyxgate/policy"
 )
 
-// Want of sockets: what has been idle longest is closed, nothing new or in use is.
+// When sockets are short, the connection that has been idle longest is closed. New and active connections are kept.
 func TestSocketEviction(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := NewSockets(reservedSockets + 10) // eight for clients, from three on idle ones make room
+		s := NewSockets(reservedSockets + 10) // 8 for clients; from 3 on, idle ones are closed
 		var clients []*trackedConn
 		track := func() {
 			client, conn := net.Pipe()
@@ -28,55 +28,55 @@
 			track()
 		}
 		if !s.makeRoom(false) {
-			t.Error("clients have taken the backends' share")
+			t.Errorf("no room for a backend connection with %d client connections, want room", used())
 		}
 		for _, c := range []struct {
 			name    string
 			prepare func()
 			hasRoom bool
 			used    int
-			closed  []int // those closed so far
+			closed  []int // indices of the connections closed so far
 		}{
 			{"all in use", func() {}, false, 8, nil},
-			{"one used a moment ago stays", func() { s.ConnIdle(clients[1], false) }, false, 8, nil},
-			{"the one idle longest goes", func() {
+			{"recently used connection stays", func() { s.ConnIdle(clients[1], false) }, false, 8, nil},
+			{"longest idle connection is closed", func() {
 				time.Sleep(idleGrace)
 				s.ConnIdle(clients[2], false)
 				s.ConnIdle(clients[3], true)
 			}, true, 7, []int{1}},
-			{"the next idle one goes, not one that may be about to say something", func() {
+			{"next idle connection is closed, not a new one", func() {
 				time.Sleep(idleGrace)
 			}, true, 6, []int{1, 2}},
-			{"one that has said nothing for long goes first", func() {
+			{"long silent new connection is closed first", func() {
 				s.ConnIdle(clients[4], false)
 				time.Sleep(newConnGrace)
 			}, true, 5, []int{1, 2, 3}},
-			{"one that came a moment ago stays", func() {
+			{"recently accepted connection stays", func() {
 				s.ConnIdle(clients[5], true)
 				s.ConnActive(clients[4])
 				for used() < 8 {
 					track()
 				}
 			}, false, 8, []int{1, 2, 3}},
-			{"where none else can, one that came a little earlier goes", func() { time.Sleep(idleGrace) }, true, 7, []int{1, 2, 3, 5}},
-			{"one in use stays", func() {}, true, 7, []int{1, 2, 3, 5}},
+			{"without other candidates, a new connection is closed after idleGrace", func() { time.Sleep(idleGrace) }, true, 7, []int{1, 2, 3, 5}},
+			{"connections in use stay", func() {}, true, 7, []int{1, 2, 3, 5}},
 		} {
 			c.prepare()
 			got := fmt.Sprint(s.makeRoom(true), used(), closedIndices(clients))
 			if want := fmt.Sprint(c.hasRoom, c.used, c.closed); got != want {
-				t.Errorf("%s: room, open and closed are %s, want %s", c.name, got, want)
+				t.Errorf("%s: room, open and closed connections = %s, want %s", c.name, got, want)
 			}
 		}
 		for _, c := range clients {
 			c.Close()
 		}
 		if all, _, idle := s.Used(); all != 0 || idle != 0 {
-			t.Errorf("%d left, %d idle", all, idle)
+			t.Errorf("after closing all: %d sockets in use, %d idle; want none", all, idle)
 		}
 	})
 }
 
-// closedIndices tells which of the connections are closed.
+// closedIndices returns the indices of the closed connections.
 func closedIndices(conns []*trackedConn) []int {
 	var closed []int
 	for i, conn := range conns {
@@ -87,22 +87,22 @@
 	return closed
 }
 
-// Where no socket is left for an attempt the backend is not blamed: it was never sent.
+// If no socket is left for an attempt, it counts as not sent and not as a failure of the backend.
 func TestAttemptWithoutSocket(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := newTestInstance(network{"app:1": answerOnce("")}, NewSockets(reservedSockets+4))
-		a.front.sockets.used = 3 // the client's is the last
+		a.front.sockets.used = 3 // the client's connection takes the last one
 		if answer, _ := a.roundTrip(t, validRequest); answer.StatusCode != 503 {
-			t.Errorf("answered %d", answer.StatusCode)
+			t.Errorf("status = %d, want 503", answer.StatusCode)
 		}
 		if n := a.core.Counts(); n.AttemptsByStatus[policy.StatusNotSent] != 1 {
-			t.Errorf("%+v", n)
+			t.Errorf("counts = %+v, want one attempt with status %d (StatusNotSent)", n, policy.StatusNotSent)
 		}
 		a.close()
 	})
 }
 
-// pausedReader is a client's socket whose reader has its bytes and is stopped before it can say so.
+// pausedReader is a client's socket whose Read is paused after it has taken bytes from the socket and before it returns.
 type pausedReader struct {
 	net.Conn
 	taken, resume chan bool
@@ -136,8 +136,8 @@
 	return err
 }
 
-// A connection between requests is closed only if no byte of the next one has been taken from its socket, even if its reader
-// has not come to say so.
+// An idle connection must not be evicted if a byte of the next request has been read from its socket, even if the
+// reader has not returned yet: the request would be lost.
 func TestIdleCloseRace(t *testing.T) {
 	listener := listenTCP(t)
 	client := connectTCP(t, listener.Addr().String())
@@ -154,37 +154,37 @@
 		conn.listedAt = time.Time{}
 	}
 
-	// A byte is taken first: the connection stays.
+	// The byte is read first: the connection stays open.
 	idleForLong()
 	send(client, "G")
 	read := make(chan int)
-	go func() { // ends once the byte is read
+	go func() { // ends when the byte has been read
 		n, err := conn.Read(make([]byte, 9))
 		if err != nil {
-			t.Error(err)
+			t.Errorf("Read: %v", err)
 		}
 		read <- n
 	}()
 	<-reader.taken
 	s.CloseIdleClients()
 	if conn.closed {
-		t.Error("closed, though a byte of the next request had been taken")
+		t.Errorf("connection closed = %v after a byte of the next request was read, want false", conn.closed)
 	}
 	reader.resume <- true
 	if n := <-read; n != 1 {
-		t.Errorf("%d bytes", n)
+		t.Errorf("Read returned %d bytes, want 1", n)
 	}
 
-	// The connection is closed first: nothing is taken any more.
+	// The connection is evicted first: nothing is read any more.
 	s.RequestRead(conn)
 	idleForLong()
 	s.CloseIdleClients()
 	if n, err := conn.Read(make([]byte, 9)); !conn.closed || n != 0 || err == nil {
-		t.Errorf("read %d bytes (%v) of a connection given up", n, err)
+		t.Errorf("evicted connection: closed = %v, Read = %d, %v; want true, 0 and an error", conn.closed, n, err)
 	}
 }
 
-// From the look at a connection that finds it idle to its close, no byte of a next request is taken.
+// Between the check that finds a connection idle and its close, no byte of a next request is read.
 func TestEvictedConnNotRead(t *testing.T) {
 	listener := listenTCP(t)
 	client := connectTCP(t, listener.Addr().String())
@@ -197,16 +197,16 @@
 	defer conn.Close()
 	s.ConnIdle(conn, false)
 	if taken, isIdle := s.popIdleClient(s.idleConns, 0); taken != conn || !isIdle {
-		t.Fatalf("took %v, idle %v", taken, isIdle)
+		t.Fatalf("popIdleClient = %v, %v; want %v, true", taken, isIdle, conn)
 	}
 	send(client, "G")
 	if n, err := conn.Read(make([]byte, 9)); n != 0 || !errors.Is(err, net.ErrClosed) {
-		t.Errorf("read %d bytes (%v) of a connection given up", n, err)
+		t.Errorf("Read from an evicted connection = %d, %v; want 0, %v", n, err, net.ErrClosed)
 	}
 }
 
-// A byte of the next request may be taken ahead, by a server that looks whether its client has gone: then the connection is
-// not idle.
+// The server's check whether the client has disconnected may read the first byte of the next request early. Then the
+// connection is not idle.
 func TestNextRequestReadEarly(t *testing.T) {
 	s := NewSockets(0)
 	client, serverSide := net.Pipe()
@@ -215,22 +215,22 @@
 	read := func(bytes int) {
 		t.Helper()
 		if n, err := conn.Read(make([]byte, bytes)); n != bytes || err != nil {
-			t.Errorf("read %d bytes of %d: %v", n, bytes, err)
+			t.Errorf("Read = %d, %v; want %d bytes", n, err, bytes)
 		}
 	}
 	s.ConnIdle(conn, true)
-	go send(client, "r1G") // ends once all of it is read
+	go send(client, "r1G") // ends when all of it has been read
 	read(2)
 	s.ConnActive(conn)
-	s.RequestRead(conn) // r1 has been read
+	s.RequestRead(conn) // r1 is complete
 	read(1)
 	s.ConnIdle(conn, false)
 	if _, _, idle := s.Used(); idle != 0 || s.RequestAge(conn) == 0 {
-		t.Errorf("%d idle, the next request comes since %v", idle, s.RequestAge(conn))
+		t.Errorf("idle connections = %d, request age = %v; want 0 and more than 0", idle, s.RequestAge(conn))
 	}
 	s.RequestRead(conn)
 	s.ConnIdle(conn, false)
 	if _, _, idle := s.Used(); idle != 1 || s.RequestAge(conn) != 0 {
-		t.Errorf("%d idle, the next request comes since %v", idle, s.RequestAge(conn))
+		t.Errorf("idle connections = %d, request age = %v; want 1 and 0", idle, s.RequestAge(conn))
 	}
 }
--- a/internal/httpwire/stream.go
+++ b/internal/httpwire/stream.go
@@ -1,8 +1,9 @@
 package httpwire
 
-// This file keeps one long-lived stream open, to discovery or to the platform. One that is lost is opened again after a pause,
-// which doubles for each that sent nothing. After a change of address the new stream is opened beside the old one, which is
-// left as soon as the new one sends something: until then the old one may be the only one that does.
+// maintainStream keeps one long-lived stream to discovery or to the platform open. A lost stream is reopened after a
+// pause that doubles each time a stream ends without data. After a change of address, the new stream is opened while
+// the old one is still in use. The old one is closed when the new one delivers data: until then it may be the only one
+// that does.
 
 import (
 	"context"
@@ -12,54 +13,54 @@
 
 const (
 	reconnectPauseMin = 100.0  // ms, before jitter
-	reconnectPauseMax = 1000.0 // ms, before jitter: discovery's changes count as known 4 to 6 s after they were made
+	reconnectPauseMax = 1000.0 // ms, before jitter: changes in discovery count as known 4 to 6 s after they were made
 )
 
 // streamState is the state of the newest stream.
 type streamState uint8
 
 const (
-	streamConnecting streamState = iota // opened; nothing has come on it yet
-	streamConnected                     // something has come on it
-	streamBackingOff                    // lost; it is opened again after the pause
+	streamConnecting streamState = iota // being opened; no data received yet
+	streamConnected                     // data received
+	streamBackingOff                    // lost; reopened after the pause
 )
 
-// streamConfig says which stream is kept and who hears of it.
+// streamConfig configures a stream and its callbacks.
 type streamConfig struct {
-	// read opens one stream and reads it until it ends, at the latest with ctx, and returns why. It calls heard whenever
-	// something has come, from the goroutine that it was called on.
+	// read opens one stream, reads it until it ends or ctx is done, and returns the reason. It calls onData, in the
+	// goroutine it was called in, whenever data has arrived.
 	read func(ctx context.Context, onData func()) error
 
-	moved     <-chan bool // a stream to another address is wanted
-	reconnect bool        // a lost stream is opened again
+	moved     <-chan bool // receives when the stream's address has changed
+	reconnect bool        // reopen a lost stream
 	rng       *rand.Rand  // for the jitter of pauses
 
-	onMove       func()          // called before the new stream is opened
+	onMove       func()          // called before the stream to a new address is opened
 	onDisconnect func(err error) // called when the newest stream is lost
 }
 
-// streamManager is the state of maintainStream, which owns it. The readers' goroutines only send on its channels.
+// streamManager is the state of maintainStream, which owns it. The goroutines of the readers only send on its channels.
 type streamManager struct {
 	config    streamConfig
-	firstData chan int       // the number of a stream on which something has come for the first time
-	ended     chan streamEnd // a stream that has ended
+	firstData chan int       // number of a stream that has received data for the first time
+	ended     chan streamEnd // streams that have ended
 	retry     <-chan time.Time
 
 	state          streamState
 	newest         int     // number of the newest stream
-	pause          float64 // ms, before the next reconnect
-	cancelNewest   func()  // ends the newest stream
-	cancelPrevious func()  // ends the stream that is kept until something comes on the newest
+	pause          float64 // ms before the next reconnect
+	cancelNewest   func()  // closes the newest stream
+	cancelPrevious func()  // closes the stream that is kept until the newest one receives data
 }
 
-// streamEnd is the end of one stream.
+// streamEnd reports the end of one stream.
 type streamEnd struct {
 	number int
 	err    error
 }
 
-// maintainStream keeps a stream open until ctx ends, or until it is lost where it is not to be opened again. Every reader that it
-// started ends with it.
+// maintainStream keeps a stream open until ctx is done, or until the stream is lost if config.reconnect is not set. All
+// readers that it started are canceled when it returns.
 func maintainStream(ctx context.Context, config streamConfig) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -82,7 +83,7 @@
 			m.connected(number)
 		case end := <-m.ended:
 			if end.number != m.newest || ctx.Err() != nil {
-				continue // it was left, or ended beside the newer one
+				continue // an older stream, which was replaced or ended before the newest one received data
 			}
 			config.onDisconnect(end.err)
 			if !config.reconnect {
@@ -112,7 +113,7 @@
 	}()
 }
 
-// notifyFirstData returns the function that a stream's reader calls whenever something has come; only its first call counts.
+// notifyFirstData returns the onData callback for a stream's reader. Only its first call has an effect.
 func (m *streamManager) notifyFirstData(ctx context.Context, number int) func() {
 	reported := false
 	return func() {
@@ -127,7 +128,7 @@
 	}
 }
 
-// connected leaves the previous stream, now that something has come on the newest.
+// connected closes the previous stream after the newest one has received data.
 func (m *streamManager) connected(number int) {
 	if number != m.newest {
 		return
@@ -136,7 +137,8 @@
 	m.state, m.pause = streamConnected, reconnectPauseMin
 }
 
-// move opens a stream to the new address. One on which something has come is kept until that is so of the new one; else it is left.
+// move opens a stream to the new address. If the current stream has received data, it is kept until the new one does;
+// otherwise it is closed.
 func (m *streamManager) move(ctx context.Context) {
 	if m.state == streamConnected {
 		m.cancelPrevious = m.cancelNewest
@@ -148,7 +150,7 @@
 	m.connect(ctx)
 }
 
-// backOff sets the time at which a lost stream is opened again.
+// backOff schedules the reconnect of a lost stream.
 func (m *streamManager) backOff() {
 	m.state = streamBackingOff
 	jitter := 0.5 + m.config.rng.Float64()
--- a/internal/httpwire/streams_test.go
+++ b/internal/httpwire/streams_test.go
@@ -14,18 +14,18 @@
 	"time"
 )
 
-// streamHead is the head of a stream's response; chunk is a part of its body.
+// streamHead is the head of a stream's response; chunk returns a chunk of its body.
 const streamHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-// streamRequestLog is which streams were asked for, and when.
+// streamRequestLog records the requests for streams and when they arrived.
 type streamRequestLog struct {
 	paths []string
 	at    []time.Time
 }
 
-// open reads the request for a stream and sends the head and the first part of the response.
+// open reads the request for a stream and sends the head and the first chunk of the response.
 func (l *streamRequestLog) open(conn net.Conn, text string) {
 	request, err := http.ReadRequest(bufio.NewReader(conn))
 	if err != nil {
@@ -35,7 +35,7 @@
 	send(conn, streamHead+chunk(text))
 }
 
-// A watch that breaks or falls silent is opened again after the version held, and notices likewise.
+// A watch that breaks or becomes silent is reopened from the current version, and so is the stream of notices.
 func TestStreamReconnect(t *testing.T) {
 	t.Run("watch", func(t *testing.T) { synctest.Test(t, testWatchReopened) })
 	t.Run("notices", func(t *testing.T) { synctest.Test(t, testNoticesReopened) })
@@ -45,10 +45,10 @@
 	log := &streamRequestLog{}
 	a := newTestInstance(network{"list": func(conn net.Conn) {
 		switch len(log.paths) {
-		case 0: // sends a list, then is silent
+		case 0: // sends a list, then nothing
 			log.open(conn, listJSON(5, false, `{"id":"u","addr":"b:1","state":"Ready","version_no":1}`)+"\n")
 			drain(conn)
-		case 1: // lives on by empty lines, then breaks
+		case 1: // sends keep-alives, then breaks
 			log.open(conn, "\n")
 			for range 5 {
 				time.Sleep(2 * time.Second)
@@ -67,13 +67,13 @@
 	opened := len(log.paths) >= 3 && log.paths[0] == "/discovery/hosts?watch=1&after=1" &&
 		log.paths[1] == "/discovery/hosts?watch=1&after=5"
 	if !opened || a.discovery.BackendAddress("u") != "b:1" {
-		t.Fatalf("asked %q", log.paths)
+		t.Fatalf("requested streams = %q, address of u = %q; want watches after versions 1 and 5, and b:1", log.paths, a.discovery.BackendAddress("u"))
 	}
 	if silent := log.at[1].Sub(from); silent < watchIdleTimeout || silent > watchIdleTimeout+time.Second {
-		t.Errorf("opened again after %v", silent)
+		t.Errorf("silent watch reopened after %v, want %v to %v", silent, watchIdleTimeout, watchIdleTimeout+time.Second)
 	}
 	if lived := log.at[2].Sub(log.at[1]); lived < 10*time.Second || lived > 11*time.Second {
-		t.Errorf("a watch that lives was left after %v", lived)
+		t.Errorf("watch with keep-alives replaced after %v, want 10s to 11s", lived)
 	}
 	a.close()
 }
@@ -92,17 +92,17 @@
 	cancel()
 	synctest.Wait()
 	if len(log.paths) != 2 || log.paths[0] != "/notices" || log.at[1].Sub(log.at[0]) < noticeIdleTimeout {
-		t.Errorf("asked %q at %v", log.paths, log.at)
+		t.Errorf("requested streams = %q at %v, want /notices twice, at least %v apart", log.paths, log.at, noticeIdleTimeout)
 	}
 	a.close()
 }
 
-// What can't be read ends the stream at once, and it is opened again after a pause.
+// A malformed notice ends the stream immediately, and the stream is reopened after a pause.
 func TestMalformedNotices(t *testing.T) {
 	for _, c := range []struct{ name, text string }{
-		{"a release that is no number", "event: stage\ndata: release=x\n\n"},
-		{"an unknown phase", "event: stage\ndata: release=42&tranche=1&mode=cxnary&exposure=0.28&old_ms=310\n\n"},
-		{"no text", "\x00\x01\x02\n"},
+		{"release not a number", "event: stage\ndata: release=x\n\n"},
+		{"unknown phase", "event: stage\ndata: release=42&tranche=1&mode=cxnary&exposure=0.28&old_ms=310\n\n"},
+		{"binary data", "\x00\x01\x02\n"},
 		{"no state", "event: stage\n\n"},
 		{"no colon", "no colon\n"},
 	} {
@@ -119,7 +119,7 @@
 				go p.WatchReleases(ctx)
 				time.Sleep(2 * time.Second)
 				if n := opened.Load(); n < 3 || n > 9 {
-					t.Errorf("%q: opened %d times in 2 s", c.text, n)
+					t.Errorf("%q: stream opened %d times in 2s, want 3 to 9", c.text, n)
 				}
 				cancel()
 				a.close()
@@ -128,11 +128,11 @@
 	}
 }
 
-// openStreams counts the streams that are open at each of its addresses.
+// openStreams counts the open streams by address.
 type openStreams struct {
 	mu     sync.Mutex
 	open   map[string]int
-	silent string // the address that accepts and sends nothing
+	silent string // address that accepts connections and sends nothing
 }
 
 func (s *openStreams) add(address string, n int) {
@@ -147,7 +147,7 @@
 	return fmt.Sprint(maps.Clone(s.open))
 }
 
-// serve serves one stream at an address.
+// serve returns the function that serves streams at an address.
 func (s *openStreams) serve(address string) func(net.Conn) {
 	return func(conn net.Conn) {
 		request, err := http.ReadRequest(bufio.NewReader(conn))
@@ -167,8 +167,8 @@
 	}
 }
 
-// A move opens the new stream beside the old one, which stays until the new one sends something, however long that takes and
-// however many moves follow.
+// After a change of address, the new stream is opened while the old one is still open. The old stream is kept until the
+// new one delivers data, however long that takes and however often the address changes.
 func TestAddressMove(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		streams := &openStreams{open: map[string]int{}, silent: "b"}
@@ -188,15 +188,15 @@
 			want string
 		}{
 			{"none", func() {}, "map[b:0 c:0 control:1 e:0 list:1]"},
-			{"to one that accepts and sends nothing", func() { a.discovery.SetAddress("b") }, "map[b:1 c:0 control:1 e:0 list:1]"},
-			{"to nobody", func() { a.discovery.SetAddress("nowhere") }, "map[b:0 c:0 control:1 e:0 list:1]"},
-			{"to one that sends", func() { a.discovery.SetAddress("c") }, "map[b:0 c:1 control:1 e:0 list:0]"},
-			{"of the notices", func() { p.SetAddress("e") }, "map[b:0 c:1 control:0 e:1 list:0]"},
+			{"to a silent address", func() { a.discovery.SetAddress("b") }, "map[b:1 c:0 control:1 e:0 list:1]"},
+			{"to an address without a listener", func() { a.discovery.SetAddress("nowhere") }, "map[b:0 c:0 control:1 e:0 list:1]"},
+			{"to an address that sends", func() { a.discovery.SetAddress("c") }, "map[b:0 c:1 control:1 e:0 list:0]"},
+			{"of the release stream", func() { p.SetAddress("e") }, "map[b:0 c:1 control:0 e:1 list:0]"},
 		} {
 			c.move()
 			time.Sleep(controlConnectTimeout / 2)
 			if got := streams.String(); got != c.want {
-				t.Errorf("after a move %s: %v, want %v", c.name, got, c.want)
+				t.Errorf("after a move %s: open streams = %v, want %v", c.name, got, c.want)
 			}
 		}
 		cancel()
--- a/internal/httpwire/trace.go
+++ b/internal/httpwire/trace.go
@@ -9,10 +9,10 @@
 	"onyxgate/policy"
 )
 
-// The debug lines of this file follow one request by its id: accepted, the result of each attempt, and its answer. Where the
-// level is above debug they cost a comparison.
+// The functions in this file log the course of each request at debug level: its acceptance, the result of each attempt,
+// and its response. All lines carry the request's id. At higher levels they cost one comparison.
 
-// attemptResultNames are the words by which the results of attempts appear in the log.
+// attemptResultNames are the names of attempt results in the log.
 var attemptResultNames = [...]string{
 	policy.StatusServed:        "served",
 	policy.StatusErrored:       "error",
@@ -24,7 +24,7 @@
 	policy.StatusNotSent:       "unsent",
 }
 
-// answerNames are the words by which a request's end appears in the log.
+// answerNames are the names of a request's final action in the log.
 var answerNames = [...]string{
 	core.ActionSendAttempt: "attempt",
 	core.ActionServe:       "served",
@@ -33,7 +33,7 @@
 	core.ActionAbandon:     "client left",
 }
 
-// nameOf returns the word at an index of a table, or the number where the table has none: a log line must not fail a request.
+// nameOf returns the name at an index of a table, or a number if there is none: a missing name must not fail a request.
 func nameOf[T ~uint8 | ~int](names []string, index T) string {
 	if i := int(index); i >= 0 && i < len(names) && names[i] != "" {
 		return names[i]
@@ -43,7 +43,7 @@
 
 func traceEnabled() bool { return logrus.IsLevelEnabled(logrus.DebugLevel) }
 
-// traceAccepted logs that a request was handed to the core.
+// traceAccepted logs that a request was passed to the core.
 func traceAccepted(request *core.Request, parsed parsedRequest) {
 	if !traceEnabled() {
 		return
@@ -54,7 +54,7 @@
 	}).Debug("request")
 }
 
-// traceAttempt logs how an attempt ended, and at which release's backend. The error says why, nil where the backend answered.
+// traceAttempt logs the result of an attempt and the release of its backend. err is nil if the backend responded.
 func traceAttempt(attempt *core.Attempt, result policy.AttemptStatus, err error) {
 	if !traceEnabled() {
 		return
@@ -69,7 +69,7 @@
 	entry.Debug("attempt")
 }
 
-// traceAnswer logs a request's one answer and the reason for it.
+// traceAnswer logs the final action of a request and its reason.
 func traceAnswer(request *core.Request, action core.Action) {
 	if !traceEnabled() {
 		return
