--- a/internal/httpwire/trace_test.go
+++ b/internal/httpwire/trace_test.go
@@ -12,12 +12,12 @@
 	"onyxgate/policy"
 )
 
-// A request's whole course can be followed by its id at level debug, and nothing of it is logged above.
+// At level debug the log shows the whole course of a request under its id. At higher levels nothing about it is logged.
 func TestTrace(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		level logrus.Level
-		peer  string // the backend's answer
+		peer  string // the backend's response
 		want  []string
 	}{
 		{
@@ -41,37 +41,37 @@
 			for _, want := range c.want {
 				at := strings.Index(rest, want)
 				if at < 0 {
-					t.Fatalf("no %q, in this order, in:\n%s", want, log.String())
+					t.Fatalf("log lacks %q, or has it in another order:\n%s", want, log.String())
 				}
 				rest = rest[at:]
 			}
 			if c.want == nil && strings.Contains(rest, "r1") {
-				t.Errorf("logged at level info:\n%s", rest)
+				t.Errorf("log at level info mentions r1:\n%s", rest)
 			}
 		})
 	}
 }
 
-// A value that has no word yet is logged as a number.
+// A value without a name is logged as a number.
 func TestNameOf(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		result policy.AttemptStatus
 		want   string
 	}{
-		{"the first", policy.StatusServed, "served"},
-		{"the last", policy.StatusNotSent, "unsent"},
-		{"none", policy.StatusNotSent + 1, fmt.Sprintf("unknown (%d)", policy.StatusNotSent+1)},
+		{"first", policy.StatusServed, "served"},
+		{"last", policy.StatusNotSent, "unsent"},
+		{"unknown", policy.StatusNotSent + 1, fmt.Sprintf("unknown (%d)", policy.StatusNotSent+1)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := nameOf(attemptResultNames[:], c.result); got != c.want {
-				t.Errorf("%q, want %q", got, c.want)
+				t.Errorf("nameOf(%d) = %q, want %q", c.result, got, c.want)
 			}
 		})
 	}
 }
 
-// captureLog returns what is logged from here to the test's end, at this level.
+// captureLog captures the log at the given level until the test ends.
 func captureLog(t *testing.T, level logrus.Level) *bytes.Buffer {
 	t.Helper()
 	logger := logrus.StandardLogger()
@@ -88,7 +88,7 @@
 	return &log
 }
 
-// messageFirst orders a line's fields: the message, then the others by name.
+// messageFirst sorts the fields of a log line: the message first, then the others by name.
 func messageFirst(names []string) {
 	for i := range names {
 		for k := i; k > 0; k-- {
--- a/internal/httpwire/trackedconn.go
+++ b/internal/httpwire/trackedconn.go
@@ -11,38 +11,38 @@
 	"onyxgate/internal/invariant"
 )
 
-// trackedConn is a connection that counts against the budget until it is closed. The fields of a client's connection follow its
-// requests: they tell whether it may be closed to make room, and how long its request has been coming.
+// trackedConn is a connection that counts against the budget until it is closed. For a client connection it also tracks
+// the requests on it: whether the connection may be closed to make room, and when the current request began to arrive.
 type trackedConn struct {
 	net.Conn
 	sockets  *Sockets
 	isClient bool
-	rawConn  syscall.RawConn // a client's socket; nil: it has none
+	rawConn  syscall.RawConn // of a client connection; nil if it is not a socket
 	openedAt time.Time
 
-	// servedBefore tells that a request has been answered on it before, firstHeadRead that the head of the first one has come.
-	// Only the goroutine that serves the connection writes and reads them.
+	// servedBefore is set once a request has been answered on the connection, firstHeadRead once the head of the first
+	// request has been read. Only the goroutine that serves the connection accesses them.
 	servedBefore  bool
 	firstHeadRead bool
 
-	// What follows is guarded by sockets.mu.
+	// The fields below are guarded by sockets.mu.
 
 	closed          bool
-	evicted         bool      // given up without a byte of the next request, and nothing is read of it any more
-	betweenRequests bool      // no byte of the next request has come
-	requestStart    time.Time // when its first byte came; zero: unseen
+	evicted         bool      // closed while idle to make room; no more bytes are read
+	betweenRequests bool      // no byte of the next request has been read
+	requestStart    time.Time // when the first byte of the request was read; zero: not observed
 	idleList        *list.List
-	element         *list.Element // its place there; nil: it stands in none
+	element         *list.Element // the connection's entry in idleList; nil: not listed
 	listedAt        time.Time
 }
 
-// addTo appends the connection to one of the lists of those that carry no request. sockets.mu is held.
+// addTo appends the connection to one of the lists of idle connections. sockets.mu must be held.
 func (c *trackedConn) addTo(idle *list.List) {
 	c.idleList, c.listedAt = idle, time.Now()
 	c.element = idle.PushBack(c)
 }
 
-// removeFromList takes the connection off its list, if it stands in one. sockets.mu is held.
+// removeFromList removes the connection from its list, if it is in one. sockets.mu must be held.
 func (c *trackedConn) removeFromList() {
 	if c.element != nil {
 		c.idleList.Remove(c.element)
@@ -50,7 +50,7 @@
 	}
 }
 
-// onRead notes that n bytes have come of a client's request. sockets.mu is held.
+// onRead records that n bytes of a client's request were read. sockets.mu must be held.
 func (c *trackedConn) onRead(n int) {
 	if n <= 0 {
 		return
@@ -63,9 +63,9 @@
 	}
 }
 
-// Read ends the time in which the connection may be closed as idle: what has begun to come may be whole by the time that a close
-// arrives, and a request would be lost. Bytes leave a client's socket under the lock under which it is seen to be idle and given
-// up, so that one of the two comes first.
+// Read marks a client connection as no longer idle. Once a request has begun to arrive, the connection must not be
+// closed to make room: the request could be complete before the close arrives, and would be lost. Therefore bytes are
+// read from a client's socket under the same lock under which the connection is found idle and evicted.
 func (c *trackedConn) Read(b []byte) (n int, err error) {
 	if !c.isClient {
 		return c.Conn.Read(b)
@@ -75,7 +75,7 @@
 	}
 	waitErr := c.rawConn.Read(func(fd uintptr) (done bool) {
 		n, err = c.readSocket(int(fd), b)
-		return !errors.Is(err, syscall.EAGAIN) // else wait until the socket is readable
+		return !errors.Is(err, syscall.EAGAIN) // wait until the socket is readable
 	})
 	switch {
 	case waitErr != nil:
@@ -88,7 +88,7 @@
 	return n, nil
 }
 
-// readPlain reads from a client's connection that is no socket.
+// readPlain reads from a client connection that is not a socket.
 func (c *trackedConn) readPlain(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.sockets.mu.Lock()
@@ -97,7 +97,7 @@
 	return n, err
 }
 
-// readSocket takes what a client's socket has, without waiting, unless the connection was given up.
+// readSocket reads the bytes available on a client's socket without blocking. It fails if the connection was evicted.
 func (c *trackedConn) readSocket(fd int, b []byte) (n int, err error) {
 	c.sockets.mu.Lock()
 	defer c.sockets.mu.Unlock()
@@ -114,8 +114,8 @@
 	return n, err
 }
 
-// SetReadDeadline gives the head of a client's first request less time than the server allows any other: a bad client is owed a
-// close soon, and one that has been served is none.
+// SetReadDeadline allows less time for the head of the first request on a client connection than the server sets: the
+// protocol requires that connections of bad clients are closed soon. A client that has been served counts as good.
 func (c *trackedConn) SetReadDeadline(t time.Time) error {
 	isFirstHead := c.isClient && !c.servedBefore && !c.firstHeadRead
 	if latest := c.openedAt.Add(newConnHeadTimeout); isFirstHead && t.After(latest) {
@@ -124,7 +124,7 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// Close closes the connection and gives its place in the budget back, once.
+// Close closes the connection and returns its socket to the budget. Further calls do not change the budget.
 func (c *trackedConn) Close() error {
 	err := c.Conn.Close()
 	s := c.sockets
@@ -143,8 +143,8 @@
 	return err
 }
 
-// hasNoUnreadData tells that nothing waits to be read on a connection, its end included. It does not block. Of a connection that
-// is no socket it can't know, and says so too.
+// hasNoUnreadData reports whether nothing is waiting to be read on a connection, including its end of file. It does not
+// block. For a connection that is not a socket it can't know and returns true.
 func hasNoUnreadData(conn net.Conn) bool {
 	if tracked, ok := conn.(*trackedConn); ok {
 		conn = tracked.Conn
@@ -158,7 +158,7 @@
 		return false
 	}
 	isEmpty := false
-	// Control and not Read: a server's reader may be waiting on this connection, and Read would wait behind it.
+	// Control is used because Read would wait while a server's reader is blocked on this connection.
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
--- a/internal/httpwire/upstream.go
+++ b/internal/httpwire/upstream.go
@@ -1,11 +1,11 @@
 package httpwire
 
-// This file holds what the parts towards the backends share: the configuration of the upstream side and its state. The parts
-// are pool.go (connections kept for reuse), conn.go (one connection and one round trip on it), upstreamresponse.go (the parser),
-// attempt.go (one attempt and its outcome), loadprobe.go and loadreport.go.
+// Upstream's configuration and state. Its parts are pool.go (connection reuse), conn.go (one connection and a round
+// trip on it), upstreamresponse.go (the response parser), attempt.go (attempts and their outcome), loadprobe.go and
+// loadreport.go.
 //
-// The upstream side must never resend anything on its own, pick a backend, or give up before it is canceled: one call is one
-// attempt, and one result comes of it.
+// Upstream must never retry on its own, choose a backend, or abort a call before it is canceled: one call sends one
+// attempt and reports one result.
 
 import (
 	"context"
@@ -15,29 +15,29 @@
 	"onyxgate/internal/core"
 )
 
-// Dial opens one connection to an address. It returns early with an error when ctx ends.
+// Dial opens a connection to an address. It returns early with an error when ctx is done.
 type Dial func(ctx context.Context, address string) (net.Conn, error)
 
-// UpstreamConfig says how backends are reached and where they report their load.
+// UpstreamConfig configures how backends are reached and how they report their load.
 type UpstreamConfig struct {
 	Core    *core.Core
 	Dial    Dial
-	Sockets *Sockets // the budget that connections to backends share with those of clients
+	Sockets *Sockets // the budget shared by client and backend connections
 
-	// BackendAddress is where a backend listens; empty: the backend is not in the endpoint list.
+	// BackendAddress returns the address of a backend, or "" if the backend is not in the endpoint list.
 	BackendAddress func(backend string) string
 
-	ConnectTimeout time.Duration // for a connection to come up
+	ConnectTimeout time.Duration // for establishing a connection
 
-	// BackendIdleTimeout is how long backends keep an idle connection open. Ours are closed after half of it: one that the
-	// backend closed at the very moment of its reuse would look like a failure of the backend.
+	// BackendIdleTimeout is how long backends keep an idle connection open. Connections are closed here after half of
+	// it: if a backend closed one just as it is reused, that would look like a failure of the backend.
 	BackendIdleTimeout time.Duration
 
 	LoadOnResponses bool // backends report their load with each response
-	LoadOnProbes    bool // backends report their load when they are probed
+	LoadOnProbes    bool // backends report their load in responses to probes
 }
 
-// Upstream sends attempts and load probes to backends. Its methods may be called by any goroutine.
+// Upstream sends attempts and load probes to backends. Its methods are safe for concurrent use.
 type Upstream struct {
 	core            *core.Core
 	address         func(backend string) string
@@ -46,7 +46,7 @@
 	loadOnProbes    bool
 }
 
-// NewUpstream returns an Upstream that holds no connection yet. Sweep has to run for idle connections to be closed in time.
+// NewUpstream returns an Upstream without connections. Sweep must run for idle connections to be closed in time.
 func NewUpstream(config UpstreamConfig) *Upstream {
 	conns := &connPools{
 		dial:           config.Dial,
@@ -66,12 +66,12 @@
 	}
 }
 
-// Sweep closes connections that have been idle for too long, until ctx ends; then it closes all idle ones and returns.
+// Sweep closes connections that have been idle for too long until ctx is done, then closes all idle ones and returns.
 func (u *Upstream) Sweep(ctx context.Context) { u.conns.sweep(ctx) }
 
-// CloseAddress ends what leads to an address at which another backend runs now, or none: idle connections at once, those that
-// are in use or coming up as soon as their call has ended.
+// CloseAddress closes the connections to an address at which the same backend no longer runs: idle ones at once, those
+// in use or being dialed at the end of their call.
 func (u *Upstream) CloseAddress(address string) { u.conns.closeAddress(address) }
 
-// Connections counts the connections opened so far, those idle now, and the calls for which no socket was left.
+// Connections returns the number of connections opened so far, of idle ones, and of calls for which no socket was left.
 func (u *Upstream) Connections() (opened, idle, noSocket int) { return u.conns.counts() }
--- a/internal/httpwire/upstreamresponse.go
+++ b/internal/httpwire/upstreamresponse.go
@@ -1,7 +1,7 @@
 package httpwire
 
-// This file parses responses by hand: net/http's reader, with its table of headers, took a tenth of a request's cost. It takes
-// what the protocol says that good responses are, and nothing else: a spoilt one must never pass for a good one.
+// This parser replaces http.ReadResponse, whose header map took a tenth of the cost of a request. It accepts only what
+// the protocol allows in a valid response: a corrupted response must never be taken for a valid one.
 
 import (
 	"bytes"
@@ -14,8 +14,8 @@
 
 const (
 	httpVersion    = "HTTP/1.1 "
-	maxBodyBytes   = 64 << 10 // of a request and of a response
-	maxHeaderLines = 64       // in a response, none longer than the reader's buffer
+	maxBodyBytes   = 64 << 10 // of a request or a response
+	maxHeaderLines = 64       // of a response; the length of each line is limited by the reader's buffer
 )
 
 var (
@@ -23,25 +23,25 @@
 	errResponseTooLong   = errors.New("response too long")
 )
 
-// upstreamResponse is a response's body and what its head says that matters here.
+// upstreamResponse holds the body of a response and the parts of its head that are used here.
 type upstreamResponse struct {
 	status        int
 	contentType   string
-	loadReport    string // Srv-Load; empty where it is absent or there is more than one
-	declined      bool   // Srv-Declined: the backend has not run the request
-	closes        bool   // the backend closes the connection after it
-	contentLength int64  // -1: not stated
+	loadReport    string // Srv-Load; empty if it is absent or repeated
+	declined      bool   // Srv-Declined: the backend did not run the request
+	closes        bool   // the backend closes the connection after this response
+	contentLength int64  // -1: no Content-Length
 	chunked       bool
 	body          []byte
 
-	loadReports int // how many Srv-Load headers there were
+	loadReports int // number of Srv-Load headers
 }
 
-// interim reports whether another response follows for the same request.
+// interim reports whether another response to the same request follows.
 func (r upstreamResponse) interim() bool { return r.status < 200 }
 
-// readResponse reads one response. An error is errMalformedResponse, errResponseTooLong or the connection's; the response holds
-// what had been read before it.
+// readResponse reads one response. The error is errMalformedResponse, errResponseTooLong or an error of the connection;
+// the response then holds what was parsed before it.
 func (c *conn) readResponse() (upstreamResponse, error) {
 	r := upstreamResponse{contentLength: -1}
 	err := c.readStatusLine(&r)
@@ -93,12 +93,12 @@
 	}
 }
 
-// setHeader keeps one header, where it matters here.
+// setHeader records one header if it is used here.
 func (r *upstreamResponse) setHeader(name, value []byte) error {
 	switch {
 	case bytes.EqualFold(name, []byte("Content-Length")):
 		length, ok := parseDigits(value)
-		if !ok || r.contentLength >= 0 { // a second one, even of the same value, could hide where the response ends
+		if !ok || r.contentLength >= 0 { // a repeated length, even an equal one, makes the end of the response ambiguous
 			return errMalformedResponse
 		}
 		r.contentLength = length
@@ -113,7 +113,7 @@
 		r.contentType = string(value)
 	case bytes.EqualFold(name, []byte("Srv-Load")):
 		r.loadReport = string(value)
-		if r.loadReports++; r.loadReports > 1 { // which of them is true can't be told
+		if r.loadReports++; r.loadReports > 1 { // the reports may contradict each other
 			r.loadReport = ""
 		}
 	case bytes.EqualFold(name, []byte("Srv-Declined")):
@@ -131,7 +131,7 @@
 			return errMalformedResponse
 		}
 		return nil
-	case r.chunked == hasLength: // both, or neither: where the response ends can't be told
+	case r.chunked == hasLength: // both or neither: the end of the response is ambiguous
 		return errMalformedResponse
 	case r.chunked:
 		return c.readChunks(r)
@@ -143,7 +143,7 @@
 	return err
 }
 
-// readChunks reads a chunked body and the empty line behind it.
+// readChunks reads a chunked body and the empty line after it.
 func (c *conn) readChunks(r *upstreamResponse) error {
 	var err error
 	r.body, err = io.ReadAll(io.LimitReader(httputil.NewChunkedReader(c.in), maxBodyBytes+1))
@@ -157,13 +157,13 @@
 	if err != nil {
 		return err
 	}
-	if len(line) > 0 { // a trailer; good responses have none
+	if len(line) > 0 { // valid responses have no trailers
 		return errMalformedResponse
 	}
 	return nil
 }
 
-// readLine reads one line without its end, which is CR LF. What it returns holds until the next read.
+// readLine reads one line and returns it without its CR LF. The slice is valid until the next read.
 func (c *conn) readLine() ([]byte, error) {
 	line, err := c.in.ReadSlice('\n')
 	if err != nil {
@@ -175,7 +175,7 @@
 	return line[:len(line)-2], nil
 }
 
-// parseDigits reads a number of plain digits, few enough not to overflow.
+// parseDigits parses an unsigned decimal number that is short enough not to overflow.
 func parseDigits(b []byte) (n int64, ok bool) {
 	for _, d := range b {
 		if d < '0' || d > '9' {
@@ -186,7 +186,7 @@
 	return n, len(b) > 0 && len(b) <= 18
 }
 
-// isHeaderName reports whether a name is one by HTTP's grammar.
+// isHeaderName reports whether b is a valid header name in HTTP's grammar.
 func isHeaderName(b []byte) bool {
 	for _, c := range b {
 		letter := c|0x20 >= 'a' && c|0x20 <= 'z'
@@ -198,7 +198,7 @@
 	return len(b) > 0
 }
 
-// isText reports whether a line holds nothing but printable characters and tabs.
+// isText reports whether b consists only of printable ASCII characters and tabs.
 func isText(b []byte) bool {
 	for _, c := range b {
 		if c < ' ' && c != '\t' || c >= 0x7f {
--- a/internal/httpwire/upstreamresponse_test.go
+++ b/internal/httpwire/upstreamresponse_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// Whatever bytes come, the parser withstands them, and takes nothing that is too long or begins otherwise.
+// The parser must not panic on any input, and must not accept a response that is too long or does not start with a valid
+// version and status.
 func FuzzReadResponse(f *testing.F) {
 	whole := "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody"
 	for _, seed := range []string{
@@ -20,7 +21,7 @@
 		c := &conn{in: bufio.NewReader(bytes.NewReader(text))}
 		r, err := c.readResponse()
 		if err == nil && (r.status < 100 || r.status > 599 || len(r.body) > maxBodyBytes || !bytes.HasPrefix(text, []byte(httpVersion))) {
-			t.Errorf("%+v", r)
+			t.Errorf("readResponse accepted %q as %+v, want status 100 to 599, at most %d body bytes and prefix %q", text, r, maxBodyBytes, httpVersion)
 		}
 	})
 }
--- a/internal/httpwire/validate.go
+++ b/internal/httpwire/validate.go
@@ -8,29 +8,30 @@
 	"onyxgate/policy"
 )
 
-// maxTokenBytes bounds an id and an idempotency key.
+// maxTokenBytes limits the length of a request id and of an idempotency key.
 const maxTokenBytes = 256
 
-// maxTimeLeftMs is the longest time that a client may give a request.
+// maxTimeLeftMs is the longest timeout that a client may set.
 const maxTimeLeftMs = 24 * 3600 * 1000
 
-// parsedRequest is what the head of a valid request says.
+// parsedRequest holds the parsed head of a valid request.
 type parsedRequest struct {
 	id             string
 	idempotencyKey string
 	class          class
 	className      string
-	key            string  // requests with one key belong together; empty: it has none
-	retry          bool    // the client marks it as a repeat
-	timeLeft       float64 // ms, from the request's first byte on
+	key            string  // affinity key; empty: none
+	retry          bool    // the client marked the request as a retry
+	timeLeft       float64 // ms from the first byte of the request
 	bodyBytes      int64
 }
 
-// validationError says what is wrong with a request, in the words of the answer. Neither the core nor a backend has seen such a request.
+// validationError describes why a request is invalid, and the response to it. Invalid requests reach neither the core
+// nor a backend.
 type validationError struct {
 	status int
-	text   string // the answer's body
-	allow  string // the answer's header Allow; empty: none
+	text   string // body of the response
+	allow  string // Allow header of the response; empty: none
 }
 
 func (e *validationError) Error() string { return e.text }
@@ -49,16 +50,16 @@
 	errDuplicateID        = &validationError{status: http.StatusBadRequest, text: "this id is held already"}
 )
 
-// requestParser applies the rules of a request's form.
+// requestParser validates the head of one request.
 type requestParser struct {
 	request *http.Request
 	classes map[string]class
-	path    []string // the elements of its path, the first one empty
+	path    []string // path elements; the first one is empty
 	parsed  parsedRequest
 }
 
-// requestRules are applied in this order, and the first one that a request breaks is its answer. A rule that needs the class or
-// what follows from it stands behind readClass.
+// requestRules are applied in this order, and the first violated rule determines the response. Rules that depend on the
+// request's class must follow readClass.
 var requestRules = [...]func(*requestParser) error{
 	(*requestParser).checkTransferCoding,
 	(*requestParser).checkVersion,
@@ -72,7 +73,8 @@
 	(*requestParser).readBodyBytes,
 }
 
-// parseRequest reads a request's head. The error is a *validationError, and then nothing of the request may go further.
+// parseRequest parses a request head. The error is a *validationError, and the request must not be processed further
+// then.
 func (f *Front) parseRequest(r *http.Request, path string) (parsedRequest, error) {
 	p := requestParser{request: r, classes: f.classes, path: strings.Split(path, "/")}
 	for _, rule := range requestRules {
@@ -87,8 +89,8 @@
 	return p.parsed, nil
 }
 
-// checkTransferCoding: clients of the protocol state lengths. Beside a length a coding may hide another request, and the server
-// drops the length.
+// checkTransferCoding rejects all transfer codings, because clients of the protocol send Content-Length. If a request
+// has both, the coding may hide another request in the body, and net/http drops the length.
 func (p *requestParser) checkTransferCoding() error {
 	if len(p.request.TransferEncoding) > 0 {
 		return errTransferCoding
@@ -96,7 +98,8 @@
 	return nil
 }
 
-// checkVersion: of HTTP/1.0 the server drops a coding unseen, so that checkTransferCoding would not find it.
+// checkVersion rejects HTTP/1.0, for which net/http silently drops the transfer coding that checkTransferCoding looks
+// for.
 func (p *requestParser) checkVersion() error {
 	if p.request.ProtoMajor != 1 || p.request.ProtoMinor != 1 {
 		return errHTTPVersion
@@ -104,7 +107,7 @@
 	return nil
 }
 
-// readClass: the class is the first element of the path. OPTIONS * and the like have no path.
+// readClass looks up the class named by the first element of the path. OPTIONS * and the like have no path.
 func (p *requestParser) readClass() error {
 	isPath := p.path[0] == "" && len(p.path) > 1
 	if !isPath {
@@ -119,7 +122,7 @@
 	return nil
 }
 
-// method is the one method of the request's class.
+// method returns the only method allowed for the request's class.
 func (p *requestParser) method() string {
 	if p.parsed.class.semantics == policy.Safe {
 		return http.MethodGet
@@ -153,7 +156,7 @@
 	return nil
 }
 
-// readIdempotencyKey: only idempotent requests must have one. On others it is passed on as it came.
+// readIdempotencyKey requires a key on idempotent requests only. On other requests the key is forwarded unchecked.
 func (p *requestParser) readIdempotencyKey() error {
 	key, single := singleValue(p.request.Header, "Idempotency-Key")
 	if p.parsed.class.semantics == policy.Idempotent && (!single || !isToken(key)) {
@@ -185,7 +188,8 @@
 	return nil
 }
 
-// singleValue returns the value of a header that stands exactly once: of two, a backend might read the other one.
+// singleValue returns the value of a header that occurs exactly once. If there were two, a backend might use the other
+// one.
 func singleValue(header http.Header, name string) (value string, single bool) {
 	values := header[name]
 	if len(values) != 1 {
@@ -194,14 +198,16 @@
 	return values[0], true
 }
 
-// isToken tells that a header's value is one printable word of at most maxTokenBytes.
+// isToken reports whether a header value is a non-empty string of printable ASCII characters other than space, of at
+// most maxTokenBytes.
 func isToken(value string) bool {
 	isPrintable := !strings.ContainsFunc(value, func(c rune) bool { return c <= ' ' || c > '~' })
 	return value != "" && len(value) <= maxTokenBytes && isPrintable
 }
 
-// parseTimeLeft reads a number with its unit, 250m (milliseconds) or 250000u (microseconds), and returns milliseconds. The number
-// has digits and at most one point, and nothing else that ParseFloat would take: no sign, exponent, hexadecimal, NaN or infinity.
+// parseTimeLeft parses a number with its unit, such as 250m (milliseconds) or 250000u (microseconds), into
+// milliseconds. The number consists of digits and at most one decimal point. Other forms that ParseFloat accepts are
+// invalid: a sign, an exponent, hexadecimal, NaN or infinity.
 func parseTimeLeft(text string) (ms float64, ok bool) {
 	number, unitsPerMs := strings.TrimRight(text, "mu"), 1.0
 	switch strings.TrimPrefix(text, number) {
--- a/internal/httpwire/validate_test.go
+++ b/internal/httpwire/validate_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A time is a plain number with its unit, and no other form that a number may have.
+// A timeout is a plain decimal number with a unit; other forms of numbers are rejected.
 func TestParseTimeLeft(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
@@ -35,16 +35,16 @@
 		t.Run(c.name, func(t *testing.T) {
 			ms, ok := parseTimeLeft(c.text)
 			if ok != c.ok {
-				t.Fatalf("%q: taken %v, want %v", c.text, ok, c.ok)
+				t.Fatalf("parseTimeLeft(%q) accepted = %v, want %v", c.text, ok, c.ok)
 			}
 			if ok && ms != c.ms {
-				t.Errorf("%q: %v ms, want %v", c.text, ms, c.ms)
+				t.Errorf("parseTimeLeft(%q) = %v ms, want %v", c.text, ms, c.ms)
 			}
 		})
 	}
 }
 
-// An id or idempotency key is one printable word of sane length.
+// A request id or idempotency key is a word of printable ASCII characters with limited length.
 func TestIsToken(t *testing.T) {
 	for _, c := range []struct {
 		name, value string
@@ -62,7 +62,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := isToken(c.value); got != c.want {
-				t.Errorf("%q: %v, want %v", c.value, got, c.want)
+				t.Errorf("isToken(%q) = %v, want %v", c.value, got, c.want)
 			}
 		})
 	}
--- a/internal/httpwire/votes.go
+++ b/internal/httpwire/votes.go
@@ -1,6 +1,6 @@
 package httpwire
 
-// This file sends votes, one after the other on one connection, and says by the protocol's table what a response means.
+// Votes are sent one after the other on one connection. The protocol's table defines what the responses mean.
 
 import (
 	"context"
@@ -16,13 +16,13 @@
 )
 
 const (
-	voteQueueSize = 64 // votes that may wait for SendVotes
+	voteQueueSize = 64 // votes that can be queued for SendVotes
 
-	// voteConnMaxIdle is for how long the votes' connection is reused: the platform closes an idle one after up to 10 s.
+	// voteConnMaxIdle is how long an idle vote connection can be reused. The platform closes one after up to 10 s.
 	voteConnMaxIdle = 4 * time.Second
 )
 
-// verdictWords and voteResponseWords are the words of the wire and of the log.
+// verdictWords and voteResponseWords are the names on the wire and in the log.
 var (
 	verdictWords = map[policy.Verdict]string{
 		policy.NoVerdict: "abstain",
@@ -38,8 +38,8 @@
 	}
 )
 
-// errVoteNotCounted is what the platform said by one of its codes.
-var errVoteNotCounted = errors.New("the platform did not count the vote")
+// errVoteNotCounted reports that the platform responded with one of the codes in uncountedResponses.
+var errVoteNotCounted = errors.New("vote not counted by the platform")
 
 // vote is one vote on a stage of a release.
 type vote struct {
@@ -48,13 +48,13 @@
 	stage   int
 }
 
-// platformCode is a status with the code that the platform sends with it.
+// platformCode is an HTTP status with the error code in the body.
 type platformCode struct {
 	status int
 	code   string
 }
 
-// uncountedResponses are the responses that say for certain that a vote does not count.
+// uncountedResponses are the responses which guarantee that a vote was not counted.
 var uncountedResponses = map[platformCode]policy.VoteResponse{
 	{http.StatusBadRequest, "STALE"}:           policy.VoteOutdated,
 	{http.StatusBadRequest, "BUSY"}:            policy.VoteRefused,
@@ -62,23 +62,23 @@
 	{http.StatusInternalServerError, "FAILED"}: policy.VoteRefused,
 }
 
-// SendVote queues a vote for SendVotes. It never waits; where the queue is full, the vote is reported as refused.
+// SendVote queues a vote for SendVotes. It does not block: if the queue is full, the vote is reported as refused.
 func (p *Platform) SendVote(release policy.ReleaseID, verdict policy.Verdict, stage int) {
 	select {
 	case p.votes <- vote{release, verdict, stage}:
 	default:
-		// On a goroutine of its own, which ends with the report: the decisions that called are at work, and the report waits
-		// for them.
+		// The caller runs inside the core, and the report has to wait for it to return. So it needs a goroutine, which
+		// ends with the report.
 		go p.reportResponse(policy.VoteRefused)
 	}
 }
 
-// reportResponse tells the decisions of a response that holds no release's state.
+// reportResponse reports a vote response without a release state to the core.
 func (p *Platform) reportResponse(response policy.VoteResponse) {
 	p.core.UpdateRelease(policy.ReleaseUpdate{Response: response})
 }
 
-// SendVotes sends the votes in turn until ctx ends.
+// SendVotes sends the queued votes one after the other until ctx is done.
 func (p *Platform) SendVotes(ctx context.Context) {
 	defer p.closeVoteConn()
 	for {
@@ -91,7 +91,7 @@
 	}
 }
 
-// sendVote sends one vote and tells the decisions what became of it.
+// sendVote sends one vote and reports its result to the core.
 func (p *Platform) sendVote(ctx context.Context, v vote) {
 	entry := logrus.WithFields(logrus.Fields{"release": v.release, "stage": v.stage, "ruling": verdictWords[v.verdict]})
 	response, state, err := p.castVote(ctx, v)
@@ -104,8 +104,8 @@
 	entry.WithField("response", voteResponseWords[response]).Info("vote")
 }
 
-// castVote sends one vote and returns what its response means. Only with VoteCounted is there a state; with any other response
-// the error says why.
+// castVote sends one vote and returns the meaning of its response. The state is set for VoteCounted only; for any other
+// response the error gives the reason.
 func (p *Platform) castVote(ctx context.Context, v vote) (policy.VoteResponse, releaseState, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.voteTimeout)
 	defer cancel()
@@ -116,7 +116,8 @@
 	stop := context.AfterFunc(ctx, c.Cancel)
 	r, err := c.roundTrip(voteRequest(p.voteConnAddress, v))
 	response, state, outcomeErr := voteOutcome(r, err)
-	// A late response must not pass for the next vote's, and after one that can't be read nothing can be told from noise.
+	// A late response must not be taken for the response to the next vote, and after a malformed one the rest of the
+	// connection can't be trusted.
 	inTime := stop()
 	if !inTime || response == policy.VoteUnanswered || !c.reusable(r) {
 		p.closeVoteConn()
@@ -126,7 +127,7 @@
 	return response, state, outcomeErr
 }
 
-// openVoteConn has a connection ready for the next vote: the one before, where it can be reused, or a new one.
+// openVoteConn ensures that there is a connection for the next vote: the previous one if it is reusable, or a new one.
 func (p *Platform) openVoteConn(ctx context.Context) error {
 	address := p.currentAddress()
 	if p.voteConn != nil && !p.voteConnReusable(address) {
@@ -143,8 +144,9 @@
 	return nil
 }
 
-// voteConnReusable reports whether the open connection may carry the next vote to an address. A second copy of the last response
-// may still be on its way for a moment, and would pass for this vote's.
+// voteConnReusable reports whether the open connection can be used for the next vote to an address. It must have been
+// idle for minReuseDelay: a second copy of the last response may still arrive until then, and would be taken for the
+// next response.
 func (p *Platform) voteConnReusable(address string) bool {
 	idleFor := time.Since(p.voteConn.idleSince)
 	idleTimeInRange := idleFor >= minReuseDelay && idleFor <= voteConnMaxIdle
@@ -165,7 +167,8 @@
 		"\r\n\r\n" + form)
 }
 
-// voteOutcome says by the protocol's table what became of a vote. What can't be read may have been carried out.
+// voteOutcome derives the result of a vote from the response by the protocol's table. If the response can't be parsed,
+// the vote may have been counted.
 func voteOutcome(r upstreamResponse, err error) (policy.VoteResponse, releaseState, error) {
 	if errors.Is(err, errNotWritten) {
 		return policy.VoteRefused, releaseState{}, err
@@ -186,7 +189,7 @@
 	}
 	code := leaves.text("Code")
 	if response, known := uncountedResponses[platformCode{r.status, code}]; known {
-		return response, releaseState{}, fmt.Errorf("%w: %s", errVoteNotCounted, code)
+		return response, releaseState{}, fmt.Errorf("%w: code %s", errVoteNotCounted, code)
 	}
-	return policy.VoteUnanswered, releaseState{}, fmt.Errorf("status %d, code %q", r.status, code)
+	return policy.VoteUnanswered, releaseState{}, fmt.Errorf("unexpected vote response: status %d, code %q", r.status, code)
 }
--- a/internal/httpwire/xmlleaves.go
+++ b/internal/httpwire/xmlleaves.go
@@ -1,6 +1,6 @@
 package httpwire
 
-// This file reads the platform's XML documents, of which only the texts of the innermost elements matter.
+// The parser for the platform's XML documents, of which only the text of leaf elements is used.
 
 import (
 	"bytes"
@@ -10,15 +10,15 @@
 	"strings"
 )
 
-var errEmptyDocument = errors.New("an answer that says nothing")
+var errEmptyDocument = errors.New("XML document without text")
 
-// xmlLeaves are the texts of a document by the name of their element. Of several with one name the last counts.
+// xmlLeaves maps the names of a document's leaf elements to their text. If a name is repeated, the last element counts.
 type xmlLeaves map[string]string
 
-// text is an element's text without space around it; empty where there is no such element.
+// text returns the text of an element without surrounding space, or "" if there is no such element.
 func (l xmlLeaves) text(name string) string { return l[name] }
 
-// parseXMLLeaves reads a document to its end.
+// parseXMLLeaves parses a whole document.
 func parseXMLLeaves(document []byte) (xmlLeaves, error) {
 	leaves := xmlLeaves{}
 	decoder, element := xml.NewDecoder(bytes.NewReader(document)), ""
