--- a/internal/httpwire/answers_test.go
+++ b/internal/httpwire/answers_test.go
@@ -61,19 +61,19 @@
 }
 
 func answerCases() []answerCase {
-	return slices.Concat(healthAnswers(), acceptedAnswers(), badInputAnswers(), interceptedAnswers())
+	return slices.Concat(healthAnswers(), acceptedAnswers(), invalidRequestAnswers(), interceptedAnswers())
 }
 
-func closeConns(a *testInstance) { a.front.closingConns.Store(true) }
+func closeConns(instance *testInstance) { instance.front.closingConns.Store(true) }
 
 func healthAnswers() []answerCase {
-	ready := func(a *testInstance) { a.front.SetReady() }
+	ready := func(instance *testInstance) { instance.front.SetReady() }
 	return []answerCase{
 		{name: "ready", text: requestText("GET /up"), prepare: ready},
 		{name: "ready, HEAD", text: requestText("HEAD /up"), prepare: ready},
-		{name: "ready, connections end with their request", text: requestText("GET /up"), prepare: func(a *testInstance) {
-			ready(a)
-			closeConns(a)
+		{name: "ready, connections end with their request", text: requestText("GET /up"), prepare: func(instance *testInstance) {
+			ready(instance)
+			closeConns(instance)
 		}},
 		{name: "not ready", text: requestText("GET /up")},
 		{name: "health by another method", text: requestText("POST /up", "Content-Length: 0"), prepare: ready},
@@ -86,8 +86,10 @@
 	untyped := answerOnce("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	big := answerOnce("HTTP/1.1 200 OK\r\nContent-Length: 4100\r\n\r\n" + strings.Repeat("x", 4100))
 	rejected := answerOnce("HTTP/1.1 503 E\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
-	panics := func(a *testInstance) { a.upstream.address = func(string) string { panic("injected panic") } }
-	noRoom := func(a *testInstance) { a.front.maxBodyBytes = -1 }
+	panics := func(instance *testInstance) {
+		instance.upstream.address = func(string) string { panic("injected panic") }
+	}
+	noRoom := func(instance *testInstance) { instance.front.maxBodyBytes = -1 }
 	return []answerCase{
 		{name: "served", text: validRequest, backend: served},
 		{name: "served, without a type", text: validRequest, backend: untyped},
@@ -97,13 +99,13 @@
 		{name: "nobody there", text: validRequest},
 		{name: "no room", text: validRequest, prepare: noRoom},
 		{name: "the handler fails", text: validRequest, prepare: panics},
-		{name: "an id held already", text: validRequest, prepare: func(a *testInstance) {
-			a.core.Accept(core.IncomingRequest{ID: "r1", ArrivedAt: a.core.Now(), TimeLeft: 9000})
+		{name: "an id held already", text: validRequest, prepare: func(instance *testInstance) {
+			instance.core.Accept(core.IncomingRequest{ID: "r1", ArrivedAt: instance.core.Now(), TimeLeft: 9000})
 		}},
 	}
 }
 
-func badInputAnswers() []answerCase {
+func invalidRequestAnswers() []answerCase {
 	id, deadline, key := "Req-Id: r", "Req-Deadline: 500m", "Idempotency-Key: m"
 	return []answerCase{
 		{name: "HTTP/1.0", text: strings.Replace(requestText("GET /look/x", id, deadline), "/1.1", "/1.0", 1)},
--- a/internal/httpwire/attempt_test.go
+++ b/internal/httpwire/attempt_test.go
@@ -30,19 +30,19 @@
 	for _, c := range slices.Concat(responseOutcomes(), malformedOutcomes(), unfinishedOutcomes(), connectionOutcomes()) {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				a := newTestInstance(network{"app:1": c.peer}, NewSockets(0))
+				instance := newTestInstance(network{"app:1": c.peer}, NewSockets(0))
 				from := time.Now()
-				resp, body := a.roundTrip(t, validRequest)
+				resp, body := instance.roundTrip(t, validRequest)
 				if resp.StatusCode != c.status || c.status == 200 && body != "body" {
 					t.Errorf("response = %d %q, want status %d (with body %q for status 200)", resp.StatusCode, body, c.status, "body")
 				}
-				if n := a.core.Counts(); n.AttemptsByStatus[c.result] != 1 || n.OpenRequests != 0 || n.OpenAttempts != 0 {
+				if n := instance.core.Counts(); n.AttemptsByStatus[c.result] != 1 || n.OpenRequests != 0 || n.OpenAttempts != 0 {
 					t.Errorf("counts = %+v, want one attempt with status %d, and nothing open", n, c.result)
 				}
 				if took := time.Since(from); took > 2*time.Second || c.result == policy.StatusReset && took > responseReadTimeout {
 					t.Errorf("response after %v, want at most 2s, or %v for a reset", took, responseReadTimeout)
 				}
-				a.close()
+				instance.close()
 			})
 		})
 	}
@@ -142,14 +142,14 @@
 func TestRequestForwarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var got bytes.Buffer
-		a := newTestInstance(network{"app:1": func(conn net.Conn) {
+		instance := newTestInstance(network{"app:1": func(conn net.Conn) {
 			request, err := http.ReadRequest(bufio.NewReader(io.TeeReader(conn, &got)))
 			if err == nil {
 				drain(request.Body)
 				send(conn, "HTTP/1.1 200 OK\r\nContent-Type: a/b\r\nContent-Length: 2\r\n\r\nhi")
 			}
 		}}, NewSockets(0))
-		resp, body := a.roundTrip(t, "POST /save/a%2Fb?x=%31&y HTTP/1.1\r\nHost: h\r\nReq-Id: Q1\r\nReq-Deadline: 480m\r\n"+
+		resp, body := instance.roundTrip(t, "POST /save/a%2Fb?x=%31&y HTTP/1.1\r\nHost: h\r\nReq-Id: Q1\r\nReq-Deadline: 480m\r\n"+
 			"Idempotency-Key: MiXed\r\nKeep-Alive: 1\r\nContent-Length: 5\r\n\r\nab\x00cd")
 		text := got.String()
 		for _, want := range []string{
@@ -164,6 +164,6 @@
 			t.Errorf("forwarded request %q, response %q of type %q; want no Keep-Alive, response %q of type a/b",
 				text, body, resp.Header.Get("Content-Type"), "hi")
 		}
-		a.close()
+		instance.close()
 	})
 }
--- a/internal/httpwire/discovery.go
+++ b/internal/httpwire/discovery.go
@@ -74,7 +74,7 @@
 	mu         sync.RWMutex // guards the fields below
 	address    string
 	generation int // number of changes of the address so far
-	held       listPosition
+	current    listPosition
 	directory  directory
 }
 
@@ -120,7 +120,7 @@
 func (d *Discovery) Version() (version int64, backends int) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	return d.held.version, len(d.directory.addressOf)
+	return d.current.version, len(d.directory.addressOf)
 }
 
 // Refresh asks Run to fetch a snapshot, or to open the watch if it is not open. It does not block: if too many requests
@@ -153,7 +153,7 @@
 func (d *Discovery) position() (address string, generation int, version int64) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	return d.address, d.generation, d.held.version
+	return d.address, d.generation, d.current.version
 }
 
 // Run follows discovery until ctx is done. The goroutines that it starts end at that time or earlier.
--- a/internal/httpwire/discovery_test.go
+++ b/internal/httpwire/discovery_test.go
@@ -42,16 +42,16 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				a := newTestInstance(network{}, NewSockets(0))
+				instance := newTestInstance(network{}, NewSockets(0))
 				vacated := []string{}
-				a.discovery.OnAddressVacated(func(address string) { vacated = append(vacated, address) })
-				err := a.discovery.Apply([]byte(c.text), FromWatch, func() {})
-				addresses := a.discovery.BackendAddress("s") + " " + a.discovery.BackendAddress("u")
+				instance.discovery.OnAddressVacated(func(address string) { vacated = append(vacated, address) })
+				err := instance.discovery.Apply([]byte(c.text), FromWatch, func() {})
+				addresses := instance.discovery.BackendAddress("s") + " " + instance.discovery.BackendAddress("u")
 				if (err != nil) != c.wantErr || addresses != c.addresses || fmt.Sprint(vacated) != c.vacated {
 					t.Errorf("error %v (want an error: %v); addresses %q, want %q; vacated %v, want %s",
 						err, c.wantErr, addresses, c.addresses, vacated, c.vacated)
 				}
-				a.close()
+				instance.close()
 			})
 		})
 	}
--- a/internal/httpwire/front.go
+++ b/internal/httpwire/front.go
@@ -81,14 +81,14 @@
 // beginRequest counts a request as open until the returned function is called.
 func (f *Front) beginRequest() (end func()) {
 	f.openRequests.Add(1)
-	f.noteActivity()
+	f.recordActivity()
 	return func() {
-		f.noteActivity()
+		f.recordActivity()
 		f.openRequests.Add(-1)
 	}
 }
 
-func (f *Front) noteActivity() { f.lastActivity.Store(int64(time.Since(f.startedAt))) }
+func (f *Front) recordActivity() { f.lastActivity.Store(int64(time.Since(f.startedAt))) }
 
 // sinceActivity returns the time since a request last began or ended.
 func (f *Front) sinceActivity() time.Duration {
--- a/internal/httpwire/front_test.go
+++ b/internal/httpwire/front_test.go
@@ -56,19 +56,19 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				a := newTestInstance(network{"app:1": answerOnce("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")}, NewSockets(0))
+				instance := newTestInstance(network{"app:1": answerOnce("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")}, NewSockets(0))
 				from := time.Now()
-				resp, _ := a.roundTrip(t, c.text)
-				if n := a.core.Counts(); resp.StatusCode != c.status || n.Accepted != c.accepted || n.OpenRequests != 0 {
+				resp, _ := instance.roundTrip(t, c.text)
+				if n := instance.core.Counts(); resp.StatusCode != c.status || n.Accepted != c.accepted || n.OpenRequests != 0 {
 					t.Errorf("status = %d, counts = %+v; want status %d, %d accepted, none open", resp.StatusCode, n, c.status, c.accepted)
 				}
 				if c.status != 200 && (!resp.Close && c.status != 503 || time.Since(from) > newConnRequestTimeout) {
 					t.Errorf("close = %v after %v, want a close (unless the status is 503) within %v", resp.Close, time.Since(from), newConnRequestTimeout)
 				}
-				if invalid := a.front.InvalidRequests(); c.status == 200 && invalid != 0 || invalid > 1 {
+				if invalid := instance.front.InvalidRequests(); c.status == 200 && invalid != 0 || invalid > 1 {
 					t.Errorf("InvalidRequests() = %d for status %d, want 0 for a valid request and at most 1 otherwise", invalid, c.status)
 				}
-				a.close()
+				instance.close()
 			})
 		})
 	}
@@ -77,13 +77,13 @@
 // If a handler panics, the client still gets a response, and the attempt in progress ends.
 func TestHandlerPanic(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a := newTestInstance(network{}, NewSockets(0))
-		a.upstream.address = func(string) string { panic("injected panic") }
-		resp, _ := a.roundTrip(t, validRequest)
-		if n := a.core.Counts(); resp.StatusCode != http.StatusBadGateway || n.OpenRequests != 0 || n.OpenAttempts != 0 {
+		instance := newTestInstance(network{}, NewSockets(0))
+		instance.upstream.address = func(string) string { panic("injected panic") }
+		resp, _ := instance.roundTrip(t, validRequest)
+		if n := instance.core.Counts(); resp.StatusCode != http.StatusBadGateway || n.OpenRequests != 0 || n.OpenAttempts != 0 {
 			t.Errorf("status = %d, counts = %+v; want status %d, nothing open", resp.StatusCode, n, http.StatusBadGateway)
 		}
-		a.close()
+		instance.close()
 	})
 }
 
@@ -91,15 +91,15 @@
 // evicted meanwhile when sockets are short.
 func TestSlowClient(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a := newTestInstance(network{
+		instance := newTestInstance(network{
 			"app:1": answerOnce("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"),
 		}, NewSockets(reservedSockets+8))
-		server := a.serve()
+		server := instance.serve()
 		client := server.dial()
 		addClients := func(n int) {
-			a.front.sockets.mu.Lock()
-			defer a.front.sockets.mu.Unlock()
-			a.front.sockets.clients += n
+			instance.front.sockets.mu.Lock()
+			defer instance.front.sockets.mu.Unlock()
+			instance.front.sockets.clients += n
 		}
 		for k, pieces := range [][]string{{
 			"POST /save/x HTTP/1.1\r\nHost: h\r\nReq-Id: a\r\n", "Req-Deadline: 9000m\r\n",
@@ -116,7 +116,7 @@
 			}()
 			time.Sleep(time.Second)
 			addClients(4 * k) // as if other clients had connected; a new connection would be evicted after newConnGrace
-			a.front.sockets.makeRoom(true)
+			instance.front.sockets.makeRoom(true)
 			answer, _, err := readAnswer(client.in)
 			if err != nil || answer.StatusCode != 200 {
 				t.Fatalf("request %d: response %v, error %v; want status 200", k, answer, err)
@@ -126,7 +126,7 @@
 		}
 		client.Close()
 		server.close()
-		a.close()
+		instance.close()
 	})
 }
 
@@ -140,7 +140,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				deadlines := make(chan string, 1)
-				a := newTestInstance(network{"app:1": func(conn net.Conn) {
+				instance := newTestInstance(network{"app:1": func(conn net.Conn) {
 					backend := &peerConn{conn, bufio.NewReader(conn)}
 					_, deadline, err := backend.readRequest()
 					if err != nil {
@@ -149,7 +149,7 @@
 					deadlines <- deadline
 					backend.respond("x")
 				}}, NewSockets(0))
-				server := a.serve()
+				server := instance.serve()
 				client := server.dial()
 				send(client, c.first)
 				time.Sleep(700 * time.Millisecond)
@@ -162,7 +162,7 @@
 				}
 				client.Close()
 				server.close()
-				a.close()
+				instance.close()
 			})
 		})
 	}
@@ -191,8 +191,8 @@
 	}
 	t.Run("served before", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			a := newTestInstance(network{"app:1": respondToAll}, NewSockets(0))
-			server := a.serve()
+			instance := newTestInstance(network{"app:1": respondToAll}, NewSockets(0))
+			server := instance.serve()
 			client := server.dial()
 			send(client, validRequest)
 			client.readResponse(t)
@@ -201,13 +201,13 @@
 			}
 			client.Close()
 			server.close()
-			a.close()
+			instance.close()
 		})
 	})
 	t.Run("new", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			a := newTestInstance(network{"app:1": respondToAll}, NewSockets(0))
-			server := a.serve()
+			instance := newTestInstance(network{"app:1": respondToAll}, NewSockets(0))
+			server := instance.serve()
 			client := server.dial()
 			answer, took, err := slowHead(client)
 			if took > newConnHeadTimeout || err == nil && answer.StatusCode < 400 {
@@ -215,7 +215,7 @@
 			}
 			client.Close()
 			server.close()
-			a.close()
+			instance.close()
 		})
 	})
 }
@@ -225,14 +225,14 @@
 func TestClientConnReuse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		deadlines := make(chan string, 2)
-		a := newTestInstance(network{"app:1": func(conn net.Conn) {
+		instance := newTestInstance(network{"app:1": func(conn net.Conn) {
 			backend := &peerConn{conn, bufio.NewReader(conn)}
 			for _, deadline, err := backend.readRequest(); err == nil; _, deadline, err = backend.readRequest() {
 				deadlines <- deadline
 				backend.respond("x")
 			}
 		}}, NewSockets(0))
-		server := a.serve()
+		server := instance.serve()
 		client := server.dial()
 		for k, text := range []string{
 			"POST /pay/k HTTP/1.1\r\nHost: h\r\nReq-Id: r1\r\nReq-Deadline: 2000m\r\nContent-Length: 4\r\n\r\nbody",
@@ -247,12 +247,12 @@
 				t.Errorf("request %d: Req-Deadline at the backend = %s, want 2000m", k, got)
 			}
 			time.Sleep(500 * time.Millisecond)
-			if _, _, idle := a.front.sockets.Used(); idle != 1 {
+			if _, _, idle := instance.front.sockets.Used(); idle != 1 {
 				t.Errorf("after request %d: idle client connections = %d, want 1", k, idle)
 			}
 		}
 		client.Close()
 		server.close()
-		a.close()
+		instance.close()
 	})
 }
--- a/internal/httpwire/handler.go
+++ b/internal/httpwire/handler.go
@@ -18,12 +18,12 @@
 	defer f.beginRequest()()
 	parsed, err := f.parseRequest(r, path)
 	if err != nil {
-		f.writeBadInput(w, err)
+		f.writeInvalidRequest(w, err)
 		return
 	}
 	body, err := f.readBody(w, r, parsed.bodyBytes, arrivedAt+parsed.timeLeft)
 	if err != nil {
-		f.writeBadInput(w, err)
+		f.writeInvalidRequest(w, err)
 		return
 	}
 	openBodyBytes := f.bodyBytes.Add(int64(len(body)))
@@ -37,7 +37,7 @@
 		RejectReason: f.rejectReason(parsed.id, openBodyBytes), StartAttempt: send,
 	})
 	if request == nil {
-		f.writeBadInput(w, errDuplicateID)
+		f.writeInvalidRequest(w, errDuplicateID)
 		return
 	}
 	traceAccepted(request, parsed)
@@ -63,12 +63,12 @@
 // requestHandler carries out the core's actions for one accepted request. It runs in the goroutine of the client's
 // connection.
 type requestHandler struct {
-	request        *core.Request
-	response       responseWriter
-	send           func(*core.Attempt)
-	cancelAllowed  bool
-	currentAttempt *core.Attempt // attempt that is sent in this goroutine
-	answered       bool          // writing the response has begun
+	request         *core.Request
+	response        responseWriter
+	send            func(*core.Attempt)
+	cancelAllowed   bool
+	currentAttempt  *core.Attempt // attempt that is sent in this goroutine
+	responseStarted bool          // writing the response has begun
 }
 
 // run performs the request's actions until one ends it.
@@ -89,13 +89,13 @@
 	traceAnswer(h.request, action)
 	switch action.Kind {
 	case core.ActionServe:
-		h.answered = true
+		h.responseStarted = true
 		h.request.ResponseWritten(h.response.writeServed(action.Response.(clientResponse)))
 	case core.ActionReject:
-		h.answered = true
+		h.responseStarted = true
 		h.request.ResponseWritten(h.response.writeRejected(action.RetryAfter))
 	case core.ActionFail:
-		h.answered = true
+		h.responseStarted = true
 		h.request.ResponseWritten(h.response.writeFailed())
 	case core.ActionAbandon: // no client waits for a response
 	default:
@@ -124,7 +124,7 @@
 		if h.currentAttempt != nil {
 			h.currentAttempt.Finish(policy.StatusReset, nil, policy.LoadReport{})
 		}
-		if !h.answered {
+		if !h.responseStarted {
 			h.request.Fail()
 			h.request.ResponseWritten(h.response.writeFailed())
 		}
--- a/internal/httpwire/helpers_test.go
+++ b/internal/httpwire/helpers_test.go
@@ -49,40 +49,40 @@
 }
 
 func newTestInstance(n network, sockets *Sockets) *testInstance {
-	a := &testInstance{core: core.New(nopTransport{})}
+	instance := &testInstance{core: core.New(nopTransport{})}
 	classes := []policy.RequestClass{{Semantics: policy.Safe}, {Semantics: policy.Idempotent}, {Semantics: policy.NonIdempotent}}
 	for k := range classes {
 		classes[k].LatencyObjective, classes[k].Timeout, classes[k].Value, classes[k].DedupWindow = 1000, 4000, 1, 9000
 	}
-	a.core.Start(func(port policy.Port) *policy.Instance {
+	instance.core.Start(func(port policy.Port) *policy.Instance {
 		return policy.New(port, policy.Config{
 			Seed: 7, Instances: 1, Classes: classes, MaxAttempts: 1, CancelAllowed: true,
 			Exposure: policy.ExposureConfig{FreeAttempts: 2, Caps: []float64{1}},
 		})
 	})
-	a.discovery = NewDiscovery(DiscoveryConfig{
-		Core: a.core, Dial: n.dial, Address: "list", Zones: []string{"z"}, HardwareClasses: []string{"k"}, Seed: 1,
+	instance.discovery = NewDiscovery(DiscoveryConfig{
+		Core: instance.core, Dial: n.dial, Address: "list", Zones: []string{"z"}, HardwareClasses: []string{"k"}, Seed: 1,
 	})
-	a.upstream = NewUpstream(UpstreamConfig{
-		Core: a.core, Dial: n.dial, Sockets: sockets, BackendAddress: a.discovery.BackendAddress,
+	instance.upstream = NewUpstream(UpstreamConfig{
+		Core: instance.core, Dial: n.dial, Sockets: sockets, BackendAddress: instance.discovery.BackendAddress,
 		ConnectTimeout: 250 * time.Millisecond, BackendIdleTimeout: 30 * time.Second,
 		LoadOnResponses: true, LoadOnProbes: true,
 	})
-	a.discovery.OnAddressVacated(a.upstream.CloseAddress)
-	a.front = NewFront(FrontConfig{
-		Core: a.core, Upstream: a.upstream, Sockets: sockets, ClassNames: []string{"look", "save", "pay"}, Classes: classes,
+	instance.discovery.OnAddressVacated(instance.upstream.CloseAddress)
+	instance.front = NewFront(FrontConfig{
+		Core: instance.core, Upstream: instance.upstream, Sockets: sockets, ClassNames: []string{"look", "save", "pay"}, Classes: classes,
 		CancelAllowed: true, MaxBodyBytes: 1 << 20,
 	})
 	list := listJSON(1, true, `{"id":"s","addr":"app:1","state":"Ready","weight":1,"version_no":1}`)
-	if err := a.discovery.Apply([]byte(list), FromConfiguration, func() {}); err != nil {
+	if err := instance.discovery.Apply([]byte(list), FromConfiguration, func() {}); err != nil {
 		panic(err) // the list above is malformed
 	}
-	return a
+	return instance
 }
 
 // newPlatform returns a client for a platform at the address "control".
-func (a *testInstance) newPlatform(n network) *Platform {
-	return NewPlatform(PlatformConfig{Core: a.core, Dial: n.dial, Address: "control", VoteTimeout: 800 * time.Millisecond, Seed: 1})
+func (instance *testInstance) newPlatform(n network) *Platform {
+	return NewPlatform(PlatformConfig{Core: instance.core, Dial: n.dial, Address: "control", VoteTimeout: 800 * time.Millisecond, Seed: 1})
 }
 
 // listJSON returns an endpoint list in discovery's format.
@@ -92,10 +92,10 @@
 
 // close closes the instance's connections and waits for its timers. Any other goroutine that is left then fails the
 // synctest bubble.
-func (a *testInstance) close() {
+func (instance *testInstance) close() {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	a.upstream.Sweep(ctx)
+	instance.upstream.Sweep(ctx)
 	time.Sleep(time.Minute) // until the core's last timers have fired
 }
 
@@ -149,11 +149,11 @@
 }
 
 // serve starts the front's server in a goroutine that runs until close.
-func (a *testInstance) serve() *frontServer {
-	s := &frontServer{make(pipeListener, 1), a.front.Server(), make(chan struct{})}
+func (instance *testInstance) serve() *frontServer {
+	s := &frontServer{make(pipeListener, 1), instance.front.Server(), make(chan struct{})}
 	go func() {
 		defer close(s.ended)
-		_ = s.server.Serve(Listener{s.listener, a.front.sockets}) // always returns ErrServerClosed
+		_ = s.server.Serve(Listener{s.listener, instance.front.sockets}) // always returns ErrServerClosed
 	}()
 	return s
 }
@@ -189,9 +189,9 @@
 }
 
 // roundTrip sends text to the front on a new connection and returns the response and its body.
-func (a *testInstance) roundTrip(t *testing.T, text string) (clientAnswer, string) {
+func (instance *testInstance) roundTrip(t *testing.T, text string) (clientAnswer, string) {
 	t.Helper()
-	server := a.serve()
+	server := instance.serve()
 	defer server.close()
 	client := server.dial()
 	defer client.Close()
--- a/internal/httpwire/interceptor_test.go
+++ b/internal/httpwire/interceptor_test.go
@@ -37,10 +37,10 @@
 	return completion.RequestID
 }
 
-func (r *recordingInterceptor) AfterResponse(kept any, _ float64, whole bool) {
+func (r *recordingInterceptor) AfterResponse(token any, _ float64, written bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.calls = append(r.calls, fmt.Sprint(kept, " ", whole))
+	r.calls = append(r.calls, fmt.Sprint(token, " ", written))
 }
 
 func (r *recordingInterceptor) Abandoned(float64) {
@@ -82,11 +82,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				a, interceptor := intercepted(c.backend)
+				instance, interceptor := intercepted(c.backend)
 				interceptor.rejectReason, interceptor.delay = c.rejectReason, c.delay
-				a.applyChange(t, 2, `{"id":"s","addr":"app:1","state":"Ready","weight":1,"version_no":1}`)
+				instance.applyChange(t, 2, `{"id":"s","addr":"app:1","state":"Ready","weight":1,"version_no":1}`)
 				from := time.Now()
-				answer, body := a.roundTrip(t, validRequest)
+				answer, body := instance.roundTrip(t, validRequest)
 				if took := time.Since(from); answer.StatusCode != c.status || took > 2*time.Second {
 					t.Errorf("response = %d %q after %v, want status %d within 2s", answer.StatusCode, body, took, c.status)
 				}
@@ -99,7 +99,7 @@
 						t.Errorf("response delayed %v ms beyond the permitted time, want at most 0.01", overrun)
 					}
 				}
-				a.close()
+				instance.close()
 			})
 		})
 	}
@@ -120,8 +120,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				body := strings.Repeat("x", c.bytes)
-				a, interceptor := intercepted(answerOnce(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", c.bytes, body)))
-				server := a.serve()
+				instance, interceptor := intercepted(answerOnce(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", c.bytes, body)))
+				server := instance.serve()
 				client := server.dial()
 				send(client, validRequest)
 				time.Sleep(writeTimeout - time.Second)
@@ -137,7 +137,7 @@
 				}
 				client.Close()
 				server.close()
-				a.close()
+				instance.close()
 			})
 		})
 	}
@@ -160,16 +160,16 @@
 
 // intercepted returns an instance with a recording interceptor.
 func intercepted(backend func(net.Conn)) (*testInstance, *recordingInterceptor) {
-	a := newTestInstance(network{"app:1": backend}, NewSockets(0))
-	interceptor := &recordingInterceptor{core: a.core}
-	a.core.AddInterceptor(interceptor)
-	return a, interceptor
+	instance := newTestInstance(network{"app:1": backend}, NewSockets(0))
+	interceptor := &recordingInterceptor{core: instance.core}
+	instance.core.AddInterceptor(interceptor)
+	return instance, interceptor
 }
 
 func testAnswerCutOff(t *testing.T) {
 	big := answerOnce("HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + strings.Repeat("x", 60000))
-	a, interceptor := intercepted(big)
-	server := a.serve()
+	instance, interceptor := intercepted(big)
+	server := instance.serve()
 	client := server.dial()
 	send(client, validRequest)
 	// The pipe has no buffer, so the front is still writing the rest.
@@ -183,13 +183,13 @@
 		t.Errorf("interceptor calls = %v, want two, the second %q", calls, "r1 false")
 	}
 	server.close()
-	a.close()
+	instance.close()
 }
 
 func testNoRoomIntercepted(t *testing.T) {
-	a, interceptor := intercepted(answerOnce(""))
-	a.front.maxBodyBytes = -1 // every request exceeds the limit
-	answer, _ := a.roundTrip(t, validRequest)
+	instance, interceptor := intercepted(answerOnce(""))
+	instance.front.maxBodyBytes = -1 // every request exceeds the limit
+	answer, _ := instance.roundTrip(t, validRequest)
 	if answer.StatusCode != 503 {
 		t.Fatalf("status = %d, want 503", answer.StatusCode)
 	}
@@ -197,28 +197,28 @@
 	if calls := interceptor.recorded(); len(calls) != 2 || !strings.Contains(calls[0], " room ") || calls[1] != "r1 true" {
 		t.Errorf("interceptor calls = %v, want two, the first with reason %q, the second %q", calls, rejectNoRoom, "r1 true")
 	}
-	a.close()
+	instance.close()
 }
 
 func testGoneAndFailed(t *testing.T) {
-	a, interceptor := intercepted(holdSilent)
-	gone := a.core.Accept(core.IncomingRequest{ID: "t", ArrivedAt: a.core.Now(), TimeLeft: 500})
+	instance, interceptor := intercepted(holdSilent)
+	gone := instance.core.Accept(core.IncomingRequest{ID: "t", ArrivedAt: instance.core.Now(), TimeLeft: 500})
 	gone.NextAction()
 	gone.ClientGone()
 	if gone.NextAction().Kind != core.ActionAbandon {
 		t.Errorf("last action of an abandoned request is not %d (ActionAbandon)", core.ActionAbandon)
 	}
 	gone.Close()
-	failed := a.core.Accept(core.IncomingRequest{ID: "u", ArrivedAt: a.core.Now(), TimeLeft: 500})
+	failed := instance.core.Accept(core.IncomingRequest{ID: "u", ArrivedAt: instance.core.Now(), TimeLeft: 500})
 	failed.Fail()
 	failed.ResponseWritten(true)
 	failed.Close()
 	if want := fmt.Sprintf("gone|u %d failed  0 1 |u true", core.ActionFail); strings.Join(interceptor.recorded(), "|") != want {
 		t.Errorf("interceptor calls = %v, want %q", interceptor.recorded(), want)
 	}
-	if n := a.core.Counts(); n.ClientGone != 1 || n.Failed != 1 {
+	if n := instance.core.Counts(); n.ClientGone != 1 || n.Failed != 1 {
 		t.Errorf("counts = %+v, want one client gone and one failed request", n)
 	}
 	time.Sleep(time.Minute)
-	a.close()
+	instance.close()
 }
--- a/internal/httpwire/lists_test.go
+++ b/internal/httpwire/lists_test.go
@@ -26,16 +26,16 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			server := newFakeBackend(t)
-			a := newTestInstance(network{}, NewSockets(0))
-			a.discovery.dial, a.discovery.address = dialTCP, server.address()
-			go c.ask(a.discovery, t.Context()) // ends with the test
+			instance := newTestInstance(network{}, NewSockets(0))
+			instance.discovery.dial, instance.discovery.address = dialTCP, server.address()
+			go c.ask(instance.discovery, t.Context()) // ends with the test
 			conn := <-server.conns
 			t.Cleanup(func() { conn.Close() })
 			conn.mustReadRequest(t)
 			send(conn, streamHead+chunk(list))
-			<-a.discovery.FirstUpdate()
-			if a.discovery.BackendAddress("u") != "u:1" {
-				t.Errorf("address of u = %q, want u:1", a.discovery.BackendAddress("u"))
+			<-instance.discovery.FirstUpdate()
+			if instance.discovery.BackendAddress("u") != "u:1" {
+				t.Errorf("address of u = %q, want u:1", instance.discovery.BackendAddress("u"))
 			}
 		})
 	}
@@ -59,7 +59,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				opened, silentAt := 0, time.Now()
-				a := newTestInstance(network{"list": func(conn net.Conn) {
+				instance := newTestInstance(network{"list": func(conn net.Conn) {
 					opened++
 					switch {
 					case opened == 1:
@@ -71,13 +71,13 @@
 					}
 				}}, NewSockets(0))
 				ctx, cancel := context.WithCancel(t.Context())
-				go a.discovery.Run(ctx)
-				<-a.discovery.FirstUpdate()
+				go instance.discovery.Run(ctx)
+				<-instance.discovery.FirstUpdate()
 				if late := time.Since(silentAt); late >= 5800*time.Millisecond {
 					t.Errorf("first list received %v after the silence began, want less than 5.8s", late)
 				}
 				cancel()
-				a.close()
+				instance.close()
 			})
 		})
 	}
@@ -86,10 +86,10 @@
 // Lists are passed on in the order in which they were accepted, even if they are applied by different goroutines.
 func TestListsPassedOnInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a := newTestInstance(network{}, NewSockets(0))
+		instance := newTestInstance(network{}, NewSockets(0))
 		var got []int
 		inside, resume := make(chan bool, 1), make(chan bool)
-		a.discovery.OnUpdate(func(update policy.EndpointUpdate, _ []string) {
+		instance.discovery.OnUpdate(func(update policy.EndpointUpdate, _ []string) {
 			release := int(update.Endpoints[0].Release)
 			if release == 2 {
 				inside <- true
@@ -101,7 +101,7 @@
 		done := make(chan error, 2)
 		for version := 2; version <= 3; version++ {
 			list := listJSON(version, false, fmt.Sprintf(entry, version))
-			go func() { done <- a.discovery.Apply([]byte(list), FromWatch, func() {}) }()
+			go func() { done <- instance.discovery.Apply([]byte(list), FromWatch, func() {}) }()
 			synctest.Wait() // the first list is being passed on, and the second one waits
 		}
 		<-inside
@@ -114,7 +114,7 @@
 		if fmt.Sprint(got) != "[2 3]" {
 			t.Errorf("releases of the lists passed on = %v, want [2 3]", got)
 		}
-		a.close()
+		instance.close()
 	})
 }
 
@@ -132,9 +132,9 @@
 // versions of the new address may be lower, or continue after a gap.
 func TestListsAfterMove(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		lists []movedList
-		held  int64
+		name    string
+		lists   []movedList
+		current int64
 	}{
 		{"old address is used until the new one sends", []movedList{
 			{0, 6, false, "u", true, false},
@@ -159,17 +159,17 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				a := newTestInstance(network{}, NewSockets(0))
-				if err := a.discovery.Apply([]byte(listJSON(5, true, entryAt("s"))), FromWatch, func() {}); err != nil {
+				instance := newTestInstance(network{}, NewSockets(0))
+				if err := instance.discovery.Apply([]byte(listJSON(5, true, entryAt("s"))), FromWatch, func() {}); err != nil {
 					t.Errorf("applying the first list: %v", err)
 				}
 				for _, l := range c.lists {
-					l.apply(t, a.discovery)
+					l.apply(t, instance.discovery)
 				}
-				if version, _ := a.discovery.Version(); version != c.held {
-					t.Errorf("current version = %d, want %d", version, c.held)
+				if version, _ := instance.discovery.Version(); version != c.current {
+					t.Errorf("current version = %d, want %d", version, c.current)
 				}
-				a.close()
+				instance.close()
 			})
 		})
 	}
--- a/internal/httpwire/listversion.go
+++ b/internal/httpwire/listversion.go
@@ -59,14 +59,14 @@
 )
 
 // decide decides about a list from the address of the given generation.
-func (held listPosition) decide(list endpointList, source Source, generation int) listDecision {
-	older := list.version < held.version
+func (current listPosition) decide(list endpointList, source Source, generation int) listDecision {
+	older := list.version < current.version
 	switch {
-	case generation < held.generation:
+	case generation < current.generation:
 		return listStale
-	case generation > held.generation && older && !list.snapshot:
+	case generation > current.generation && older && !list.snapshot:
 		return listAcceptedRestart
-	case generation > held.generation || !older:
+	case generation > current.generation || !older:
 		return listAccepted
 	}
 	restartsVersions := list.snapshot && source == FromWatch
@@ -95,8 +95,8 @@
 	onParsed()
 	decision, vacated := d.store(list, source, generation)
 	if decision == listStale {
-		held, _ := d.Version()
-		logrus.WithFields(logrus.Fields{"version": list.version, "held": held, "snapshot": list.snapshot}).
+		current, _ := d.Version()
+		logrus.WithFields(logrus.Fields{"version": list.version, "held": current, "snapshot": list.snapshot}).
 			Info("stale endpoint list ignored")
 		return nil
 	}
@@ -117,13 +117,13 @@
 func (d *Discovery) store(list endpointList, source Source, generation int) (decision listDecision, vacated []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	decision = d.held.decide(list, source, generation)
+	decision = d.current.decide(list, source, generation)
 	if decision == listStale {
 		return decision, nil
 	}
-	d.held = listPosition{generation, list.version}
+	d.current = listPosition{generation, list.version}
 	if decision == listAcceptedRestart {
-		d.held.version = 0
+		d.current.version = 0
 	}
 	return decision, d.directory.apply(list)
 }
--- a/internal/httpwire/listversion_test.go
+++ b/internal/httpwire/listversion_test.go
@@ -5,7 +5,7 @@
 // Checks each row of the table in listversion.go against a current position of generation 2 and version 5.
 func TestListDecisions(t *testing.T) {
 	const older, same, newer = 1, 2, 3 // generations
-	held := listPosition{generation: same, version: 5}
+	current := listPosition{generation: same, version: 5}
 	for _, c := range []struct {
 		name       string
 		generation int
@@ -34,7 +34,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			list := endpointList{version: c.version, snapshot: c.snapshot}
-			if got := held.decide(list, c.source, c.generation); got != c.want {
+			if got := current.decide(list, c.source, c.generation); got != c.want {
 				t.Errorf("decision = %d, want %d", got, c.want)
 			}
 		})
--- a/internal/httpwire/loopback_test.go
+++ b/internal/httpwire/loopback_test.go
@@ -93,26 +93,26 @@
 
 func newLoopback(t *testing.T, address string, dial Dial, cancelAllowed bool) *loopback {
 	t.Helper()
-	a := newTestInstance(network{}, NewSockets(0))
-	a.upstream.conns.dial, a.upstream.conns.connectTimeout = dial, time.Minute
-	a.front.cancelAllowed = cancelAllowed
-	a.applyChange(t, 2, `{"id":"s","addr":"`+address+`","state":"Ready","weight":1,"version_no":1}`)
+	instance := newTestInstance(network{}, NewSockets(0))
+	instance.upstream.conns.dial, instance.upstream.conns.connectTimeout = dial, time.Minute
+	instance.front.cancelAllowed = cancelAllowed
+	instance.applyChange(t, 2, `{"id":"s","addr":"`+address+`","state":"Ready","weight":1,"version_no":1}`)
 	listener := listenTCP(t)
-	server := a.front.Server()
-	go func() { _ = server.Serve(Listener{listener, a.front.sockets}) }() // returns ErrServerClosed after Close
+	server := instance.front.Server()
+	go func() { _ = server.Serve(Listener{listener, instance.front.sockets}) }() // returns ErrServerClosed after Close
 	t.Cleanup(func() {
 		server.Close()
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		a.upstream.Sweep(ctx)
+		instance.upstream.Sweep(ctx)
 	})
-	return &loopback{a, t, listener}
+	return &loopback{instance, t, listener}
 }
 
 // applyChange applies a change with one entry, as if it came from the watch.
-func (a *testInstance) applyChange(t *testing.T, version int, entry string) {
+func (instance *testInstance) applyChange(t *testing.T, version int, entry string) {
 	t.Helper()
-	if err := a.discovery.Apply([]byte(listJSON(version, false, entry)), FromWatch, func() {}); err != nil {
+	if err := instance.discovery.Apply([]byte(listJSON(version, false, entry)), FromWatch, func() {}); err != nil {
 		t.Errorf("applying version %d with %s: %v", version, entry, err)
 	}
 }
--- a/internal/httpwire/platform_test.go
+++ b/internal/httpwire/platform_test.go
@@ -68,8 +68,8 @@
 	if c.formReceived {
 		n["control"] = recordForm(c.peer, &form)
 	}
-	a := newTestInstance(network{}, NewSockets(0))
-	p := a.newPlatform(n)
+	instance := newTestInstance(network{}, NewSockets(0))
+	p := instance.newPlatform(n)
 	from := time.Now()
 	response, state, err := p.castVote(t.Context(), vote{42, policy.Promote, 1})
 	if took := time.Since(from); response != c.response || took > 800*time.Millisecond {
@@ -86,7 +86,7 @@
 	if c.formReceived && form != "Action=CastVote&release=42&tranche=1&ruling=promote" {
 		t.Errorf("body of the vote = %q, want %q", form, "Action=CastVote&release=42&tranche=1&ruling=promote")
 	}
-	a.close()
+	instance.close()
 }
 
 // recordForm serves a connection with another peer function and stores the body of the request.
@@ -112,8 +112,8 @@
 func TestDuplicateVoteResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		conns := 0
-		a := newTestInstance(network{}, NewSockets(0))
-		p := a.newPlatform(network{"control": func(conn net.Conn) {
+		instance := newTestInstance(network{}, NewSockets(0))
+		p := instance.newPlatform(network{"control": func(conn net.Conn) {
 			conns++
 			answerVotes(conn, conns)
 		}})
@@ -128,7 +128,7 @@
 			t.Errorf("connections to the platform = %d, want 2", conns)
 		}
 		p.closeVoteConn()
-		a.close()
+		instance.close()
 	})
 }
 
--- a/internal/httpwire/pool_test.go
+++ b/internal/httpwire/pool_test.go
@@ -28,16 +28,16 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				a := newTestInstance(network{"app:1": answerEach(c.answer)}, NewSockets(0))
-				a.roundTrip(t, validRequest)
+				instance := newTestInstance(network{"app:1": answerEach(c.answer)}, NewSockets(0))
+				instance.roundTrip(t, validRequest)
 				time.Sleep(c.pause)
-				a.roundTrip(t, requestWithID("r2"))
-				opened, idle, _ := a.upstream.Connections()
+				instance.roundTrip(t, requestWithID("r2"))
+				opened, idle, _ := instance.upstream.Connections()
 				if opened != c.opened || idle != c.idle {
 					t.Errorf("connections: opened %d, idle %d; want %d and %d", opened, idle, c.opened, c.idle)
 				}
-				a.close()
-				if all, _, _ := a.front.sockets.Used(); all != 0 {
+				instance.close()
+				if all, _, _ := instance.front.sockets.Used(); all != 0 {
 					t.Errorf("sockets in use after closing = %d, want 0", all)
 				}
 			})
--- a/internal/httpwire/shutdown_test.go
+++ b/internal/httpwire/shutdown_test.go
@@ -19,38 +19,38 @@
 	t.Run("request stays open", func(t *testing.T) { synctest.Test(t, testShutdownWithOpenRequest) })
 	t.Run("no client connected", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			a := newTestInstance(network{}, NewSockets(0))
+			instance := newTestInstance(network{}, NewSockets(0))
 			from := time.Now()
-			a.front.Shutdown(t.Context(), make(pipeListener))
+			instance.front.Shutdown(t.Context(), make(pipeListener))
 			if took := time.Since(from); took < acceptWindow || took > acceptWindow+50*time.Millisecond {
 				t.Errorf("Shutdown returned after %v, want %v to %v", took, acceptWindow, acceptWindow+50*time.Millisecond)
 			}
-			a.close()
+			instance.close()
 		})
 	})
 }
 
 func testShutdownWithClients(t *testing.T) {
 	var silent atomic.Bool
-	a := newTestInstance(network{"app:1": func(conn net.Conn) {
+	instance := newTestInstance(network{"app:1": func(conn net.Conn) {
 		answer := "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 		if silent.Load() {
 			answer = ""
 		}
 		answerAndHold(answer)(conn)
 	}}, NewSockets(0))
-	a.front.SetReady()
-	if answer, _ := a.roundTrip(t, healthCheck); answer.StatusCode != 200 {
+	instance.front.SetReady()
+	if answer, _ := instance.roundTrip(t, healthCheck); answer.StatusCode != 200 {
 		t.Errorf("status of /up = %d, want 200", answer.StatusCode)
 	}
 	client, conn := net.Pipe()
 	defer client.Close()
-	idle := a.front.sockets.track(conn, true)
-	a.front.sockets.ConnIdle(idle, false)
+	idle := instance.front.sockets.track(conn, true)
+	instance.front.sockets.ConnIdle(idle, false)
 
 	from, ended := time.Now(), make(chan time.Duration, 1)
 	go func() { // ends with Shutdown
-		a.front.Shutdown(t.Context(), make(pipeListener))
+		instance.front.Shutdown(t.Context(), make(pipeListener))
 		ended <- time.Since(from)
 	}()
 	for _, c := range []struct {
@@ -62,10 +62,10 @@
 		{2300 * time.Millisecond, true},
 	} {
 		time.Sleep(c.at - time.Since(from))
-		if answer, _ := a.roundTrip(t, healthCheck); answer.StatusCode != 503 {
+		if answer, _ := instance.roundTrip(t, healthCheck); answer.StatusCode != 503 {
 			t.Errorf("%v after the signal: status of /up = %d, want 503", c.at, answer.StatusCode)
 		}
-		answer, _ := a.roundTrip(t, requestWithID(c.at.String()))
+		answer, _ := instance.roundTrip(t, requestWithID(c.at.String()))
 		if answer.StatusCode != 200 || answer.Close != c.closesConn {
 			t.Errorf("%v after the signal: status = %d, close = %v; want 200 and %v", c.at, answer.StatusCode, answer.Close, c.closesConn)
 		}
@@ -75,19 +75,19 @@
 	}
 
 	silent.Store(true)
-	answer, _ := a.roundTrip(t, strings.Replace(validRequest, "2000m", "9000m", 1))
+	answer, _ := instance.roundTrip(t, strings.Replace(validRequest, "2000m", "9000m", 1))
 	if took := time.Since(from); answer.StatusCode != 503 || took > 3400*time.Millisecond {
 		t.Errorf("request to a silent backend: status = %d after %v, want 503 within 3.4s of the signal", answer.StatusCode, took)
 	}
 	if took := <-ended; took < 2200*time.Millisecond || took > 3700*time.Millisecond {
 		t.Errorf("Shutdown returned after %v, want 2.2s to 3.7s", took)
 	}
-	a.close()
+	instance.close()
 }
 
 func testShutdownWithOpenRequest(t *testing.T) {
 	var backendConns atomic.Int64
-	a := newTestInstance(network{"app:1": func(conn net.Conn) {
+	instance := newTestInstance(network{"app:1": func(conn net.Conn) {
 		if backendConns.Add(1) == 1 {
 			holdSilent(conn)
 			return
@@ -96,17 +96,17 @@
 	}}, NewSockets(0))
 	opened := make(chan clientAnswer, 1)
 	go func() { // ends with the request
-		answer, _ := a.roundTrip(t, strings.Replace(validRequest, "2000m", "9000m", 1))
+		answer, _ := instance.roundTrip(t, strings.Replace(validRequest, "2000m", "9000m", 1))
 		opened <- answer
 	}()
 	synctest.Wait()
 	from, ended := time.Now(), make(chan time.Duration, 1)
 	go func() { // ends with Shutdown
-		a.front.Shutdown(t.Context(), make(pipeListener))
+		instance.front.Shutdown(t.Context(), make(pipeListener))
 		ended <- time.Since(from)
 	}()
 	time.Sleep(2300 * time.Millisecond)
-	if answer, _ := a.roundTrip(t, requestWithID("r2")); answer.StatusCode != 200 || !answer.Close {
+	if answer, _ := instance.roundTrip(t, requestWithID("r2")); answer.StatusCode != 200 || !answer.Close {
 		t.Errorf("request shortly before the kill: status = %d, close = %v; want 200 and true", answer.StatusCode, answer.Close)
 	}
 	if answer := <-opened; answer.StatusCode != 503 || time.Since(from) > 3400*time.Millisecond {
@@ -115,5 +115,5 @@
 	if took := <-ended; took > 3700*time.Millisecond {
 		t.Errorf("Shutdown returned after %v, want at most 3.7s", took)
 	}
-	a.close()
+	instance.close()
 }
--- a/internal/httpwire/sockets_test.go
+++ b/internal/httpwire/sockets_test.go
@@ -90,15 +90,15 @@
 // If no socket is left for an attempt, it counts as not sent and not as a failure of the backend.
 func TestAttemptWithoutSocket(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a := newTestInstance(network{"app:1": answerOnce("")}, NewSockets(reservedSockets+4))
-		a.front.sockets.used = 3 // the client's connection takes the last one
-		if answer, _ := a.roundTrip(t, validRequest); answer.StatusCode != 503 {
+		instance := newTestInstance(network{"app:1": answerOnce("")}, NewSockets(reservedSockets+4))
+		instance.front.sockets.used = 3 // the client's connection takes the last one
+		if answer, _ := instance.roundTrip(t, validRequest); answer.StatusCode != 503 {
 			t.Errorf("status = %d, want 503", answer.StatusCode)
 		}
-		if n := a.core.Counts(); n.AttemptsByStatus[policy.StatusNotSent] != 1 {
+		if n := instance.core.Counts(); n.AttemptsByStatus[policy.StatusNotSent] != 1 {
 			t.Errorf("counts = %+v, want one attempt with status %d (StatusNotSent)", n, policy.StatusNotSent)
 		}
-		a.close()
+		instance.close()
 	})
 }
 
--- a/internal/httpwire/streams_test.go
+++ b/internal/httpwire/streams_test.go
@@ -43,7 +43,7 @@
 
 func testWatchReopened(t *testing.T) {
 	log := &streamRequestLog{}
-	a := newTestInstance(network{"list": func(conn net.Conn) {
+	instance := newTestInstance(network{"list": func(conn net.Conn) {
 		switch len(log.paths) {
 		case 0: // sends a list, then nothing
 			log.open(conn, listJSON(5, false, `{"id":"u","addr":"b:1","state":"Ready","version_no":1}`)+"\n")
@@ -60,14 +60,14 @@
 	}}, NewSockets(0))
 	ctx, cancel := context.WithCancel(t.Context())
 	from := time.Now()
-	go a.discovery.Run(ctx)
+	go instance.discovery.Run(ctx)
 	time.Sleep(17 * time.Second)
 	cancel()
 	synctest.Wait()
 	opened := len(log.paths) >= 3 && log.paths[0] == "/discovery/hosts?watch=1&after=1" &&
 		log.paths[1] == "/discovery/hosts?watch=1&after=5"
-	if !opened || a.discovery.BackendAddress("u") != "b:1" {
-		t.Fatalf("requested streams = %q, address of u = %q; want watches after versions 1 and 5, and b:1", log.paths, a.discovery.BackendAddress("u"))
+	if !opened || instance.discovery.BackendAddress("u") != "b:1" {
+		t.Fatalf("requested streams = %q, address of u = %q; want watches after versions 1 and 5, and b:1", log.paths, instance.discovery.BackendAddress("u"))
 	}
 	if silent := log.at[1].Sub(from); silent < watchIdleTimeout || silent > watchIdleTimeout+time.Second {
 		t.Errorf("silent watch reopened after %v, want %v to %v", silent, watchIdleTimeout, watchIdleTimeout+time.Second)
@@ -75,14 +75,14 @@
 	if lived := log.at[2].Sub(log.at[1]); lived < 10*time.Second || lived > 11*time.Second {
 		t.Errorf("watch with keep-alives replaced after %v, want 10s to 11s", lived)
 	}
-	a.close()
+	instance.close()
 }
 
 func testNoticesReopened(t *testing.T) {
 	log := &streamRequestLog{}
 	state := "event: stage\ndata: release=42&tranche=1&mode=canary&exposure=0.28&old_ms=310\n\n"
-	a := newTestInstance(network{}, NewSockets(0))
-	p := a.newPlatform(network{"control": func(conn net.Conn) {
+	instance := newTestInstance(network{}, NewSockets(0))
+	p := instance.newPlatform(network{"control": func(conn net.Conn) {
 		log.open(conn, ":\nevent: other\ndata: y\n\n"+state)
 		drain(conn)
 	}})
@@ -94,7 +94,7 @@
 	if len(log.paths) != 2 || log.paths[0] != "/notices" || log.at[1].Sub(log.at[0]) < noticeIdleTimeout {
 		t.Errorf("requested streams = %q at %v, want /notices twice, at least %v apart", log.paths, log.at, noticeIdleTimeout)
 	}
-	a.close()
+	instance.close()
 }
 
 // A malformed notice ends the stream immediately, and the stream is reopened after a pause.
@@ -109,8 +109,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				var opened atomic.Int64
-				a := newTestInstance(network{}, NewSockets(0))
-				p := a.newPlatform(network{"control": func(conn net.Conn) {
+				instance := newTestInstance(network{}, NewSockets(0))
+				p := instance.newPlatform(network{"control": func(conn net.Conn) {
 					opened.Add(1)
 					new(streamRequestLog).open(conn, c.text)
 					drain(conn)
@@ -122,7 +122,7 @@
 					t.Errorf("%q: stream opened %d times in 2s, want 3 to 9", c.text, n)
 				}
 				cancel()
-				a.close()
+				instance.close()
 			})
 		})
 	}
@@ -177,10 +177,10 @@
 			streams.open[address] = 0
 			n[address] = streams.serve(address)
 		}
-		a := newTestInstance(n, NewSockets(0))
-		p := a.newPlatform(n)
+		instance := newTestInstance(n, NewSockets(0))
+		p := instance.newPlatform(n)
 		ctx, cancel := context.WithCancel(t.Context())
-		go a.discovery.Run(ctx)
+		go instance.discovery.Run(ctx)
 		go p.WatchReleases(ctx)
 		for _, c := range []struct {
 			name string
@@ -188,9 +188,9 @@
 			want string
 		}{
 			{"none", func() {}, "map[b:0 c:0 control:1 e:0 list:1]"},
-			{"to a silent address", func() { a.discovery.SetAddress("b") }, "map[b:1 c:0 control:1 e:0 list:1]"},
-			{"to an address without a listener", func() { a.discovery.SetAddress("nowhere") }, "map[b:0 c:0 control:1 e:0 list:1]"},
-			{"to an address that sends", func() { a.discovery.SetAddress("c") }, "map[b:0 c:1 control:1 e:0 list:0]"},
+			{"to a silent address", func() { instance.discovery.SetAddress("b") }, "map[b:1 c:0 control:1 e:0 list:1]"},
+			{"to an address without a listener", func() { instance.discovery.SetAddress("nowhere") }, "map[b:0 c:0 control:1 e:0 list:1]"},
+			{"to an address that sends", func() { instance.discovery.SetAddress("c") }, "map[b:0 c:1 control:1 e:0 list:0]"},
 			{"of the release stream", func() { p.SetAddress("e") }, "map[b:0 c:1 control:0 e:1 list:0]"},
 		} {
 			c.move()
@@ -200,6 +200,6 @@
 			}
 		}
 		cancel()
-		a.close()
+		instance.close()
 	})
 }
--- a/internal/httpwire/trace.go
+++ b/internal/httpwire/trace.go
@@ -24,8 +24,8 @@
 	policy.StatusNotSent:       "unsent",
 }
 
-// answerNames are the names of a request's final action in the log.
-var answerNames = [...]string{
+// actionNames are the names of a request's final action in the log.
+var actionNames = [...]string{
 	core.ActionSendAttempt: "attempt",
 	core.ActionServe:       "served",
 	core.ActionReject:      "rejected",
@@ -75,7 +75,7 @@
 		return
 	}
 	logrus.WithFields(logrus.Fields{
-		"request": request.ID, "answer": nameOf(answerNames[:], action.Kind), "reason": action.Reason,
+		"request": request.ID, "answer": nameOf(actionNames[:], action.Kind), "reason": action.Reason,
 		"took_ms": int(request.Age()),
 	}).Debug("answer")
 }
--- a/internal/httpwire/trace_test.go
+++ b/internal/httpwire/trace_test.go
@@ -33,9 +33,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			log := captureLog(t, c.level)
 			synctest.Test(t, func(t *testing.T) {
-				a := newTestInstance(network{"app:1": answerOnce(c.peer)}, NewSockets(0))
-				a.roundTrip(t, "GET /look/7 HTTP/1.1\r\nHost: a\r\nReq-Id: r1\r\nReq-Deadline: 900m\r\n\r\n")
-				a.close()
+				instance := newTestInstance(network{"app:1": answerOnce(c.peer)}, NewSockets(0))
+				instance.roundTrip(t, "GET /look/7 HTTP/1.1\r\nHost: a\r\nReq-Id: r1\r\nReq-Deadline: 900m\r\n\r\n")
+				instance.close()
 			})
 			rest := log.String()
 			for _, want := range c.want {
--- a/internal/httpwire/upstream_crossings_test.go
+++ b/internal/httpwire/upstream_crossings_test.go
@@ -132,11 +132,11 @@
 	}
 }
 
-// lateConn is an event that occurs during the dial of a backend connection.
-type lateConn struct {
+// dialEvent is an event that occurs during the dial of a backend connection.
+type dialEvent struct {
 	name          string
 	cancelAllowed bool
-	cross         func(t *testing.T, l *loopback, client *peerConn)
+	trigger       func(t *testing.T, l *loopback, client *peerConn)
 	clientGone    bool
 	withheld      bool // the core is asked again whether the attempt may be sent, and declines
 }
@@ -154,7 +154,7 @@
 	rollBack := func(_ *testing.T, l *loopback, _ *peerConn) {
 		l.core.UpdateRelease(policy.ReleaseUpdate{Release: 1, Phase: policy.RollingBack, Cap: 0, HasState: true})
 	}
-	for _, c := range []lateConn{
+	for _, c := range []dialEvent{
 		{"backend leaves the address", true, leaveAddress, false, false},
 		{"client disconnects", true, clientGoes, true, false},
 		{"client disconnects, cancellation not allowed", false, clientGoes, true, false},
@@ -164,14 +164,14 @@
 	}
 }
 
-func (c lateConn) run(t *testing.T) {
+func (c dialEvent) run(t *testing.T) {
 	backend, asked, up := newFakeBackend(t), make(chan bool), make(chan bool)
 	l := newLoopback(t, backend.address(), blockedDial(asked, up), c.cancelAllowed)
 	l.core.UpdateRelease(policy.ReleaseUpdate{Release: 1, Phase: policy.RollingOut, Cap: 1, HasState: true})
 	client := l.dialFront()
 	send(client, requestWithID("r1"))
 	<-asked
-	c.cross(t, l, client)
+	c.trigger(t, l, client)
 	up <- true
 	closed := make(chan bool)
 	go func() { // closes the connection if it was pooled, so that the backend sees its end
--- a/internal/httpwire/validate.go
+++ b/internal/httpwire/validate.go
@@ -40,13 +40,13 @@
 	errTransferCoding     = &validationError{status: http.StatusLengthRequired, text: "no coding is taken"}
 	errHTTPVersion        = &validationError{status: http.StatusHTTPVersionNotSupported, text: "HTTP/1.1 only"}
 	errUnknownClass       = &validationError{status: http.StatusNotFound, text: "unknown product"}
-	errID                 = &validationError{status: http.StatusBadRequest, text: "no id, or a malformed one"}
-	errDeadline           = &validationError{status: http.StatusBadRequest, text: "no deadline, or a malformed one"}
+	errInvalidID          = &validationError{status: http.StatusBadRequest, text: "no id, or a malformed one"}
+	errInvalidDeadline    = &validationError{status: http.StatusBadRequest, text: "no deadline, or a malformed one"}
 	errNoIdempotencyKey   = &validationError{status: http.StatusBadRequest, text: "no mark against repeats"}
 	errUnexpectedBody     = &validationError{status: http.StatusBadRequest, text: "a body where none belongs"}
 	errNoLength           = &validationError{status: http.StatusLengthRequired, text: "no length"}
 	errRequestBodyTooLong = &validationError{status: http.StatusRequestEntityTooLarge, text: "body too long"}
-	errBodyCutOff         = &validationError{status: http.StatusBadRequest, text: "body cut off"}
+	errIncompleteBody     = &validationError{status: http.StatusBadRequest, text: "body cut off"}
 	errDuplicateID        = &validationError{status: http.StatusBadRequest, text: "this id is held already"}
 )
 
@@ -140,7 +140,7 @@
 func (p *requestParser) readID() error {
 	id, single := singleValue(p.request.Header, "Req-Id")
 	if !single || !isToken(id) {
-		return errID
+		return errInvalidID
 	}
 	p.parsed.id = id
 	return nil
@@ -150,7 +150,7 @@
 	text, single := singleValue(p.request.Header, "Req-Deadline")
 	timeLeft, ok := parseTimeLeft(text)
 	if !single || !ok {
-		return errDeadline
+		return errInvalidDeadline
 	}
 	p.parsed.timeLeft = timeLeft
 	return nil
--- a/internal/httpwire/writer.go
+++ b/internal/httpwire/writer.go
@@ -75,9 +75,9 @@
 	return !r.request.HasInterceptors() || http.NewResponseController(r.writer).Flush() == nil
 }
 
-// writeBadInput responds to an invalid request and closes its connection. Nothing more is read from the connection:
+// writeInvalidRequest responds to an invalid request and closes its connection. Nothing more is read from the connection:
 // neither a body, which may never arrive, nor any data after it.
-func (f *Front) writeBadInput(w http.ResponseWriter, err error) {
+func (f *Front) writeInvalidRequest(w http.ResponseWriter, err error) {
 	f.invalidRequests.Add(1)
 	invalid := &validationError{status: http.StatusBadRequest, text: err.Error()}
 	errors.As(err, &invalid)
