--- a/internal/httpwire/attempt.go
+++ b/internal/httpwire/attempt.go
@@ -1,6 +1,6 @@
 package httpwire
 
-// Sending one attempt of a request, and deriving its status by the protocol's table.
+// This file sends attempts and maps their outcomes to attempt statuses according to the protocol's table.
 
 import (
 	"context"
--- a/internal/httpwire/control.go
+++ b/internal/httpwire/control.go
@@ -1,7 +1,7 @@
 package httpwire
 
-// Connections for the streams from discovery and from the platform. Each carries one GET request and its response,
-// which is read as it arrives.
+// The streams from discovery and from the platform each use a connection of their own: one GET request, and one
+// response that is read as it arrives.
 
 import (
 	"bufio"
--- a/internal/httpwire/directory.go
+++ b/internal/httpwire/directory.go
@@ -43,8 +43,8 @@
 		}
 		d.addressOf[entry.ID], d.occupants[entry.address] = entry.address, current
 	}
-	for address, vacate := range isVacated {
-		if vacate {
+	for address, gone := range isVacated {
+		if gone {
 			vacated = append(vacated, address)
 		}
 	}
--- a/internal/httpwire/discovery.go
+++ b/internal/httpwire/discovery.go
@@ -64,7 +64,7 @@
 	onDisconnect     func()
 
 	refreshes   chan bool     // true: fetch a snapshot; false: open the watch
-	moved       chan bool     // receives when the address has changed
+	moved       chan bool     // signals that the address has changed
 	firstUpdate chan struct{} // closed once discovery has sent a list
 
 	// applyOrder is a lock held until an accepted list has been passed on, so that lists are passed on in the order in
@@ -181,7 +181,7 @@
 				startWatch()
 			}
 		case <-watchEnded:
-			if ctx.Err() == nil { // the core asks for a new watch
+			if ctx.Err() == nil { // the core decides when to reopen the watch
 				watching = false
 				d.core.EndpointsFailed()
 			}
--- a/internal/httpwire/endpointlist.go
+++ b/internal/httpwire/endpointlist.go
@@ -1,8 +1,7 @@
 package httpwire
 
-// The parser for endpoint lists, that is, snapshots and changes from discovery and the list in the configuration. A
-// list is accepted or rejected as a whole. A word that the protocol does not define indicates corruption, and the list
-// is rejected.
+// Endpoint lists are the snapshots and changes from discovery, and the list in the configuration. A list is accepted or
+// rejected as a whole. A state that the protocol does not define indicates corruption, and the list is rejected.
 
 import (
 	"errors"
--- a/internal/httpwire/interceptor_test.go
+++ b/internal/httpwire/interceptor_test.go
@@ -143,8 +143,8 @@
 	}
 }
 
-// The interceptor is told the outcome when a client disconnects before or during its response, when a handler fails,
-// and when a request is rejected because the front's limits are exceeded.
+// The interceptor learns the outcome if a client disconnects before or during its response, if a handler fails, or if a
+// request is rejected because the front's limits are exceeded.
 func TestInterceptorsFailures(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -206,7 +206,7 @@
 	gone.NextAction()
 	gone.ClientGone()
 	if gone.NextAction().Kind != core.ActionAbandon {
-		t.Errorf("last action of an abandoned request is not %d (ActionAbandon)", core.ActionAbandon)
+		t.Errorf("action after ClientGone is not ActionAbandon (%d)", core.ActionAbandon)
 	}
 	gone.Close()
 	failed := instance.core.Accept(core.IncomingRequest{ID: "u", ArrivedAt: instance.core.Now(), TimeLeft: 500})
--- a/internal/httpwire/listversion.go
+++ b/internal/httpwire/listversion.go
@@ -1,6 +1,6 @@
 package httpwire
 
-// Which endpoint lists are accepted, and in which order they are passed on.
+// This file decides which endpoint lists are accepted and passes them on in the order of acceptance.
 //
 // A list is identified by the generation of the discovery address that sent it (SetAddress starts the next generation)
 // and by its version within that generation. Versions of different generations are not comparable.
--- a/internal/httpwire/loadreport.go
+++ b/internal/httpwire/loadreport.go
@@ -1,6 +1,6 @@
 package httpwire
 
-// The parser for load reports such as "queue=3,util=0.5", which backends send with responses or as responses to probes.
+// Backends send load reports such as "queue=3,util=0.5" with their responses or as responses to probes.
 
 import (
 	"strconv"
--- a/internal/httpwire/platform.go
+++ b/internal/httpwire/platform.go
@@ -1,8 +1,9 @@
 package httpwire
 
-// Platform's configuration and state. notices.go follows the notices about release states, votes.go sends votes, and
-// releasestate.go parses release states. The platform client must never vote on its own, repeat a vote or infer more
-// from a response than the protocol's table states. Notices and votes must not wait for each other, nor for traffic.
+// This file holds Platform's configuration and state. notices.go follows the notices about release states, votes.go
+// sends votes, and releasestate.go parses release states. Platform must never vote on its own, repeat a vote or infer
+// more from a response than the protocol's table defines. Notices and votes must not wait for each other, nor for
+// traffic.
 
 import (
 	"math/rand/v2"
@@ -30,7 +31,7 @@
 	dial        Dial
 	voteTimeout time.Duration
 	rng         *rand.Rand // used only by WatchReleases
-	moved       chan bool  // receives when the address has changed
+	moved       chan bool  // signals that the address has changed
 	votes       chan vote
 
 	mu      sync.Mutex // guards the fields below
--- a/internal/httpwire/pool.go
+++ b/internal/httpwire/pool.go
@@ -73,8 +73,8 @@
 	return c, nil
 }
 
-// takeIdle counts one more use of an address's pool and removes a reusable idle connection from it, or returns a nil
-// conn.
+// takeIdle counts one more use of an address's pool and removes a reusable idle connection from it. The connection is
+// nil if there is none.
 func (ps *connPools) takeIdle(address string) (*pool, *conn) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
--- a/internal/httpwire/releasestate.go
+++ b/internal/httpwire/releasestate.go
@@ -1,6 +1,6 @@
 package httpwire
 
-// The parser for the state of a release. Notices, responses to votes and the configuration use the same fields.
+// Notices, responses to votes and the configuration describe the state of a release with the same fields.
 
 import (
 	"cmp"
--- a/internal/httpwire/shutdown.go
+++ b/internal/httpwire/shutdown.go
@@ -7,19 +7,20 @@
 )
 
 const (
-	// acceptWindow is how long new connections are accepted at least: they arrive for up to 0.4 s after the signal.
+	// acceptWindow is the minimum time for which new connections are accepted after the shutdown signal. They arrive
+	// for up to 0.4 s after it.
 	acceptWindow = 700 * time.Millisecond
 	// The process is not killed before acceptWindow plus the longest request timeout have passed since the signal.
 	// maxKillDelayMs is the upper limit of the second term (ms).
 	maxKillDelayMs = 3000.0
-	// closeBeforeKill is the time before the kill from which on connections are closed after their request.
+	// closeBeforeKill is how long before the kill connections begin to be closed after their request.
 	closeBeforeKill = 1500 * time.Millisecond
-	// answerBeforeKill is the time before the kill by which every open request must have a response.
+	// answerBeforeKill is how long before the kill every open request must have been answered.
 	answerBeforeKill = 300 * time.Millisecond
-	// exitBeforeKill is the time before the kill at which the remaining connections are abandoned.
+	// exitBeforeKill is how long before the kill the remaining connections are abandoned.
 	exitBeforeKill = 150 * time.Millisecond
-	// quietBeforeClose is how long no request may have begun or ended before the listener is closed with clients
-	// connected.
+	// quietBeforeClose is the minimum time since a request last began or ended before the listener is closed while
+	// clients are connected.
 	quietBeforeClose = 150 * time.Millisecond
 	// shutdownPoll is the interval between two checks whether the shutdown is complete.
 	shutdownPoll = 20 * time.Millisecond
--- a/internal/httpwire/sockets.go
+++ b/internal/httpwire/sockets.go
@@ -19,21 +19,22 @@
 	// unlimitedSockets is the limit for a process that has none.
 	unlimitedSockets = 1 << 20
 
-	// clientShare is the share of the budget that client connections may occupy before idle ones are closed to make room
-	// for new ones. Clients need a third of the budget for their requests. If nothing was closed before that share is
-	// filled, clients that sent one request and stay connected would fill it and lock out all others.
+	// clientShare is the share of the budget from which on an idle client connection is closed for each new one.
+	// Clients need about a third of the budget for their requests. Clients that send one request and stay connected
+	// would fill it and lock out all others, so eviction starts before that.
 	clientShare = 0.25
 	// maxClientShare is the largest share of the budget for clients. Without sockets for backends, no open request could
 	// make progress.
 	maxClientShare = 0.8
 
-	// idleGrace is how long a connection is kept at least after its last request or after it was accepted: it may be
-	// about to be used. A longer grace would protect every connection, because clients rotate through theirs: even with
-	// hundreds of them idle, none would ever reach it.
+	// idleGrace is the minimum age of an idle client connection at which it can be closed, counted from its last
+	// request or, if it is new, from when it was accepted: the client may be about to use it. It is short because
+	// clients rotate through their connections: with hundreds of them idle, each would be used again before a longer
+	// grace period expires.
 	idleGrace = 20 * time.Millisecond
-	// newConnGrace is how long a connection is normally kept at least before its first request. A slow client takes time
-	// to send a request head, and its request is lost if the connection is closed; a shorter silence does not tell a
-	// slow client from a dead one. After that, a silent connection may be one of hundreds that never carry a request.
+	// newConnGrace is how long a new connection without a request is kept unless no other one can be closed. A slow
+	// client takes time to send a request head, and its request is lost if the connection is closed; a shorter silence
+	// is normal. After that time, the connection may be one of hundreds that never carry a request.
 	newConnGrace = time.Second
 
 	// shortageLogInterval is the minimum time between two warnings that the budget is exhausted.
@@ -127,10 +128,10 @@
 	return after.hasRoom
 }
 
-// closeOneIdle closes the idle connection that is least likely to be needed. A connection that has been silent since it
-// was accepted, for newConnGrace or longer, goes first. Then come connections between requests: clients' before
-// backends' if clients exceed their share. A recently accepted connection goes last, because its client may be about to
-// send a request.
+// closeOneIdle closes the idle connection that is least likely to be needed. The first choice is a client connection
+// that has been silent for newConnGrace since it was accepted. The second is a connection between requests: of a client
+// if clients exceed their share, otherwise of a backend if the budget is full, otherwise of a client. The last is a
+// recently accepted connection, whose client may be about to send a request.
 func (s *Sockets) closeOneIdle(o occupancy) {
 	if s.closeIdleClient(s.newConns, newConnGrace) {
 		return
--- a/internal/httpwire/stream.go
+++ b/internal/httpwire/stream.go
@@ -1,9 +1,9 @@
 package httpwire
 
-// maintainStream keeps one long-lived stream to discovery or to the platform open. A lost stream is reopened after a
-// pause that doubles each time a stream ends without data. After a change of address, the new stream is opened while
-// the old one is still in use. The old one is closed when the new one delivers data: until then it may be the only one
-// that does.
+// The streams from discovery and from the platform are kept open permanently. A lost stream is reopened after a pause
+// that doubles each time a stream ends without data. After a change of address, the new stream is opened while the old
+// one is still in use. The old one is closed when the new one delivers data: until then it may be the only one that
+// does.
 
 import (
 	"context"
@@ -31,7 +31,7 @@
 	// goroutine it was called in, whenever data has arrived.
 	read func(ctx context.Context, onData func()) error
 
-	moved     <-chan bool // receives when the stream's address has changed
+	moved     <-chan bool // signals that the stream's address has changed
 	reconnect bool        // reopen a lost stream
 	rng       *rand.Rand  // for the jitter of pauses
 
--- a/internal/httpwire/trackedconn.go
+++ b/internal/httpwire/trackedconn.go
@@ -28,7 +28,7 @@
 	// The fields below are guarded by sockets.mu.
 
 	closed          bool
-	evicted         bool      // closed while idle to make room; no more bytes are read
+	evicted         bool      // found idle and about to be closed; no more bytes are read
 	betweenRequests bool      // no byte of the next request has been read
 	requestStart    time.Time // when the first byte of the request was read; zero: not observed
 	idleList        *list.List
@@ -75,7 +75,7 @@
 	}
 	waitErr := c.rawConn.Read(func(fd uintptr) (done bool) {
 		n, err = c.readSocket(int(fd), b)
-		return !errors.Is(err, syscall.EAGAIN) // wait until the socket is readable
+		return !errors.Is(err, syscall.EAGAIN) // on EAGAIN, wait until the socket is readable
 	})
 	switch {
 	case waitErr != nil:
--- a/internal/httpwire/upstream.go
+++ b/internal/httpwire/upstream.go
@@ -1,8 +1,8 @@
 package httpwire
 
-// Upstream's configuration and state. Its parts are pool.go (connection reuse), conn.go (one connection and a round
-// trip on it), upstreamresponse.go (the response parser), attempt.go (attempts and their outcome), loadprobe.go and
-// loadreport.go.
+// This file holds Upstream's configuration and state. Its parts are pool.go (connection reuse), conn.go (one connection
+// and a round trip on it), upstreamresponse.go (the response parser), attempt.go (attempts and their outcomes),
+// loadprobe.go and loadreport.go.
 //
 // Upstream must never retry on its own, choose a backend, or abort a call before it is canceled: one call sends one
 // attempt and reports one result.
--- a/internal/httpwire/writer.go
+++ b/internal/httpwire/writer.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// socketBufferBytes fit into a socket's buffer, so they can be written without blocking even if the client does not
-	// read.
+	// socketBufferBytes is the size up to which a response fits into the socket buffer and is written without blocking,
+	// even if the client does not read.
 	socketBufferBytes = 4 << 10
 	// writeTimeout applies to longer responses: a client that stops reading must not block the handler forever.
 	writeTimeout = 10 * time.Second
@@ -75,8 +75,8 @@
 	return !r.request.HasInterceptors() || http.NewResponseController(r.writer).Flush() == nil
 }
 
-// writeInvalidRequest responds to an invalid request and closes its connection. Nothing more is read from the connection:
-// neither a body, which may never arrive, nor any data after it.
+// writeInvalidRequest responds to an invalid request and closes its connection. Nothing more is read from it: neither a
+// body, which may never arrive, nor any data after it.
 func (f *Front) writeInvalidRequest(w http.ResponseWriter, err error) {
 	f.invalidRequests.Add(1)
 	invalid := &validationError{status: http.StatusBadRequest, text: err.Error()}
--- a/internal/httpwire/xmlleaves.go
+++ b/internal/httpwire/xmlleaves.go
@@ -1,6 +1,6 @@
 package httpwire
 
-// The parser for the platform's XML documents, of which only the text of leaf elements is used.
+// Only the text of leaf elements is used in the platform's XML documents.
 
 import (
 	"bytes"
