--- a/internal/httpwire/sockets.go
+++ b/internal/httpwire/sockets.go
@@ -19,22 +19,21 @@
 	// unlimitedSockets is the limit for a process that has none.
 	unlimitedSockets = 1 << 20
 
-	// clientShare is the share of the budget from which on an idle client connection is closed for each new one.
-	// Clients need about a third of the budget for their requests. Clients that send one request and stay connected
-	// would fill it and lock out all others, so eviction starts before that.
+	// clientShare is the share of the budget above which an idle client connection is closed for each new one. Clients
+	// need about a third of the budget for their requests. Clients that send one request and stay connected would fill
+	// that third and lock out all others, so eviction starts below it.
 	clientShare = 0.25
 	// maxClientShare is the largest share of the budget for clients. Without sockets for backends, no open request could
 	// make progress.
 	maxClientShare = 0.8
 
-	// idleGrace is the minimum age of an idle client connection at which it can be closed, counted from its last
-	// request or, if it is new, from when it was accepted: the client may be about to use it. It is short because
-	// clients rotate through their connections: with hundreds of them idle, each would be used again before a longer
-	// grace period expires.
+	// idleGrace is how long a client connection is protected from eviction after its last request or, if it is new, after
+	// it was accepted: the client may be about to use it. It is short because clients rotate through their connections:
+	// with hundreds of them idle, each would be used again before a longer grace period expires.
 	idleGrace = 20 * time.Millisecond
-	// newConnGrace is how long a new connection without a request is kept unless no other one can be closed. A slow
-	// client takes time to send a request head, and its request is lost if the connection is closed; a shorter silence
-	// is normal. After that time, the connection may be one of hundreds that never carry a request.
+	// newConnGrace is how long a connection without a request yet is protected from eviction, unless nothing else can be
+	// closed. A slow client takes time to send a request head, and its request is lost if the connection is closed, so a
+	// shorter silence is normal. After that time, the connection may be one of hundreds that never carry a request.
 	newConnGrace = time.Second
 
 	// shortageLogInterval is the minimum time between two warnings that the budget is exhausted.
