--- a/internal/httpwire/handler.go
+++ b/internal/httpwire/handler.go
@@ -10,20 +10,20 @@
 	"onyxgate/policy"
 )
 
-// rejectNoRoom is the reason of a request rejected because the front holds as much as it may.
+// rejectNoRoom is the reason for rejecting a request when the limit on open requests or on their bodies is exceeded.
 const rejectNoRoom = "room"
 
-// serveRequest is the life of one request, whose first byte came at arrivedAt (ms of the core's clock), up to its one answer.
+// serveRequest handles one request, whose first byte arrived at arrivedAt (ms of the core's clock), up to its response.
 func (f *Front) serveRequest(w http.ResponseWriter, r *http.Request, path string, arrivedAt float64) {
 	defer f.beginRequest()()
 	parsed, err := f.parseRequest(r, path)
 	if err != nil {
-		f.writeBadInput(w, err)
+		f.writeInvalidRequest(w, err)
 		return
 	}
 	body, err := f.readBody(w, r, parsed.bodyBytes, arrivedAt+parsed.timeLeft)
 	if err != nil {
-		f.writeBadInput(w, err)
+		f.writeInvalidRequest(w, err)
 		return
 	}
 	openBodyBytes := f.bodyBytes.Add(int64(len(body)))
@@ -37,7 +37,7 @@
 		RejectReason: f.rejectReason(parsed.id, openBodyBytes), StartAttempt: send,
 	})
 	if request == nil {
-		f.writeBadInput(w, errDuplicateID)
+		f.writeInvalidRequest(w, errDuplicateID)
 		return
 	}
 	traceAccepted(request, parsed)
@@ -47,7 +47,8 @@
 	h.run(r.Context())
 }
 
-// rejectReason tells why there is no room for a request whose body is held already; empty: there is.
+// rejectReason returns the reason to reject a request that exceeds the front's limits, or "". The request's body already
+// counts in openBodyBytes.
 func (f *Front) rejectReason(id string, openBodyBytes int64) string {
 	openRequests := f.openRequests.Load()
 	tooManyRequests := f.maxOpenRequests > 0 && openRequests > int64(f.maxOpenRequests)
@@ -59,18 +60,18 @@
 	return rejectNoRoom
 }
 
-// requestHandler carries out the actions of one request that the core has accepted. It lives in the goroutine of the server's
+// requestHandler carries out the core's actions for one accepted request. It runs in the goroutine of the client's
 // connection.
 type requestHandler struct {
-	request       *core.Request
-	response      responseWriter
-	send          func(*core.Attempt)
-	cancelAllowed bool
-	current       *core.Attempt // which this goroutine carries out
-	answered      bool          // writing of the answer has begun
+	request         *core.Request
+	response        responseWriter
+	send            func(*core.Attempt)
+	cancelAllowed   bool
+	currentAttempt  *core.Attempt // attempt that is sent in this goroutine
+	responseStarted bool          // writing the response has begun
 }
 
-// run takes the request's actions until one ends it.
+// run performs the request's actions until one ends it.
 func (h *requestHandler) run(ctx context.Context) {
 	defer h.close()
 	stopWatching := context.AfterFunc(ctx, h.request.ClientGone)
@@ -79,7 +80,7 @@
 	}
 }
 
-// perform carries out one action and tells whether others follow.
+// perform carries out one action and reports whether more actions follow.
 func (h *requestHandler) perform(action core.Action) (more bool) {
 	if action.Kind == core.ActionSendAttempt {
 		h.sendAttempt(action.Attempt)
@@ -88,42 +89,42 @@
 	traceAnswer(h.request, action)
 	switch action.Kind {
 	case core.ActionServe:
-		h.answered = true
-		h.request.ResponseWritten(h.response.writeServed(action.Response.(answer)))
+		h.responseStarted = true
+		h.request.ResponseWritten(h.response.writeServed(action.Response.(clientResponse)))
 	case core.ActionReject:
-		h.answered = true
+		h.responseStarted = true
 		h.request.ResponseWritten(h.response.writeRejected(action.RetryAfter))
 	case core.ActionFail:
-		h.answered = true
+		h.responseStarted = true
 		h.request.ResponseWritten(h.response.writeFailed())
-	case core.ActionAbandon: // nobody waits for an answer
+	case core.ActionAbandon: // no client waits for a response
 	default:
 		return true
 	}
 	return false
 }
 
-// sendAttempt carries out an attempt in this goroutine where the core can interrupt it for what it wants next, else in one of
-// its own, which ends with the attempt.
+// sendAttempt sends an attempt in this goroutine if the core can cancel it when it needs the goroutine for the next
+// action. Otherwise it starts a goroutine that ends with the attempt.
 func (h *requestHandler) sendAttempt(attempt *core.Attempt) {
 	if !h.cancelAllowed {
 		go h.send(attempt)
 		return
 	}
-	h.current = attempt
+	h.currentAttempt = attempt
 	h.send(attempt)
-	h.current = nil
+	h.currentAttempt = nil
 }
 
-// close ends the request, whatever has failed: after a panic the attempt under way gets its result and the client an answer, if
-// none was begun.
+// close ends the request in all cases. After a panic it finishes the attempt in progress, and sends a failure response
+// unless a response was begun.
 func (h *requestHandler) close() {
 	if failure := recover(); failure != nil {
 		logrus.WithFields(logrus.Fields{"request": h.request.ID, "panic": failure}).Error("request handler panicked")
-		if h.current != nil {
-			h.current.Finish(policy.StatusReset, nil, policy.LoadReport{})
+		if h.currentAttempt != nil {
+			h.currentAttempt.Finish(policy.StatusReset, nil, policy.LoadReport{})
 		}
-		if !h.answered {
+		if !h.responseStarted {
 			h.request.Fail()
 			h.request.ResponseWritten(h.response.writeFailed())
 		}
--- a/internal/httpwire/lists_test.go
+++ b/internal/httpwire/lists_test.go
@@ -1,6 +1,6 @@
 package httpwire
 
-// What crosses on the way of a list: frames, silences, order, moves.
+// Tests of how lists reach the core: framing, silent watches, ordering and changes of discovery's address.
 
 import (
 	"context"
@@ -13,8 +13,8 @@
 	"onyxgate/policy"
 )
 
-// An indented list reaches the instance by the watch, also where a snapshot is fetched.
-func TestIndented(t *testing.T) {
+// An indented list is applied, whether it comes from the watch or from a fetched snapshot.
+func TestIndentedList(t *testing.T) {
 	list := "{\n \"version\": 9,\n \"full\": true,\n \"servers\": [\n  {\"id\": \"u\", \"addr\": \"u:1\", \"state\": \"Ready\",\n" +
 		"   \"version_no\": 1}\n ]\n}\n"
 	for _, c := range []struct {
@@ -26,40 +26,40 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			server := newFakeBackend(t)
-			a := newTestInstance(network{}, NewSockets(0))
-			a.discovery.dial, a.discovery.address = dialTCP, server.address()
-			go c.ask(a.discovery, t.Context()) // ends with the test
+			instance := newTestInstance(network{}, NewSockets(0))
+			instance.discovery.dial, instance.discovery.address = dialTCP, server.address()
+			go c.ask(instance.discovery, t.Context()) // ends with the test
 			conn := <-server.conns
 			t.Cleanup(func() { conn.Close() })
 			conn.mustReadRequest(t)
 			send(conn, streamHead+chunk(list))
-			<-a.discovery.FirstUpdate()
-			if a.discovery.BackendAddress("u") != "u:1" {
-				t.Error("not taken")
+			<-instance.discovery.FirstUpdate()
+			if instance.discovery.BackendAddress("u") != "u:1" {
+				t.Errorf("address of u = %q, want u:1", instance.discovery.BackendAddress("u"))
 			}
 		})
 	}
 }
 
-// What a silent watch misses counts as known 6 s after the silence began. It is made up before that, also where the first
-// reconnect fails, or where it comes up and is as silent.
-func TestSilence(t *testing.T) {
+// A change that a silent watch misses counts as known 6 s after the silence began. It must be received before that,
+// even if the first reconnect fails or leads to another silent stream.
+func TestWatchSilence(t *testing.T) {
 	change := listJSON(6, false, `{"id":"u","addr":"u:1","state":"Ready","version_no":1}`) + "\n"
 	for _, c := range []struct {
 		name   string
 		second func(net.Conn)
 	}{
-		{"connected at once", nil},
+		{"second stream sends", nil},
 		{"refused", func(net.Conn) {}},
-		{"takes the call and says nothing", holdSilent},
-		{"a head and nothing more", answerAndHold(streamHead)},
-		{"half a list", answerAndHold(streamHead + chunk(change[:30]))},
-		{"a part of a head", answerAndHold(streamHead[:9])},
+		{"connection accepted, no response", holdSilent},
+		{"response head only", answerAndHold(streamHead)},
+		{"incomplete list", answerAndHold(streamHead + chunk(change[:30]))},
+		{"incomplete response head", answerAndHold(streamHead[:9])},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				opened, silentAt := 0, time.Now()
-				a := newTestInstance(network{"list": func(conn net.Conn) {
+				instance := newTestInstance(network{"list": func(conn net.Conn) {
 					opened++
 					switch {
 					case opened == 1:
@@ -71,25 +71,25 @@
 					}
 				}}, NewSockets(0))
 				ctx, cancel := context.WithCancel(t.Context())
-				go a.discovery.Run(ctx)
-				<-a.discovery.FirstUpdate()
+				go instance.discovery.Run(ctx)
+				<-instance.discovery.FirstUpdate()
 				if late := time.Since(silentAt); late >= 5800*time.Millisecond {
-					t.Errorf("made up after %v", late)
+					t.Errorf("first list received %v after the silence began, want less than 5.8s", late)
 				}
 				cancel()
-				a.close()
+				instance.close()
 			})
 		})
 	}
 }
 
-// Lists reach the decisions in the order in which they were taken, whoever took them.
-func TestListOrder(t *testing.T) {
+// Lists are passed on in the order in which they were accepted, even if they are applied by different goroutines.
+func TestListsPassedOnInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a := newTestInstance(network{}, NewSockets(0))
+		instance := newTestInstance(network{}, NewSockets(0))
 		var got []int
 		inside, resume := make(chan bool, 1), make(chan bool)
-		a.discovery.OnUpdate(func(update policy.EndpointUpdate, _ []string) {
+		instance.discovery.OnUpdate(func(update policy.EndpointUpdate, _ []string) {
 			release := int(update.Endpoints[0].Release)
 			if release == 2 {
 				inside <- true
@@ -101,80 +101,81 @@
 		done := make(chan error, 2)
 		for version := 2; version <= 3; version++ {
 			list := listJSON(version, false, fmt.Sprintf(entry, version))
-			go func() { done <- a.discovery.Apply([]byte(list), FromWatch, func() {}) }()
-			synctest.Wait() // the first is on its way to the decisions, and the second has come as far as it can
+			go func() { done <- instance.discovery.Apply([]byte(list), FromWatch, func() {}) }()
+			synctest.Wait() // the first list is being passed on, and the second one waits
 		}
 		<-inside
 		close(resume)
 		for range 2 {
 			if err := <-done; err != nil {
-				t.Error(err)
+				t.Errorf("Apply: %v", err)
 			}
 		}
 		if fmt.Sprint(got) != "[2 3]" {
-			t.Errorf("the decisions got %v", got)
+			t.Errorf("releases of the lists passed on = %v, want [2 3]", got)
 		}
-		a.close()
+		instance.close()
 	})
 }
 
-// movedList is one list that comes after moves of discovery, and what becomes of it.
+// movedList is one list received after changes of discovery's address, with the expected result.
 type movedList struct {
 	generation int
 	version    int
 	snapshot   bool
-	id         string // of the one backend in it
-	taken      bool
-	fails      bool
+	id         string // of the only backend in the list
+	accepted   bool
+	wantErr    bool
 }
 
-// Discovery moves: what the address that was left still sends, a count that starts lower, and one that skips.
-func TestMovedLists(t *testing.T) {
+// After a change of discovery's address, lists of the old address are ignored once the new one has sent a list. The
+// versions of the new address may be lower, or continue after a gap.
+func TestListsAfterMove(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		lists []movedList
-		held  int64
+		name    string
+		lists   []movedList
+		current int64
 	}{
-		{"the old one goes on until the new one sends", []movedList{
+		{"old address is used until the new one sends", []movedList{
 			{0, 6, false, "u", true, false},
 			{1, 7, false, "v", true, false},
 			{0, 8, false, "w", false, false},
 		}, 7},
-		{"a whole list of the old one after the new one", []movedList{
+		{"snapshot from the old address after the new one", []movedList{
 			{1, 7, false, "v", true, false},
 			{0, 9, true, "w", false, false},
 		}, 7},
-		{"the new one starts lower, whole", []movedList{
+		{"new address starts with a snapshot of a lower version", []movedList{
 			{1, 2, true, "v", true, false},
 			{1, 3, false, "w", true, false},
 			{0, 9, false, "x", false, false},
 		}, 3},
-		{"the new one starts lower with a change: all is asked for", []movedList{
+		{"new address starts with a change of a lower version", []movedList{
 			{1, 2, false, "v", true, true},
 			{1, 3, true, "w", true, false},
 		}, 3},
-		{"twice moved", []movedList{{2, 3, true, "v", true, false}, {1, 9, true, "w", false, false}}, 3},
-		{"no move, an older change", []movedList{{0, 3, false, "v", false, false}}, 5},
+		{"two moves", []movedList{{2, 3, true, "v", true, false}, {1, 9, true, "w", false, false}}, 3},
+		{"older change without a move", []movedList{{0, 3, false, "v", false, false}}, 5},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				a := newTestInstance(network{}, NewSockets(0))
-				if err := a.discovery.Apply([]byte(listJSON(5, true, entryAt("s"))), FromWatch, func() {}); err != nil {
-					t.Error(err)
+				instance := newTestInstance(network{}, NewSockets(0))
+				if err := instance.discovery.Apply([]byte(listJSON(5, true, entryAt("s"))), FromWatch, func() {}); err != nil {
+					t.Errorf("applying the first list: %v", err)
 				}
 				for _, l := range c.lists {
-					l.apply(t, a.discovery)
+					l.apply(t, instance.discovery)
 				}
-				if version, _ := a.discovery.Version(); version != c.held {
-					t.Errorf("version %d held", version)
+				if version, _ := instance.discovery.Version(); version != c.current {
+					t.Errorf("current version = %d, want %d", version, c.current)
 				}
-				a.close()
+				instance.close()
 			})
 		})
 	}
 }
 
-// entryAt is the entry of a running backend.
+// entryAt returns the entry of a running backend.
 func entryAt(id string) string {
 	return `{"id":"` + id + `","addr":"` + id + `:1","state":"Ready","version_no":1}`
 }
@@ -182,10 +183,11 @@
 func (l movedList) apply(t *testing.T, d *Discovery) {
 	t.Helper()
 	err := d.apply([]byte(listJSON(l.version, l.snapshot, entryAt(l.id))), FromWatch, l.generation, func() {})
-	if taken := d.BackendAddress(l.id) != ""; taken != l.taken || (err != nil) != l.fails {
-		t.Errorf("version %d of generation %d taken %v, %v", l.version, l.generation, taken, err)
+	if accepted := d.BackendAddress(l.id) != ""; accepted != l.accepted || (err != nil) != l.wantErr {
+		t.Errorf("version %d of generation %d: accepted %v, want %v; error %v, want an error: %v",
+			l.version, l.generation, accepted, l.accepted, err, l.wantErr)
 	}
-	if _, _, version := d.position(); l.fails && version != 0 {
-		t.Errorf("the next watch asks from %d on", version)
+	if _, _, version := d.position(); l.wantErr && version != 0 {
+		t.Errorf("next watch starts after version %d, want 0", version)
 	}
 }
--- a/internal/httpwire/listversion_test.go
+++ b/internal/httpwire/listversion_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// The table at the head of listversion.go, row by row, against generation 2 and version 5.
+// Checks each row of the table in listversion.go against a current position of generation 2 and version 5.
 func TestListDecisions(t *testing.T) {
 	const older, same, newer = 1, 2, 3 // generations
-	held := listPosition{generation: same, version: 5}
+	current := listPosition{generation: same, version: 5}
 	for _, c := range []struct {
 		name       string
 		generation int
@@ -29,13 +29,13 @@
 		{"newer generation, newer version", newer, 6, false, FromWatch, listAccepted},
 		{"newer generation, same version", newer, 5, false, FromWatch, listAccepted},
 		{"newer generation, older version, snapshot", newer, 4, true, FromFetch, listAccepted},
-		{"newer generation, older version, change", newer, 4, false, FromWatch, listRestarts},
-		{"newer generation, older version, change from the configuration", newer, 4, false, FromConfiguration, listRestarts},
+		{"newer generation, older version, change", newer, 4, false, FromWatch, listAcceptedRestart},
+		{"newer generation, older version, change from the configuration", newer, 4, false, FromConfiguration, listAcceptedRestart},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			list := endpointList{version: c.version, snapshot: c.snapshot}
-			if got := held.decide(list, c.source, c.generation); got != c.want {
-				t.Errorf("decision %d, want %d", got, c.want)
+			if got := current.decide(list, c.source, c.generation); got != c.want {
+				t.Errorf("decision = %d, want %d", got, c.want)
 			}
 		})
 	}
--- a/internal/httpwire/notices.go
+++ b/internal/httpwire/notices.go
@@ -1,6 +1,6 @@
 package httpwire
 
-// This file follows the platform's notices, a stream of events that hold the states of releases.
+// The platform's notices are a stream of events that carry the states of releases.
 
 import (
 	"bufio"
@@ -16,18 +16,18 @@
 )
 
 const (
-	noticesPath    = "/notices"
-	noticeSilence  = 3500 * time.Millisecond // a sign of life comes every second
-	maxNoticeBytes = 64 << 10                // of one line
-	stageEvent     = "stage"                 // the event that holds a release's state
+	noticesPath       = "/notices"
+	noticeIdleTimeout = 3500 * time.Millisecond // the platform sends a comment line every second as a keep-alive
+	maxNoticeBytes    = 64 << 10                // per line
+	stageEvent        = "stage"                 // the event that carries the state of a release
 )
 
-// errUnreadableNotice ends a stream: what can't be read is noise, and the connection of no further use.
-var errUnreadableNotice = errors.New("a notice that can't be read")
+// errMalformedNotice ends a stream: malformed data indicates corruption, and the rest of the connection can't be trusted.
+var errMalformedNotice = errors.New("malformed release notice")
 
-// WatchReleases follows the notices until ctx ends.
+// WatchReleases follows the notices until ctx is done.
 func (p *Platform) WatchReleases(ctx context.Context) {
-	keepStream(ctx, streamConfig{
+	maintainStream(ctx, streamConfig{
 		read:         p.readNotices,
 		moved:        p.moved,
 		reconnect:    true,
@@ -37,9 +37,9 @@
 	})
 }
 
-// readNotices reads one stream until it breaks, falls silent or sends what can't be read.
-func (p *Platform) readNotices(ctx context.Context, heard func()) error {
-	stream, err := openControlStream(ctx, p.dial, p.currentAddress(), noticesPath, noticeSilence)
+// readNotices reads one stream until it breaks, becomes silent or sends malformed data.
+func (p *Platform) readNotices(ctx context.Context, onData func()) error {
+	stream, err := openControlStream(ctx, p.dial, p.currentAddress(), noticesPath, noticeIdleTimeout)
 	if err != nil {
 		return err
 	}
@@ -49,32 +49,32 @@
 	lines.Buffer(nil, maxNoticeBytes)
 	var event notice
 	for lines.Scan() {
-		stream.allowSilence(noticeSilence)
-		whole, alive, err := event.addLine(lines.Text())
+		stream.extendReadDeadline(noticeIdleTimeout)
+		complete, keepAlive, err := event.addLine(lines.Text())
 		if err != nil {
 			return err
 		}
-		if whole {
+		if complete {
 			if err := p.applyNotice(event); err != nil {
 				return err
 			}
 			event = notice{}
 		}
-		if whole || alive {
-			heard()
+		if complete || keepAlive {
+			onData()
 		}
 	}
 	return cmp.Or(lines.Err(), errStreamEnded)
 }
 
-// notice is one event as far as its lines have come.
+// notice is an event, possibly incomplete.
 type notice struct {
 	event string
 	data  string
 }
 
-// addLine takes in one line. An empty line makes the notice whole; a line without a name is a sign of life.
-func (n *notice) addLine(line string) (whole, alive bool, err error) {
+// addLine adds one line. An empty line completes the notice; a line that starts with a colon is a keep-alive.
+func (n *notice) addLine(line string) (complete, keepAlive bool, err error) {
 	name, value, colon := strings.Cut(line, ":")
 	value = strings.TrimPrefix(value, " ")
 	switch {
@@ -87,12 +87,12 @@
 	case name == "":
 		return true, false, nil
 	default:
-		return false, false, fmt.Errorf("%w: %.99q", errUnreadableNotice, line)
+		return false, false, fmt.Errorf("%w: %.99q", errMalformedNotice, line)
 	}
 	return false, false, nil
 }
 
-// applyNotice hands on the release's state that a notice holds. Events of other kinds are passed over.
+// applyNotice passes on the release state in a notice. Events of other types are ignored.
 func (p *Platform) applyNotice(n notice) error {
 	if n.event != stageEvent {
 		return nil
@@ -102,7 +102,7 @@
 		err = p.Apply(ReadReleaseFields(form.Get))
 	}
 	if err != nil {
-		return fmt.Errorf("%w: %w: %.99q", errUnreadableNotice, err, n.data)
+		return fmt.Errorf("%w: %w: %.99q", errMalformedNotice, err, n.data)
 	}
 	return nil
 }
--- a/internal/httpwire/shutdown_test.go
+++ b/internal/httpwire/shutdown_test.go
@@ -11,45 +11,46 @@
 
 const healthCheck = "GET /up HTTP/1.1\r\nHost: h\r\n\r\n"
 
-// Shutdown: /up refuses at once, what comes is served on connections that stay until the kill is near, nothing stays open
-// beyond that, and it ends once nothing has come for a while; at once where nobody is connected.
-func TestLeave(t *testing.T) {
-	t.Run("clients are connected", func(t *testing.T) { synctest.Test(t, testShutdownWithClients) })
-	t.Run("a request stays open", func(t *testing.T) { synctest.Test(t, testShutdownWithOpenRequest) })
-	t.Run("nobody is connected", func(t *testing.T) {
+// During a shutdown, /up fails at once. Requests are served on connections that stay open until shortly before the
+// kill, and nothing is open afterwards. Shutdown returns when no request has arrived for a while, or after acceptWindow
+// if no client is connected.
+func TestShutdown(t *testing.T) {
+	t.Run("clients connected", func(t *testing.T) { synctest.Test(t, testShutdownWithClients) })
+	t.Run("request stays open", func(t *testing.T) { synctest.Test(t, testShutdownWithOpenRequest) })
+	t.Run("no client connected", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			a := newTestInstance(network{}, NewSockets(0))
+			instance := newTestInstance(network{}, NewSockets(0))
 			from := time.Now()
-			a.front.Shutdown(t.Context(), make(pipeListener))
+			instance.front.Shutdown(t.Context(), make(pipeListener))
 			if took := time.Since(from); took < acceptWindow || took > acceptWindow+50*time.Millisecond {
-				t.Errorf("ended after %v", took)
+				t.Errorf("Shutdown returned after %v, want %v to %v", took, acceptWindow, acceptWindow+50*time.Millisecond)
 			}
-			a.close()
+			instance.close()
 		})
 	})
 }
 
 func testShutdownWithClients(t *testing.T) {
 	var silent atomic.Bool
-	a := newTestInstance(network{"app:1": func(conn net.Conn) {
+	instance := newTestInstance(network{"app:1": func(conn net.Conn) {
 		answer := "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 		if silent.Load() {
 			answer = ""
 		}
 		answerAndHold(answer)(conn)
 	}}, NewSockets(0))
-	a.front.SetReady()
-	if answer, _ := a.roundTrip(t, healthCheck); answer.StatusCode != 200 {
-		t.Errorf("/up %d", answer.StatusCode)
+	instance.front.SetReady()
+	if answer, _ := instance.roundTrip(t, healthCheck); answer.StatusCode != 200 {
+		t.Errorf("status of /up = %d, want 200", answer.StatusCode)
 	}
 	client, conn := net.Pipe()
 	defer client.Close()
-	idle := a.front.sockets.track(conn, true)
-	a.front.sockets.ConnIdle(idle, false)
+	idle := instance.front.sockets.track(conn, true)
+	instance.front.sockets.ConnIdle(idle, false)
 
 	from, ended := time.Now(), make(chan time.Duration, 1)
-	go func() { // ends with the shutdown
-		a.front.Shutdown(t.Context(), make(pipeListener))
+	go func() { // ends with Shutdown
+		instance.front.Shutdown(t.Context(), make(pipeListener))
 		ended <- time.Since(from)
 	}()
 	for _, c := range []struct {
@@ -61,32 +62,32 @@
 		{2300 * time.Millisecond, true},
 	} {
 		time.Sleep(c.at - time.Since(from))
-		if answer, _ := a.roundTrip(t, healthCheck); answer.StatusCode != 503 {
-			t.Errorf("at %v: /up %d", c.at, answer.StatusCode)
+		if answer, _ := instance.roundTrip(t, healthCheck); answer.StatusCode != 503 {
+			t.Errorf("%v after the signal: status of /up = %d, want 503", c.at, answer.StatusCode)
 		}
-		answer, _ := a.roundTrip(t, requestWithID(c.at.String()))
+		answer, _ := instance.roundTrip(t, requestWithID(c.at.String()))
 		if answer.StatusCode != 200 || answer.Close != c.closesConn {
-			t.Errorf("at %v: %d, close %v", c.at, answer.StatusCode, answer.Close)
+			t.Errorf("%v after the signal: status = %d, close = %v; want 200 and %v", c.at, answer.StatusCode, answer.Close, c.closesConn)
 		}
 	}
 	if !idle.closed {
-		t.Error("an idle connection is open although the kill is near")
+		t.Errorf("idle connection is still open %v after the signal, want it closed", time.Since(from))
 	}
 
 	silent.Store(true)
-	answer, _ := a.roundTrip(t, strings.Replace(validRequest, "2000m", "9000m", 1))
+	answer, _ := instance.roundTrip(t, strings.Replace(validRequest, "2000m", "9000m", 1))
 	if took := time.Since(from); answer.StatusCode != 503 || took > 3400*time.Millisecond {
-		t.Errorf("a request that finds no answer got %d after %v", answer.StatusCode, took)
+		t.Errorf("request to a silent backend: status = %d after %v, want 503 within 3.4s of the signal", answer.StatusCode, took)
 	}
 	if took := <-ended; took < 2200*time.Millisecond || took > 3700*time.Millisecond {
-		t.Errorf("ended after %v", took)
+		t.Errorf("Shutdown returned after %v, want 2.2s to 3.7s", took)
 	}
-	a.close()
+	instance.close()
 }
 
 func testShutdownWithOpenRequest(t *testing.T) {
 	var backendConns atomic.Int64
-	a := newTestInstance(network{"app:1": func(conn net.Conn) {
+	instance := newTestInstance(network{"app:1": func(conn net.Conn) {
 		if backendConns.Add(1) == 1 {
 			holdSilent(conn)
 			return
@@ -95,24 +96,24 @@
 	}}, NewSockets(0))
 	opened := make(chan clientAnswer, 1)
 	go func() { // ends with the request
-		answer, _ := a.roundTrip(t, strings.Replace(validRequest, "2000m", "9000m", 1))
+		answer, _ := instance.roundTrip(t, strings.Replace(validRequest, "2000m", "9000m", 1))
 		opened <- answer
 	}()
 	synctest.Wait()
 	from, ended := time.Now(), make(chan time.Duration, 1)
-	go func() { // ends with the shutdown
-		a.front.Shutdown(t.Context(), make(pipeListener))
+	go func() { // ends with Shutdown
+		instance.front.Shutdown(t.Context(), make(pipeListener))
 		ended <- time.Since(from)
 	}()
 	time.Sleep(2300 * time.Millisecond)
-	if answer, _ := a.roundTrip(t, requestWithID("r2")); answer.StatusCode != 200 || !answer.Close {
-		t.Errorf("near the kill: %d, close %v", answer.StatusCode, answer.Close)
+	if answer, _ := instance.roundTrip(t, requestWithID("r2")); answer.StatusCode != 200 || !answer.Close {
+		t.Errorf("request shortly before the kill: status = %d, close = %v; want 200 and true", answer.StatusCode, answer.Close)
 	}
 	if answer := <-opened; answer.StatusCode != 503 || time.Since(from) > 3400*time.Millisecond {
-		t.Errorf("the open request got %d after %v", answer.StatusCode, time.Since(from))
+		t.Errorf("open request: status = %d after %v, want 503 within 3.4s of the signal", answer.StatusCode, time.Since(from))
 	}
 	if took := <-ended; took > 3700*time.Millisecond {
-		t.Errorf("ended after %v", took)
+		t.Errorf("Shutdown returned after %v, want at most 3.7s", took)
 	}
-	a.close()
+	instance.close()
 }
--- a/internal/httpwire/stream.go
+++ b/internal/httpwire/stream.go
@@ -1,8 +1,9 @@
 package httpwire
 
-// This file keeps one long-lived stream open, to discovery or to the platform. One that is lost is opened again after a pause,
-// which doubles for each that sent nothing. After a change of address the new stream is opened beside the old one, which is
-// left as soon as the new one sends something: until then the old one may be the only one that does.
+// The streams from discovery and from the platform are kept open permanently. A lost stream is reopened after a pause
+// that doubles each time a stream ends without data. After a change of address, the new stream is opened while the old
+// one is still in use. The old one is closed when the new one delivers data: until then it may be the only one that
+// does.
 
 import (
 	"context"
@@ -12,108 +13,108 @@
 
 const (
 	reconnectPauseMin = 100.0  // ms, before jitter
-	reconnectPauseMax = 1000.0 // ms, before jitter: discovery's changes count as known 4 to 6 s after they were made
+	reconnectPauseMax = 1000.0 // ms, before jitter: changes in discovery count as known 4 to 6 s after they were made
 )
 
 // streamState is the state of the newest stream.
 type streamState uint8
 
 const (
-	streamConnecting streamState = iota // opened; nothing has come on it yet
-	streamConnected                     // something has come on it
-	streamBackingOff                    // lost; it is opened again after the pause
+	streamConnecting streamState = iota // being opened; no data received yet
+	streamConnected                     // data received
+	streamBackingOff                    // lost; reopened after the pause
 )
 
-// streamConfig says which stream is kept and who hears of it.
+// streamConfig configures a stream and its callbacks.
 type streamConfig struct {
-	// read opens one stream and reads it until it ends, at the latest with ctx, and returns why. It calls heard whenever
-	// something has come, from the goroutine that it was called on.
-	read func(ctx context.Context, heard func()) error
+	// read opens one stream, reads it until it ends or ctx is done, and returns the reason. It calls onData, in the
+	// goroutine it was called in, whenever data has arrived.
+	read func(ctx context.Context, onData func()) error
 
-	moved     <-chan bool // a stream to another address is wanted
-	reconnect bool        // a lost stream is opened again
+	moved     <-chan bool // signals that the stream's address has changed
+	reconnect bool        // reopen a lost stream
 	rng       *rand.Rand  // for the jitter of pauses
 
-	onMove       func()          // called before the new stream is opened
+	onMove       func()          // called before the stream to a new address is opened
 	onDisconnect func(err error) // called when the newest stream is lost
 }
 
-// streamKeeper is the state of keepStream, which owns it. The readers' goroutines only send on its channels.
-type streamKeeper struct {
-	config streamConfig
-	heard  chan int       // the number of a stream on which something has come for the first time
-	ended  chan streamEnd // a stream that has ended
-	retry  <-chan time.Time
+// streamManager is the state of maintainStream, which owns it. The goroutines of the readers only send on its channels.
+type streamManager struct {
+	config    streamConfig
+	firstData chan int       // number of a stream that has received data for the first time
+	ended     chan streamEnd // streams that have ended
+	retry     <-chan time.Time
 
 	state          streamState
 	newest         int     // number of the newest stream
-	pause          float64 // ms, before the next reconnect
-	cancelNewest   func()  // ends the newest stream
-	cancelPrevious func()  // ends the stream that is kept until something comes on the newest
+	pause          float64 // ms before the next reconnect
+	cancelNewest   func()  // closes the newest stream
+	cancelPrevious func()  // closes the stream that is kept until the newest one receives data
 }
 
-// streamEnd is the end of one stream.
+// streamEnd reports the end of one stream.
 type streamEnd struct {
 	number int
 	err    error
 }
 
-// keepStream keeps a stream open until ctx ends, or until it is lost where it is not to be opened again. Every reader that it
-// started ends with it.
-func keepStream(ctx context.Context, config streamConfig) {
+// maintainStream keeps a stream open until ctx is done, or until the stream is lost if config.reconnect is not set. All
+// readers that it started are canceled when it returns.
+func maintainStream(ctx context.Context, config streamConfig) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	k := &streamKeeper{
+	m := &streamManager{
 		config:         config,
-		heard:          make(chan int),
+		firstData:      make(chan int),
 		ended:          make(chan streamEnd),
 		pause:          reconnectPauseMin,
 		cancelNewest:   func() {},
 		cancelPrevious: func() {},
 	}
-	k.connect(ctx)
+	m.connect(ctx)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-config.moved:
-			k.move(ctx)
-		case number := <-k.heard:
-			k.connected(number)
-		case end := <-k.ended:
-			if end.number != k.newest || ctx.Err() != nil {
-				continue // it was left, or ended beside the newer one
+			m.move(ctx)
+		case number := <-m.firstData:
+			m.connected(number)
+		case end := <-m.ended:
+			if end.number != m.newest || ctx.Err() != nil {
+				continue // an older stream, which was replaced or ended before the newest one received data
 			}
 			config.onDisconnect(end.err)
 			if !config.reconnect {
 				return
 			}
-			k.backOff()
-		case <-k.retry:
-			k.connect(ctx)
+			m.backOff()
+		case <-m.retry:
+			m.connect(ctx)
 		}
 	}
 }
 
 // connect opens a new stream.
-func (k *streamKeeper) connect(ctx context.Context) {
-	k.newest++
-	k.state, k.retry = streamConnecting, nil
+func (m *streamManager) connect(ctx context.Context) {
+	m.newest++
+	m.state, m.retry = streamConnecting, nil
 	streamCtx, cancel := context.WithCancel(ctx)
-	k.cancelNewest = cancel
-	number := k.newest
-	go func() { // ends with streamCtx, which is canceled at the latest when keepStream returns
-		err := k.config.read(streamCtx, k.firstHeard(streamCtx, number))
+	m.cancelNewest = cancel
+	number := m.newest
+	go func() { // ends with streamCtx, which is canceled at the latest when maintainStream returns
+		err := m.config.read(streamCtx, m.notifyFirstData(streamCtx, number))
 		cancel()
 		select {
-		case k.ended <- streamEnd{number, err}:
+		case m.ended <- streamEnd{number, err}:
 		case <-ctx.Done():
 		}
 	}()
 }
 
-// firstHeard returns the function that a stream's reader calls whenever something has come; only its first call counts.
-func (k *streamKeeper) firstHeard(ctx context.Context, number int) func() {
+// notifyFirstData returns the onData callback for a stream's reader. Only its first call has an effect.
+func (m *streamManager) notifyFirstData(ctx context.Context, number int) func() {
 	reported := false
 	return func() {
 		if reported {
@@ -121,37 +122,38 @@
 		}
 		reported = true
 		select {
-		case k.heard <- number:
+		case m.firstData <- number:
 		case <-ctx.Done():
 		}
 	}
 }
 
-// connected leaves the previous stream, now that something has come on the newest.
-func (k *streamKeeper) connected(number int) {
-	if number != k.newest {
+// connected closes the previous stream after the newest one has received data.
+func (m *streamManager) connected(number int) {
+	if number != m.newest {
 		return
 	}
-	k.cancelPrevious()
-	k.state, k.pause = streamConnected, reconnectPauseMin
+	m.cancelPrevious()
+	m.state, m.pause = streamConnected, reconnectPauseMin
 }
 
-// move opens a stream to the new address. One on which something has come is kept until that is so of the new one; else it is left.
-func (k *streamKeeper) move(ctx context.Context) {
-	if k.state == streamConnected {
-		k.cancelPrevious = k.cancelNewest
+// move opens a stream to the new address. If the current stream has received data, it is kept until the new one does;
+// otherwise it is closed.
+func (m *streamManager) move(ctx context.Context) {
+	if m.state == streamConnected {
+		m.cancelPrevious = m.cancelNewest
 	} else {
-		k.cancelNewest()
+		m.cancelNewest()
 	}
-	k.config.onMove()
-	k.pause = reconnectPauseMin
-	k.connect(ctx)
+	m.config.onMove()
+	m.pause = reconnectPauseMin
+	m.connect(ctx)
 }
 
-// backOff sets the time at which a lost stream is opened again.
-func (k *streamKeeper) backOff() {
-	k.state = streamBackingOff
-	jitter := 0.5 + k.config.rng.Float64()
-	k.retry = time.After(time.Duration(k.pause * jitter * float64(time.Millisecond)))
-	k.pause = min(2*k.pause, reconnectPauseMax)
+// backOff schedules the reconnect of a lost stream.
+func (m *streamManager) backOff() {
+	m.state = streamBackingOff
+	jitter := 0.5 + m.config.rng.Float64()
+	m.retry = time.After(time.Duration(m.pause * jitter * float64(time.Millisecond)))
+	m.pause = min(2*m.pause, reconnectPauseMax)
 }
