--- a/internal/record/export.go
+++ b/internal/record/export.go
@@ -24,7 +24,7 @@
 func (r ExportResult) String() string { return nameAt(exportResultNames[:], int(r)) }
 
 // resultPauses is what a failure means: the first pause (ms), and whether the next batch is to be smaller.
-var resultPauses = [...]struct {
+var resultBackoff = [...]struct {
 	pause   float64
 	smaller bool
 }{
@@ -101,12 +101,12 @@
 		s.batchRows = min(s.batchRows*2, s.maxRows)
 		return
 	}
-	meaning := resultPauses[result]
-	if meaning.smaller {
+	backoff := resultBackoff[result]
+	if backoff.smaller {
 		s.batchRows = max(s.batchRows/2, 1)
 	}
 	doublings := min(s.failures, maxPauseDoublings)
-	pause := max(min(meaning.pause*float64(uint64(1)<<doublings), maxPause), meaning.pause)
+	pause := max(min(backoff.pause*float64(uint64(1)<<doublings), maxPause), backoff.pause)
 	s.retryAt = now + pause*(0.5+s.random.Float64())
 	s.failures++
 }
@@ -142,24 +142,24 @@
 }
 
 // ReadFailure is what follows from a failure to read an incarnation in the spool.
-type ReadFailure uint8
+type ReadErrorAction uint8
 
 // The consequences.
 const (
 	// ReadAgain: the running incarnation is read again at the next turn, when what is missing may be there. Until then
 	// what was read before may go to the store.
-	ReadAgain ReadFailure = iota
+	RetryRead ReadErrorAction = iota
 	// LeaveFiles: an earlier incarnation, which nobody writes any more, stays as it is for whoever looks into it, and is
 	// not read again before the next start.
-	LeaveFiles
+	KeepFiles
 )
 
 // OnReadError says what follows from a failure to read the source.
-func (s ExportSource) OnReadError() ReadFailure {
+func (s ExportSource) OnReadError() ReadErrorAction {
 	if s == SourceRunning {
-		return ReadAgain
+		return RetryRead
 	}
-	return LeaveFiles
+	return KeepFiles
 }
 
 // StoredThrough is the last ordinal up to which everything is in the store: of what a reading has found final so far
--- a/internal/record/export_test.go
+++ b/internal/record/export_test.go
@@ -28,8 +28,8 @@
 	}
 	last := 0.0
 	for k, c := range []struct {
-		r        ExportResult
-		low, top float64 // of the pause
+		r                  ExportResult
+		minPause, maxPause float64 // of the pause
 	}{
 		{ExportUnknown, 50, 150},
 		{ExportUnknown, 100, 300},
@@ -40,7 +40,7 @@
 	} {
 		s.Result(now, c.r)
 		n, wait := s.Next(now, 1000)
-		if n != 0 || wait < c.low || wait > c.top {
+		if n != 0 || wait < c.minPause || wait > c.maxPause {
 			t.Errorf("%d: after %v a pause of %v, %d rows", k, c.r, wait, n)
 		}
 		if wait == last {
@@ -89,10 +89,10 @@
 }
 
 func TestOnReadError(t *testing.T) {
-	if SourceRunning.OnReadError() != ReadAgain {
+	if SourceRunning.OnReadError() != RetryRead {
 		t.Error("the running incarnation is not read again")
 	}
-	if SourceEarlier.OnReadError() != LeaveFiles {
+	if SourceEarlier.OnReadError() != KeepFiles {
 		t.Error("the files of an earlier incarnation do not stay")
 	}
 }
--- a/internal/record/frame_test.go
+++ b/internal/record/frame_test.go
@@ -8,9 +8,9 @@
 
 // findFrame is where the first whole frame begins in b, or -1.
 func findFrame(b []byte) int {
-	for at := range b {
-		if _, _, err := ParseFrame(b[at:]); err == nil {
-			return at
+	for offset := range b {
+		if _, _, err := ParseFrame(b[offset:]); err == nil {
+			return offset
 		}
 	}
 	return -1
@@ -34,19 +34,19 @@
 			t.Errorf("%x decodes to %+v", bad, v)
 		}
 	}
-	if at := findFrame(append([]byte{0x0f, 'o', 'x', 0xf1, 0x0f}, whole...)); at != 5 {
-		t.Errorf("found at %d", at)
+	if offset := findFrame(append([]byte{0x0f, 'o', 'x', 0xf1, 0x0f}, whole...)); offset != 5 {
+		t.Errorf("found at %d", offset)
 	}
 }
 
 func FuzzFrames(f *testing.F) {
-	f.Add(AppendFrame(nil, 1, Digest{}, Encode(KindEntry, entry("x"))))
+	f.Add(AppendFrame(nil, 1, Digest{}, Encode(KindEntry, testEntry("x"))))
 	f.Add(AppendFrame(nil, 1, Digest{}, Encode(KindCompletions, Completions{Delivered: []uint64{1}})))
 	f.Add([]byte{0x0f, 'o', 'x', 0xf1, 1, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		replay := startedReplay(t)
 		for len(b) > 0 {
-			x, size, err := ParseFrame(b)
+			frame, size, err := ParseFrame(b)
 			if err != nil {
 				b = b[1:]
 				continue
@@ -54,7 +54,7 @@
 			if size <= FrameOverhead || size > len(b) {
 				t.Fatalf("a frame of %d bytes in %d", size, len(b))
 			}
-			replay.Apply(x)
+			replay.Apply(frame)
 			if replay.FinalThrough() > replay.LastRead() {
 				t.Fatalf("through %d of %d", replay.FinalThrough(), replay.LastRead())
 			}
--- a/internal/record/helper_test.go
+++ b/internal/record/helper_test.go
@@ -4,25 +4,25 @@
 type disk struct {
 	segments [][]byte
 	synced   []int
-	fail     func(w IO) (wrote int, ok bool) // nil: all goes well
+	fail     func(next IO) (wrote int, ok bool) // nil: all goes well
 }
 
 // do carries out one step; it tells whether there was one.
-func (d *disk) do(l *Ledger, now float64) bool {
-	w := l.NextIO(now)
-	if w.Idle() {
+func (d *disk) step(l *Ledger, now float64) bool {
+	next := l.NextIO(now)
+	if next.Idle() {
 		return false
 	}
-	wrote, ok := len(w.Bytes), true
+	wrote, ok := len(next.Bytes), true
 	if d.fail != nil {
-		wrote, ok = d.fail(w)
+		wrote, ok = d.fail(next)
 	}
-	if w.NewSegment {
+	if next.NewSegment {
 		d.segments, d.synced = append(d.segments, nil), append(d.synced, 0)
 	}
 	last := len(d.segments) - 1
-	d.segments[last] = append(d.segments[last], w.Bytes[:wrote]...)
-	if w.Sync && ok {
+	d.segments[last] = append(d.segments[last], next.Bytes[:wrote]...)
+	if next.Sync && ok {
 		d.synced[last] = len(d.segments[last])
 	}
 	l.Completed(now, wrote, ok)
@@ -30,13 +30,13 @@
 }
 
 // all does all that is to be done now.
-func (d *disk) all(l *Ledger, now float64) {
-	for d.do(l, now) {
+func (d *disk) drain(l *Ledger, now float64) {
+	for d.step(l, now) {
 	}
 }
 
 // read replays what is there; synced: only that.
-func (d *disk) read(synced bool) (*Replay, []Row) {
+func (d *disk) replay(synced bool) (*Replay, []Row) {
 	replay, rows := NewReplay(), []Row(nil)
 	for i, segment := range d.segments {
 		if synced {
@@ -71,7 +71,7 @@
 }
 
 // ledger makes one whose writes and segments are small.
-func ledger(options LedgerOptions) *Ledger {
+func testLedger(options LedgerOptions) *Ledger {
 	options.Instance, options.Incarnation = "n", "i"
 	options.MaxWriteBytes, options.MaxSegmentBytes = 4096, 2048
 	options.CommitDelay, options.StallAfter = 100, 50
@@ -79,10 +79,10 @@
 }
 
 // roomy are the options of a ledger that is not to get full.
-func roomy() LedgerOptions {
+func largeOptions() LedgerOptions {
 	return LedgerOptions{Sync: true, MaxSpoolBytes: 1 << 20, MaxQueuedBytes: 1 << 16}
 }
 
-func entry(request string) Entry {
+func testEntry(request string) Entry {
 	return Entry{RequestID: request, Class: "p", Outcome: OutcomeServed, Reason: "answered", Backend: "a", Attempts: 1}
 }
--- a/internal/record/ledger.go
+++ b/internal/record/ledger.go
@@ -18,7 +18,7 @@
 // The states of a spool.
 const (
 	HealthGood    Health = iota
-	HealthBehind         // a write or sync has been under way for too long
+	HealthStalled        // a write or sync has been under way for too long
 	HealthFull           // the spool has its greatest size
 	HealthFailing        // the last write or sync failed
 )
@@ -166,7 +166,7 @@
 func (l *Ledger) ReleaseBytes(bytes int64) { l.spoolBytes = max(l.spoolBytes-bytes, 0) }
 
 // Segment is the one that is appended to; it must stay.
-func (l *Ledger) Segment() uint64 { return l.segment }
+func (l *Ledger) CurrentSegment() uint64 { return l.segment }
 
 // Counts are the counts now.
 func (l *Ledger) Counts() Counts { return l.counts }
@@ -178,7 +178,7 @@
 	case l.failures > 0:
 		return HealthFailing
 	case stalled:
-		return HealthBehind
+		return HealthStalled
 	case len(l.queue) > l.written && !l.fitsSpool(l.queue[l.written:]):
 		return HealthFull
 	}
--- a/internal/record/ledger_test.go
+++ b/internal/record/ledger_test.go
@@ -9,46 +9,46 @@
 func TestFailures(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		fail func(k int, w IO) (int, bool) // k counts the steps
+		fail func(k int, next IO) (int, bool) // k counts the steps
 	}{
-		{"nothing", func(_ int, w IO) (int, bool) { return len(w.Bytes), true }},
-		{"every third write is short", func(k int, w IO) (int, bool) {
+		{"nothing", func(_ int, next IO) (int, bool) { return len(next.Bytes), true }},
+		{"every third write is short", func(k int, next IO) (int, bool) {
 			if k%3 == 2 {
-				return len(w.Bytes) / 2, false
+				return len(next.Bytes) / 2, false
 			}
-			return len(w.Bytes), true
+			return len(next.Bytes), true
 		}},
-		{"every second sync fails and the pages are lost", func(k int, w IO) (int, bool) {
-			if w.Sync && k%2 == 1 {
+		{"every second sync fails and the pages are lost", func(k int, next IO) (int, bool) {
+			if next.Sync && k%2 == 1 {
 				return 0, false
 			}
-			return len(w.Bytes), true
+			return len(next.Bytes), true
 		}},
-		{"a sync fails and the pages are there", func(k int, w IO) (int, bool) { return len(w.Bytes), k%4 != 1 }},
-		{"no segment can be made at times", func(k int, w IO) (int, bool) {
-			if w.NewSegment && k%2 == 0 {
+		{"a sync fails and the pages are there", func(k int, next IO) (int, bool) { return len(next.Bytes), k%4 != 1 }},
+		{"no segment can be made at times", func(k int, next IO) (int, bool) {
+			if next.NewSegment && k%2 == 0 {
 				return 0, false
 			}
-			return len(w.Bytes), true
+			return len(next.Bytes), true
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			k := 0
-			checkSixty(t, &disk{fail: func(w IO) (int, bool) { k++; return c.fail(k, w) }})
+			checkDurability(t, &disk{fail: func(next IO) (int, bool) { k++; return c.fail(k, next) }})
 		})
 	}
 }
 
 // checkSixty writes entries to a disk that may fail, and reads what was synced.
-func checkSixty(t *testing.T, d *disk) {
+func checkDurability(t *testing.T, d *disk) {
 	t.Helper()
-	l := ledger(roomy())
-	ordinals, confirmed := writeSixty(t, l, d)
-	replay, rows := d.read(true)
+	l := testLedger(largeOptions())
+	ordinals, confirmed := writeEntries(t, l, d)
+	replay, rows := d.replay(true)
 	if len(replay.Defects) > 0 {
 		t.Fatal(replay.Defects)
 	}
-	states := statesOnce(t, rows)
+	states := uniqueStates(t, rows)
 	for i, n := range ordinals {
 		want := []State{StateAnswered, StateInDoubt, StateUndelivered, StateInDoubt}[i%4]
 		if !confirmed[n] || states[n] != want {
@@ -62,19 +62,19 @@
 
 // writeSixty writes entries: of four the first is delivered, the third is not, and the others have no end. It returns their
 // ordinals and which were confirmed while more followed.
-func writeSixty(t *testing.T, l *Ledger, d *disk) (ordinals []uint64, confirmed map[uint64]bool) {
+func writeEntries(t *testing.T, l *Ledger, d *disk) (ordinals []uint64, confirmed map[uint64]bool) {
 	t.Helper()
 	confirmed = map[uint64]bool{}
 	now := 0.0
 	for i := range 60 {
-		ordinal, ok := l.AddEntry(now, entry(fmt.Sprint(i)))
+		ordinal, ok := l.AddEntry(now, testEntry(fmt.Sprint(i)))
 		if !ok {
 			t.Fatalf("entry %d finds no room", i)
 		}
 		ordinals = append(ordinals, ordinal)
 		for range 20 {
 			now += 100
-			d.all(l, now)
+			d.drain(l, now)
 		}
 		for _, n := range ordinals {
 			if l.Confirmed() >= n {
@@ -87,13 +87,13 @@
 	}
 	for range 50 {
 		now += 300
-		d.all(l, now)
+		d.drain(l, now)
 	}
 	return ordinals, confirmed
 }
 
 // statesOnce is the state of each entry, which must be there once.
-func statesOnce(t *testing.T, rows []Row) map[uint64]State {
+func uniqueStates(t *testing.T, rows []Row) map[uint64]State {
 	t.Helper()
 	states := map[uint64]State{}
 	for _, row := range rows {
@@ -107,24 +107,24 @@
 
 // Nothing is confirmed before its sync, and a group is one sync.
 func TestGroups(t *testing.T) {
-	l, d := ledger(roomy()), &disk{}
+	l, d := testLedger(largeOptions()), &disk{}
 	for range 5 {
-		l.AddEntry(1, entry("x"))
+		l.AddEntry(1, testEntry("x"))
 	}
-	w := l.NextIO(1)
-	if !w.NewSegment || !w.Sync || w.frames != 5 || l.Confirmed() != 0 {
-		t.Fatalf("%+v, confirmed %d", w, l.Confirmed())
+	next := l.NextIO(1)
+	if !next.NewSegment || !next.Sync || next.frames != 5 || l.Confirmed() != 0 {
+		t.Fatalf("%+v, confirmed %d", next, l.Confirmed())
 	}
-	if l.AddEntry(1, entry("y")); !l.NextIO(1).Idle() {
+	if l.AddEntry(1, testEntry("y")); !l.NextIO(1).Idle() {
 		t.Error("a second work while one is under way")
 	}
-	l.Completed(2, len(w.Bytes), true)
+	l.Completed(2, len(next.Bytes), true)
 	if l.Confirmed() != 5 || l.Counts().Syncs != 1 {
 		t.Errorf("confirmed %d with %d syncs", l.Confirmed(), l.Counts().Syncs)
 	}
 	l.Completed(2, 0, true) // of none: nothing changes
 	d.segments, d.synced = [][]byte{nil}, []int{0}
-	d.all(l, 3)
+	d.drain(l, 3)
 	if l.Confirmed() != 6 {
 		t.Errorf("confirmed %d", l.Confirmed())
 	}
@@ -132,21 +132,21 @@
 	if l.AddCompletion(10, 1, true); !l.NextIO(10.5).Idle() || l.NextIO(10.5).Wait > 2 {
 		t.Errorf("an end is written at once, or not soon: %+v", l.NextIO(10.5))
 	}
-	if w := l.NextIO(13); w.Idle() || w.Sync {
-		t.Errorf("%+v", w)
+	if next := l.NextIO(13); next.Idle() || next.Sync {
+		t.Errorf("%+v", next)
 	}
 	l.Completed(13, 100, true)
-	if w := l.NextIO(100); !w.Idle() {
-		t.Errorf("%+v", w)
+	if next := l.NextIO(100); !next.Idle() {
+		t.Errorf("%+v", next)
 	}
-	if w := l.NextIO(214); !w.Sync || len(w.Bytes) > 0 {
-		t.Errorf("%+v", w)
+	if next := l.NextIO(214); !next.Sync || len(next.Bytes) > 0 {
+		t.Errorf("%+v", next)
 	}
 	// A group wait holds the write back.
-	options := roomy()
+	options := largeOptions()
 	options.GroupWait = 5
-	l = ledger(options)
-	if l.AddEntry(1, entry("x")); !l.NextIO(2).Idle() || l.NextIO(2).Wait != 4 || l.NextIO(6).Idle() {
+	l = testLedger(options)
+	if l.AddEntry(1, testEntry("x")); !l.NextIO(2).Idle() || l.NextIO(2).Wait != 4 || l.NextIO(6).Idle() {
 		t.Error("the group's wait is not kept")
 	}
 }
@@ -166,17 +166,17 @@
 		{"failing, rejecting", RejectRequests, fails, HealthFailing},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			l := ledger(LedgerOptions{Sync: true, MaxSpoolBytes: 8192, MaxQueuedBytes: 2048, FullPolicy: c.policy})
+			l := testLedger(LedgerOptions{Sync: true, MaxSpoolBytes: 8192, MaxQueuedBytes: 2048, FullPolicy: c.policy})
 			checkFull(t, l, &disk{fail: c.fail}, c.health, c.policy == RejectRequests)
 		})
 	}
 	t.Run("a write that takes longer than the stall", func(t *testing.T) {
-		options := roomy()
+		options := largeOptions()
 		options.FullPolicy = RejectRequests
-		l := ledger(options)
-		l.AddEntry(1, entry("x"))
+		l := testLedger(options)
+		l.AddEntry(1, testEntry("x"))
 		l.NextIO(1)
-		if l.RejectsRequests(50) || !l.RejectsRequests(52) || l.Health(52) != HealthBehind {
+		if l.RejectsRequests(50) || !l.RejectsRequests(52) || l.Health(52) != HealthStalled {
 			t.Error("it is not seen")
 		}
 	})
@@ -188,12 +188,12 @@
 	now, recorded, unrecorded := 0.0, 0, 0
 	for i := range 200 {
 		now += 10
-		if _, ok := l.AddEntry(now, entry(fmt.Sprint(i))); ok {
+		if _, ok := l.AddEntry(now, testEntry(fmt.Sprint(i))); ok {
 			recorded++
 		} else {
 			unrecorded++
 		}
-		d.all(l, now)
+		d.drain(l, now)
 	}
 	if l.Health(now) != health || l.RejectsRequests(now) != rejects || l.CommitDelay(now) != 0 {
 		t.Errorf("%v, rejects %v, commit delay %v", l.Health(now), l.RejectsRequests(now), l.CommitDelay(now))
@@ -205,12 +205,12 @@
 	l.ReleaseBytes(1 << 20)
 	for range 20 {
 		now += 1000
-		d.all(l, now)
+		d.drain(l, now)
 	}
 	if l.Health(now) != HealthGood || l.RejectsRequests(now) || l.CommitDelay(now) != 100 {
 		t.Errorf("mended: %v", l.Health(now))
 	}
-	_, rows := d.read(true)
+	_, rows := d.replay(true)
 	expectAllCounted(t, rows, recorded, unrecorded, health)
 }
 
@@ -235,24 +235,24 @@
 
 // In memory what is written is confirmed, and nothing waits.
 func TestUnsynced(t *testing.T) {
-	options := roomy()
+	options := largeOptions()
 	options.Sync = false
-	l, d := ledger(options), &disk{}
-	l.AddEntry(1, entry("x"))
-	if d.all(l, 1); l.Confirmed() != 1 || l.CommitDelay(1) != 0 || l.Counts().Syncs != 0 {
+	l, d := testLedger(options), &disk{}
+	l.AddEntry(1, testEntry("x"))
+	if d.drain(l, 1); l.Confirmed() != 1 || l.CommitDelay(1) != 0 || l.Counts().Syncs != 0 {
 		t.Errorf("confirmed %d, patience %v", l.Confirmed(), l.CommitDelay(1))
 	}
 }
 
 // A clock that is set back neither hides an entry nor makes work wait for ever.
 func TestClock(t *testing.T) {
-	l, d := ledger(roomy()), &disk{}
-	n, _ := l.AddEntry(1e6, entry("x"))
-	d.all(l, 1e6)
+	l, d := testLedger(largeOptions()), &disk{}
+	n, _ := l.AddEntry(1e6, testEntry("x"))
+	d.drain(l, 1e6)
 	l.AddCompletion(5, n, true)
-	l.AddEntry(5, entry("y"))
-	d.all(l, 5)
-	if f, rows := d.read(true); len(f.Defects) > 0 || len(rows) != 2 || rows[0].State != StateAnswered {
-		t.Errorf("%v %v", f.Defects, rows)
+	l.AddEntry(5, testEntry("y"))
+	d.drain(l, 5)
+	if replay, rows := d.replay(true); len(replay.Defects) > 0 || len(rows) != 2 || rows[0].State != StateAnswered {
+		t.Errorf("%v %v", replay.Defects, rows)
 	}
 }
--- a/internal/record/postgres/connection.go
+++ b/internal/record/postgres/connection.go
@@ -15,7 +15,7 @@
 )
 
 // partingTimeout bounds what is said to the server when a transaction or the connection is given up.
-const partingTimeout = time.Second
+const closeTimeout = time.Second
 
 // database is one connection, made when it is needed; calls wait for each other.
 type database struct {
@@ -49,14 +49,14 @@
 	return exec(ctx, conn, text, args)
 }
 
-func (d *database) Query(ctx context.Context, text string, args []any, each func(func(...any) error) error) error {
+func (d *database) Query(ctx context.Context, text string, args []any, visit func(func(...any) error) error) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	conn, err := d.connect(ctx)
 	if err != nil {
 		return err
 	}
-	return query(ctx, conn, text, args, each)
+	return query(ctx, conn, text, args, visit)
 }
 
 // Begin holds the lock until the transaction ends.
@@ -79,7 +79,7 @@
 	if d.conn == nil {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), partingTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
 	return d.conn.Close(ctx)
 }
@@ -94,8 +94,8 @@
 	return exec(ctx, t.conn, text, args)
 }
 
-func (t *transaction) Query(ctx context.Context, text string, args []any, each func(func(...any) error) error) error {
-	return query(ctx, t.conn, text, args, each)
+func (t *transaction) Query(ctx context.Context, text string, args []any, visit func(func(...any) error) error) error {
+	return query(ctx, t.conn, text, args, visit)
 }
 
 func (t *transaction) Commit(ctx context.Context) error {
@@ -112,7 +112,7 @@
 		return
 	}
 	defer t.end()
-	ctx, cancel := context.WithTimeout(context.Background(), partingTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
 	if _, err := exec(ctx, t.conn, "rollback", nil); err != nil {
 		_ = t.conn.Close(ctx) // whatever state it is in, it is not used again
@@ -137,27 +137,27 @@
 	return result.CommandTag.RowsAffected(), result.Err
 }
 
-func query(ctx context.Context, conn *pgconn.PgConn, text string, args []any, each func(func(...any) error) error) error {
+func query(ctx context.Context, conn *pgconn.PgConn, text string, args []any, visit func(func(...any) error) error) error {
 	result := conn.ExecParams(ctx, text, textValues(args), nil, nil, nil)
-	var failed error
-	for failed == nil && result.NextRow() {
-		failed = each(func(to ...any) error { return scan(result.Values(), to) })
+	var visitErr error
+	for visitErr == nil && result.NextRow() {
+		visitErr = visit(func(dest ...any) error { return scan(result.Values(), dest) })
 	}
-	if failed != nil { // what is left unread may be millions of rows
+	if visitErr != nil { // what is left unread may be millions of rows
 		conn.Conn().Close()
 		_, _ = result.Close() // it fails, for the connection is gone
-		return failed
+		return visitErr
 	}
 	_, err := result.Close()
 	return err
 }
 
-func scan(values [][]byte, to []any) (err error) {
-	if len(values) != len(to) {
-		return fmt.Errorf("%d columns, not %d", len(values), len(to))
+func scan(values [][]byte, dest []any) (err error) {
+	if len(values) != len(dest) {
+		return fmt.Errorf("%d columns, not %d", len(values), len(dest))
 	}
 	for i, value := range values {
-		switch column := to[i].(type) {
+		switch column := dest[i].(type) {
 		case *string:
 			*column = string(value)
 		case *int:
--- a/internal/record/postgres/postgres_test.go
+++ b/internal/record/postgres/postgres_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestOpen(t *testing.T) {
-	for _, c := range []struct{ name, address, mode, wrong string }{
+	for _, c := range []struct{ name, address, mode, wantErr string }{
 		{"no port", "db", "require", "address"},
 		{"an unknown mode", "db:1", "prefer", "tls"},
 		{"a port that is none", "db:x", "require", "port"},
@@ -17,9 +17,9 @@
 			store, err := Open(Options{
 				Address: c.address, Database: "d'x\\", User: "u", TLS: c.mode, ConnectTimeout: time.Second,
 			})
-			if c.wrong != "" {
-				if err == nil || !strings.Contains(err.Error(), c.wrong) {
-					t.Errorf("%v, want one about %s", err, c.wrong)
+			if c.wantErr != "" {
+				if err == nil || !strings.Contains(err.Error(), c.wantErr) {
+					t.Errorf("%v, want one about %s", err, c.wantErr)
 				}
 				return
 			}
--- a/internal/record/recorder/audit.go
+++ b/internal/record/recorder/audit.go
@@ -22,11 +22,11 @@
 // Audit reads an instance's spool, or every instance's where none is named, and the store where there is one. A spool that
 // an instance works in is read as far as it is written. found is called with each finding, progress with the rows read so
 // far. An error says that the audit is not complete.
-func Audit(ctx context.Context, table Config, instance string, found func(Finding), progress func(rows int)) error {
+func Audit(ctx context.Context, config Config, instance string, found func(Finding), progress func(rows int)) error {
 	instances := []string{instance}
 	if instance == "" {
 		var err error
-		if instances, err = spool.Instances(spool.Disk{}, table.Directory); err != nil {
+		if instances, err = spool.Instances(spool.Disk{}, config.Directory); err != nil {
 			return err
 		}
 	}
@@ -36,11 +36,11 @@
 		progress(rows)
 	}
 	for _, name := range instances {
-		if err := auditSpool(ctx, table.Directory, name, found, count); err != nil {
+		if err := auditSpool(ctx, config.Directory, name, found, count); err != nil {
 			return err
 		}
 	}
-	store, err := table.Store.Open()
+	store, err := config.Store.Open()
 	if err != nil || store == nil {
 		return err
 	}
@@ -61,7 +61,7 @@
 	}
 	defer opened.Close()
 	for _, incarnation := range opened.Incarnations() {
-		reader := opened.Read(incarnation, !running)
+		reader := opened.NewReader(incarnation, !running)
 		if err := auditIncarnation(ctx, reader, instance+"/"+incarnation, found, count); err != nil {
 			return err
 		}
@@ -94,12 +94,12 @@
 }
 
 func auditStore(ctx context.Context, store *sqlstore.Store, instance string, found func(Finding)) error {
-	repeats, err := store.Repeats(ctx)
+	duplicates, err := store.CountDuplicates(ctx)
 	if err != nil {
 		return err
 	}
-	if repeats > 0 {
-		found(Finding{true, "store", fmt.Sprintf("%d ordinals stand more than once", repeats)})
+	if duplicates > 0 {
+		found(Finding{true, "store", fmt.Sprintf("%d ordinals stand more than once", duplicates)})
 	}
 	if err := store.Gaps(ctx, instance, func(gap sqlstore.GapRow) error {
 		what := fmt.Sprintf("gap of %s/%s at %d: %d settled, %d declined, %d voided, %d unknown, %.0f to %.0f ms, %s",
--- a/internal/record/recorder/bench_test.go
+++ b/internal/record/recorder/bench_test.go
@@ -17,17 +17,17 @@
 	} {
 		for _, atOnce := range []int{1, 64} {
 			b.Run(fmt.Sprintf("%s/%d at once", c.name, atOnce), func(b *testing.B) {
-				table := DefaultConfig()
-				table.Mode, table.Sync, table.Directory, table.MaxSpoolBytes = c.mode, c.sync, b.TempDir(), 64<<30
-				benchmarkAnswer(b, table, atOnce)
+				config := DefaultConfig()
+				config.Mode, config.Sync, config.Directory, config.MaxSpoolBytes = c.mode, c.sync, b.TempDir(), 64<<30
+				benchmarkAnswer(b, config, atOnce)
 			})
 		}
 	}
 }
 
-func benchmarkAnswer(b *testing.B, table Config, atOnce int) {
+func benchmarkAnswer(b *testing.B, config Config, atOnce int) {
 	b.Helper()
-	r, err := New(testOptions(table))
+	r, err := New(testOptions(config))
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/record/recorder/exporter.go
+++ b/internal/record/recorder/exporter.go
@@ -28,13 +28,13 @@
 
 // exporter sends what an instance's incarnations hold to the store.
 type exporter struct {
-	spool    *spool.Spool
-	instance string
-	table    StoreConfig
-	store    *sqlstore.Store   // nil: there is none
-	now      func() float64    // ms
-	segment  func() uint64     // the one that the running incarnation is written to, which must stay
-	onFreed  func(bytes int64) // files of so many bytes were removed
+	spool          *spool.Spool
+	instance       string
+	config         StoreConfig
+	store          *sqlstore.Store   // nil: there is none
+	now            func() float64    // ms
+	currentSegment func() uint64     // the one that the running incarnation is written to, which must stay
+	onFreed        func(bytes int64) // files of so many bytes were removed
 
 	mu            sync.Mutex
 	scheduler     *record.ExportScheduler
@@ -49,15 +49,15 @@
 
 // newRecorderExporter makes the one of an instance that runs.
 func newRecorderExporter(r *Recorder, seed uint64) (*exporter, error) {
-	store, err := r.table.Store.Open()
+	store, err := r.config.Store.Open()
 	if err != nil {
 		return nil, err
 	}
-	e := newExporter(r.spool, r.table.Store, store, r.now, seed)
-	e.segment = func() uint64 {
+	e := newExporter(r.spool, r.config.Store, store, r.now, seed)
+	e.currentSegment = func() uint64 {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		return r.ledger.Segment()
+		return r.ledger.CurrentSegment()
 	}
 	e.onFreed = func(bytes int64) {
 		r.mu.Lock()
@@ -71,18 +71,18 @@
 	return e, nil
 }
 
-func newExporter(from *spool.Spool, table StoreConfig, store *sqlstore.Store, now func() float64, seed uint64) *exporter {
+func newExporter(from *spool.Spool, config StoreConfig, store *sqlstore.Store, now func() float64, seed uint64) *exporter {
 	random := rand.New(rand.NewPCG(seed, schedulerStream))
 	return &exporter{
-		spool: from, instance: from.Instance, table: table, store: store, now: now, onFreed: func(int64) {},
-		scheduler: record.NewExportScheduler(table.MaxBatchRows, table.BatchWait.Ms(), random),
+		spool: from, instance: from.Instance, config: config, store: store, now: now, onFreed: func(int64) {},
+		scheduler: record.NewExportScheduler(config.MaxBatchRows, config.BatchWait.Ms(), random),
 	}
 }
 
 func (e *exporter) add(incarnation string, running bool) {
 	added := &incarnationReader{
-		incarnation: incarnation, place: e.spool.Place(incarnation), running: running,
-		reader: e.spool.Read(incarnation, !running),
+		incarnation: incarnation, dirID: e.spool.RecordedDirID(incarnation), running: running,
+		reader: e.spool.NewReader(incarnation, !running),
 	}
 	if running {
 		e.running = added
@@ -129,25 +129,25 @@
 func (e *exporter) nextBatch() (from *incarnationReader, batch sqlstore.Batch, wait time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if from = e.pick(); from == nil {
+	if from = e.nextIncarnation(); from == nil {
 		return nil, batch, idlePause
 	}
-	n, ms := e.scheduler.Next(e.now(), from.waiting())
+	n, ms := e.scheduler.Next(e.now(), from.pending())
 	if n == 0 {
 		return from, batch, max(min(duration(ms), idlePause), busyPause)
 	}
 	n = min(n, len(from.rows))
 	batch = sqlstore.Batch{
-		Instance: e.instance, Incarnation: from.incarnation, DirID: from.place, Rows: from.rows[:n:n],
+		Instance: e.instance, Incarnation: from.incarnation, DirID: from.dirID, Rows: from.rows[:n:n],
 	}
 	if n == len(from.rows) {
-		batch.Through, batch.Closed = from.through, from.done
+		batch.Through, batch.Closed = from.through, from.complete
 	}
 	return from, batch, 0
 }
 
 func (e *exporter) put(ctx context.Context, batch sqlstore.Batch) (sent int64, err error) {
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(e.table.BatchTimeout))
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(e.config.BatchTimeout))
 	defer cancel()
 	if !e.migrated {
 		if err := e.store.Migrate(ctx); err != nil {
@@ -164,7 +164,7 @@
 // onStored takes a batch off its incarnation. Under the lock.
 func (e *exporter) onStored(from *incarnationReader, batch sqlstore.Batch) {
 	if e.lastResult != record.ExportStored {
-		logrus.WithField("store", e.table.Kind).Info("record is shipped again")
+		logrus.WithField("store", e.config.Kind).Info("record is shipped again")
 		e.lastResult = record.ExportStored
 	}
 	for _, row := range batch.Rows {
@@ -182,7 +182,7 @@
 // finish removes an incarnation that is stored whole. One with defects stays for whoever looks into it, and is not read
 // again until the next start. Only the first of the earlier ones can be complete.
 func (e *exporter) finish(stored *incarnationReader) {
-	e.leaveFirst()
+	e.closeFirstEarlier()
 	replay := stored.reader.Replay
 	line := logrus.WithFields(logrus.Fields{
 		"incarnation": stored.incarnation, "given": replay.Counts[record.StateAnswered],
@@ -193,7 +193,7 @@
 		line.Warn("an earlier incarnation is stored, its files stay: 'onyxgate record verify' shows what is wrong")
 		return
 	}
-	freed, err := e.spool.Drop(stored.incarnation)
+	freed, err := e.spool.RemoveIncarnation(stored.incarnation)
 	e.onFreed(freed)
 	if err != nil { // it is exported again at the next start, and dropped then
 		line = line.WithError(err)
--- a/internal/record/recorder/helper_test.go
+++ b/internal/record/recorder/helper_test.go
@@ -23,8 +23,8 @@
 
 func span(d time.Duration) units.Span { return units.Span(d) }
 
-func testOptions(table Config) Options {
-	return Options{Settings: table, Instance: "n1", Classes: []string{"p"}, Now: clock(), Seed: 1}
+func testOptions(config Config) Options {
+	return Options{Settings: config, Instance: "n1", Classes: []string{"p"}, Now: clock(), Seed: 1}
 }
 
 // start runs a recorder; stop ends it and waits until nothing of it runs any more.
@@ -57,9 +57,9 @@
 }
 
 // openStore opens the store of the settings until the test ends.
-func openStore(t *testing.T, table Config) *sqlstore.Store {
+func openStore(t *testing.T, config Config) *sqlstore.Store {
 	t.Helper()
-	store, err := table.Store.Open()
+	store, err := config.Store.Open()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/record/recorder/recorder.go
+++ b/internal/record/recorder/recorder.go
@@ -30,7 +30,7 @@
 
 // Recorder keeps one instance's record. It is a core.Interceptor; its methods may be called from any goroutine.
 type Recorder struct {
-	table    Config
+	config   Config
 	now      func() float64 // ms
 	classes  []string       // names, by number
 	spool    *spool.Spool
@@ -62,18 +62,18 @@
 
 // newOn is New on a file system.
 func newOn(files spool.FS, root string, options Options) (*Recorder, error) {
-	table, instance := options.Settings, options.Instance
+	config, instance := options.Settings, options.Instance
 	opened, err := spool.Open(files, root, instance)
 	if err != nil {
 		return nil, fmt.Errorf("record: %w", err)
 	}
 	r := &Recorder{
-		table: table, now: options.Now, classes: options.Classes, spool: opened,
+		config: config, now: options.Now, classes: options.Classes, spool: opened,
 		wake: make(chan struct{}, 1), confirmed: make(chan struct{}),
 	}
 	bytes := opened.Bytes()
-	if r.writer, err = opened.Begin(); err == nil {
-		r.ledger = record.NewLedger(table.ledgerOptions(instance, r.writer.Incarnation, bytes))
+	if r.writer, err = opened.NewIncarnation(); err == nil {
+		r.ledger = record.NewLedger(config.ledgerOptions(instance, r.writer.Incarnation, bytes))
 		r.exporter, err = newRecorderExporter(r, options.Seed)
 	}
 	if err != nil {
@@ -81,7 +81,7 @@
 		return nil, fmt.Errorf("record: %w", err)
 	}
 	logrus.WithFields(logrus.Fields{
-		"incarnation": r.writer.Incarnation, "mode": table.Mode, "store": table.Store.Kind,
+		"incarnation": r.writer.Incarnation, "mode": config.Mode, "store": config.Store.Kind,
 		"spool_bytes": bytes, "earlier": len(opened.Incarnations()) - 1,
 	}).Info("record")
 	return r, nil
@@ -95,22 +95,22 @@
 	if r.ledger.RejectsRequests(now) {
 		return 0, "unrecorded"
 	}
-	return r.table.Reserve.Ms(), ""
+	return r.config.Reserve.Ms(), ""
 }
 
-var outcomes = map[core.ActionKind]record.Outcome{
+var outcomeByAction = map[core.ActionKind]record.Outcome{
 	core.ActionServe:  record.OutcomeServed,
 	core.ActionReject: record.OutcomeRejected,
 	core.ActionFail:   record.OutcomeFailed,
 }
 
-func (r *Recorder) entryOf(completion core.Completion) record.Entry {
+func (r *Recorder) newEntry(completion core.Completion) record.Entry {
 	class := ""
 	if completion.Class >= 0 && completion.Class < len(r.classes) {
 		class = r.classes[completion.Class]
 	}
 	return record.Entry{
-		RequestID: completion.RequestID, Class: class, Outcome: outcomes[completion.Kind], Reason: completion.Reason,
+		RequestID: completion.RequestID, Class: class, Outcome: outcomeByAction[completion.Kind], Reason: completion.Reason,
 		Release: int(completion.Release), Backend: completion.Backend, Attempts: completion.Attempts,
 		ArrivedAt: completion.ArrivedAt, AnsweredAt: completion.Now, BodyDigest: record.DigestOf(completion.Body),
 		KeyDigest: record.DigestOf([]byte(completion.IdempotencyKey)),
@@ -120,7 +120,7 @@
 // BeforeResponse holds an answer until its entry is durable, or until that is no longer to be expected in time, at the
 // latest until `until` (ms). It returns the entry's ordinal for AfterResponse, or nil where it is only counted in a gap.
 func (r *Recorder) BeforeResponse(completion core.Completion, until float64) any {
-	entry := r.entryOf(completion)
+	entry := r.newEntry(completion)
 	r.mu.Lock()
 	ordinal, recorded := r.ledger.AddEntry(completion.Now, entry)
 	delay := min(r.ledger.CommitDelay(completion.Now), until-completion.Now)
@@ -138,7 +138,7 @@
 		r.awaitDurable(ordinal, confirmed, delay)
 		return ordinal
 	}
-	if r.table.syncs() {
+	if r.config.syncs() {
 		r.mu.Lock()
 		r.unsynced++
 		r.mu.Unlock()
@@ -160,8 +160,8 @@
 		}
 		r.mu.Lock()
 		durable := r.ledger.Confirmed() >= ordinal
-		givenUp := !durable && (late || r.ledger.CommitDelay(r.now()) <= 0)
-		if givenUp {
+		abandoned := !durable && (late || r.ledger.CommitDelay(r.now()) <= 0)
+		if abandoned {
 			r.unsynced++
 		}
 		confirmed = r.confirmed
@@ -169,7 +169,7 @@
 		if durable {
 			failpoint.At("record.durable")
 		}
-		if durable || givenUp {
+		if durable || abandoned {
 			return
 		}
 	}
--- a/internal/record/recorder/recorder_test.go
+++ b/internal/record/recorder/recorder_test.go
@@ -16,9 +16,9 @@
 )
 
 // onMemory makes a recorder on a file system that fails as it is told.
-func onMemory(t *testing.T, files *memfs.FS, table Config) *Recorder {
+func newOnFake(t *testing.T, files *memfs.FS, config Config) *Recorder {
 	t.Helper()
-	r, err := newOn(files, "root", testOptions(table))
+	r, err := newOn(files, "root", testOptions(config))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,12 +28,12 @@
 // An answer waits for its sync, not for longer than patience or its time, and not at all where none is to be expected.
 func TestWaits(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		sync     time.Duration // that a sync takes
-		err      error
-		left     float64 // ms
-		low, top time.Duration
-		unsynced uint64
+		name             string
+		sync             time.Duration // that a sync takes
+		err              error
+		left             float64 // ms
+		minWait, maxWait time.Duration
+		unsynced         uint64
 	}{
 		{"a quick disk", time.Millisecond, nil, 1000, time.Millisecond, 3 * time.Millisecond, 0},
 		{"a slow disk", 80 * time.Millisecond, nil, 1000, 80 * time.Millisecond, 85 * time.Millisecond, 0},
@@ -53,16 +53,16 @@
 					}
 					return bytes, nil
 				}
-				table := DefaultConfig()
-				table.Mode, table.StallAfter = "spool", span(5*time.Second)
-				r := onMemory(t, files, table)
+				config := DefaultConfig()
+				config.Mode, config.StallAfter = "spool", span(5*time.Second)
+				r := newOnFake(t, files, config)
 				stop := start(r)
 				failing.Store(true)
 				from, now := time.Now(), r.now()
 				completion := core.Completion{RequestID: "t", Kind: core.ActionServe, Now: now, Body: []byte("b")}
 				ordinal := r.BeforeResponse(completion, now+c.left)
-				if took := time.Since(from); took < c.low || took > c.top {
-					t.Errorf("it waited %v, not %v to %v", took, c.low, c.top)
+				if took := time.Since(from); took < c.minWait || took > c.maxWait {
+					t.Errorf("it waited %v, not %v to %v", took, c.minWait, c.maxWait)
 				}
 				if n := r.Status().Unsynced; n != c.unsynced {
 					t.Errorf("%d unsynced, want %d", n, c.unsynced)
@@ -80,7 +80,7 @@
 // expectOneAnswered: however it went, the entry is there, once, with its end.
 func expectOneAnswered(t *testing.T, files spool.FS, incarnation string) {
 	t.Helper()
-	reader := spool.OpenReadOnly(files, "root", "n1").Read(incarnation, true)
+	reader := spool.OpenReadOnly(files, "root", "n1").NewReader(incarnation, true)
 	rows := rowsOfIncarnation(t, reader)
 	if defects := reader.Replay.Defects; len(defects) > 0 {
 		t.Errorf("defects %v", defects)
@@ -109,9 +109,9 @@
 		}
 		return bytes, nil
 	}
-	table := DefaultConfig()
-	table.Mode, table.MaxQueuedBytes, table.WhenFull = "spool", 64<<10, policy
-	r := onMemory(t, files, table)
+	config := DefaultConfig()
+	config.Mode, config.MaxQueuedBytes, config.WhenFull = "spool", 64<<10, policy
+	r := newOnFake(t, files, config)
 	stop := start(r)
 	failing.Store(true)
 	const all = 2000
@@ -129,7 +129,7 @@
 		t.Error("rejected after the disk is back")
 	}
 	stop()
-	reader := spool.OpenReadOnly(files, "root", "n1").Read(r.writer.Incarnation, true)
+	reader := spool.OpenReadOnly(files, "root", "n1").NewReader(r.writer.Incarnation, true)
 	recorded, gaps := 0, 0
 	for _, row := range rowsOfIncarnation(t, reader) {
 		if row.Gap != nil {
--- a/internal/record/recorder/ship.go
+++ b/internal/record/recorder/ship.go
@@ -23,13 +23,13 @@
 
 // Ship sends all that an instance's directory holds, for an instance that does not run; progress is called after each
 // batch. Errors wrap spool.ErrLocked, spool.ErrCopied, ErrNoStore, and are *RefusedError where the store refuses.
-func Ship(ctx context.Context, table Config, instance string, progress func(exported, inDoubt uint64)) error {
-	opened, err := spool.Open(spool.Disk{}, table.Directory, instance)
+func Ship(ctx context.Context, config Config, instance string, progress func(exported, inDoubt uint64)) error {
+	opened, err := spool.Open(spool.Disk{}, config.Directory, instance)
 	if err != nil {
 		return err
 	}
 	defer opened.Close()
-	store, err := table.Store.Open()
+	store, err := config.Store.Open()
 	if err != nil {
 		return err
 	}
@@ -39,7 +39,7 @@
 	defer store.Close()
 	from := time.Now()
 	now := func() float64 { return float64(time.Since(from))/float64(time.Millisecond) + 1 }
-	e := newExporter(opened, table.Store, store, now, uint64(from.UnixNano()))
+	e := newExporter(opened, config.Store, store, now, uint64(from.UnixNano()))
 	for _, incarnation := range opened.Incarnations() {
 		e.add(incarnation, false)
 	}
--- a/internal/record/recorder/ship_test.go
+++ b/internal/record/recorder/ship_test.go
@@ -19,22 +19,22 @@
 
 // answersOfLife is how many answers a life in TestShip gives: of every hundred the end of one is not noted, and of the
 // others half are delivered.
-const answersOfLife = 300
+const answersPerIncarnation = 300
 
 // live runs an instance without a store and leaves its spool.
-func live(t *testing.T, table Config, life int) {
+func writeSpool(t *testing.T, config Config, incarnation int) {
 	t.Helper()
-	table.Store.Kind = "none"
-	r, err := New(testOptions(table))
+	config.Store.Kind = "none"
+	r, err := New(testOptions(config))
 	if err != nil {
 		t.Fatal(err)
 	}
 	stop := start(r)
 	defer stop()
 	var answers sync.WaitGroup
-	for i := range answersOfLife {
+	for i := range answersPerIncarnation {
 		answers.Go(func() {
-			completion := core.Completion{RequestID: fmt.Sprint(life, "-", i), Kind: core.ActionFail, Now: r.now()}
+			completion := core.Completion{RequestID: fmt.Sprint(incarnation, "-", i), Kind: core.ActionFail, Now: r.now()}
 			ordinal := r.BeforeResponse(completion, r.now()+1e6)
 			if i%100 != 0 { // else as if killed in between
 				r.AfterResponse(ordinal, r.now(), i%2 == 0)
@@ -47,29 +47,29 @@
 // What earlier lives left goes to the store once, however many exporters come and wherever they were killed.
 func TestShip(t *testing.T) {
 	dir := t.TempDir()
-	table := DefaultConfig()
-	table.Mode, table.Directory = "spool", filepath.Join(dir, "spool")
-	table.MaxSegmentBytes, table.MaxWriteBytes = 64<<10, 4<<10
-	table.Store.Kind, table.Store.Path, table.Store.MaxBatchRows = "sqlite", filepath.Join(dir, "r.db"), 70
-	const lives = 3
-	for life := range lives {
-		live(t, table, life)
-	}
-	store := openStore(t, table)
+	config := DefaultConfig()
+	config.Mode, config.Directory = "spool", filepath.Join(dir, "spool")
+	config.MaxSegmentBytes, config.MaxWriteBytes = 64<<10, 4<<10
+	config.Store.Kind, config.Store.Path, config.Store.MaxBatchRows = "sqlite", filepath.Join(dir, "r.db"), 70
+	const incarnations = 3
+	for incarnation := range incarnations {
+		writeSpool(t, config, incarnation)
+	}
+	store := openStore(t, config)
 	for round, c := range []struct {
-		name    string
-		stopsAt int // batches
+		name       string
+		maxBatches int // batches
 	}{{"stopped after its first batches", 4}, {"to the end", 0}, {"with nothing left", 0}} {
 		t.Run(c.name, func(t *testing.T) {
 			ctx, stop := context.WithCancel(t.Context())
 			defer stop()
 			batches := 0
-			err := Ship(ctx, table, "n1", func(uint64, uint64) {
-				if batches++; batches == c.stopsAt {
+			err := Ship(ctx, config, "n1", func(uint64, uint64) {
+				if batches++; batches == c.maxBatches {
 					stop()
 				}
 			})
-			if (err != nil) != (c.stopsAt > 0) || round == 2 && batches > 0 {
+			if (err != nil) != (c.maxBatches > 0) || round == 2 && batches > 0 {
 				t.Errorf("%v after %d batches", err, batches)
 			}
 		})
@@ -85,13 +85,13 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	if len(seen) != lives*answersOfLife {
-		t.Errorf("%d of %d in the store", len(seen), lives*answersOfLife)
+	if len(seen) != incarnations*answersPerIncarnation {
+		t.Errorf("%d of %d in the store", len(seen), incarnations*answersPerIncarnation)
 	}
-	if states["in doubt"] != lives*3 || states["given"] != lives*147 || states["unheard"] != lives*150 {
+	if states["in doubt"] != incarnations*3 || states["given"] != incarnations*147 || states["unheard"] != incarnations*150 {
 		t.Errorf("states %v", states)
 	}
-	for _, finding := range audit(t, table, "") {
+	for _, finding := range audit(t, config, "") {
 		if finding.Defect {
 			t.Errorf("a defect: %+v", finding)
 		}
@@ -101,11 +101,11 @@
 // An incarnation that another place exports is refused by the store, and its files stay.
 func TestForeign(t *testing.T) {
 	dir := t.TempDir()
-	table := DefaultConfig()
-	table.Mode, table.Directory = "spool", filepath.Join(dir, "spool")
-	table.Store.Kind, table.Store.Path = "sqlite", filepath.Join(dir, "r.db")
-	incarnation := oneEntry(t, table.Directory)
-	store := openStore(t, table)
+	config := DefaultConfig()
+	config.Mode, config.Directory = "spool", filepath.Join(dir, "spool")
+	config.Store.Kind, config.Store.Path = "sqlite", filepath.Join(dir, "r.db")
+	incarnation := oneEntry(t, config.Directory)
+	store := openStore(t, config)
 	if err := store.Migrate(t.Context()); err != nil {
 		t.Fatal(err)
 	}
@@ -113,12 +113,12 @@
 	if _, err := store.Put(t.Context(), elsewhere); err != nil {
 		t.Fatal(err)
 	}
-	err := Ship(t.Context(), table, "n1", func(uint64, uint64) {})
+	err := Ship(t.Context(), config, "n1", func(uint64, uint64) {})
 	var refused *RefusedError
 	if !errors.As(err, &refused) || refused.Result != record.ExportForeign || !strings.Contains(err.Error(), "foreign") {
 		t.Errorf("shipped: %v", err)
 	}
-	if left := spool.OpenReadOnly(spool.Disk{}, table.Directory, "n1"); left.Bytes() == 0 {
+	if left := spool.OpenReadOnly(spool.Disk{}, config.Directory, "n1"); left.Bytes() == 0 {
 		t.Error("its files are gone")
 	}
 }
@@ -131,7 +131,7 @@
 		t.Fatal(err)
 	}
 	defer opened.Close()
-	writer, err := opened.Begin()
+	writer, err := opened.NewIncarnation()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -140,7 +140,7 @@
 		MaxSpoolBytes: 1 << 20, MaxQueuedBytes: 1 << 18, CommitDelay: 100, StallAfter: 50,
 	})
 	ledger.AddEntry(1, record.Entry{RequestID: "x"})
-	if _, err := writer.Do(ledger.NextIO(1)); err != nil {
+	if _, err := writer.Execute(ledger.NextIO(1)); err != nil {
 		t.Fatal(err)
 	}
 	if err := writer.Close(); err != nil {
@@ -151,9 +151,9 @@
 
 // Where there is nothing to send to, that is said.
 func TestShipWithoutStore(t *testing.T) {
-	table := DefaultConfig()
-	table.Mode, table.Directory = "spool", t.TempDir()
-	if err := Ship(t.Context(), table, "n1", func(uint64, uint64) {}); !errors.Is(err, ErrNoStore) {
+	config := DefaultConfig()
+	config.Mode, config.Directory = "spool", t.TempDir()
+	if err := Ship(t.Context(), config, "n1", func(uint64, uint64) {}); !errors.Is(err, ErrNoStore) {
 		t.Errorf("without a store: %v", err)
 	}
 }
@@ -161,12 +161,12 @@
 // An earlier incarnation that can't be read stays as it is, and those after it go to the store.
 func TestShipUnreadable(t *testing.T) {
 	dir := t.TempDir()
-	table := DefaultConfig()
-	table.Mode, table.Directory = "spool", filepath.Join(dir, "spool")
-	table.Store.Kind, table.Store.Path = "sqlite", filepath.Join(dir, "r.db")
-	whole, mixed := oneEntry(t, table.Directory), oneEntry(t, table.Directory)
+	config := DefaultConfig()
+	config.Mode, config.Directory = "spool", filepath.Join(dir, "spool")
+	config.Store.Kind, config.Store.Path = "sqlite", filepath.Join(dir, "r.db")
+	whole, mixed := oneEntry(t, config.Directory), oneEntry(t, config.Directory)
 	segment := func(incarnation, name string) string {
-		return filepath.Join(table.Directory, "n1", incarnation, name)
+		return filepath.Join(config.Directory, "n1", incarnation, name)
 	}
 	text, err := os.ReadFile(segment(whole, "0000000001.seg"))
 	if err != nil {
@@ -175,15 +175,15 @@
 	if err := os.WriteFile(segment(mixed, "0000000002.seg"), text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := Ship(t.Context(), table, "n1", func(uint64, uint64) {}); err != nil {
+	if err := Ship(t.Context(), config, "n1", func(uint64, uint64) {}); err != nil {
 		t.Fatal(err)
 	}
-	for _, row := range storedRows(t, openStore(t, table), "n1") {
+	for _, row := range storedRows(t, openStore(t, config), "n1") {
 		if row.Incarnation != whole {
 			t.Errorf("a row of the unreadable incarnation is in the store: %+v", row)
 		}
 	}
-	if left := spool.OpenReadOnly(spool.Disk{}, table.Directory, "n1").Incarnations(); !slices.Equal(left, []string{mixed}) {
+	if left := spool.OpenReadOnly(spool.Disk{}, config.Directory, "n1").Incarnations(); !slices.Equal(left, []string{mixed}) {
 		t.Errorf("incarnations %v left, want %v", left, mixed)
 	}
 }
--- a/internal/record/recorder/stored_test.go
+++ b/internal/record/recorder/stored_test.go
@@ -67,16 +67,16 @@
 	if err := os.CopyFS(dir, os.DirFS(storedData)); err != nil {
 		t.Fatal(err)
 	}
-	table := DefaultConfig()
-	table.Mode, table.Directory = "spool", filepath.Join(dir, "spool")
-	table.Store.Kind, table.Store.Path, table.Store.MaxBatchRows = "sqlite", filepath.Join(dir, "record.db"), 7
-	table.Store.BatchWait = units.Span(10 * time.Millisecond)
-	db, err := sql.Open("sqlite", table.Store.Path)
+	config := DefaultConfig()
+	config.Mode, config.Directory = "spool", filepath.Join(dir, "spool")
+	config.Store.Kind, config.Store.Path, config.Store.MaxBatchRows = "sqlite", filepath.Join(dir, "record.db"), 7
+	config.Store.BatchWait = units.Span(10 * time.Millisecond)
+	db, err := sql.Open("sqlite", config.Store.Path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer db.Close()
-	owners, err := filepath.Glob(filepath.Join(table.Directory, "*", "*", "owner.json"))
+	owners, err := filepath.Glob(filepath.Join(config.Directory, "*", "*", "owner.json"))
 	if err != nil || len(owners) != 3 {
 		t.Fatalf("owner files %v, %v", owners, err)
 	}
@@ -105,7 +105,7 @@
 			t.Fatal(err)
 		}
 	}
-	return table
+	return config
 }
 
 // TestStoredDataRead: each row that the old program shipped is read from its spool.
@@ -132,7 +132,7 @@
 	}
 	defer opened.Close()
 	for _, incarnation := range opened.Incarnations() {
-		for _, row := range rowsOfIncarnation(t, opened.Read(incarnation, true)) {
+		for _, row := range rowsOfIncarnation(t, opened.NewReader(incarnation, true)) {
 			if row.Gap != nil {
 				gaps++
 				continue
@@ -155,33 +155,33 @@
 func TestStoredDataShip(t *testing.T) {
 	expected := expectedOfStoredData(t)
 	t.Run("into a new store", func(t *testing.T) {
-		table := copyStoredData(t)
-		table.Store.Path = filepath.Join(t.TempDir(), "new.db")
-		shipStoredData(t, table, expected)
+		config := copyStoredData(t)
+		config.Store.Path = filepath.Join(t.TempDir(), "new.db")
+		shipStoredData(t, config, expected)
 	})
 	t.Run("onto the old store", func(t *testing.T) {
-		table := copyStoredData(t)
-		store := openStore(t, table)
+		config := copyStoredData(t)
+		store := openStore(t, config)
 		for instance, want := range expected {
 			if before := len(storedRows(t, store, instance)); before != want.StoredBefore {
 				t.Errorf("%s: %d rows in the store at first, want %d", instance, before, want.StoredBefore)
 			}
 		}
-		shipStoredData(t, table, expected)
+		shipStoredData(t, config, expected)
 	})
 }
 
-func shipStoredData(t *testing.T, table Config, expected map[string]storedInstance) {
+func shipStoredData(t *testing.T, config Config, expected map[string]storedInstance) {
 	t.Helper()
-	store := openStore(t, table)
+	store := openStore(t, config)
 	for instance, want := range expected {
-		if err := Ship(t.Context(), table, instance, func(uint64, uint64) {}); err != nil {
+		if err := Ship(t.Context(), config, instance, func(uint64, uint64) {}); err != nil {
 			t.Fatal(err)
 		}
 		checkStored(t, store, instance, want)
 	}
 	for instance, left := range map[string]int{"n1": 0, "n2": 1} { // a damaged incarnation's files stay
-		if in := spool.OpenReadOnly(spool.Disk{}, table.Directory, instance).Incarnations(); len(in) != left {
+		if in := spool.OpenReadOnly(spool.Disk{}, config.Directory, instance).Incarnations(); len(in) != left {
 			t.Errorf("%s: incarnations %v left in the spool, want %d", instance, in, left)
 		}
 	}
@@ -189,16 +189,16 @@
 
 // TestStoredDataAudit: the findings are the old program's, in the spool before it is shipped and in the store afterwards.
 func TestStoredDataAudit(t *testing.T) {
-	table := copyStoredData(t)
+	config := copyStoredData(t)
 	for instance, want := range expectedOfStoredData(t) {
 		t.Run(instance, func(t *testing.T) {
-			spoolOnly, storeOnly := table, table
+			spoolOnly, storeOnly := config, config
 			spoolOnly.Store.Kind = "none"
 			storeOnly.Directory = t.TempDir()
 			if found := audit(t, spoolOnly, instance); !slices.Equal(found, want.AuditSpool) {
 				t.Errorf("in the spool: %+v\nwant %+v", found, want.AuditSpool)
 			}
-			if err := Ship(t.Context(), table, instance, func(uint64, uint64) {}); err != nil {
+			if err := Ship(t.Context(), config, instance, func(uint64, uint64) {}); err != nil {
 				t.Fatal(err)
 			}
 			if found := audit(t, storeOnly, instance); !slices.Equal(found, want.AuditStore) {
@@ -208,9 +208,9 @@
 	}
 }
 
-func audit(t *testing.T, table Config, instance string) (found []Finding) {
+func audit(t *testing.T, config Config, instance string) (found []Finding) {
 	t.Helper()
-	if err := Audit(t.Context(), table, instance, func(f Finding) { found = append(found, f) }, func(int) {}); err != nil {
+	if err := Audit(t.Context(), config, instance, func(f Finding) { found = append(found, f) }, func(int) {}); err != nil {
 		t.Fatal(err)
 	}
 	return found
@@ -246,7 +246,7 @@
 	through, closed := map[string]uint64{}, map[string]bool{}
 	for incarnation := range want.Through {
 		var err error
-		if through[incarnation], closed[incarnation], err = store.Through(t.Context(), incarnation); err != nil {
+		if through[incarnation], closed[incarnation], err = store.Progress(t.Context(), incarnation); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/record/recorder/table.go
+++ b/internal/record/recorder/table.go
@@ -60,10 +60,10 @@
 }
 
 // Enabled tells whether anything is recorded.
-func (t Config) Enabled() bool { return t.Mode != "off" }
+func (c Config) Enabled() bool { return c.Mode != "off" }
 
 // syncs tells whether an answer waits for its entry to be synced.
-func (t Config) syncs() bool { return t.Mode == "spool" && t.Sync == "group" }
+func (c Config) syncs() bool { return c.Mode == "spool" && c.Sync == "group" }
 
 // Open opens the store that is named; nil where there is none. Nothing is connected or read before the first use.
 func (s StoreConfig) Open() (*sqlstore.Store, error) {
@@ -80,15 +80,15 @@
 }
 
 // ledgerOptions are what these settings say to the ledger of an incarnation, while the spool holds spoolBytes already.
-func (t Config) ledgerOptions(instance, incarnation string, spoolBytes int64) record.LedgerOptions {
+func (c Config) ledgerOptions(instance, incarnation string, spoolBytes int64) record.LedgerOptions {
 	policy := record.KeepServing
-	if t.WhenFull == "decline" {
+	if c.WhenFull == "decline" {
 		policy = record.RejectRequests
 	}
 	return record.LedgerOptions{
 		Instance: instance, Incarnation: incarnation,
-		Sync: t.syncs(), GroupWait: t.GroupWait.Ms(), MaxWriteBytes: int(t.MaxWriteBytes),
-		MaxSegmentBytes: int64(t.MaxSegmentBytes), MaxSpoolBytes: int64(t.MaxSpoolBytes), MaxQueuedBytes: int(t.MaxQueuedBytes),
-		CommitDelay: t.CommitDelay.Ms(), StallAfter: t.StallAfter.Ms(), FullPolicy: policy, SpoolBytes: spoolBytes,
+		Sync: c.syncs(), GroupWait: c.GroupWait.Ms(), MaxWriteBytes: int(c.MaxWriteBytes),
+		MaxSegmentBytes: int64(c.MaxSegmentBytes), MaxSpoolBytes: int64(c.MaxSpoolBytes), MaxQueuedBytes: int(c.MaxQueuedBytes),
+		CommitDelay: c.CommitDelay.Ms(), StallAfter: c.StallAfter.Ms(), FullPolicy: policy, SpoolBytes: spoolBytes,
 	}
 }
--- a/internal/record/recorder/turns.go
+++ b/internal/record/recorder/turns.go
@@ -10,7 +10,7 @@
 )
 
 // pick is the incarnation whose turn it is, with rows read; nil where nothing waits. Under the lock.
-func (e *exporter) pick() *incarnationReader {
+func (e *exporter) nextIncarnation() *incarnationReader {
 	runningWaits := e.readRunning()
 	for {
 		e.skipRefused()
@@ -32,12 +32,12 @@
 	if e.running == nil {
 		return false
 	}
-	err := e.running.read(e.table.MaxBatchRows)
-	if err != nil && record.SourceRunning.OnReadError() == record.ReadAgain {
+	err := e.running.read(e.config.MaxBatchRows)
+	if err != nil && record.SourceRunning.OnReadError() == record.RetryRead {
 		e.logFailure(err, record.ExportUnreachable)
 	}
 	logDefects(e.running)
-	waits = e.running.waits()
+	waits = e.running.hasPending()
 	e.oldestWaiting = 0
 	if waits && e.running.rows[0].Gap == nil {
 		e.oldestWaiting = e.running.rows[0].Entry.AnsweredAt
@@ -48,27 +48,27 @@
 // readEarlier reads on in the first of the earlier incarnations and tells whether it can be read.
 func (e *exporter) readEarlier() bool {
 	first := e.earlier[0]
-	err := first.read(e.table.MaxBatchRows)
+	err := first.read(e.config.MaxBatchRows)
 	logDefects(first)
 	if err == nil {
 		return true
 	}
-	if record.SourceEarlier.OnReadError() == record.LeaveFiles {
+	if record.SourceEarlier.OnReadError() == record.KeepFiles {
 		logrus.WithField("incarnation", first.incarnation).WithError(err).Error("an earlier incarnation can't be read, " +
 			"its files stay: 'onyxgate record verify' shows what is wrong")
-		e.leaveFirst()
+		e.closeFirstEarlier()
 	}
 	return false
 }
 
 func (e *exporter) skipRefused() {
 	for len(e.earlier) > 0 && e.earlier[0].refused {
-		e.leaveFirst()
+		e.closeFirstEarlier()
 	}
 }
 
 // leaveFirst ends the reading of the first of the earlier incarnations.
-func (e *exporter) leaveFirst() {
+func (e *exporter) closeFirstEarlier() {
 	e.earlier[0].reader.Close()
 	e.earlier = e.earlier[1:]
 }
@@ -76,7 +76,7 @@
 // logFailure logs a failure once, until another kind comes.
 func (e *exporter) logFailure(err error, result record.ExportResult) {
 	if result != e.lastResult {
-		logrus.WithFields(logrus.Fields{"store": e.table.Kind, "reply": result.String()}).WithError(err).
+		logrus.WithFields(logrus.Fields{"store": e.config.Kind, "reply": result.String()}).WithError(err).
 			Warn("record can't be shipped")
 		e.lastResult = result
 	}
--- a/internal/record/recorder/upkeep.go
+++ b/internal/record/recorder/upkeep.go
@@ -27,7 +27,7 @@
 	}
 	background := runner.New()
 	pruneNow := func() {}
-	export := jobs.Options{Name: "ship", MaxBytesPerSecond: float64(e.table.BytesPerSecond)}
+	export := jobs.Options{Name: "ship", MaxBytesPerSecond: float64(e.config.BytesPerSecond)}
 	background.Add(export, func(ctx context.Context) (int64, time.Duration) {
 		sent, wait, _ := e.step(ctx)
 		if sent > 0 {
@@ -56,7 +56,7 @@
 		e.pruneIncarnation(e.earlier[0], math.MaxUint64)
 	}
 	if e.running != nil {
-		e.pruneIncarnation(e.running, e.segment())
+		e.pruneIncarnation(e.running, e.currentSegment())
 	}
 }
 
@@ -78,7 +78,7 @@
 	if !ready {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(e.table.BatchTimeout))
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(e.config.BatchTimeout))
 	defer cancel()
 	if err := e.store.Checkpoint(ctx); err != nil {
 		logrus.WithError(err).Debug("no checkpoint")
--- a/internal/record/recorder/writer.go
+++ b/internal/record/recorder/writer.go
@@ -33,7 +33,7 @@
 	r.write(ctx)
 	exporting.Wait()
 	if r.exporter.store != nil {
-		if r.table.Mode == "memory" { // what does not go now is lost
+		if r.config.Mode == "memory" { // what does not go now is lost
 			last, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownWait)
 			r.exporter.drain(last)
 			cancel()
@@ -56,7 +56,7 @@
 	for {
 		next, pending := r.nextIO()
 		if !next.Idle() {
-			r.perform(next)
+			r.execute(next)
 			continue
 		}
 		stopped := !stoppedAt.IsZero()
@@ -86,11 +86,11 @@
 }
 
 // perform does one step and tells the ledger and those who wait for it.
-func (r *Recorder) perform(next record.IO) {
+func (r *Recorder) execute(next record.IO) {
 	if failpoint.Defect("answer-before-sync") {
 		time.Sleep(slowDiskDelay)
 	}
-	wrote, err := r.writer.Do(next)
+	wrote, err := r.writer.Execute(next)
 	r.mu.Lock()
 	r.ledger.Completed(r.now(), wrote, err == nil)
 	health := r.ledger.Health(r.now())
@@ -113,7 +113,7 @@
 }
 
 func (r *Recorder) logHealth(health record.Health, err error) {
-	line := logrus.WithFields(logrus.Fields{"spool": health.String(), "when_full": r.table.WhenFull}).WithError(err)
+	line := logrus.WithFields(logrus.Fields{"spool": health.String(), "when_full": r.config.WhenFull}).WithError(err)
 	if health == record.HealthGood {
 		line.Info("record is written again")
 	} else {
--- a/internal/record/replay.go
+++ b/internal/record/replay.go
@@ -27,7 +27,7 @@
 const (
 	defectHole       = "hole"
 	defectChain      = "chain"
-	defectSpoilt     = "spoilt"
+	defectCorrupt    = "spoilt"
 	defectOrder      = "order"
 	defectOrphan     = "orphan"
 	defectUnreadable = "unreadable"
@@ -95,7 +95,7 @@
 
 // AddCorruptBytes notes bytes that are no frame; what they held shows as a hole.
 func (p *Replay) AddCorruptBytes(offset int64, bytes int64) {
-	p.addDefect(defectSpoilt, p.next, p.next, fmt.Sprintf("%d bytes from byte %d on are no frame", bytes, offset))
+	p.addDefect(defectCorrupt, p.next, p.next, fmt.Sprintf("%d bytes from byte %d on are no frame", bytes, offset))
 }
 
 // AddTornTail notes bytes at the end of the last segment that are no whole frame: a kill within a write.
--- a/internal/record/replay_test.go
+++ b/internal/record/replay_test.go
@@ -8,21 +8,21 @@
 )
 
 // written is a spool of n entries, each with its end, in small segments.
-func written(t *testing.T, n int) *disk {
+func writtenDisk(t *testing.T, n int) *disk {
 	t.Helper()
-	options := roomy()
+	options := largeOptions()
 	options.MaxSpoolBytes = 1 << 30
-	l, d := ledger(options), &disk{}
+	l, d := testLedger(options), &disk{}
 	for i := range n {
-		ordinal, _ := l.AddEntry(float64(i), entry(fmt.Sprint(i)))
-		d.all(l, float64(i))
+		ordinal, _ := l.AddEntry(float64(i), testEntry(fmt.Sprint(i)))
+		d.drain(l, float64(i))
 		l.AddCompletion(float64(i), ordinal, true)
 	}
 	for i := range 3 {
-		d.all(l, float64(n+300*i+300))
+		d.drain(l, float64(n+300*i+300))
 	}
-	if f, rows := d.read(true); len(f.Defects) != 0 || len(rows) != n || f.Counts[StateAnswered] != uint64(n) {
-		t.Fatalf("%v, %d rows", f.Defects, len(rows))
+	if replay, rows := d.replay(true); len(replay.Defects) != 0 || len(rows) != n || replay.Counts[StateAnswered] != uint64(n) {
+		t.Fatalf("%v, %d rows", replay.Defects, len(rows))
 	}
 	return d
 }
@@ -30,10 +30,10 @@
 // What is wrong with a spool is found, and the rest is kept.
 func TestDamage(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		damage func(d *disk)
-		kind   string // of the first defect; empty: none
-		least  int    // rows
+		name    string
+		damage  func(d *disk)
+		kind    string // of the first defect; empty: none
+		minRows int    // rows
 	}{
 		{"a torn tail", func(d *disk) { s := &d.segments[3]; *s = (*s)[:len(*s)-7]; d.segments = d.segments[:4] }, "", 20},
 		{"a segment gone", func(d *disk) { d.segments = append(d.segments[:2:2], d.segments[3:]...) }, "hole", 28},
@@ -41,31 +41,31 @@
 		{"an edited entry with its checksum made right", func(d *disk) {
 			s := d.segments[1]
 			_, head, _ := ParseFrame(s)
-			x, size, _ := ParseFrame(s[head:])
-			payload := bytes.Replace(x.Payload, []byte("answered"), []byte("declined"), 1)
-			copy(s[head:head+size], AppendFrame(nil, x.Ordinal, x.Chain, payload))
+			frame, size, _ := ParseFrame(s[head:])
+			payload := bytes.Replace(frame.Payload, []byte("answered"), []byte("declined"), 1)
+			copy(s[head:head+size], AppendFrame(nil, frame.Ordinal, frame.Chain, payload))
 		}, "chain", 40},
 		{"a frame that says another kind", func(d *disk) {
 			s := d.segments[1]
 			_, head, _ := ParseFrame(s)
-			x, size, _ := ParseFrame(s[head:])
-			payload := append([]byte{99}, x.Payload[1:]...)
-			copy(s[head:head+size], AppendFrame(nil, x.Ordinal, x.Chain, payload))
+			frame, size, _ := ParseFrame(s[head:])
+			payload := append([]byte{99}, frame.Payload[1:]...)
+			copy(s[head:head+size], AppendFrame(nil, frame.Ordinal, frame.Chain, payload))
 		}, "chain", 38},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			d := written(t, 40)
+			d := writtenDisk(t, 40)
 			c.damage(d)
 			for len(d.synced) < len(d.segments) {
 				d.synced = append(d.synced, 0)
 			}
-			f, rows := d.read(false)
+			replay, rows := d.replay(false)
 			kind := ""
-			if len(f.Defects) > 0 {
-				kind = f.Defects[0].Kind
+			if len(replay.Defects) > 0 {
+				kind = replay.Defects[0].Kind
 			}
-			if kind != c.kind || len(rows) < c.least {
-				t.Errorf("%v, %d rows, want %q and at least %d", f.Defects, len(rows), c.kind, c.least)
+			if kind != c.kind || len(rows) < c.minRows {
+				t.Errorf("%v, %d rows, want %q and at least %d", replay.Defects, len(rows), c.kind, c.minRows)
 			}
 		})
 	}
@@ -109,17 +109,17 @@
 
 // FinalThrough never passes an entry whose end is not read, whatever the order of ends.
 func TestThrough(t *testing.T) {
-	l, d := ledger(roomy()), &disk{}
+	l, d := testLedger(largeOptions()), &disk{}
 	for i := range 4 {
-		l.AddEntry(1, entry(fmt.Sprint(i)))
+		l.AddEntry(1, testEntry(fmt.Sprint(i)))
 	}
-	d.all(l, 1)
+	d.drain(l, 1)
 	for k, c := range []struct {
 		done    uint64
 		through uint64
 	}{{3, 0}, {1, 1}, {4, 1}, {2, 8}} {
 		l.AddCompletion(float64(10*k+10), c.done, true)
-		d.all(l, float64(10*k+15))
+		d.drain(l, float64(10*k+15))
 		replay := startedReplay(t)
 		for _, segment := range d.segments {
 			applyFrames(t, replay, segment)
--- a/internal/record/spool/bench_test.go
+++ b/internal/record/spool/bench_test.go
@@ -22,7 +22,7 @@
 			b.ResetTimer()
 			peak := uint64(0)
 			for range b.N {
-				reader := opened.Read(incarnation, true)
+				reader := opened.NewReader(incarnation, true)
 				rows, heap := readWithPeak(b, reader)
 				if rows < n-1000 || len(reader.Replay.Defects) > 0 {
 					b.Fatal(rows, reader.Replay.Defects)
@@ -39,7 +39,7 @@
 // writeEntries writes n entries with their ends, 500 at a time.
 func writeEntries(b *testing.B, opened *spool.Spool, n int) (incarnation string) {
 	b.Helper()
-	writer, err := opened.Begin()
+	writer, err := opened.NewIncarnation()
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -59,7 +59,7 @@
 			continue
 		}
 		for next := ledger.NextIO(now); !next.Idle(); next = ledger.NextIO(now) {
-			wrote, err := writer.Do(next)
+			wrote, err := writer.Execute(next)
 			if ledger.Completed(now, wrote, err == nil); err != nil {
 				b.Fatal(err)
 			}
--- a/internal/record/spool/damage_test.go
+++ b/internal/record/spool/damage_test.go
@@ -13,10 +13,10 @@
 // Bytes that change in an old segment are told, and all else is read.
 func TestEdits(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		edit func([]byte) []byte
-		kind string
-		most int // entries lost
+		name    string
+		edit    func([]byte) []byte
+		kind    string
+		maxLost int // entries lost
 	}{
 		{"a bit flipped", func(b []byte) []byte { b[len(b)/2] ^= 4; return b }, "spoilt", 1},
 		{"zeros in the middle", func(b []byte) []byte { clear(b[500:900]); return b }, "spoilt", 4},
@@ -29,7 +29,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			files := memfs.New()
-			name, _ := life(t, files, 60)
+			name, _ := writeIncarnation(t, files, 60)
 			edit(t, files, spool.Join("root", "n1", name, spool.SegmentName(2)), c.edit)
 			reader, states := readAll(t, files, name)
 			if len(reader.Replay.Defects) == 0 || reader.Replay.Defects[0].Kind != c.kind {
@@ -41,7 +41,7 @@
 					in++
 				}
 			}
-			if in < 60-c.most || in == 60 && c.kind != "spoilt" {
+			if in < 60-c.maxLost || in == 60 && c.kind != "spoilt" {
 				t.Errorf("%d entries of 60", in)
 			}
 		})
@@ -59,7 +59,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			files := memfs.New()
-			incarnation, _ := life(t, files, 5)
+			incarnation, _ := writeIncarnation(t, files, 5)
 			edit(t, files, lastSegment(t, files, incarnation), func(b []byte) []byte { return append(b, tail...) })
 			reader, states := readAll(t, files, incarnation)
 			if len(reader.Replay.Defects) > 0 || reader.Replay.TornBytes != int64(len(tail)) || len(states) != 5 {
@@ -72,16 +72,16 @@
 // Pages that reached the disk in another order than they were written: what is there is read, and what is not is told.
 func TestReordered(t *testing.T) {
 	files := memfs.New()
-	name, _ := life(t, files, 5)
+	name, _ := writeIncarnation(t, files, 5)
 	var last, before int // where the last two frames begin
 	edit(t, files, lastSegment(t, files, name), func(b []byte) []byte {
-		for at := 0; at < len(b); {
-			_, size, err := record.ParseFrame(b[at:])
+		for offset := 0; offset < len(b); {
+			_, size, err := record.ParseFrame(b[offset:])
 			if err != nil {
 				t.Fatal(err)
 			}
-			before, last = last, at
-			at += size
+			before, last = last, offset
+			offset += size
 		}
 		clear(b[before:last])
 		return b
@@ -112,7 +112,7 @@
 		for i, content := range [][]byte{one, two} {
 			writeFile(t, files, spool.Join("root", "n1", "i", spool.SegmentName(uint64(i+1))), content)
 		}
-		reader := spool.OpenReadOnly(files, "root", "n1").Read("i", true)
+		reader := spool.OpenReadOnly(files, "root", "n1").NewReader("i", true)
 		ends := 0
 		for calls, more := 0, true; more; calls++ {
 			if calls > 100 {
--- a/internal/record/spool/faults_test.go
+++ b/internal/record/spool/faults_test.go
@@ -58,7 +58,7 @@
 		}
 		return part, err
 	}
-	name, durable := life(t, files, faultEntries)
+	name, durable := writeIncarnation(t, files, faultEntries)
 	files.Fail = nil
 	if (failures > 0) != fails {
 		t.Errorf("%d operations failed", failures)
@@ -86,13 +86,13 @@
 type killed struct{}
 
 // untilKilled runs f and tells whether it was killed.
-func untilKilled(f func()) (died bool) {
+func runUntilKilled(f func()) (wasKilled bool) {
 	defer func() {
 		if x := recover(); x != nil {
 			if _, ok := x.(killed); !ok {
 				panic(x)
 			}
-			died = true
+			wasKilled = true
 		}
 	}()
 	f()
@@ -115,10 +115,10 @@
 // A kill within any of the operations of a life leaves a spool that the next life takes over, and a kill within that
 // as well.
 func TestKillAnywhere(t *testing.T) {
-	for at := 0; ; at++ {
-		if died := killOnceAndAgain(t, at); !died {
-			if at < 20 {
-				t.Fatalf("only %d operations", at)
+	for operation := 0; ; operation++ {
+		if wasKilled := killTwice(t, operation); !wasKilled {
+			if operation < 20 {
+				t.Fatalf("only %d operations", operation)
 			}
 			return
 		}
@@ -127,31 +127,31 @@
 
 // killOnceAndAgain kills a life at its n-th operation, and then each dropping of what it left. It tells whether the life
 // had as many operations.
-func killOnceAndAgain(t *testing.T, at int) (died bool) {
+func killTwice(t *testing.T, operation int) (wasKilled bool) {
 	t.Helper()
 	files := memfs.New()
 	var confirmed map[string]bool
-	files.Fail = killAt(at, "")
-	died = untilKilled(func() { _, confirmed = life(t, files, 12) })
+	files.Fail = killAt(operation, "")
+	wasKilled = runUntilKilled(func() { _, confirmed = writeIncarnation(t, files, 12) })
 	files.Fail = nil
-	crash(t, files, at%50)
+	crash(t, files, operation%50)
 	opened, err := spool.Open(files, "root", "n1")
 	if err != nil {
-		t.Fatalf("killed at operation %d: %v", at, err)
+		t.Fatalf("killed at operation %d: %v", operation, err)
 	}
 	found := map[string]bool{}
 	for _, name := range opened.Incarnations() {
 		reader, states := readAll(t, files, name)
 		if len(reader.Replay.Defects) > 0 {
-			t.Fatalf("killed at operation %d: %v", at, reader.Replay.Defects)
+			t.Fatalf("killed at operation %d: %v", operation, reader.Replay.Defects)
 		}
 		for request := range states {
 			found[request] = true
 		}
 		// The second kill: in dropping what has been exported.
-		files.Fail = killAt(at%3, "remove")
-		untilKilled(func() {
-			if _, err := opened.Drop(name); err != nil {
+		files.Fail = killAt(operation%3, "remove")
+		runUntilKilled(func() {
+			if _, err := opened.RemoveIncarnation(name); err != nil {
 				t.Error(err)
 			}
 		})
@@ -159,15 +159,15 @@
 	}
 	for request := range confirmed {
 		if !found[request] {
-			t.Errorf("killed at operation %d: %s is gone", at, request)
+			t.Errorf("killed at operation %d: %s is gone", operation, request)
 		}
 	}
 	crash(t, files, 0)
 	if opened, err = spool.Open(files, "root", "n1"); err != nil {
-		t.Fatalf("killed at operation %d and again: %v", at, err)
+		t.Fatalf("killed at operation %d and again: %v", operation, err)
 	}
-	if _, err := opened.Begin(); err != nil {
+	if _, err := opened.NewIncarnation(); err != nil {
 		t.Fatal(err)
 	}
-	return died
+	return wasKilled
 }
--- a/internal/record/spool/helper_test.go
+++ b/internal/record/spool/helper_test.go
@@ -26,13 +26,13 @@
 }
 
 // begin starts one of instance n1.
-func begin(t *testing.T, files spool.FS) *incarnation {
+func newIncarnation(t *testing.T, files spool.FS) *incarnation {
 	t.Helper()
 	opened, err := spool.Open(files, "root", "n1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	writer, err := opened.Begin()
+	writer, err := opened.NewIncarnation()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,16 +43,16 @@
 // write does all that is to be done now.
 func (i *incarnation) write() {
 	for next := i.ledger.NextIO(i.now); !next.Idle(); next = i.ledger.NextIO(i.now) {
-		wrote, err := i.writer.Do(next)
+		wrote, err := i.writer.Execute(next)
 		i.ledger.Completed(i.now, wrote, err == nil)
 	}
 }
 
 // life writes n entries, x0 and on, each with its end but the last, and leaves the spool as a kill would. It returns which
 // were durable.
-func life(t *testing.T, files spool.FS, n int) (name string, durable map[string]bool) {
+func writeIncarnation(t *testing.T, files spool.FS, n int) (name string, durable map[string]bool) {
 	t.Helper()
-	i := begin(t, files)
+	i := newIncarnation(t, files)
 	ordinals := map[string]uint64{}
 	for k := range n {
 		request := fmt.Sprint("x", k)
@@ -79,7 +79,7 @@
 }
 
 // next reads on.
-func next(t *testing.T, reader *spool.Reader) (rows []record.Row, more bool) {
+func readNext(t *testing.T, reader *spool.Reader) (rows []record.Row, more bool) {
 	t.Helper()
 	rows, more, err := reader.Next()
 	if err != nil {
@@ -91,11 +91,11 @@
 // readAll reads an incarnation that nobody writes: the final state of each request.
 func readAll(t *testing.T, files spool.FS, name string) (*spool.Reader, map[string]record.State) {
 	t.Helper()
-	reader := spool.OpenReadOnly(files, "root", "n1").Read(name, true)
+	reader := spool.OpenReadOnly(files, "root", "n1").NewReader(name, true)
 	states := map[string]record.State{}
 	for more := true; more; {
 		var rows []record.Row
-		rows, more = next(t, reader)
+		rows, more = readNext(t, reader)
 		for _, row := range rows {
 			if _, twice := states[row.Entry.RequestID]; twice && row.Gap == nil {
 				t.Errorf("%s twice", row.Entry.RequestID)
--- a/internal/record/spool/owner.go
+++ b/internal/record/spool/owner.go
@@ -22,51 +22,51 @@
 type owner struct {
 	Instance    string `json:"agent"`
 	Incarnation string `json:"incarnation"`
-	Place       string `json:"place"`
+	DirID       string `json:"place"`
 }
 
 // checkOwner refuses a directory that was copied here: its original may still be written.
 func (s *Spool) checkOwner(incarnation string) error {
 	dir := join(s.dir, incarnation)
-	place, err := s.fs.DirID(dir)
+	dirID, err := s.fs.DirID(dir)
 	if err != nil {
 		return err
 	}
-	made, err := s.readOwner(incarnation)
+	recorded, err := s.readOwner(incarnation)
 	neverWritten := err != nil && len(listSegments(s.fs, dir)) == 0
 	switch {
 	case neverWritten: // killed while it was made
-		_, _ = s.Drop(incarnation) // what stays is found again at the next start
+		_, _ = s.RemoveIncarnation(incarnation) // what stays is found again at the next start
 		return nil
 	case err != nil:
 		return fmt.Errorf("%s: %s can't be read: %w; if it is yours, run 'onyxgate record adopt'", dir, ownerName, err)
-	case made != owner{s.Instance, incarnation, place}:
+	case recorded != owner{s.Instance, incarnation, dirID}:
 		return fmt.Errorf("%s: %w: it was made as %s/%s at %s and stands at %s; if the original is gone for good, run "+
-			"'onyxgate record adopt'", dir, ErrCopied, made.Instance, made.Incarnation, made.Place, place)
+			"'onyxgate record adopt'", dir, ErrCopied, recorded.Instance, recorded.Incarnation, recorded.DirID, dirID)
 	}
 	return nil
 }
 
-func (s *Spool) readOwner(incarnation string) (made owner, err error) {
+func (s *Spool) readOwner(incarnation string) (recorded owner, err error) {
 	file, err := s.fs.Open(join(s.dir, incarnation, ownerName))
 	if err != nil {
-		return made, err
+		return recorded, err
 	}
 	defer file.Close()
 	text, err := io.ReadAll(io.NewSectionReader(file, 0, maxOwnerBytes))
 	if err == nil {
-		err = json.Unmarshal(text, &made)
+		err = json.Unmarshal(text, &recorded)
 	}
-	return made, err
+	return recorded, err
 }
 
 // Place is where an incarnation was made, as its owner file says; empty where that can't be read.
-func (s *Spool) Place(incarnation string) string {
-	made, err := s.readOwner(incarnation)
+func (s *Spool) RecordedDirID(incarnation string) string {
+	recorded, err := s.readOwner(incarnation)
 	if err != nil {
 		return ""
 	}
-	return made.Place
+	return recorded.DirID
 }
 
 // Adopt makes directories that were moved here on purpose usable; the caller answers for the originals being gone. Errors
@@ -93,11 +93,11 @@
 
 func (s *Spool) writeOwner(incarnation string) error {
 	dir := join(s.dir, incarnation)
-	place, err := s.fs.DirID(dir)
+	dirID, err := s.fs.DirID(dir)
 	if err != nil {
 		return err
 	}
-	text, err := json.Marshal(owner{s.Instance, incarnation, place})
+	text, err := json.Marshal(owner{s.Instance, incarnation, dirID})
 	if err != nil {
 		return err
 	}
--- a/internal/record/spool/reader.go
+++ b/internal/record/spool/reader.go
@@ -37,7 +37,7 @@
 }
 
 // Read starts reading an incarnation; closed: it will never be written again.
-func (s *Spool) Read(incarnation string, closed bool) *Reader {
+func (s *Spool) NewReader(incarnation string, closed bool) *Reader {
 	return &Reader{Replay: record.NewReplay(), fs: s.fs, dir: join(s.dir, incarnation), closed: closed}
 }
 
@@ -115,7 +115,7 @@
 			continue
 		}
 		r.endCorrupt()
-		if rows, err = r.take(rows, frame); err != nil {
+		if rows, err = r.applyFrame(rows, frame); err != nil {
 			return rows, err
 		}
 		used += size
@@ -148,7 +148,7 @@
 }
 
 // take gives a frame to the replay and adds what became final by it.
-func (r *Reader) take(rows []record.Row, frame record.Frame) ([]record.Row, error) {
+func (r *Reader) applyFrame(rows []record.Row, frame record.Frame) ([]record.Row, error) {
 	if record.Kind(frame.Payload[0]) == record.KindHeader {
 		value, err := record.Decode(frame.Payload)
 		if err != nil {
--- a/internal/record/spool/spool.go
+++ b/internal/record/spool/spool.go
@@ -93,7 +93,7 @@
 }
 
 // Drop removes an incarnation's directory and returns the bytes that it held.
-func (s *Spool) Drop(incarnation string) (freed int64, err error) {
+func (s *Spool) RemoveIncarnation(incarnation string) (freed int64, err error) {
 	dir := join(s.dir, incarnation)
 	files, err := s.fs.List(dir)
 	for _, file := range files {
--- a/internal/record/spool/spool_test.go
+++ b/internal/record/spool/spool_test.go
@@ -14,8 +14,8 @@
 
 // A reader that follows a writer gets each row once, over turns of segments and prunes.
 func TestFollow(t *testing.T) {
-	i := begin(t, memfs.New())
-	reader := i.spool.Read(i.writer.Incarnation, false)
+	i := newIncarnation(t, memfs.New())
+	reader := i.spool.NewReader(i.writer.Incarnation, false)
 	read, freed := 0, int64(0)
 	for k := range 200 {
 		ordinal, _ := i.ledger.AddEntry(i.now, record.Entry{RequestID: fmt.Sprint(k)})
@@ -27,7 +27,7 @@
 		}
 		for more := true; more; {
 			var rows []record.Row
-			rows, more = next(t, reader)
+			rows, more = readNext(t, reader)
 			for _, row := range rows {
 				if row.Entry.RequestID != fmt.Sprint(read) {
 					t.Fatalf("%s after %d", row.Entry.RequestID, read-1)
@@ -35,7 +35,7 @@
 				read++
 			}
 		}
-		pruned, err := i.spool.Prune(i.writer.Incarnation, min(i.ledger.Segment(), reader.Segment()), reader.Replay.FinalThrough())
+		pruned, err := i.spool.Prune(i.writer.Incarnation, min(i.ledger.CurrentSegment(), reader.Segment()), reader.Replay.FinalThrough())
 		if freed += pruned; err != nil {
 			t.Fatal(err)
 		}
@@ -55,15 +55,15 @@
 	if _, err := spool.Open(spool.Disk{}, root, "a/b c"); !errors.Is(err, spool.ErrLocked) {
 		t.Errorf("a second process gets in: %v", err)
 	}
-	w, err := s.Begin()
+	w, err := s.NewIncarnation()
 	if err != nil {
 		t.Fatal(err)
 	}
 	l := record.NewLedger(smallLedger("a/b c", w.Incarnation, 0))
 	l.AddEntry(1, record.Entry{RequestID: "x"})
-	x := l.NextIO(1)
-	if wrote, err := w.Do(x); err != nil || wrote != len(x.Bytes) || s.Bytes() != int64(wrote) {
-		t.Fatalf("%d of %d bytes, %d used, %v", wrote, len(x.Bytes), s.Bytes(), err)
+	next := l.NextIO(1)
+	if wrote, err := w.Execute(next); err != nil || wrote != len(next.Bytes) || s.Bytes() != int64(wrote) {
+		t.Fatalf("%d of %d bytes, %d used, %v", wrote, len(next.Bytes), s.Bytes(), err)
 	}
 	w.Close()
 	s.Close()
@@ -94,12 +94,12 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	r := s.Read(w.Incarnation, true)
+	r := s.NewReader(w.Incarnation, true)
 	rows, _, err := r.Next()
 	if err != nil || len(rows) != 1 || rows[0].State != record.StateInDoubt {
 		t.Errorf("%v %v", rows, err)
 	}
-	if freed, err := s.Drop(w.Incarnation); err != nil || freed == 0 || len(s.Incarnations()) != 0 {
+	if freed, err := s.RemoveIncarnation(w.Incarnation); err != nil || freed == 0 || len(s.Incarnations()) != 0 {
 		t.Errorf("%d freed, %v, %v left", freed, err, s.Incarnations())
 	}
 }
--- a/internal/record/spool/writer.go
+++ b/internal/record/spool/writer.go
@@ -23,7 +23,7 @@
 }
 
 // Begin makes a new incarnation.
-func (s *Spool) Begin() (*Writer, error) {
+func (s *Spool) NewIncarnation() (*Writer, error) {
 	id, err := uuid.NewRandom()
 	if err != nil {
 		return nil, err
@@ -41,7 +41,7 @@
 
 // Do carries a step of the ledger out and tells how many bytes the files may now hold of it. After an error the next step
 // must begin a new segment.
-func (w *Writer) Do(next record.IO) (wrote int, err error) {
+func (w *Writer) Execute(next record.IO) (wrote int, err error) {
 	if next.NewSegment {
 		if err := w.beginSegment(next.Segment); err != nil {
 			return 0, err
--- a/internal/record/sqlite/sqlite.go
+++ b/internal/record/sqlite/sqlite.go
@@ -43,28 +43,28 @@
 
 // runner carries database/sql over to what a store needs; database and transaction add what they have besides.
 type runner struct {
-	on interface {
+	conn interface {
 		ExecContext(ctx context.Context, text string, args ...any) (sql.Result, error)
 		QueryContext(ctx context.Context, text string, args ...any) (*sql.Rows, error)
 	}
 }
 
 func (r runner) Exec(ctx context.Context, text string, args ...any) (int64, error) {
-	done, err := r.on.ExecContext(ctx, text, args...)
+	done, err := r.conn.ExecContext(ctx, text, args...)
 	if err != nil {
 		return 0, err
 	}
 	return done.RowsAffected()
 }
 
-func (r runner) Query(ctx context.Context, text string, args []any, each func(scan func(...any) error) error) error {
-	rows, err := r.on.QueryContext(ctx, text, args...)
+func (r runner) Query(ctx context.Context, text string, args []any, visit func(scan func(...any) error) error) error {
+	rows, err := r.conn.QueryContext(ctx, text, args...)
 	if err != nil {
 		return err
 	}
 	defer rows.Close()
 	for rows.Next() {
-		if err := each(rows.Scan); err != nil {
+		if err := visit(rows.Scan); err != nil {
 			return err
 		}
 	}
--- a/internal/record/sqlstore/bench_test.go
+++ b/internal/record/sqlstore/bench_test.go
@@ -10,12 +10,12 @@
 )
 
 func BenchmarkPut(b *testing.B) {
-	lite := openSQLite(b, filepath.Join(b.TempDir(), "x.db"), time.Second)
-	pg, _ := onPipes(b, filepath.Join(b.TempDir(), "pg"), "right")
+	sqliteStore := openSQLite(b, filepath.Join(b.TempDir(), "x.db"), time.Second)
+	postgresStore, _ := newPipeStore(b, filepath.Join(b.TempDir(), "pg"), "right")
 	for _, c := range []struct {
 		name  string
 		store *sqlstore.Store
-	}{{"sqlite", lite}, {"fake postgres", pg}} {
+	}{{"sqlite", sqliteStore}, {"fake postgres", postgresStore}} {
 		migrate(b, c.store)
 		n := uint64(1)
 		for _, size := range []uint64{1, 50, 500} {
--- a/internal/record/sqlstore/faults_test.go
+++ b/internal/record/sqlstore/faults_test.go
@@ -18,7 +18,7 @@
 	for _, c := range []struct {
 		mode   string
 		result record.ExportResult
-		in     int // rows after the failure
+		stored int // rows after the failure
 	}{
 		{"cut", record.ExportUnknown, 0},
 		{"lose", record.ExportUnknown, 20},
@@ -29,11 +29,11 @@
 		{"42501", record.ExportDenied, 0},
 	} {
 		t.Run(c.mode, func(t *testing.T) {
-			failOnce(t, c.mode, c.result, c.in)
+			failOnce(t, c.mode, c.result, c.stored)
 		})
 	}
 	t.Run("stall", func(t *testing.T) {
-		store, server := onPipes(t, filepath.Join(t.TempDir(), "pg"), "right")
+		store, server := newPipeStore(t, filepath.Join(t.TempDir(), "pg"), "right")
 		migrate(t, store)
 		server.Fail("stall")
 		canceled, cancel := context.WithCancel(t.Context())
@@ -44,7 +44,7 @@
 		server.Fail("")
 	})
 	t.Run("a wrong password", func(t *testing.T) {
-		store, _ := onPipes(t, filepath.Join(t.TempDir(), "pg"), "wrong")
+		store, _ := newPipeStore(t, filepath.Join(t.TempDir(), "pg"), "wrong")
 		if err := store.Migrate(t.Context()); store.Classify(err) != record.ExportDenied {
 			t.Errorf("%v is taken for %v", err, store.Classify(err))
 		}
@@ -55,7 +55,7 @@
 func failOnce(t *testing.T, mode string, result record.ExportResult, stored int) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "pg")
-	store, server := onPipes(t, file, "right")
+	store, server := newPipeStore(t, file, "right")
 	migrate(t, store)
 	server.Fail(mode)
 	_, err := store.Put(t.Context(), batch(1, 20, 20))
@@ -84,7 +84,7 @@
 }
 
 // A file that is locked and one that can't be reached are told apart; a newer schema is refused.
-func TestLiteFails(t *testing.T) {
+func TestSQLiteFails(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "x.db")
 	store := openSQLite(t, file, 0)
 	migrate(t, store)
--- a/internal/record/sqlstore/helper_test.go
+++ b/internal/record/sqlstore/helper_test.go
@@ -18,16 +18,16 @@
 
 // pipes is a listener whose connections are made by dial. A driver may still dial when the test is over, so the channel of
 // connections is never closed.
-type pipes struct {
+type pipeListener struct {
 	connections chan net.Conn
 	closed      chan struct{}
 }
 
-func newPipes() *pipes {
-	return &pipes{connections: make(chan net.Conn), closed: make(chan struct{})}
+func newPipeListener() *pipeListener {
+	return &pipeListener{connections: make(chan net.Conn), closed: make(chan struct{})}
 }
 
-func (p *pipes) Accept() (net.Conn, error) {
+func (p *pipeListener) Accept() (net.Conn, error) {
 	select {
 	case connection := <-p.connections:
 		return connection, nil
@@ -36,14 +36,14 @@
 	}
 }
 
-func (p *pipes) Close() error {
+func (p *pipeListener) Close() error {
 	close(p.closed)
 	return nil
 }
 
-func (p *pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (p *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-func (p *pipes) dial(context.Context, string, string) (net.Conn, error) {
+func (p *pipeListener) dial(context.Context, string, string) (net.Conn, error) {
 	here, there := net.Pipe()
 	select {
 	case p.connections <- there:
@@ -54,12 +54,12 @@
 }
 
 // onPipes is a store at a fake server, with a password.
-func onPipes(t testing.TB, file, password string) (*sqlstore.Store, *fakepostgres.Server) {
+func newPipeStore(t testing.TB, file, password string) (*sqlstore.Store, *fakepostgres.Server) {
 	server, err := fakepostgres.New(file, "accounts", "right")
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := newPipes()
+	l := newPipeListener()
 	go server.Serve(l) // until the listener is closed
 	c, err := pgconn.ParseConfig("host=h port=1 dbname=d user=accounts sslmode=disable")
 	if err != nil {
--- a/internal/record/sqlstore/put.go
+++ b/internal/record/sqlstore/put.go
@@ -59,13 +59,13 @@
 		where incarnation = $5`, through, through, closed, closed, batch.Incarnation); err != nil {
 		return err
 	}
-	var place string
+	var dirID string
 	if err := queryOne(ctx, tx, NameOwner+`select place from onyxgate_incarnation where incarnation = $1`,
-		[]any{batch.Incarnation}, &place); err != nil {
+		[]any{batch.Incarnation}, &dirID); err != nil {
 		return err
 	}
-	if place != batch.DirID {
-		return fmt.Errorf("%w: %s, not %s", ErrForeign, place, batch.DirID)
+	if dirID != batch.DirID {
+		return fmt.Errorf("%w: %s, not %s", ErrForeign, dirID, batch.DirID)
 	}
 	return nil
 }
@@ -110,10 +110,10 @@
 	for _, column := range columns {
 		names, values = append(names, column.name), append(values, s.dialect.JSONField(column.name, column.kind))
 	}
-	again := " on conflict do nothing"
+	onConflict := " on conflict do nothing"
 	if failpoint.Defect("no-dedupe") && table == "onyxgate_entry" {
-		again = ""
+		onConflict = ""
 	}
 	return "insert into " + table + " (" + strings.Join(names, ", ") + ") select " + strings.Join(values, ", ") +
-		" from " + s.dialect.JSONRows + " where true" + again
+		" from " + s.dialect.JSONRows + " where true" + onConflict
 }
--- a/internal/record/sqlstore/query.go
+++ b/internal/record/sqlstore/query.go
@@ -8,7 +8,7 @@
 )
 
 // Through is how far an incarnation is stored, and whether it is closed.
-func (s *Store) Through(ctx context.Context, incarnation string) (through uint64, closed bool, err error) {
+func (s *Store) Progress(ctx context.Context, incarnation string) (through uint64, closed bool, err error) {
 	var throughColumn, closedColumn int64
 	err = queryOne(ctx, s.db, NameOwner+`select through, closed from onyxgate_incarnation where incarnation = $1`,
 		[]any{incarnation}, &throughColumn, &closedColumn)
@@ -50,7 +50,7 @@
 }
 
 // Select calls each with the rows that match, oldest first, one at a time; an error of each ends it.
-func (s *Store) Select(ctx context.Context, filter Filter, each func(Row) error) error {
+func (s *Store) Select(ctx context.Context, filter Filter, visit func(Row) error) error {
 	where, args := filter.where()
 	text := NameSelect + `select agent, incarnation, n, state, txn, product, outcome, reason, build, appliance, submissions,
 		taken_ms, answered_ms, body, mark from onyxgate_entry` + where + ` order by answered_ms`
@@ -66,12 +66,12 @@
 			return err
 		}
 		row.Ordinal = uint64(n)
-		return each(row)
+		return visit(row)
 	})
 }
 
 // Gaps calls each with the gaps of an instance, or of all where none is named; an error of each ends it.
-func (s *Store) Gaps(ctx context.Context, instance string, each func(GapRow) error) error {
+func (s *Store) Gaps(ctx context.Context, instance string, visit func(GapRow) error) error {
 	text, args := NameSelectGaps+`select agent, incarnation, n, settled, declined, voided, unknown, from_ms, to_ms, cause
 		from onyxgate_gap`, []any{}
 	if instance != "" {
@@ -86,13 +86,13 @@
 		}
 		gap.Ordinal, gap.Unknown = uint64(n), uint64(unknown)
 		gap.Served, gap.Rejected, gap.Failed = uint64(served), uint64(rejected), uint64(failed)
-		return each(gap)
+		return visit(gap)
 	})
 }
 
 // Count calls each with how many of the entries that match have the same instance, class, outcome and state; an error of
 // each ends it.
-func (s *Store) Count(ctx context.Context, filter Filter, each func(GroupCount) error) error {
+func (s *Store) Count(ctx context.Context, filter Filter, visit func(GroupCount) error) error {
 	where, args := filter.where()
 	return s.db.Query(ctx, NameCount+`select agent, product, outcome, state, count(*) from onyxgate_entry`+where+
 		` group by agent, product, outcome, state order by agent, product, outcome, state`, args,
@@ -101,19 +101,19 @@
 			if err := scan(&group.Instance, &group.Class, &group.Outcome, &group.State, &group.Entries); err != nil {
 				return err
 			}
-			return each(group)
+			return visit(group)
 		})
 }
 
 // Repeats counts the ordinals that are stored more than once: none, unless somebody dropped the primary key.
-func (s *Store) Repeats(ctx context.Context) (n int64, err error) {
+func (s *Store) CountDuplicates(ctx context.Context) (n int64, err error) {
 	err = queryOne(ctx, s.db, NameCount+`select count(*) from (select 1 from onyxgate_entry group by incarnation, n
 		having count(*) > 1) repeats`, nil, &n)
 	return n, err
 }
 
 // Prune removes entries answered before a time (ms), `most` at the most, and returns how many.
-func (s *Store) Prune(ctx context.Context, before float64, most int) (int64, error) {
+func (s *Store) Prune(ctx context.Context, before float64, limit int) (int64, error) {
 	return s.db.Exec(ctx, NamePrune+`delete from onyxgate_entry where (incarnation, n) in (select incarnation, n
-		from onyxgate_entry where answered_ms < $1 limit $2)`, before, most)
+		from onyxgate_entry where answered_ms < $1 limit $2)`, before, limit)
 }
--- a/internal/record/sqlstore/schema.go
+++ b/internal/record/sqlstore/schema.go
@@ -70,14 +70,14 @@
 		return err
 	}
 	defer tx.Rollback()
-	var has int
-	if err := queryOne(ctx, tx, NameVersion+"select coalesce(max(version), 0) from onyxgate_schema", nil, &has); err != nil {
+	var current int
+	if err := queryOne(ctx, tx, NameVersion+"select coalesce(max(version), 0) from onyxgate_schema", nil, &current); err != nil {
 		return err
 	}
 	switch {
-	case has > newest:
-		return &NewerSchemaError{Version: has, Known: newest}
-	case has >= version:
+	case current > newest:
+		return &NewerSchemaError{Version: current, Known: newest}
+	case current >= version:
 		return nil
 	}
 	// First, so that of two that migrate at once one waits for the other and then finds its own number taken.
--- a/internal/record/sqlstore/sqlstore_test.go
+++ b/internal/record/sqlstore/sqlstore_test.go
@@ -14,25 +14,25 @@
 
 // Both stores keep what they are given, once, and give it back.
 func TestStores(t *testing.T) {
-	lite := openSQLite(t, filepath.Join(t.TempDir(), "a b?.db"), time.Second)
-	pg, _ := onPipes(t, filepath.Join(t.TempDir(), "pg"), "right")
-	for name, store := range map[string]*sqlstore.Store{"sqlite": lite, "postgres": pg} {
+	sqliteStore := openSQLite(t, filepath.Join(t.TempDir(), "a b?.db"), time.Second)
+	postgresStore, _ := newPipeStore(t, filepath.Join(t.TempDir(), "pg"), "right")
+	for name, store := range map[string]*sqlstore.Store{"sqlite": sqliteStore, "postgres": postgresStore} {
 		t.Run(name, func(t *testing.T) {
 			fill(t, store)
 			expectFilled(t, store)
 		})
 	}
-	t.Run("filters", func(t *testing.T) { checkFilters(t, lite) })
-	t.Run("prune", func(t *testing.T) { checkPrune(t, lite) })
+	t.Run("filters", func(t *testing.T) { checkFilters(t, sqliteStore) })
+	t.Run("prune", func(t *testing.T) { checkPrune(t, sqliteStore) })
 	t.Run("an error of the reader", func(t *testing.T) {
 		stop := errors.New("stop")
-		err := lite.Select(t.Context(), sqlstore.Filter{}, func(sqlstore.Row) error { return stop })
+		err := sqliteStore.Select(t.Context(), sqlstore.Filter{}, func(sqlstore.Row) error { return stop })
 		if !errors.Is(err, stop) {
 			t.Errorf("%v", err)
 		}
 	})
 	t.Run("checkpoint", func(t *testing.T) {
-		if err := lite.Checkpoint(t.Context()); err != nil {
+		if err := sqliteStore.Checkpoint(t.Context()); err != nil {
 			t.Error(err)
 		}
 	})
@@ -63,10 +63,10 @@
 
 func expectFilled(t *testing.T, store *sqlstore.Store) {
 	t.Helper()
-	if through, closed, err := store.Through(t.Context(), "i1"); through != 31 || !closed || err != nil {
+	if through, closed, err := store.Progress(t.Context(), "i1"); through != 31 || !closed || err != nil {
 		t.Errorf("through %d, %v, %v", through, closed, err)
 	}
-	if through, _, err := store.Through(t.Context(), "unknown"); through != 0 || err != nil {
+	if through, _, err := store.Progress(t.Context(), "unknown"); through != 0 || err != nil {
 		t.Errorf("of none: %d, %v", through, err)
 	}
 	rows := selectAll(t, store, sqlstore.Filter{})
@@ -97,7 +97,7 @@
 	if gaps != 1 {
 		t.Errorf("%d gaps", gaps)
 	}
-	if n, err := store.Repeats(t.Context()); n != 0 || err != nil {
+	if n, err := store.CountDuplicates(t.Context()); n != 0 || err != nil {
 		t.Errorf("%d repeats, %v", n, err)
 	}
 }
--- a/internal/record/sqlstore/store.go
+++ b/internal/record/sqlstore/store.go
@@ -39,7 +39,7 @@
 type Runner interface {
 	Exec(ctx context.Context, text string, args ...any) (affected int64, err error)
 	// Query calls each with a way to scan the row, one row in memory at a time; an error of each ends it.
-	Query(ctx context.Context, text string, args []any, each func(scan func(...any) error) error) error
+	Query(ctx context.Context, text string, args []any, visit func(scan func(...any) error) error) error
 }
 
 // Tx is a transaction; Rollback after Commit does nothing.
@@ -110,7 +110,7 @@
 
 // HoldWriteLock keeps a transaction open while something runs, and rolls it back: with the store's write lock in it, others
 // wait meanwhile. It is for tests.
-func (s *Store) HoldWriteLock(ctx context.Context, while func()) error {
+func (s *Store) HoldWriteLock(ctx context.Context, fn func()) error {
 	tx, err := s.db.Begin(ctx)
 	if err != nil {
 		return err
@@ -119,11 +119,11 @@
 	if _, err := tx.Exec(ctx, NameClaim+`update onyxgate_incarnation set through = through where incarnation = ''`); err != nil {
 		return err
 	}
-	while()
+	fn()
 	return nil
 }
 
 // queryOne scans the only row of an answer; where there is none, nothing is scanned.
-func queryOne(ctx context.Context, runner Runner, text string, args []any, to ...any) error {
-	return runner.Query(ctx, text, args, func(scan func(...any) error) error { return scan(to...) })
+func queryOne(ctx context.Context, runner Runner, text string, args []any, dest ...any) error {
+	return runner.Query(ctx, text, args, func(scan func(...any) error) error { return scan(dest...) })
 }
