--- a/internal/record/entry.go
+++ b/internal/record/entry.go
@@ -1,50 +1,51 @@
-// Package record decides what the store of record holds: what an entry is, when it is written, what a reading of the
-// spool concludes, when a batch goes to the store and what a failure of either means. It must never do I/O, read a
-// clock, start a goroutine or see a body, a key or a secret: digests are all that comes here.
+// Package record holds the rules of the durable record of responses: the stored types and their encoding, when entries
+// are written and synced, how a spool is replayed, and when batches are exported to the store. It performs no I/O,
+// reads no clock and starts no goroutines, and it never sees request bodies, idempotency keys or secrets, only their
+// digests.
 package record
 
-// This file owns what is recorded: entries, gaps, completions and the header of a segment.
+// Types that are recorded: entries, gaps, completions and segment headers.
 
 import "crypto/sha256"
 
-// nameAt is a number's name in a table. A number that the table does not know has the last name.
+// nameAt returns the name of a number. Numbers beyond the table get its last name.
 func nameAt(names []string, number int) string { return names[min(number, len(names)-1)] }
 
-// Outcome is what a client was answered.
+// Outcome is the kind of response that the client was sent.
 type Outcome uint8
 
-// The outcomes. Zero stands for an outcome that is not known.
+// Outcomes. The zero value means that the outcome is unknown.
 const (
 	OutcomeServed Outcome = iota + 1
 	OutcomeRejected
 	OutcomeFailed
 )
 
-// outcomeNames are stored.
+// outcomeNames are the stored names; they must not change.
 var outcomeNames = [...]string{"", "settled", "declined", "voided"}
 
 func (o Outcome) String() string { return nameAt(outcomeNames[:], int(o)) }
 
-// State is how far an entry got.
+// State is how far the delivery of a response got.
 type State uint8
 
-// The states. StateOpen is of entries that wait in memory or in the spool, the others are stored.
+// States. StateOpen applies only to entries in memory or in the spool; the other states are stored.
 const (
-	StateOpen        State = iota // durable, its answer under way
-	StateAnswered                 // the answer's last byte was written
-	StateUndelivered              // the answer could not be written whole: the client had gone
-	StateInDoubt                  // a kill came between the two steps: the answer may have been given, or a part, or nothing
+	StateOpen        State = iota // the entry is durable, the response is being sent
+	StateAnswered                 // the last byte of the response was written
+	StateUndelivered              // the response could not be written completely because the client had gone
+	StateInDoubt                  // the process died before the completion was recorded: all, part or none of it was sent
 )
 
-// stateNames are stored.
+// stateNames are the stored names; they must not change.
 var stateNames = [...]string{"open", "given", "unheard", "in doubt"}
 
 func (s State) String() string { return nameAt(stateNames[:], int(s)) }
 
-// Digest is the first half of a SHA-256; all zero: there was nothing to digest.
+// Digest is the first half of a SHA-256 hash. The zero value means that there was nothing to hash.
 type Digest [16]byte
 
-// DigestOf is a digest of what is not empty.
+// DigestOf returns the digest of content, or the zero value if content is empty.
 func DigestOf(content []byte) (digest Digest) {
 	if len(content) > 0 {
 		whole := sha256.Sum256(content)
@@ -53,10 +54,10 @@
 	return digest
 }
 
-// Entry is how one request was answered. Times are Unix ms. The order of the fields is the stored one.
+// Entry records the response to one request. Times are Unix ms. Entries are stored with their fields in this order.
 type Entry struct {
 	_          struct{} `cbor:",toarray"`
-	Ordinal    uint64   // in its incarnation, from 1 on
+	Ordinal    uint64   // unique within the incarnation, starting at 1
 	RequestID  string
 	Class      string
 	Outcome    Outcome
@@ -70,17 +71,17 @@
 	KeyDigest  Digest // of the idempotency key
 }
 
-// Gap takes the place of entries where answers were given and could not be recorded: how many, over which span, why. Times
-// are in ms. The order of the fields is the stored one.
+// Gap replaces entries that could not be recorded although their responses were sent: how many, in which period and
+// why. Times are in ms. Gaps are stored with their fields in this order.
 type Gap struct {
 	_        struct{} `cbor:",toarray"`
 	Ordinal  uint64
 	Counts   [len(outcomeNames)]uint64 // by outcome
 	From, To float64
-	Cause    string // one word
+	Cause    string // a single word
 }
 
-// Total is how many answers it counts.
+// Total returns the number of responses that the gap counts.
 func (g Gap) Total() (n uint64) {
 	for _, count := range g.Counts {
 		n += count
@@ -88,20 +89,20 @@
 	return n
 }
 
-// Completions notes the ends of answers by the ordinals of their entries: delivered whole, or not. The order of the fields
-// is the stored one.
+// Completions lists entries, by ordinal, whose responses have ended: delivered completely, or not. It is stored with
+// its fields in this order.
 type Completions struct {
 	_           struct{} `cbor:",toarray"`
 	Delivered   []uint64
 	Undelivered []uint64
 }
 
-// SegmentHeader opens each segment. The order of the fields is the stored one.
+// SegmentHeader is the first frame of each segment. Headers are stored with their fields in this order.
 type SegmentHeader struct {
 	_           struct{} `cbor:",toarray"`
 	Instance    string
 	Incarnation string
 	Segment     uint64
-	From        uint64 // ordinal of the first frame behind it
-	Chain       Digest // of the frame before From
+	From        uint64 // ordinal of the segment's first frame after the header
+	Chain       Digest // of the frame that precedes From
 }
--- a/internal/record/export.go
+++ b/internal/record/export.go
@@ -1,29 +1,29 @@
 package record
 
-// This file owns when a batch goes to the store, how large it is, which incarnation it is of, and what a failed one means.
-// It must never take a batch as stored that the store has not confirmed, nor drop one.
+// Scheduling of export batches: when a batch is sent, how large it is, which incarnation it comes from, and how
+// failures are handled. A batch counts as stored only once the store has confirmed it, and no batch is ever dropped.
 
 import "math/rand/v2"
 
-// ExportResult is how a batch ended.
+// ExportResult is the result of exporting a batch.
 type ExportResult uint8
 
-// The results.
+// Export results.
 const (
 	ExportStored      ExportResult = iota
-	ExportUnknown                  // the connection broke or the time ran out: it may be stored
-	ExportConflict                 // the store chose another transaction: again
-	ExportBusy                     // it takes no more now
-	ExportUnreachable              // it can't be reached, or says that it goes
-	ExportDenied                   // it refuses us: somebody has to act
-	ExportForeign                  // another place exports this incarnation: never again
+	ExportUnknown                  // the connection broke or the batch timed out; it may have been stored
+	ExportConflict                 // a conflicting transaction won; retry
+	ExportBusy                     // the store is overloaded or locked
+	ExportUnreachable              // the store can't be reached or is shutting down
+	ExportDenied                   // the store rejects the request; an operator has to act
+	ExportForeign                  // another spool directory exports this incarnation; never retried
 )
 
 var exportResultNames = [...]string{"stored", "lost", "conflict", "busy", "away", "denied", "foreign"}
 
 func (r ExportResult) String() string { return nameAt(exportResultNames[:], int(r)) }
 
-// resultPauses is what a failure means: the first pause (ms), and whether the next batch is to be smaller.
+// resultBackoff gives, for each failure, the initial backoff (ms) and whether the next batch is made smaller.
 var resultBackoff = [...]struct {
 	pause   float64
 	smaller bool
@@ -39,38 +39,40 @@
 
 const (
 	firstBatchRows = 64
-	maxPause       = 5000.0 // ms, but for results whose first pause is longer
-	// maxPauseDoublings keeps the doubling within the range of numbers.
+	maxPause       = 5000.0 // ms; does not apply to results whose initial backoff is longer
+	// maxPauseDoublings keeps the shift from overflowing.
 	maxPauseDoublings = 10
-	// circuitOpensAfter failures in a row the store counts as away: one row at a time asks whether it is back, so that a
-	// store that comes up under a backlog is not pushed down again.
+	// After circuitOpensAfter consecutive failures, the store is considered unavailable and is probed with single rows,
+	// so that a store that comes back with a backlog waiting is not overloaded again.
 	circuitOpensAfter = 4
-	// runningTurns of a full round are the running incarnation's, so that catching up on others never keeps it waiting.
+	// The running incarnation gets runningTurns of every turnsPerRound batches, so that exporting earlier incarnations
+	// does not delay it.
 	runningTurns, turnsPerRound = 3, 4
 )
 
-// ExportCounts are how many batches ended with each result, by ExportResult.
+// ExportCounts is the number of batches by ExportResult.
 type ExportCounts [len(exportResultNames)]uint64
 
-// ExportScheduler paces one instance's batches to the store. Times are in ms, of one clock.
+// ExportScheduler paces the batches that one instance sends to the store. Times are in ms and come from a single clock.
 type ExportScheduler struct {
 	maxRows      int
 	maxWait      float64
 	random       *rand.Rand
-	batchRows    int // what the next batch may hold
-	failures     int // in a row
+	batchRows    int // maximum rows in the next batch
+	failures     int // consecutive
 	retryAt      float64
-	waitingSince float64 // when the oldest row that waits was seen; 0: none waits
+	waitingSince float64 // when rows were first seen waiting; 0 if none are
 	turn         int
 	Results      ExportCounts
 }
 
-// NewExportScheduler makes one for batches of at most maxRows, and at least every maxWait ms while rows wait.
+// NewExportScheduler returns a scheduler for batches of up to maxRows rows. Rows wait at most maxWait ms for a batch to
+// fill up.
 func NewExportScheduler(maxRows int, maxWait float64, random *rand.Rand) *ExportScheduler {
 	return &ExportScheduler{maxRows: maxRows, maxWait: maxWait, random: random, batchRows: min(maxRows, firstBatchRows)}
 }
 
-// Next says how many rows may go now, 0: none before wait (ms) is over. waiting is how many are ready.
+// Next returns how many of the waiting rows may be sent now. If it returns 0, no rows may be sent for the next wait ms.
 func (s *ExportScheduler) Next(now float64, waiting int) (rows int, wait float64) {
 	if waiting == 0 {
 		s.waitingSince = 0
@@ -87,13 +89,13 @@
 	switch {
 	case now < s.retryAt:
 		return 0, s.retryAt - now
-	case waiting < rows && waited < s.maxWait: // more may come
+	case waiting < rows && waited < s.maxWait: // wait for a fuller batch
 		return 0, s.maxWait - waited
 	}
 	return min(rows, waiting), 0
 }
 
-// Result takes how a batch ended.
+// Result records the result of a batch.
 func (s *ExportScheduler) Result(now float64, result ExportResult) {
 	s.Results[result]++
 	if result == ExportStored {
@@ -111,20 +113,20 @@
 	s.failures++
 }
 
-// CircuitOpen reports whether the store counts as away.
+// CircuitOpen reports whether the store is considered unavailable.
 func (s *ExportScheduler) CircuitOpen() bool { return s.failures >= circuitOpensAfter }
 
-// ExportSource is where the next batch comes from.
+// ExportSource identifies the kind of incarnation from which the next batch is taken.
 type ExportSource uint8
 
-// The sources.
+// Export sources.
 const (
-	SourceNone    ExportSource = iota // nothing waits
+	SourceNone    ExportSource = iota // nothing to export
 	SourceRunning                     // the running incarnation
-	SourceEarlier                     // the oldest of the earlier ones that is left
+	SourceEarlier                     // the first of the earlier incarnations that are not exported yet
 )
 
-// NextSource says whose turn it is, among those of which something waits.
+// NextSource returns the source of the next batch. The arguments report which of the sources have rows to export.
 func (s *ExportScheduler) NextSource(runningWaits, earlierWaits bool) ExportSource {
 	switch {
 	case runningWaits && earlierWaits:
@@ -141,20 +143,20 @@
 	return SourceNone
 }
 
-// ReadFailure is what follows from a failure to read an incarnation in the spool.
+// ReadErrorAction is how to proceed after an incarnation could not be read from the spool.
 type ReadErrorAction uint8
 
-// The consequences.
+// Actions after a read error.
 const (
-	// ReadAgain: the running incarnation is read again at the next turn, when what is missing may be there. Until then
-	// what was read before may go to the store.
+	// RetryRead applies to the running incarnation: it is read again at its next turn, when the missing data may have
+	// been written. Rows that were read before may be exported meanwhile.
 	RetryRead ReadErrorAction = iota
-	// LeaveFiles: an earlier incarnation, which nobody writes any more, stays as it is for whoever looks into it, and is
-	// not read again before the next start.
+	// KeepFiles applies to earlier incarnations, which are no longer written: their files are kept for inspection and
+	// are not read again before the next start.
 	KeepFiles
 )
 
-// OnReadError says what follows from a failure to read the source.
+// OnReadError returns how to proceed after an error while reading from the source.
 func (s ExportSource) OnReadError() ReadErrorAction {
 	if s == SourceRunning {
 		return RetryRead
@@ -162,8 +164,8 @@
 	return KeepFiles
 }
 
-// StoredThrough is the last ordinal up to which everything is in the store: of what a reading has found final so far
-// (finalThrough), rows wait to be stored.
+// StoredThrough returns the last ordinal up to which everything is in the store, given the last ordinal up to which
+// everything read is final (finalThrough) and the final rows that are not stored yet.
 func StoredThrough(finalThrough uint64, waiting []Row) uint64 {
 	through := finalThrough
 	for _, row := range waiting {
--- a/internal/record/frame.go
+++ b/internal/record/frame.go
@@ -1,6 +1,6 @@
 package record
 
-// This file owns the coding of frames: the bytes of what is recorded.
+// Encoding and decoding of frames.
 
 import (
 	"crypto/sha256"
@@ -13,10 +13,10 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Kind is what a frame holds.
+// Kind is the type of value in a frame's payload.
 type Kind uint8
 
-// The kinds, as stored.
+// Kinds, as stored.
 const (
 	KindHeader Kind = iota + 1
 	KindEntry
@@ -24,35 +24,35 @@
 	KindGap
 )
 
-// A frame has these parts, with their bytes: magic (4), length of the payload (4), CRC-32C of ordinal, chain and payload
-// (4), ordinal (8), chain (16), and the payload: kind (1) and CBOR. Numbers are little-endian. The chain is the digest of
-// the chain before and the payload; a header's is the chain that it continues.
+// Layout of a frame, with sizes in bytes: magic (4), payload length (4), CRC-32C of ordinal, chain and payload (4),
+// ordinal (8), chain (16), payload: kind (1) and CBOR. Integers are little-endian. The chain is the digest of the
+// preceding chain and the payload, except in a segment header, which carries the chain that it continues.
 const (
 	lengthOffset   = 4
 	checksumOffset = 8
-	ordinalOffset  = 12 // from here on the checksum holds
+	ordinalOffset  = 12 // the checksum covers everything from here on
 	chainOffset    = 20
 
-	// FrameOverhead is how many bytes a frame has before its payload.
+	// FrameOverhead is the number of bytes of a frame that precede its payload.
 	FrameOverhead = 36
-	// MaxPayload bounds a payload (bytes): what claims more is no frame.
+	// MaxPayload is the maximum length of a payload in bytes; a frame that claims more is corrupt.
 	MaxPayload = 1 << 16
 )
 
 var (
 	magic      = [4]byte{0x0f, 'o', 'x', 0xf1}
 	castagnoli = crc32.MakeTable(crc32.Castagnoli)
-	// Made at the first use: an instance that records nothing pays nothing for it.
+	// Created on first use, so that instances that don't record don't pay for it.
 	decodeMode = sync.OnceValue(func() cbor.DecMode {
 		mode, err := cbor.DecOptions{MaxArrayElements: 8192, MaxNestedLevels: 4, MaxMapPairs: 16}.DecMode()
-		if err != nil { // the options are constant
+		if err != nil { // can't happen, the options are constant
 			panic(err)
 		}
 		return mode
 	})
 )
 
-// NextChain is the hash chain after a frame with this payload.
+// NextChain returns the hash chain after a frame with the given payload.
 func NextChain(before Digest, payload []byte) (chain Digest) {
 	hash := sha256.New()
 	hash.Write(before[:])
@@ -61,12 +61,12 @@
 	return chain
 }
 
-// AppendFrame adds a frame to b. The payload must not be longer than MaxPayload.
+// AppendFrame appends a frame to b. The payload must not be longer than MaxPayload.
 func AppendFrame(b []byte, ordinal uint64, chain Digest, payload []byte) []byte {
 	start := len(b)
 	b = append(b, magic[:]...)
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(payload)))
-	b = binary.LittleEndian.AppendUint32(b, 0) // the checksum, once the rest is there
+	b = binary.LittleEndian.AppendUint32(b, 0) // the checksum, set below
 	b = binary.LittleEndian.AppendUint64(b, ordinal)
 	b = append(append(b, chain[:]...), payload...)
 	checksum := crc32.Checksum(b[start+ordinalOffset:], castagnoli)
@@ -74,7 +74,7 @@
 	return b
 }
 
-// Frame is one frame as read; its payload is a part of what it was read from.
+// Frame is a decoded frame. Its payload aliases the buffer from which it was parsed.
 type Frame struct {
 	Ordinal uint64
 	Chain   Digest
@@ -82,13 +82,14 @@
 }
 
 var (
-	// ErrShortFrame says that what is there may be the beginning of a frame.
-	ErrShortFrame = errors.New("a frame that ends early")
-	// ErrCorruptFrame says that what is there is no frame.
-	ErrCorruptFrame = errors.New("no frame, or a spoilt one")
+	// ErrShortFrame is returned for bytes that may be the beginning of a frame.
+	ErrShortFrame = errors.New("truncated frame")
+	// ErrCorruptFrame is returned for bytes that are not a valid frame.
+	ErrCorruptFrame = errors.New("corrupt frame")
 )
 
-// ParseFrame reads the frame at the beginning of b and tells its length. Errors are ErrShortFrame and ErrCorruptFrame.
+// ParseFrame parses the frame at the beginning of b and returns its size in bytes. The error is ErrShortFrame or
+// ErrCorruptFrame.
 func ParseFrame(b []byte) (frame Frame, size int, err error) {
 	if len(b) < len(magic) {
 		return frame, 0, ErrShortFrame
@@ -116,16 +117,16 @@
 	return frame, size, nil
 }
 
-// Encode makes a payload of a SegmentHeader, an Entry, Completions or a Gap.
+// Encode returns the payload for a SegmentHeader, an Entry, Completions or a Gap.
 func Encode(kind Kind, value any) []byte {
 	text, err := cbor.Marshal(value)
-	if err != nil { // only the types of entry.go come here, and they can be encoded
-		panic(fmt.Sprintf("record: %T can't be encoded: %v", value, err))
+	if err != nil { // can't happen, all types of entry.go can be encoded
+		panic(fmt.Sprintf("record: encode %T: %v", value, err))
 	}
 	return append([]byte{byte(kind)}, text...)
 }
 
-// Decode reads a payload into a *SegmentHeader, *Entry, *Completions or *Gap. Errors wrap ErrCorruptFrame.
+// Decode decodes a payload into a *SegmentHeader, *Entry, *Completions or *Gap. Errors wrap ErrCorruptFrame.
 func Decode(payload []byte) (value any, err error) {
 	if len(payload) == 0 {
 		return nil, ErrCorruptFrame
@@ -140,7 +141,7 @@
 	case KindGap:
 		value = &Gap{}
 	default:
-		return nil, fmt.Errorf("%w: kind %d", ErrCorruptFrame, payload[0])
+		return nil, fmt.Errorf("%w: unknown kind %d", ErrCorruptFrame, payload[0])
 	}
 	if err := decodeMode().Unmarshal(payload[1:], value); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrCorruptFrame, err)
--- a/internal/record/ledger.go
+++ b/internal/record/ledger.go
@@ -1,104 +1,104 @@
 package record
 
-// This file owns what the writer of one incarnation holds: its options, the entries and completions that wait, and the
-// health of the spool. ledger_io.go says what is written next.
+// State of the ledger of one incarnation: its options, the queue of unconfirmed frames and the health of the spool.
+// ledger_io.go decides what to write next.
 
-// FullPolicy says what holds while the spool takes nothing.
+// FullPolicy is how requests are handled while nothing can be written to the spool.
 type FullPolicy uint8
 
-// The policies.
+// Policies.
 const (
-	KeepServing    FullPolicy = iota // answers go out, and what finds no room is counted in a gap
-	RejectRequests                   // new requests are rejected at once
+	KeepServing    FullPolicy = iota // responses are sent, and those that can't be queued are counted in a gap
+	RejectRequests                   // new requests are rejected immediately
 )
 
-// Health is whether the spool takes what is to be written, and if not, why.
+// Health reports whether the spool can be written and, if not, why.
 type Health uint8
 
-// The states of a spool.
+// Health states.
 const (
 	HealthGood    Health = iota
-	HealthStalled        // a write or sync has been under way for too long
-	HealthFull           // the spool has its greatest size
+	HealthStalled        // a write or sync has been in progress for longer than StallAfter
+	HealthFull           // the spool has reached its maximum size
 	HealthFailing        // the last write or sync failed
 )
 
-// healthNames are stored as causes of gaps.
+// healthNames are stored as the causes of gaps; they must not change.
 var healthNames = [...]string{"good", "behind", "full", "failing"}
 
 func (h Health) String() string { return nameAt(healthNames[:], int(h)) }
 
-// queuedFrame is a frame that no sync has confirmed yet.
+// queuedFrame is a frame that has not been confirmed by a sync.
 type queuedFrame struct {
 	ordinal     uint64
 	kind        Kind
 	bytes       []byte
-	chainBefore Digest  // the hash chain that it continues
+	chainBefore Digest  // the hash chain before this frame
 	queuedAt    float64 // ms
 }
 
-// LedgerOptions are what one incarnation's ledger is made with. Times are in ms.
+// LedgerOptions configures the ledger of one incarnation. Times are in ms.
 type LedgerOptions struct {
 	Instance, Incarnation string
 
-	Sync            bool    // an entry is durable once it is synced; false: once it is written
-	GroupWait       float64 // an entry waits so long for others to be synced with
-	MaxWriteBytes   int     // of one write
-	MaxSegmentBytes int64   // a segment that holds as much is followed by a new one
-	MaxSpoolBytes   int64   // on disk, all incarnations together
-	MaxQueuedBytes  int     // of frames that wait in memory
-	CommitDelay     float64 // an answer waits so long, at most, for its entry to be durable
-	StallAfter      float64 // a write or sync that takes longer counts as behind
+	Sync            bool    // entries count as durable once synced; if false, once written
+	GroupWait       float64 // how long an entry may wait for others to share its sync
+	MaxWriteBytes   int     // soft limit for a single write
+	MaxSegmentBytes int64   // a segment of at least this size is followed by a new one
+	MaxSpoolBytes   int64   // limit on disk for all incarnations together
+	MaxQueuedBytes  int     // limit for frames waiting in memory
+	CommitDelay     float64 // how long a response waits at most for its entry to be durable
+	StallAfter      float64 // the spool counts as stalled when a write or sync takes longer
 	FullPolicy      FullPolicy
-	SpoolBytes      int64 // what the spool holds already
+	SpoolBytes      int64 // initial size of the spool
 }
 
-// Ledger is what one incarnation still has to write: which frames there are, what is to be written and synced next, what a
-// failure of either means, and what holds while nothing can be written. It must never take a frame as durable that a sync
-// has not confirmed, nor let an answer go unrecorded without counting it. Calls must not overlap. Times are in ms, of one
-// clock.
+// Ledger tracks what one incarnation still has to write: which frames exist, what is written and synced next, how
+// failures are handled, and how requests are handled while nothing can be written. No frame counts as durable before a
+// sync has confirmed it, and every response is either recorded or counted in a gap. Methods must not be called
+// concurrently. Times are in ms and come from a single clock.
 type Ledger struct {
 	options LedgerOptions
 
 	nextOrdinal uint64
 	chain       Digest
-	queue       []queuedFrame // in order of ordinals; the first `written` of them are in the present segment
+	queue       []queuedFrame // by ordinal; the first `written` frames are in the current segment
 	queuedBytes int
 	written     int
 	confirmed   uint64
 
-	completions      Completions // not framed yet
+	completions      Completions // not yet in a frame
 	completionsSince float64
 	gap              Gap
 	countingGap      bool
 
 	segment       uint64
-	segmentOpen   bool // false: the next write begins a new one
+	segmentOpen   bool // if false, the next write starts a new segment
 	segmentBytes  int64
-	spoolBytes    int64 // on disk, all incarnations
+	spoolBytes    int64 // on disk, all incarnations together
 	unsyncedSince float64
 	inFlight      IO
-	ioSince       float64 // when inFlight was handed out; 0: nothing is under way
-	failures      int     // in a row
+	ioSince       float64 // when inFlight was returned by NextIO; 0 if no I/O is in progress
+	failures      int     // consecutive
 	retryAt       float64
 	counts        Counts
 }
 
-// Counts are what has been since the start.
+// Counts are totals since the start.
 type Counts struct {
 	Entries, Completions, Gaps uint64
-	Unrecorded                 uint64 // answers that are only counted in gaps
+	Unrecorded                 uint64 // responses that are only counted in gaps
 	Writes, Syncs, Failures    uint64
 	Segments                   uint64
 }
 
-// NewLedger starts an incarnation's.
+// NewLedger returns the ledger of a new incarnation.
 func NewLedger(options LedgerOptions) *Ledger {
 	return &Ledger{options: options, spoolBytes: options.SpoolBytes, nextOrdinal: 1}
 }
 
-// AddEntry takes what will be answered and gives it an ordinal. An entry that finds no room is counted in a gap: then
-// recorded is false and the ordinal means nothing.
+// AddEntry queues the entry for a response that is about to be sent and assigns its ordinal. If the queue is full, the
+// response is counted in a gap instead: recorded is false, and ordinal is not valid.
 func (l *Ledger) AddEntry(now float64, entry Entry) (ordinal uint64, recorded bool) {
 	if l.queuedBytes >= l.options.MaxQueuedBytes {
 		l.countUnrecorded(now, entry.Outcome)
@@ -119,7 +119,7 @@
 	l.counts.Unrecorded++
 }
 
-// AddCompletion notes that the answer of an entry ended: delivered whole, or not.
+// AddCompletion notes that the response of an entry has ended and whether it was delivered completely.
 func (l *Ledger) AddCompletion(now float64, ordinal uint64, delivered bool) {
 	if l.waitingCompletions() == 0 {
 		l.completionsSince = now
@@ -132,12 +132,12 @@
 	l.counts.Completions++
 }
 
-// waitingCompletions is how many are not framed yet.
+// waitingCompletions returns the number of completions that are not yet in a frame.
 func (l *Ledger) waitingCompletions() int {
 	return len(l.completions.Delivered) + len(l.completions.Undelivered)
 }
 
-// enqueue makes the next frame.
+// enqueue encodes the value into the next frame.
 func (l *Ledger) enqueue(now float64, kind Kind, value any) {
 	payload := Encode(kind, value)
 	frame := queuedFrame{ordinal: l.nextOrdinal, kind: kind, chainBefore: l.chain, queuedAt: now}
@@ -148,30 +148,30 @@
 	l.queuedBytes += len(frame.bytes)
 }
 
-// Confirmed is the last ordinal that is durable, or written where nothing is synced.
+// Confirmed returns the last ordinal that is durable or, without Sync, written.
 func (l *Ledger) Confirmed() uint64 { return l.confirmed }
 
-// Pending reports whether something is not confirmed yet, completions and gaps included.
+// Pending reports whether anything is unconfirmed, including completions and an unfinished gap.
 func (l *Ledger) Pending() bool {
 	return len(l.queue) > 0 || l.waitingCompletions() > 0 || l.countingGap
 }
 
-// QueuedBytes is how many bytes wait in memory.
+// QueuedBytes returns the number of bytes queued in memory.
 func (l *Ledger) QueuedBytes() int { return l.queuedBytes }
 
-// SpoolBytes is how many bytes the spool holds.
+// SpoolBytes returns the size of the spool in bytes.
 func (l *Ledger) SpoolBytes() int64 { return l.spoolBytes }
 
-// ReleaseBytes notes that files were removed from the spool.
+// ReleaseBytes notes that files of the given total size were removed from the spool.
 func (l *Ledger) ReleaseBytes(bytes int64) { l.spoolBytes = max(l.spoolBytes-bytes, 0) }
 
-// Segment is the one that is appended to; it must stay.
+// CurrentSegment returns the segment that is being appended to. It must not be pruned.
 func (l *Ledger) CurrentSegment() uint64 { return l.segment }
 
-// Counts are the counts now.
+// Counts returns the current counts.
 func (l *Ledger) Counts() Counts { return l.counts }
 
-// Health says whether the spool takes what is to be written.
+// Health returns the health of the spool.
 func (l *Ledger) Health(now float64) Health {
 	stalled := l.ioSince != 0 && now-l.ioSince > l.options.StallAfter
 	switch {
@@ -185,7 +185,8 @@
 	return HealthGood
 }
 
-// CommitDelay is how long (ms) an answer may wait to be durable: not at all where that is not to be expected.
+// CommitDelay returns how long (ms) a response may wait for its entry to become durable, or 0 if it can't be expected
+// to become durable soon.
 func (l *Ledger) CommitDelay(now float64) float64 {
 	if !l.options.Sync || l.Health(now) != HealthGood {
 		return 0
@@ -193,7 +194,7 @@
 	return l.options.CommitDelay
 }
 
-// RejectsRequests reports whether new requests are to be rejected.
+// RejectsRequests reports whether new requests must be rejected.
 func (l *Ledger) RejectsRequests(now float64) bool {
 	return l.options.FullPolicy == RejectRequests && l.Health(now) != HealthGood
 }
--- a/internal/record/ledger_io.go
+++ b/internal/record/ledger_io.go
@@ -1,35 +1,38 @@
 package record
 
-// This file owns what the writer does next, and what the success or failure of it means.
+// Scheduling of the writer's I/O: what is written and synced next, and how success and failure are handled.
 
 const (
-	// completionWait (ms): a completion is framed so long after it at the latest. What a kill finds unframed is in doubt.
+	// completionWait (ms) is how long a completion may wait to be framed. Entries whose completions are lost when the
+	// process dies before that are in doubt.
 	completionWait = 2.0
-	// completionSyncInterval (ms): completions are not worth a sync of their own at once, but a host may lose its power.
+	// completionSyncInterval (ms) limits how long completions may stay unsynced when no entries are written. They don't
+	// justify an immediate sync, but until they are synced a power failure of the host may lose them.
 	completionSyncInterval = 200.0
 	maxCompletionsPerFrame = 2048
-	// firstRetryPause and maxRetryPause (ms): pauses after failures, doubled each time. What was not confirmed waits in
-	// memory.
+	// firstRetryPause and maxRetryPause (ms) bound the backoff after failures, which doubles each time. Unconfirmed
+	// frames stay in memory meanwhile.
 	firstRetryPause, maxRetryPause = 20.0, 1000.0
-	// maxRetryDoublings keeps the doubling within the range of numbers.
+	// maxRetryDoublings keeps the shift from overflowing.
 	maxRetryDoublings = 10
 )
 
-// IO is the writer's next step, in this order: a new segment, bytes at its end, a sync. Where there is none, it is to look
-// again after Wait (ms), or when something was added.
+// IO is the next work of the writer, to be done in this order: start a new segment, append bytes, sync. If there is
+// nothing to do, the writer calls NextIO again after Wait ms or when something has been added to the ledger.
 type IO struct {
 	NewSegment bool
 	Segment    uint64
 	Bytes      []byte
 	Sync       bool
 	Wait       float64
-	frames     int // of the queue, in Bytes
+	frames     int // number of queued frames in Bytes
 }
 
-// Idle reports whether there is nothing to do now.
+// Idle reports whether there is nothing to do.
 func (s IO) Idle() bool { return !s.NewSegment && len(s.Bytes) == 0 && !s.Sync }
 
-// NextIO says what to do next. Where that is not idle, Completed must follow; until then nothing else is given out.
+// NextIO returns the next work. Unless it is idle, Completed must be called when it is done, and NextIO returns no
+// other work until then.
 func (l *Ledger) NextIO(now float64) IO {
 	if l.ioSince != 0 {
 		return IO{Wait: completionSyncInterval}
@@ -54,7 +57,7 @@
 	case now < l.retryAt:
 		next.Wait = l.retryAt - now
 		return next
-	case len(unwritten) == 0 && unsynced: // completions alone
+	case len(unwritten) == 0 && unsynced: // only completions are unsynced
 		if waited := now - l.unsyncedSince; waited >= completionSyncInterval {
 			next.Sync = true
 		} else {
@@ -66,13 +69,13 @@
 	case l.waitsForGroup(now, unwritten):
 		next.Wait = l.options.GroupWait - (now - unwritten[0].queuedAt)
 		return next
-	case segmentFull && unsynced: // no segment is left with frames that are not confirmed
+	case segmentFull && unsynced: // a new segment starts only when the old one is fully confirmed
 		next.Sync = true
 		return next
 	}
 	if segmentFull {
 		l.segmentOpen = false
-		l.frameCompletions(now) // a gap that has just been framed takes them along
+		l.frameCompletions(now) // a gap may just have been queued, and completions are written with it
 		unwritten = l.queue[l.written:]
 	}
 	if !l.fitsSpool(unwritten) {
@@ -82,7 +85,7 @@
 	return l.planWrite(next, unwritten)
 }
 
-// planWrite adds to next the frames that one write may take, after a header where a segment begins.
+// planWrite adds to next the frames of a single write, preceded by a header if a new segment starts.
 func (l *Ledger) planWrite(next IO, unwritten []queuedFrame) IO {
 	if !l.segmentOpen {
 		l.segment++
@@ -105,7 +108,7 @@
 	return next
 }
 
-// frameCompletions frames what has ended: soon after the first, or with whatever else is written.
+// frameCompletions queues the waiting completions as frames, shortly after the first or together with other frames.
 func (l *Ledger) frameCompletions(now float64) {
 	waiting := l.waitingCompletions()
 	due := now-l.completionsSince >= completionWait || waiting >= maxCompletionsPerFrame || len(l.queue) > l.written
@@ -120,7 +123,7 @@
 	}
 }
 
-// frameGap ends the gap that is being counted, as soon as there is room again and writing works.
+// frameGap ends the current gap once writes succeed again and there is room in the queue.
 func (l *Ledger) frameGap(now float64) {
 	writable := l.failures == 0 && l.queuedBytes < l.options.MaxQueuedBytes/2
 	if !l.countingGap || !writable {
@@ -136,7 +139,7 @@
 	return ordinals[:n:n], ordinals[n:]
 }
 
-// waitsForGroup reports whether entries may gather for a while before they are written and synced together.
+// waitsForGroup reports whether the write should be delayed so that more entries can share its sync.
 func (l *Ledger) waitsForGroup(now float64, unwritten []queuedFrame) bool {
 	if now-unwritten[0].queuedAt >= l.options.GroupWait || !containsEntry(unwritten) {
 		return false
@@ -157,14 +160,14 @@
 	return false
 }
 
-// fitsSpool reports whether the spool's greatest size allows what comes next. No part of it is reserved for completions:
-// the entries that they end are milliseconds old and are in the last segment, and it is the ones before it that make room.
+// fitsSpool reports whether the next frame fits into the spool. No space is reserved for completions: the entries that
+// they refer to are only milliseconds old and are in the last segment, and pruning the segments before it frees space.
 func (l *Ledger) fitsSpool(unwritten []queuedFrame) bool {
 	return l.spoolBytes+int64(len(unwritten[0].bytes)) <= l.options.MaxSpoolBytes
 }
 
-// Completed takes how the step that NextIO gave out went: wrote is how many bytes of it the disk may now hold, ok whether
-// all of it was done.
+// Completed reports the result of the work returned by NextIO: the number of bytes that may have reached the disk, and
+// whether all of the work succeeded.
 func (l *Ledger) Completed(now float64, wrote int, ok bool) {
 	done := l.inFlight
 	l.ioSince, l.inFlight = 0, IO{}
@@ -194,8 +197,8 @@
 	}
 }
 
-// retryLater leaves the segment, so that all that is not confirmed is written anew into the next one: after a failed sync
-// nothing that it should have confirmed may be taken as durable, nor after a short write what follows it.
+// retryLater abandons the current segment, so that all unconfirmed frames are written again to a new one. After a
+// failed sync, nothing that it covered may be considered durable, and the same holds for anything after a short write.
 func (l *Ledger) retryLater(now float64) {
 	l.counts.Failures++
 	l.segmentOpen, l.written = false, 0
--- a/internal/record/postgres/classify.go
+++ b/internal/record/postgres/classify.go
@@ -1,6 +1,6 @@
 package postgres
 
-// This file owns the meaning of errors.
+// Classification of errors.
 
 import (
 	"errors"
@@ -10,7 +10,7 @@
 	"onyxgate/internal/record"
 )
 
-// SQLSTATE codes, and the first two letters of classes of them, as PostgreSQL publishes them.
+// SQLSTATE codes, and two-character classes of codes, as documented by PostgreSQL.
 const (
 	serializationFailure = "40001"
 	deadlockDetected     = "40P01"
@@ -23,10 +23,10 @@
 	systemError           = "58"
 )
 
-// classLength is how many letters of a code are its class.
+// classLength is the length of the class prefix of a code.
 const classLength = 2
 
-// classify says what an error means for the next batch.
+// classify maps an error to an export result.
 func classify(err error) record.ExportResult {
 	var reported *pgconn.PgError
 	if errors.As(err, &reported) {
@@ -51,7 +51,7 @@
 		return record.ExportBusy
 	case operatorIntervention, connectionException, systemError:
 		return record.ExportUnreachable
-	case integrityViolation: // the same row from two at once: by the next try one has it
+	case integrityViolation: // concurrent inserts of the same row; one of them has committed by the next attempt
 		return record.ExportConflict
 	}
 	return record.ExportDenied
--- a/internal/record/postgres/connection.go
+++ b/internal/record/postgres/connection.go
@@ -1,6 +1,6 @@
 package postgres
 
-// This file owns the connection and its transactions.
+// Connections and transactions.
 
 import (
 	"context"
@@ -14,10 +14,10 @@
 	"onyxgate/internal/record/sqlstore"
 )
 
-// partingTimeout bounds what is said to the server when a transaction or the connection is given up.
+// closeTimeout bounds the time for rolling back a transaction or closing the connection.
 const closeTimeout = time.Second
 
-// database is one connection, made when it is needed; calls wait for each other.
+// database is a single connection that is opened on demand. Concurrent calls wait for each other.
 type database struct {
 	mu       sync.Mutex
 	config   *pgconn.Config
@@ -25,7 +25,7 @@
 	conn     *pgconn.PgConn
 }
 
-// connect is the connection, opened anew where the last one broke. Under the lock.
+// connect returns the connection, reconnecting if it is broken. The caller must hold mu.
 func (d *database) connect(ctx context.Context) (*pgconn.PgConn, error) {
 	if d.conn != nil && !d.conn.IsClosed() {
 		return d.conn, nil
@@ -59,7 +59,7 @@
 	return query(ctx, conn, text, args, visit)
 }
 
-// Begin holds the lock until the transaction ends.
+// Begin starts a transaction, which holds mu until it ends.
 func (d *database) Begin(ctx context.Context) (sqlstore.Tx, error) {
 	d.mu.Lock()
 	conn, err := d.connect(ctx)
@@ -101,8 +101,8 @@
 func (t *transaction) Commit(ctx context.Context) error {
 	defer t.end()
 	result := t.conn.ExecParams(ctx, "commit", nil, nil, nil, nil).Read()
-	if result.Err == nil && result.CommandTag.String() != "COMMIT" { // a transaction that had failed is rolled back
-		return fmt.Errorf("commit: the server says %s", result.CommandTag)
+	if result.Err == nil && result.CommandTag.String() != "COMMIT" { // the server rolls back a failed transaction
+		return fmt.Errorf("commit: server answered %s, want COMMIT", result.CommandTag)
 	}
 	return result.Err
 }
@@ -115,7 +115,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
 	if _, err := exec(ctx, t.conn, "rollback", nil); err != nil {
-		_ = t.conn.Close(ctx) // whatever state it is in, it is not used again
+		_ = t.conn.Close(ctx) // its state is unknown, so it is not reused
 	}
 }
 
@@ -124,7 +124,7 @@
 	t.database.mu.Unlock()
 }
 
-// textValues are arguments as the protocol's text form has them; the server knows their types.
+// textValues returns the arguments in the protocol's text format. The server infers their types.
 func textValues(args []any) (values [][]byte) {
 	for _, arg := range args {
 		values = append(values, fmt.Append(nil, arg))
@@ -143,9 +143,9 @@
 	for visitErr == nil && result.NextRow() {
 		visitErr = visit(func(dest ...any) error { return scan(result.Values(), dest) })
 	}
-	if visitErr != nil { // what is left unread may be millions of rows
+	if visitErr != nil { // there may be millions of unread rows
 		conn.Conn().Close()
-		_, _ = result.Close() // it fails, for the connection is gone
+		_, _ = result.Close() // fails, the connection is closed
 		return visitErr
 	}
 	_, err := result.Close()
@@ -154,7 +154,7 @@
 
 func scan(values [][]byte, dest []any) (err error) {
 	if len(values) != len(dest) {
-		return fmt.Errorf("%d columns, not %d", len(values), len(dest))
+		return fmt.Errorf("row has %d columns, want %d", len(values), len(dest))
 	}
 	for i, value := range values {
 		switch column := dest[i].(type) {
@@ -167,7 +167,7 @@
 		case *float64:
 			*column, err = strconv.ParseFloat(string(value), 64)
 		default:
-			err = fmt.Errorf("no way to scan into %T", column)
+			err = fmt.Errorf("can't scan into %T", column)
 		}
 		if err != nil {
 			return err
--- a/internal/record/postgres/postgres.go
+++ b/internal/record/postgres/postgres.go
@@ -1,7 +1,7 @@
-// Package postgres opens the store in a PostgreSQL server by its published protocol. It decides nothing.
+// Package postgres opens a store on a PostgreSQL server.
 package postgres
 
-// This file owns the opening of a store.
+// Opening a store.
 
 import (
 	"fmt"
@@ -15,17 +15,17 @@
 	"onyxgate/internal/record/sqlstore"
 )
 
-// Options say which server, and as whom.
+// Options configures the connection to the server.
 type Options struct {
 	Address        string // host:port
 	Database, User string
-	PasswordFile   string // read at each connection, so that a new password needs no restart; empty: no password
-	TLS            string // a word of libpq's sslmode: disable, require, verify-ca, verify-full
-	CAFile         string // empty: the host's certificates
+	PasswordFile   string // read for each connection, so that changing the password needs no restart; empty for no password
+	TLS            string // as libpq's sslmode: disable, require, verify-ca or verify-full
+	CAFile         string // if empty, the host's root certificates are used
 	ConnectTimeout time.Duration
 }
 
-// Open prepares a store; it connects at the first use. An error says what of the options can't be.
+// Open returns a store that connects on first use. It returns an error if the options are invalid.
 func Open(options Options) (*sqlstore.Store, error) {
 	host, port, err := net.SplitHostPort(options.Address)
 	if err != nil {
@@ -35,7 +35,7 @@
 		return nil, fmt.Errorf("tls %q: not one of disable, require, verify-ca, verify-full", options.TLS)
 	}
 	seconds := max(int(options.ConnectTimeout.Seconds()), 1)
-	// What the environment may add to it is overwritten below: what holds is what the settings show.
+	// Values that pgconn takes from the environment are overwritten below, so that only the settings count.
 	config, err := pgconn.ParseConfig(fmt.Sprintf("host=%s port=%s dbname=%s user=%s sslmode=disable connect_timeout=%d "+
 		"application_name=onyxgate", quote(host), quote(port), quote(options.Database), quote(options.User), seconds))
 	if err != nil {
@@ -54,14 +54,14 @@
 	}), nil
 }
 
-// quote makes a value of a connection string.
+// quote quotes a value for a connection string.
 func quote(value string) string {
 	return "'" + strings.NewReplacer(`\`, `\\`, `'`, `\'`).Replace(value) + "'"
 }
 
 var columnTypes = [...]string{sqlstore.Text: "text", sqlstore.BigInt: "bigint", sqlstore.Double: "double precision"}
 
-// New is a store at a server that a configuration names. password is asked for at each connection.
+// New returns a store on the server named by a configuration. password is called for each connection.
 func New(config *pgconn.Config, password func() (string, error)) *sqlstore.Store {
 	return sqlstore.New(&database{config: config, password: password}, sqlstore.Dialect{
 		Name:     "postgres",
--- a/internal/record/postgres/tls.go
+++ b/internal/record/postgres/tls.go
@@ -1,6 +1,6 @@
 package postgres
 
-// This file owns which servers are trusted.
+// TLS configuration.
 
 import (
 	"crypto/tls"
@@ -9,10 +9,10 @@
 	"os"
 )
 
-// tlsModes are the same words as libpq's.
+// tlsModes are the supported values of libpq's sslmode.
 var tlsModes = map[string]bool{"disable": true, "require": true, "verify-ca": true, "verify-full": true}
 
-// tlsConfig is what a mode promises; nil: no TLS.
+// tlsConfig returns the TLS configuration for a mode, or nil for no TLS.
 func tlsConfig(host, mode, caFile string) (*tls.Config, error) {
 	if mode == "disable" {
 		return nil, nil
@@ -24,7 +24,7 @@
 			return nil, err
 		}
 		if config.RootCAs = x509.NewCertPool(); !config.RootCAs.AppendCertsFromPEM(text) {
-			return nil, fmt.Errorf("%s holds no certificate", caFile)
+			return nil, fmt.Errorf("%s contains no PEM certificate", caFile)
 		}
 	}
 	if mode == "verify-ca" {
@@ -33,7 +33,7 @@
 	return config, nil
 }
 
-// verifyChain checks the server's chain of certificates, whatever the name in them.
+// verifyChain returns a function that verifies the server's certificate chain but not its host name.
 func verifyChain(roots *x509.CertPool) func(tls.ConnectionState) error {
 	return func(state tls.ConnectionState) error {
 		intermediates := x509.NewCertPool()
--- a/internal/record/recorder/audit.go
+++ b/internal/record/recorder/audit.go
@@ -1,6 +1,6 @@
 package recorder
 
-// This file owns the audit of spools and store: it reads all, changes nothing and reports what must not be.
+// Audits of spools and the store, which only read and report inconsistencies.
 
 import (
 	"context"
@@ -12,16 +12,16 @@
 	"onyxgate/internal/record/sqlstore"
 )
 
-// Finding is one result of an audit; a defect is one that must not be.
+// Finding is a result of an audit. Defect marks an inconsistency.
 type Finding struct {
 	Defect bool   `json:"defect"`
 	Where  string `json:"where"`
 	What   string `json:"what"`
 }
 
-// Audit reads an instance's spool, or every instance's where none is named, and the store where there is one. A spool that
-// an instance works in is read as far as it is written. found is called with each finding, progress with the rows read so
-// far. An error says that the audit is not complete.
+// Audit reads the spool of an instance, or of all instances if instance is empty, and the store if there is one. The
+// spool of a running instance is read as far as it has been written. It calls found with each finding and progress with
+// the number of rows read so far. An error means that the audit is incomplete.
 func Audit(ctx context.Context, config Config, instance string, found func(Finding), progress func(rows int)) error {
 	instances := []string{instance}
 	if instance == "" {
@@ -48,8 +48,8 @@
 	return auditStore(ctx, store, instance, found)
 }
 
-// auditSpool reads all of an instance's incarnations. A directory that can't be taken, for another reason than that its
-// instance runs, is a defect and is read all the same.
+// auditSpool reads all incarnations of an instance. If the directory can't be opened for a reason other than that its
+// instance is running, this is reported as a defect, and the directory is read nevertheless.
 func auditSpool(ctx context.Context, directory, instance string, found func(Finding), count func(rows int)) error {
 	opened, err := spool.Open(spool.Disk{}, directory, instance)
 	running := errors.Is(err, spool.ErrLocked)
--- a/internal/record/recorder/check.go
+++ b/internal/record/recorder/check.go
@@ -1,6 +1,6 @@
 package recorder
 
-// This file owns which settings can't be, and which contradict each other.
+// Validation of the settings.
 
 import (
 	"fmt"
@@ -16,11 +16,11 @@
 	maxBatchRows      = 5000
 )
 
-// complaint is called with a setting that can't be: its key, its value, what it is and what would be right.
+// reportFunc is called for an invalid setting with its key, its value, what is wrong with it, and a valid example.
 type reportFunc = func(key string, value any, problem, example string)
 
-// Validate calls wrong for each field that can't be or that contradicts another: its key, its value, what it is and what
-// would be right.
+// Validate calls report for each setting that is invalid or contradicts another one, with its key, its value, what is
+// wrong with it, and a valid example.
 func (c Config) Validate(report func(key string, value any, problem, example string)) {
 	c.checkEnums(report)
 	if !c.Enabled() {
@@ -60,17 +60,17 @@
 
 func (c Config) checkSizes(report reportFunc) {
 	if c.MaxSegmentBytes < minSegmentBytes {
-		report("record.segment", c.MaxSegmentBytes, "too small for a write", `"4MiB"`)
+		report("record.segment", c.MaxSegmentBytes, "smaller than 16 KiB, too small for a write", `"4MiB"`)
 	}
 	if c.MaxSpoolBytes < minBudgetSegments*c.MaxSegmentBytes {
 		report("record.budget", c.MaxSpoolBytes, fmt.Sprintf("less than four segments of %v", c.MaxSegmentBytes),
 			fmt.Sprintf("%q", minBudgetSegments*c.MaxSegmentBytes))
 	}
 	if c.MaxWriteBytes < minGroupBytes || c.MaxWriteBytes > c.MaxSegmentBytes {
-		report("record.group_bytes", c.MaxWriteBytes, "not between 4 KiB and a segment", `"256KiB"`)
+		report("record.group_bytes", c.MaxWriteBytes, "not between 4 KiB and the segment size", `"256KiB"`)
 	}
 	if c.MaxQueuedBytes < minRoomBytes {
-		report("record.room", c.MaxQueuedBytes, "too small for the txns of a moment", `"2MiB"`)
+		report("record.room", c.MaxQueuedBytes, "smaller than 64 KiB, too small for a burst of requests", `"2MiB"`)
 	}
 }
 
@@ -79,7 +79,7 @@
 		report("record.patience", c.CommitDelay, "no longer than group_wait, so nothing would be durable in time", `"250ms"`)
 	}
 	if c.StallAfter.Ms() <= 0 {
-		report("record.stall", c.StallAfter, "every write would count as a stall", `"200ms"`)
+		report("record.stall", c.StallAfter, "not positive, every write would count as a stall", `"200ms"`)
 	}
 }
 
@@ -88,7 +88,7 @@
 		report("record.store.batch", s.MaxBatchRows, "not between 1 and 5000", "500")
 	}
 	if s.Kind != "none" && (s.BatchTimeout.Ms() <= 0 || s.BatchWait.Ms() <= 0) {
-		report("record.store.timeout", s.BatchTimeout, "neither timeout nor every may be zero", `"5s"`)
+		report("record.store.timeout", s.BatchTimeout, "timeout and every must both be positive", `"5s"`)
 	}
 	if s.Kind == "sqlite" && s.Path == "" {
 		report("record.store.path", s.Path, "needed by kind = \"sqlite\"", `"/var/lib/onyxgate/record.db"`)
--- a/internal/record/recorder/exporter.go
+++ b/internal/record/recorder/exporter.go
@@ -1,7 +1,7 @@
 package recorder
 
-// This file owns the way to the store: which rows go in a batch, and what became of it. Pace and the meaning of failures are
-// record.ExportScheduler's.
+// Exporting to the store: building batches and handling their results. Pacing and backoff are decided by
+// record.ExportScheduler.
 
 import (
 	"context"
@@ -16,38 +16,38 @@
 	"onyxgate/internal/record/sqlstore"
 )
 
-// schedulerStream tells the scheduler's random numbers from others of the same seed.
+// schedulerStream separates the scheduler's random numbers from other uses of the same seed.
 const schedulerStream = 16
 
 const (
-	// idlePause is the longest time after which it is looked again whether something waits.
+	// idlePause is the maximum time between checks for rows to export.
 	idlePause = 50 * time.Millisecond
-	// busyPause is the time between two batches.
+	// busyPause is the pause between two batches.
 	busyPause = time.Millisecond
 )
 
-// exporter sends what an instance's incarnations hold to the store.
+// exporter exports the incarnations of an instance to the store.
 type exporter struct {
 	spool          *spool.Spool
 	instance       string
 	config         StoreConfig
-	store          *sqlstore.Store   // nil: there is none
+	store          *sqlstore.Store   // nil if none is configured
 	now            func() float64    // ms
-	currentSegment func() uint64     // the one that the running incarnation is written to, which must stay
-	onFreed        func(bytes int64) // files of so many bytes were removed
+	currentSegment func() uint64     // current segment of the running incarnation, which must not be pruned
+	onFreed        func(bytes int64) // called after files of that total size were removed
 
 	mu            sync.Mutex
 	scheduler     *record.ExportScheduler
-	running       *incarnationReader   // nil: none runs
-	earlier       []*incarnationReader // the first is on its way
+	running       *incarnationReader   // nil if no incarnation is running
+	earlier       []*incarnationReader // only the first is being exported
 	migrated      bool                 // the store's schema is up to date
 	exported      uint64               // rows
-	inDoubt       uint64               // rows of these
-	oldestWaiting float64              // when the oldest entry of the running incarnation that waits was answered; 0: none
-	lastResult    record.ExportResult  // as it was logged last
+	inDoubt       uint64               // exported rows that are in doubt
+	oldestWaiting float64              // when the running incarnation's oldest unexported entry was answered; 0 if none
+	lastResult    record.ExportResult  // as last logged
 }
 
-// newRecorderExporter makes the one of an instance that runs.
+// newRecorderExporter returns the exporter for a running instance.
 func newRecorderExporter(r *Recorder, seed uint64) (*exporter, error) {
 	store, err := r.config.Store.Open()
 	if err != nil {
@@ -91,7 +91,7 @@
 	}
 }
 
-// drain sends what it can before ctx ends.
+// drain exports as much as possible before ctx is done.
 func (e *exporter) drain(ctx context.Context) {
 	for left := true; left && ctx.Err() == nil; {
 		var wait time.Duration
@@ -101,8 +101,8 @@
 	}
 }
 
-// step sends one batch, if it is time to. It returns the bytes that went and when to come again; left reports whether
-// something still waits. Calls must not overlap.
+// step sends one batch if one is due. It returns the number of bytes sent, how long to wait before the next call, and
+// whether anything may remain to be exported. It must not be called concurrently.
 func (e *exporter) step(ctx context.Context) (sent int64, wait time.Duration, left bool) {
 	from, batch, wait := e.nextBatch()
 	if from == nil || wait > 0 {
@@ -125,7 +125,8 @@
 	return sent, busyPause, true
 }
 
-// nextBatch is what goes next, and of which incarnation: nil where nothing waits. Where wait is not 0 it may not go yet.
+// nextBatch returns the next batch and its incarnation, or nil if there is nothing to export. If wait is not 0, the
+// batch must not be sent yet.
 func (e *exporter) nextBatch() (from *incarnationReader, batch sqlstore.Batch, wait time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -161,7 +162,7 @@
 	return int64(bytes), err
 }
 
-// onStored takes a batch off its incarnation. Under the lock.
+// onStored removes the rows of a stored batch from its incarnation. The caller must hold mu.
 func (e *exporter) onStored(from *incarnationReader, batch sqlstore.Batch) {
 	if e.lastResult != record.ExportStored {
 		logrus.WithField("store", e.config.Kind).Info("record is shipped again")
@@ -179,8 +180,8 @@
 	}
 }
 
-// finish removes an incarnation that is stored whole. One with defects stays for whoever looks into it, and is not read
-// again until the next start. Only the first of the earlier ones can be complete.
+// finish removes the files of an incarnation that is completely stored. If it has defects, the files are kept for
+// inspection and not read again before the next start. Only the first of the earlier incarnations can be complete.
 func (e *exporter) finish(stored *incarnationReader) {
 	e.closeFirstEarlier()
 	replay := stored.reader.Replay
@@ -195,7 +196,7 @@
 	}
 	freed, err := e.spool.RemoveIncarnation(stored.incarnation)
 	e.onFreed(freed)
-	if err != nil { // it is exported again at the next start, and dropped then
+	if err != nil { // it will be exported again and removed at the next start
 		line = line.WithError(err)
 	}
 	line.Info("an earlier incarnation is stored")
--- a/internal/record/recorder/incarnation.go
+++ b/internal/record/recorder/incarnation.go
@@ -1,25 +1,25 @@
 package recorder
 
-// This file owns the reading of one incarnation on its way to the store.
+// Reading an incarnation for export.
 
 import (
 	"onyxgate/internal/record"
 	"onyxgate/internal/record/spool"
 )
 
-// incarnationReader is one incarnation on its way to the store.
+// incarnationReader is an incarnation that is being exported.
 type incarnationReader struct {
 	incarnation, dirID string
 	running            bool
 	reader             *spool.Reader
-	rows               []record.Row // read and not stored, at most a batch and a chunk
-	through            uint64       // final through, of what was read
-	complete           bool         // nothing more will come
-	refused            bool         // the store has it from another place
-	loggedDefects      int          // how many of the reading's were logged
+	rows               []record.Row // read but not stored yet; at most one batch and one chunk
+	through            uint64       // ordinal up to which everything read is final
+	complete           bool         // no more rows will follow
+	refused            bool         // the store has it from another spool directory
+	loggedDefects      int          // number of replay defects already logged
 }
 
-// read fills rows up to a batch.
+// read reads rows until there is a full batch.
 func (i *incarnationReader) read(batch int) error {
 	for len(i.rows) < batch && !i.complete {
 		rows, more, err := i.reader.Next()
@@ -36,10 +36,11 @@
 	return nil
 }
 
-// waits reports whether the store lacks something.
+// hasPending reports whether there is anything to export.
 func (i *incarnationReader) hasPending() bool { return !i.refused && (len(i.rows) > 0 || !i.running) }
 
-// waiting is how many rows are ready. That an incarnation is complete goes to the store as a row would.
+// pending returns the number of rows to export. The final batch, which marks the incarnation as complete, counts as one
+// row if it is empty.
 func (i *incarnationReader) pending() int {
 	if i.complete && len(i.rows) == 0 {
 		return 1
--- a/internal/record/recorder/recorder.go
+++ b/internal/record/recorder/recorder.go
@@ -1,9 +1,9 @@
-// Package recorder is the part of an instance that keeps the record: it intercepts each request before and after its
-// response, carries out what the ledger wants written, and exports to the store in the background. It must never choose
-// what the ledger or the export scheduler chooses, nor let a request wait for the store.
+// Package recorder keeps the record of a running instance: it intercepts each request before and after its response,
+// performs the I/O that the ledger asks for, and exports to the store in the background. Requests never wait for the
+// store. What is written and exported, and when, is decided by package record.
 package recorder
 
-// This file owns the requests' side: what is recorded of a response, and how long the response waits for it.
+// The request side: what is recorded of a response, and how long the response waits for its entry to be durable.
 
 import (
 	"errors"
@@ -19,40 +19,40 @@
 	"onyxgate/internal/record/spool"
 )
 
-// Options are what a recorder is made with.
+// Options configures a Recorder.
 type Options struct {
 	Settings Config
-	Instance string         // its name, which must be the same after a restart
-	Classes  []string       // names of request classes, by number
-	Now      func() float64 // the instance's clock (ms)
-	Seed     uint64         // of random pauses
+	Instance string         // name of the instance, which must not change across restarts
+	Classes  []string       // names of the request classes, by number
+	Now      func() float64 // clock of the instance (ms)
+	Seed     uint64         // seed for randomized backoff
 }
 
-// Recorder keeps one instance's record. It is a core.Interceptor; its methods may be called from any goroutine.
+// Recorder keeps the record of one instance. It implements core.Interceptor and is safe for concurrent use.
 type Recorder struct {
 	config   Config
 	now      func() float64 // ms
-	classes  []string       // names, by number
+	classes  []string       // names of the request classes, by number
 	spool    *spool.Spool
 	writer   *spool.Writer
 	exporter *exporter
 
-	wake chan struct{} // tells the writer that there is something to do
+	wake chan struct{} // wakes the writer
 
 	mu        sync.Mutex
 	ledger    *record.Ledger
-	confirmed chan struct{} // closed and made anew with each confirmation or failure
-	health    record.Health // as it was logged last
-	unsynced  uint64        // answers that went before they were durable
+	confirmed chan struct{} // closed and replaced after each confirmation or failure
+	health    record.Health // as last logged
+	unsynced  uint64        // responses sent before their entries were durable
 }
 
-// memoryRoot is where a spool in memory has its directories.
+// memoryRoot is the root directory of an in-memory spool.
 const memoryRoot = "memory"
 
-// New takes the spool and begins an incarnation. Errors wrap spool.ErrLocked and spool.ErrCopied.
+// New opens the spool and begins a new incarnation. Errors wrap spool.ErrLocked and spool.ErrCopied.
 func New(options Options) (*Recorder, error) {
 	if options.Instance == "" {
-		return nil, errors.New("record: an agent without a name can't keep one: entries would be nobody's")
+		return nil, errors.New("record: instance name is empty, but entries are stored under it")
 	}
 	if options.Settings.Mode == "memory" {
 		return newOn(spool.NewMemory(), memoryRoot, options)
@@ -60,7 +60,7 @@
 	return newOn(spool.Disk{}, options.Settings.Directory, options)
 }
 
-// newOn is New on a file system.
+// newOn is New with a given file system.
 func newOn(files spool.FS, root string, options Options) (*Recorder, error) {
 	config, instance := options.Settings, options.Instance
 	opened, err := spool.Open(files, root, instance)
@@ -87,8 +87,8 @@
 	return r, nil
 }
 
-// Admit rejects while the spool takes nothing, where that is what the settings say. Of a request that is admitted, reserve
-// (ms) of its time is kept for the wait in BeforeResponse.
+// Admit rejects requests while nothing can be written to the spool, if so configured. For an admitted request, reserve
+// (ms) is the part of its time that is kept for the wait in BeforeResponse.
 func (r *Recorder) Admit(now float64) (reserve float64, reason string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -117,8 +117,9 @@
 	}
 }
 
-// BeforeResponse holds an answer until its entry is durable, or until that is no longer to be expected in time, at the
-// latest until `until` (ms). It returns the entry's ordinal for AfterResponse, or nil where it is only counted in a gap.
+// BeforeResponse adds the entry of a response and waits until it is durable, or can't be expected to become durable in
+// time, but no longer than until `until` (ms). It returns the entry's ordinal for AfterResponse, or nil if the response
+// is only counted in a gap.
 func (r *Recorder) BeforeResponse(completion core.Completion, until float64) any {
 	entry := r.newEntry(completion)
 	r.mu.Lock()
@@ -146,8 +147,8 @@
 	return ordinal
 }
 
-// awaitDurable returns once an entry is durable, after delay (ms), or when the spool fails meanwhile. confirmed is the
-// channel that was there when the entry was added.
+// awaitDurable waits until the entry is durable, delay (ms) has passed, or the spool fails. confirmed must be the value
+// of r.confirmed when the entry was added.
 func (r *Recorder) awaitDurable(ordinal uint64, confirmed <-chan struct{}, delay float64) {
 	timer := time.NewTimer(duration(delay))
 	defer timer.Stop()
@@ -175,10 +176,11 @@
 	}
 }
 
-// AfterResponse notes the end of an answer: whether it was delivered whole. ordinal is what BeforeResponse returned.
+// AfterResponse notes that a response has ended and whether it was delivered completely. ordinal is the result of
+// BeforeResponse.
 func (r *Recorder) AfterResponse(ordinal any, now float64, delivered bool) {
 	n, ok := ordinal.(uint64)
-	if !ok { // it is counted in a gap
+	if !ok { // the response was counted in a gap
 		return
 	}
 	failpoint.At("record.answered")
@@ -188,22 +190,22 @@
 	r.wakeWriter()
 }
 
-// Abandoned does nothing: a request that ended without an answer has no entry.
+// Abandoned does nothing: a request that ended without a response has no entry.
 func (r *Recorder) Abandoned(float64) {}
 
-// Status are the figures of the record now.
+// Status holds the current figures of the record.
 type Status struct {
 	record.Counts
 	Health            record.Health
-	SpoolBytes        int64 // bytes in the spool
-	QueuedBytes       int   // bytes that wait in memory
+	SpoolBytes        int64 // size of the spool
+	QueuedBytes       int   // bytes queued in memory
 	Unsynced          uint64
 	Exported, InDoubt uint64
 	Results           record.ExportCounts
-	OldestWaiting     float64 // ms since the oldest unshipped entry was answered; 0: none
+	OldestWaiting     float64 // ms since the oldest unexported entry was answered; 0 if there is none
 }
 
-// Status returns the figures now.
+// Status returns the current figures.
 func (r *Recorder) Status() Status {
 	r.mu.Lock()
 	status := Status{
--- a/internal/record/recorder/ship.go
+++ b/internal/record/recorder/ship.go
@@ -1,6 +1,6 @@
 package recorder
 
-// This file owns the exporting on an operator's demand.
+// Exporting a spool on demand.
 
 import (
 	"context"
@@ -11,18 +11,18 @@
 	"onyxgate/internal/record/spool"
 )
 
-// ErrNoStore says that the settings name no store to send to or to read from.
-var ErrNoStore = errors.New("[record.store] names no store")
+// ErrNoStore is returned if no store is configured.
+var ErrNoStore = errors.New("[record.store] configures no store")
 
-// RefusedError says that the store does not take an instance's rows, and that trying again will not help.
+// RefusedError is returned if the store rejects the rows of an instance and retrying will not help.
 type RefusedError struct {
 	Result record.ExportResult // ExportDenied or ExportForeign
 }
 
-func (e *RefusedError) Error() string { return "the store refuses: " + e.Result.String() }
+func (e *RefusedError) Error() string { return "store rejects the export: " + e.Result.String() }
 
-// Ship sends all that an instance's directory holds, for an instance that does not run; progress is called after each
-// batch. Errors wrap spool.ErrLocked, spool.ErrCopied, ErrNoStore, and are *RefusedError where the store refuses.
+// Ship exports everything in the spool of an instance that is not running. It calls progress after each batch. Errors
+// wrap spool.ErrLocked, spool.ErrCopied and ErrNoStore, or are a *RefusedError.
 func Ship(ctx context.Context, config Config, instance string, progress func(exported, inDoubt uint64)) error {
 	opened, err := spool.Open(spool.Disk{}, config.Directory, instance)
 	if err != nil {
--- a/internal/record/recorder/table.go
+++ b/internal/record/recorder/table.go
@@ -1,7 +1,7 @@
 package recorder
 
-// This file owns the tables [record] and [record.store] of our settings: their fields, what holds unless they say
-// otherwise, and what they mean to ledger and store.
+// The settings tables [record] and [record.store]: their fields and defaults, and their translation to options of the
+// ledger and the store.
 
 import (
 	"time"
@@ -13,40 +13,40 @@
 	"onyxgate/internal/units"
 )
 
-// Config is [record].
+// Config is the settings table [record].
 type Config struct {
-	Mode            string      `toml:"mode" comment:"off; spool: durable before the answer; memory: no disk, gives up what a kill takes"`
-	Directory       string      `toml:"directory" comment:"of the spool; every instance has its own under it"`
-	Sync            string      `toml:"sync" comment:"group: synced before the answer; none: survives a kill, not a loss of power"`
-	GroupWait       units.Span  `toml:"group_wait" comment:"an entry waits so long for others to be synced with"`
+	Mode            string      `toml:"mode" comment:"off; spool: durable before the response; memory: no disk, unexported entries are lost in a crash"`
+	Directory       string      `toml:"directory" comment:"root directory of the spools; each instance has a subdirectory"`
+	Sync            string      `toml:"sync" comment:"group: synced before the response; none: survives a crash but not a power failure"`
+	GroupWait       units.Span  `toml:"group_wait" comment:"how long an entry waits for others to share its sync"`
 	MaxWriteBytes   units.Size  `toml:"group_bytes"`
 	MaxSegmentBytes units.Size  `toml:"segment"`
-	MaxSpoolBytes   units.Size  `toml:"budget" comment:"of the spool on disk, or in memory"`
-	MaxQueuedBytes  units.Size  `toml:"room" comment:"of entries that wait in memory for the disk"`
-	CommitDelay     units.Span  `toml:"patience" comment:"an answer waits so long for its sync"`
-	Reserve         units.Span  `toml:"reserve" comment:"kept back of each client's time for it"`
-	StallAfter      units.Span  `toml:"stall" comment:"a write that takes longer means that the disk stands still"`
-	WhenFull        string      `toml:"when_full" comment:"keep-serving: a gap says what is missing; decline: new requests are rejected"`
+	MaxSpoolBytes   units.Size  `toml:"budget" comment:"maximum size of the spool, on disk or in memory"`
+	MaxQueuedBytes  units.Size  `toml:"room" comment:"maximum size of entries queued in memory for the disk"`
+	CommitDelay     units.Span  `toml:"patience" comment:"how long a response waits for its entry to be synced"`
+	Reserve         units.Span  `toml:"reserve" comment:"part of each request's time reserved for this wait"`
+	StallAfter      units.Span  `toml:"stall" comment:"the disk counts as stalled when a write takes longer"`
+	WhenFull        string      `toml:"when_full" comment:"keep-serving: lost entries are counted in a gap; decline: new requests are rejected"`
 	Store           StoreConfig `toml:"store"`
 }
 
-// StoreConfig is [record.store].
+// StoreConfig is the settings table [record.store].
 type StoreConfig struct {
-	Kind           string     `toml:"kind" comment:"sqlite, postgres, or none: the spool waits for 'onyxgate record ship'"`
-	Path           string     `toml:"path" comment:"of sqlite's file"`
-	Address        string     `toml:"address" comment:"of the PostgreSQL server, host:port"`
+	Kind           string     `toml:"kind" comment:"sqlite, postgres, or none: entries stay in the spool until 'onyxgate record ship'"`
+	Path           string     `toml:"path" comment:"path of the SQLite file"`
+	Address        string     `toml:"address" comment:"host:port of the PostgreSQL server"`
 	Database       string     `toml:"database"`
 	User           string     `toml:"user"`
-	PasswordFile   string     `toml:"password_file" comment:"read anew at each connection"`
+	PasswordFile   string     `toml:"password_file" comment:"read again for each connection"`
 	TLS            string     `toml:"tls" comment:"disable, require, verify-ca, verify-full"`
 	CAFile         string     `toml:"tls_ca"`
-	MaxBatchRows   int        `toml:"batch" comment:"rows at once, at most"`
-	BatchWait      units.Span `toml:"every" comment:"rows wait so long for a whole batch"`
-	BatchTimeout   units.Span `toml:"timeout" comment:"of a batch"`
+	MaxBatchRows   int        `toml:"batch" comment:"maximum number of rows in a batch"`
+	BatchWait      units.Span `toml:"every" comment:"how long rows wait for a batch to fill up"`
+	BatchTimeout   units.Span `toml:"timeout" comment:"time limit for storing a batch"`
 	BytesPerSecond units.Size `toml:"bytes_a_second"`
 }
 
-// DefaultConfig is what holds where nothing is said.
+// DefaultConfig returns the defaults.
 func DefaultConfig() Config {
 	return Config{
 		Mode: "off", Sync: "group", GroupWait: 0, MaxWriteBytes: 256 << 10, MaxSegmentBytes: 4 << 20,
@@ -59,13 +59,13 @@
 	}
 }
 
-// Enabled tells whether anything is recorded.
+// Enabled reports whether anything is recorded.
 func (c Config) Enabled() bool { return c.Mode != "off" }
 
-// syncs tells whether an answer waits for its entry to be synced.
+// syncs reports whether responses wait for their entries to be synced.
 func (c Config) syncs() bool { return c.Mode == "spool" && c.Sync == "group" }
 
-// Open opens the store that is named; nil where there is none. Nothing is connected or read before the first use.
+// Open returns the configured store, or nil if there is none. The store is not accessed before first use.
 func (s StoreConfig) Open() (*sqlstore.Store, error) {
 	switch s.Kind {
 	case "sqlite":
@@ -79,7 +79,7 @@
 	return nil, nil
 }
 
-// ledgerOptions are what these settings say to the ledger of an incarnation, while the spool holds spoolBytes already.
+// ledgerOptions returns the options for the ledger of an incarnation, given the current size of the spool.
 func (c Config) ledgerOptions(instance, incarnation string, spoolBytes int64) record.LedgerOptions {
 	policy := record.KeepServing
 	if c.WhenFull == "decline" {
--- a/internal/record/recorder/turns.go
+++ b/internal/record/recorder/turns.go
@@ -1,7 +1,7 @@
 package recorder
 
-// This file owns the reading of the incarnation whose turn it is, and what is logged of reading and sending. Whose turn it
-// is, and what a failure to read means, are package record's decisions.
+// Reading the incarnation to export next, and logging of read and export failures. Which incarnation is next and how
+// read failures are handled is decided by package record.
 
 import (
 	"github.com/sirupsen/logrus"
@@ -9,7 +9,8 @@
 	"onyxgate/internal/record"
 )
 
-// pick is the incarnation whose turn it is, with rows read; nil where nothing waits. Under the lock.
+// nextIncarnation returns the incarnation to export next, with rows already read, or nil if there is nothing to export.
+// The caller must hold mu.
 func (e *exporter) nextIncarnation() *incarnationReader {
 	runningWaits := e.readRunning()
 	for {
@@ -27,7 +28,7 @@
 	}
 }
 
-// readRunning reads on in the running incarnation and tells whether the store lacks something of it.
+// readRunning reads ahead in the running incarnation and reports whether it has rows to export.
 func (e *exporter) readRunning() (waits bool) {
 	if e.running == nil {
 		return false
@@ -45,7 +46,7 @@
 	return waits
 }
 
-// readEarlier reads on in the first of the earlier incarnations and tells whether it can be read.
+// readEarlier reads ahead in the first of the earlier incarnations and reports whether it could be read.
 func (e *exporter) readEarlier() bool {
 	first := e.earlier[0]
 	err := first.read(e.config.MaxBatchRows)
@@ -67,13 +68,13 @@
 	}
 }
 
-// leaveFirst ends the reading of the first of the earlier incarnations.
+// closeFirstEarlier stops reading the first of the earlier incarnations and removes it from the list.
 func (e *exporter) closeFirstEarlier() {
 	e.earlier[0].reader.Close()
 	e.earlier = e.earlier[1:]
 }
 
-// logFailure logs a failure once, until another kind comes.
+// logFailure logs a failure unless the previous one was of the same kind.
 func (e *exporter) logFailure(err error, result record.ExportResult) {
 	if result != e.lastResult {
 		logrus.WithFields(logrus.Fields{"store": e.config.Kind, "reply": result.String()}).WithError(err).
@@ -82,7 +83,7 @@
 	}
 }
 
-// logDefects logs each defect once.
+// logDefects logs the defects that have not been logged yet.
 func logDefects(from *incarnationReader) {
 	all := from.reader.Replay.Defects
 	for _, defect := range all[min(from.loggedDefects, len(all)):] {
--- a/internal/record/recorder/upkeep.go
+++ b/internal/record/recorder/upkeep.go
@@ -1,6 +1,6 @@
 package recorder
 
-// This file owns the background work of an instance that runs: exporting, pruning of the spool, upkeep of the store.
+// Background jobs of a running instance: exporting, pruning the spool and checkpointing the store.
 
 import (
 	"context"
@@ -16,11 +16,11 @@
 const (
 	pruneInterval      = 500 * time.Millisecond
 	checkpointInterval = 2 * time.Second
-	// jobWorkers: a checkpoint may take long, and batches go on meanwhile.
+	// jobWorkers is 2 so that a slow checkpoint does not delay batches.
 	jobWorkers = 2
 )
 
-// run exports until ctx ends; nothing of it runs any more when it returns.
+// run runs the background jobs until ctx is done, and returns when all of them have ended.
 func (e *exporter) run(ctx context.Context) {
 	if e.store == nil {
 		return
@@ -48,7 +48,7 @@
 	background.Run(ctx, jobWorkers)
 }
 
-// prune removes the segments in which everything is stored.
+// prune removes segments whose contents are all in the store.
 func (e *exporter) prune() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -60,7 +60,7 @@
 	}
 }
 
-// pruneIncarnation removes segments before number `until`.
+// pruneIncarnation removes fully stored segments with numbers below `until`.
 func (e *exporter) pruneIncarnation(from *incarnationReader, until uint64) {
 	freed, err := e.spool.Prune(from.incarnation, min(until, from.reader.Segment()), from.storedThrough())
 	if err != nil {
--- a/internal/record/recorder/writer.go
+++ b/internal/record/recorder/writer.go
@@ -1,6 +1,6 @@
 package recorder
 
-// This file owns the writer: it does what the ledger says, one step at a time, until the instance ends.
+// The writer, which performs the I/O that the ledger asks for until the instance ends.
 
 import (
 	"context"
@@ -14,26 +14,26 @@
 )
 
 const (
-	// shutdownWait bounds the writing of what is left at the end.
+	// shutdownWait bounds the time for writing the remaining frames at shutdown.
 	shutdownWait = 500 * time.Millisecond
-	// gatherPause lets completions gather that come one by one: they are written 2 ms after the first, or with the next
-	// entry.
+	// gatherPause lets completions that arrive one by one accumulate. They are written 2 ms after the first of them, or
+	// with the next entry.
 	gatherPause = 50 * time.Microsecond
-	// minIdleWait (ms) keeps a wait that is all but over from spinning.
+	// minIdleWait (ms) prevents busy waiting when a wait is almost over.
 	minIdleWait = 0.2
-	// slowDiskDelay is what a defect of the end-to-end tests has a write take.
+	// slowDiskDelay is the duration of a write under the answer-before-sync defect of the end-to-end tests.
 	slowDiskDelay = 40 * time.Millisecond
 )
 
-// Run writes and exports until ctx ends, then writes what is left; no request may follow. It returns when all that it
-// started has ended.
+// Run writes and exports until ctx is done, and then writes what remains. No requests may be handled after that. It
+// returns when everything that it started has ended.
 func (r *Recorder) Run(ctx context.Context) {
 	var exporting sync.WaitGroup
 	exporting.Go(func() { r.exporter.run(ctx) })
 	r.write(ctx)
 	exporting.Wait()
 	if r.exporter.store != nil {
-		if r.config.Mode == "memory" { // what does not go now is lost
+		if r.config.Mode == "memory" { // entries that are not exported now are lost
 			last, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownWait)
 			r.exporter.drain(last)
 			cancel()
@@ -85,7 +85,7 @@
 	return next, r.ledger.Pending()
 }
 
-// perform does one step and tells the ledger and those who wait for it.
+// execute performs the I/O and reports its result to the ledger and to waiting responses.
 func (r *Recorder) execute(next record.IO) {
 	if failpoint.Defect("answer-before-sync") {
 		time.Sleep(slowDiskDelay)
@@ -104,11 +104,11 @@
 	}
 }
 
-// wakeWriter tells the writer to look again; it never blocks.
+// wakeWriter wakes the writer without blocking.
 func (r *Recorder) wakeWriter() {
 	select {
 	case r.wake <- struct{}{}:
-	default: // it has been woken already
+	default: // already woken
 	}
 }
 
--- a/internal/record/replay.go
+++ b/internal/record/replay.go
@@ -1,6 +1,6 @@
 package record
 
-// This file owns what a reading of the spool concludes, frame by frame, for recovery, exports and audits alike.
+// Replay of a spool, frame by frame, as used for recovery, exports and audits.
 
 import (
 	"fmt"
@@ -8,14 +8,14 @@
 	"slices"
 )
 
-// Row is what the store gets: an entry with its final state, or a gap.
+// Row is a row for the store: an entry with its final state, or a gap.
 type Row struct {
 	Entry Entry
 	State State
 	Gap   *Gap
 }
 
-// Ordinal is the entry's, or the gap's.
+// Ordinal returns the ordinal of the entry or gap.
 func (r Row) Ordinal() uint64 {
 	if r.Gap != nil {
 		return r.Gap.Ordinal
@@ -23,7 +23,7 @@
 	return r.Entry.Ordinal
 }
 
-// The kinds of defects, as audits show them.
+// Kinds of defects, as shown by audits.
 const (
 	defectHole       = "hole"
 	defectChain      = "chain"
@@ -33,11 +33,11 @@
 	defectUnreadable = "unreadable"
 )
 
-// Defect is something that a spool must not hold.
+// Defect is an inconsistency in a spool.
 type Defect struct {
 	Kind     string // hole, chain, spoilt, order, orphan, unreadable
 	Segment  uint64
-	From, To uint64 // ordinals, where they are known
+	From, To uint64 // ordinals, if known
 	Detail   string
 }
 
@@ -46,30 +46,30 @@
 }
 
 const (
-	// maxDefects are kept one by one; a spool of noise has more.
+	// maxDefects limits how many defects are kept; a spool full of random bytes has more.
 	maxDefects = 1000
-	// maxOpenEntries bounds memory against a spool that was made up: more requests than an instance ever has under way.
+	// maxOpenEntries bounds memory when reading a forged spool. It is more than an instance ever has in progress.
 	maxOpenEntries = 1 << 20
 )
 
-// Replay reads one incarnation from its first segment that is left. It must never hold more than the entries that are open,
-// nor claim an answer whose end it has not read.
+// Replay reconstructs entries and their final states from the frames of one incarnation, beginning with its oldest
+// remaining segment. It keeps only open entries in memory, and reports no completion that it has not read.
 type Replay struct {
 	header  SegmentHeader
-	start   uint64 // ordinal at which reading began; completions of earlier entries are left out
-	next    uint64 // ordinal that is expected; 0: nothing read yet
+	start   uint64 // first ordinal read; completions of earlier entries are ignored
+	next    uint64 // expected ordinal; 0 if nothing has been read
 	chain   Digest
-	open    map[uint64]Entry // read, without an end so far
+	open    map[uint64]Entry // entries without a completion so far
 	Defects []Defect
-	// TornBytes were cut off at the very end.
+	// TornBytes counts the bytes after the last complete frame of the last segment.
 	TornBytes int64
-	// Rewritten frames came again, after a failure of the writer.
+	// Rewritten counts frames that the writer wrote again after a failure.
 	Rewritten uint64
-	Counts    [len(stateNames)]uint64 // entries, by their final state
+	Counts    [len(stateNames)]uint64 // entries by final state
 	Gaps      uint64
 }
 
-// NewReplay starts a reading.
+// NewReplay returns a replay of an incarnation of which nothing has been read.
 func NewReplay() *Replay { return &Replay{open: map[uint64]Entry{}} }
 
 func (p *Replay) addDefect(kind string, from, to uint64, detail string) {
@@ -78,42 +78,44 @@
 	}
 }
 
-// StartSegment takes a segment's header. An error says that it belongs to no reading of this incarnation.
+// StartSegment begins the segment with the given header. It returns an error if the segment belongs to another
+// incarnation or does not follow the previous segment.
 func (p *Replay) StartSegment(header SegmentHeader) error {
 	switch {
 	case p.next == 0:
 		p.start, p.next, p.chain = header.From, header.From, header.Chain
 	case header.Instance != p.header.Instance || header.Incarnation != p.header.Incarnation:
-		return fmt.Errorf("segment %d is of %s/%s, not of %s/%s: files of two incarnations stand in one directory",
+		return fmt.Errorf("segment %d belongs to %s/%s, not %s/%s: the directory holds files of two incarnations",
 			header.Segment, header.Instance, header.Incarnation, p.header.Instance, p.header.Incarnation)
 	case header.Segment <= p.header.Segment:
-		return fmt.Errorf("segment %d comes after segment %d", header.Segment, p.header.Segment)
+		return fmt.Errorf("segment %d comes after segment %d, want ascending numbers", header.Segment, p.header.Segment)
 	}
 	p.header = header
 	return nil
 }
 
-// AddCorruptBytes notes bytes that are no frame; what they held shows as a hole.
+// AddCorruptBytes records bytes that are not part of a valid frame. The frames lost with them show up as a hole.
 func (p *Replay) AddCorruptBytes(offset int64, bytes int64) {
 	p.addDefect(defectCorrupt, p.next, p.next, fmt.Sprintf("%d bytes from byte %d on are no frame", bytes, offset))
 }
 
-// AddTornTail notes bytes at the end of the last segment that are no whole frame: a kill within a write.
+// AddTornTail records bytes at the end of the last segment that are not a complete frame, as left by a process that was
+// killed during a write.
 func (p *Replay) AddTornTail(bytes int64) { p.TornBytes += bytes }
 
-// Apply takes the next frame and returns what became final by it.
+// Apply processes the next frame and returns the rows that became final.
 func (p *Replay) Apply(frame Frame) (rows []Row) {
 	switch {
 	case p.next == 0:
-		p.addDefect(defectOrder, frame.Ordinal, frame.Ordinal, "a frame before any head")
+		p.addDefect(defectOrder, frame.Ordinal, frame.Ordinal, "frame before any segment header")
 		p.start, p.next = frame.Ordinal, frame.Ordinal
-	case frame.Ordinal < p.next: // written anew after a failure
+	case frame.Ordinal < p.next: // written again after a failure
 		p.Rewritten++
 		return nil
 	case frame.Ordinal > p.next:
 		rows = append(rows, p.addHole(frame.Ordinal))
 	case NextChain(p.chain, frame.Payload) != frame.Chain:
-		p.addDefect(defectChain, frame.Ordinal, frame.Ordinal, "the hash chain breaks: this frame or the one before was edited")
+		p.addDefect(defectChain, frame.Ordinal, frame.Ordinal, "hash chain broken: this frame or the one before it was modified")
 	}
 	p.next, p.chain = frame.Ordinal+1, frame.Chain
 	value, err := Decode(frame.Payload)
@@ -135,12 +137,12 @@
 	return rows
 }
 
-// addHole notes that the frames before ordinal are gone, as a defect and as a gap for the store.
+// addHole records the frames missing before ordinal, as a defect and as a gap for the store.
 func (p *Replay) addHole(ordinal uint64) Row {
 	lost := ordinal - p.next
 	p.addDefect(defectHole, p.next, ordinal-1, fmt.Sprintf("%d frames are gone", lost))
 	gap := Gap{Ordinal: p.next, Cause: defectHole}
-	gap.Counts[0] = lost // with which outcome is not known
+	gap.Counts[0] = lost // their outcomes are unknown
 	p.Gaps++
 	return Row{Gap: &gap}
 }
@@ -148,19 +150,19 @@
 func (p *Replay) addEntry(ordinal uint64, entry Entry) {
 	switch {
 	case entry.Ordinal != ordinal:
-		p.addDefect(defectOrder, ordinal, ordinal, fmt.Sprintf("its entry says %d", entry.Ordinal))
+		p.addDefect(defectOrder, ordinal, ordinal, fmt.Sprintf("the frame holds entry %d", entry.Ordinal))
 	case len(p.open) >= maxOpenEntries:
-		p.addDefect(defectOrder, ordinal, ordinal, "too many entries without an end")
+		p.addDefect(defectOrder, ordinal, ordinal, "too many entries without a completion")
 	default:
 		p.open[entry.Ordinal] = entry
 	}
 }
 
-// complete gives open entries their final state.
+// complete assigns a final state to open entries.
 func (p *Replay) complete(rows []Row, ordinals []uint64, state State) []Row {
 	for _, ordinal := range ordinals {
 		entry, ok := p.open[ordinal]
-		if !ok { // its entry fell into a hole, or was in a segment that is exported and removed
+		if !ok { // the entry is in a hole, or in a segment that was exported and pruned
 			if ordinal >= p.start {
 				p.addDefect(defectOrphan, ordinal, ordinal, "an end without its entry")
 			}
@@ -173,7 +175,7 @@
 	return rows
 }
 
-// Finish concludes an incarnation that will never write again: what is still open is in doubt.
+// Finish ends the replay of an incarnation that will not be written again: entries that are still open are in doubt.
 func (p *Replay) Finish() (rows []Row) {
 	for _, ordinal := range slices.Sorted(maps.Keys(p.open)) {
 		p.Counts[StateInDoubt]++
@@ -183,10 +185,10 @@
 	return rows
 }
 
-// OpenEntries is how many entries have no end yet.
+// OpenEntries returns the number of entries without a completion.
 func (p *Replay) OpenEntries() int { return len(p.open) }
 
-// LastRead is the last ordinal that was read; 0: none.
+// LastRead returns the last ordinal that was read, or 0 if nothing has been read.
 func (p *Replay) LastRead() uint64 {
 	if p.next == 0 {
 		return 0
@@ -194,8 +196,8 @@
 	return p.next - 1
 }
 
-// FinalThrough is the last ordinal up to which everything has become final: a segment that ends there is of no more use
-// once that is in the store.
+// FinalThrough returns the last ordinal up to which everything is final. A segment whose ordinals are all at or below
+// it can be removed once they are stored.
 func (p *Replay) FinalThrough() uint64 {
 	through := p.LastRead()
 	for ordinal := range p.open {
--- a/internal/record/spool/disk.go
+++ b/internal/record/spool/disk.go
@@ -1,6 +1,6 @@
 package spool
 
-// This file owns the host's file system.
+// The host's file system.
 
 import (
 	"errors"
@@ -11,18 +11,18 @@
 	"syscall"
 )
 
-// Disk is the host's file system.
+// Disk implements FS on the host's file system.
 type Disk struct{}
 
-// MkdirAll makes a directory and those above it, for this user alone.
+// MkdirAll creates a directory and its parents, accessible to this user only.
 func (Disk) MkdirAll(dir string) error { return os.MkdirAll(dir, 0o700) }
 
-// Create makes a file to append to, for this user alone.
+// Create creates a file for appending, accessible to this user only.
 func (Disk) Create(name string) (File, error) {
 	return os.OpenFile(name, os.O_CREATE|os.O_EXCL|os.O_WRONLY|os.O_APPEND, 0o600)
 }
 
-// Open opens a file to read.
+// Open opens a file for reading.
 func (Disk) Open(name string) (ReadFile, error) { return os.Open(name) }
 
 // List returns the files and directories in a directory.
@@ -33,7 +33,7 @@
 	}
 	for _, entry := range entries {
 		info, err := entry.Info()
-		if err != nil { // removed meanwhile
+		if err != nil { // removed since ReadDir
 			continue
 		}
 		files = append(files, FileInfo{entry.Name(), info.Size()})
@@ -41,10 +41,10 @@
 	return files, err
 }
 
-// Remove takes a file away, or an empty directory.
+// Remove removes a file or an empty directory.
 func (Disk) Remove(name string) error { return os.Remove(name) }
 
-// SyncDir makes the names in a directory durable.
+// SyncDir makes the directory's entries durable.
 func (Disk) SyncDir(dir string) error {
 	opened, err := os.Open(dir)
 	if err != nil {
@@ -54,7 +54,7 @@
 	return opened.Sync()
 }
 
-// Lock holds a file for this process. The kernel lets it go when the process ends.
+// Lock locks a file for this process. The kernel releases the lock when the process exits.
 func (Disk) Lock(name string) (io.Closer, error) {
 	file, err := os.OpenFile(name, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -67,7 +67,7 @@
 	return file, nil
 }
 
-// DirID is the directory's device and inode, which a copy does not share.
+// DirID identifies a directory by its device and inode, which a copy does not share.
 func (Disk) DirID(dir string) (string, error) {
 	info, err := os.Stat(dir)
 	if err != nil {
@@ -75,7 +75,7 @@
 	}
 	stat, ok := info.Sys().(*syscall.Stat_t)
 	if !ok {
-		return "", fmt.Errorf("%s: no inode", dir)
+		return "", fmt.Errorf("%s: no inode information", dir)
 	}
 	return fmt.Sprintf("%x-%x", stat.Dev, stat.Ino), nil
 }
--- a/internal/record/spool/fs.go
+++ b/internal/record/spool/fs.go
@@ -1,6 +1,6 @@
 package spool
 
-// This file owns what a spool needs of a file system.
+// The file system interface that a spool uses.
 
 import (
 	"errors"
@@ -8,43 +8,43 @@
 	"path/filepath"
 )
 
-// FS is a file system. Names are paths with slashes.
+// FS is a file system. Names are slash-separated paths.
 type FS interface {
 	MkdirAll(dir string) error
-	// Create makes a file to append to. It fails where the file exists.
+	// Create creates a file for appending. It fails if the file exists.
 	Create(name string) (File, error)
 	Open(name string) (ReadFile, error)
-	// List returns the files and directories in a directory, in the order of names; none where there is no such directory.
+	// List returns the files and directories in a directory, sorted by name, or none if the directory does not exist.
 	List(dir string) ([]FileInfo, error)
-	// Remove takes a file away, or an empty directory.
+	// Remove removes a file or an empty directory.
 	Remove(name string) error
 	SyncDir(dir string) error
-	// Lock holds a file until the closer is closed. It fails with ErrLocked where another process holds it.
+	// Lock locks a file until the returned closer is closed. It fails with ErrLocked if another process holds the lock.
 	Lock(name string) (io.Closer, error)
-	// DirID is one word by which a copy of a directory is told from the directory.
+	// DirID returns a single word that identifies a directory and that a copy of the directory does not share.
 	DirID(dir string) (string, error)
 }
 
-// FileInfo is a file or a directory as List finds it.
+// FileInfo describes a file or directory returned by List.
 type FileInfo struct {
-	Name  string // without its directory
+	Name  string // base name
 	Bytes int64
 }
 
-// File is appended to.
+// File is a file opened for appending.
 type File interface {
 	io.Writer
 	Sync() error
 	Close() error
 }
 
-// ReadFile is read at any place.
+// ReadFile is a file opened for random access reads.
 type ReadFile interface {
 	io.ReaderAt
 	io.Closer
 }
 
-// ErrLocked says that another process works in the directory.
-var ErrLocked = errors.New("another process works there")
+// ErrLocked is returned if another process uses the directory.
+var ErrLocked = errors.New("in use by another process")
 
 func join(parts ...string) string { return filepath.ToSlash(filepath.Join(parts...)) }
--- a/internal/record/spool/memory.go
+++ b/internal/record/spool/memory.go
@@ -1,6 +1,6 @@
 package spool
 
-// This file owns the file system in memory, for instances without a lasting disk.
+// An in-memory file system, for instances without persistent disks.
 
 import (
 	"fmt"
@@ -12,26 +12,27 @@
 	"sync"
 )
 
-// Memory is a file system in memory: a kill takes all of it. Directories are only parts of names.
+// Memory implements FS in memory. Its contents are lost when the process exits. Directories exist only as parts of
+// names.
 type Memory struct {
 	mu    sync.Mutex
 	files map[string]*memoryFile
 	locks map[string]bool
 }
 
-// memoryFile is a file and, as it has no position, also each handle on it.
+// memoryFile is a file. As it has no position, it also serves as each handle on the file.
 type memoryFile struct {
 	mu   sync.Mutex
 	data []byte
 }
 
-// NewMemory makes an empty one.
+// NewMemory returns an empty file system.
 func NewMemory() *Memory { return &Memory{files: map[string]*memoryFile{}, locks: map[string]bool{}} }
 
-// MkdirAll has nothing to do.
+// MkdirAll does nothing.
 func (m *Memory) MkdirAll(string) error { return nil }
 
-// Create makes a file to append to.
+// Create creates a file for appending.
 func (m *Memory) Create(name string) (File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -43,7 +44,7 @@
 	return file, nil
 }
 
-// Open opens a file to read.
+// Open opens a file for reading.
 func (m *Memory) Open(name string) (ReadFile, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -54,7 +55,7 @@
 	return file, nil
 }
 
-// List returns the files under a directory, and for those that are further down the directory in which they are.
+// List returns the files in a directory, and the subdirectories that contain files.
 func (m *Memory) List(dir string) (files []FileInfo, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -74,7 +75,7 @@
 	return files, nil
 }
 
-// Remove takes a file away; handles on it stay.
+// Remove removes a file. Open handles stay valid.
 func (m *Memory) Remove(name string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -82,10 +83,10 @@
 	return nil
 }
 
-// SyncDir has nothing to do.
+// SyncDir does nothing.
 func (m *Memory) SyncDir(string) error { return nil }
 
-// Lock holds a name until the closer is closed.
+// Lock locks a name until the returned closer is closed.
 func (m *Memory) Lock(name string) (io.Closer, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -108,7 +109,7 @@
 	return nil
 }
 
-// DirID is the same for all: nothing in memory can be copied.
+// DirID returns the same ID for all directories, since nothing in memory can be copied.
 func (m *Memory) DirID(string) (string, error) { return "memory", nil }
 
 func (f *memoryFile) size() int64 {
--- a/internal/record/spool/owner.go
+++ b/internal/record/spool/owner.go
@@ -1,6 +1,6 @@
 package spool
 
-// This file owns whose an incarnation's directory is, and that a copy of it is not used.
+// Owner files, which detect that an incarnation's directory was copied.
 
 import (
 	"encoding/json"
@@ -9,23 +9,24 @@
 	"io"
 )
 
-// ErrCopied says that a directory is not where it was made. If it were used, one incarnation would be written at two
-// places.
-var ErrCopied = errors.New("copied from elsewhere")
+// ErrCopied is returned for a directory that is not where it was created. Using it could mean that the same incarnation
+// is written in two places.
+var ErrCopied = errors.New("directory was copied or moved")
 
 const (
 	ownerName     = "owner.json"
 	maxOwnerBytes = 4096
 )
 
-// owner says whose an incarnation's directory is and where it was made.
+// owner identifies the instance and incarnation to which a directory belongs, and the directory in which it was
+// created.
 type owner struct {
 	Instance    string `json:"agent"`
 	Incarnation string `json:"incarnation"`
 	DirID       string `json:"place"`
 }
 
-// checkOwner refuses a directory that was copied here: its original may still be written.
+// checkOwner returns an error if the directory is a copy, because the original may still be written.
 func (s *Spool) checkOwner(incarnation string) error {
 	dir := join(s.dir, incarnation)
 	dirID, err := s.fs.DirID(dir)
@@ -35,13 +36,13 @@
 	recorded, err := s.readOwner(incarnation)
 	neverWritten := err != nil && len(listSegments(s.fs, dir)) == 0
 	switch {
-	case neverWritten: // killed while it was made
-		_, _ = s.RemoveIncarnation(incarnation) // what stays is found again at the next start
+	case neverWritten: // the process died while creating the directory
+		_, _ = s.RemoveIncarnation(incarnation) // whatever remains is found again at the next start
 		return nil
 	case err != nil:
-		return fmt.Errorf("%s: %s can't be read: %w; if it is yours, run 'onyxgate record adopt'", dir, ownerName, err)
+		return fmt.Errorf("%s: read %s: %w; if the directory is yours, run 'onyxgate record adopt'", dir, ownerName, err)
 	case recorded != owner{s.Instance, incarnation, dirID}:
-		return fmt.Errorf("%s: %w: it was made as %s/%s at %s and stands at %s; if the original is gone for good, run "+
+		return fmt.Errorf("%s: %w: created as %s/%s with ID %s, now has ID %s; if the original no longer exists, run "+
 			"'onyxgate record adopt'", dir, ErrCopied, recorded.Instance, recorded.Incarnation, recorded.DirID, dirID)
 	}
 	return nil
@@ -60,7 +61,7 @@
 	return recorded, err
 }
 
-// Place is where an incarnation was made, as its owner file says; empty where that can't be read.
+// RecordedDirID returns the directory ID in the incarnation's owner file, or "" if the file can't be read.
 func (s *Spool) RecordedDirID(incarnation string) string {
 	recorded, err := s.readOwner(incarnation)
 	if err != nil {
@@ -69,8 +70,8 @@
 	return recorded.DirID
 }
 
-// Adopt makes directories that were moved here on purpose usable; the caller answers for the originals being gone. Errors
-// wrap ErrLocked.
+// Adopt makes directories usable that were moved here on purpose. The caller must ensure that the originals no longer
+// exist. Errors wrap ErrLocked.
 func Adopt(files FS, root, instance string) (adopted []string, err error) {
 	s := OpenReadOnly(files, root, instance)
 	lock, err := files.Lock(join(s.dir, lockName))
@@ -82,7 +83,7 @@
 		if s.checkOwner(incarnation) == nil {
 			continue
 		}
-		_ = files.Remove(join(s.dir, incarnation, ownerName)) // where it stays, making the new one fails
+		_ = files.Remove(join(s.dir, incarnation, ownerName)) // if this fails, so does creating the new file
 		if err := s.writeOwner(incarnation); err != nil {
 			return adopted, err
 		}
--- a/internal/record/spool/reader.go
+++ b/internal/record/spool/reader.go
@@ -1,7 +1,7 @@
 package spool
 
-// This file owns the reading of an incarnation's segments, from the first that is left, in bounded memory: while it is
-// written, or once it never will be again. What the bytes mean is record.Replay's.
+// Sequential reading of an incarnation's segments in bounded memory, either while it is being written or after it has
+// ended. record.Replay interprets the frames.
 
 import (
 	"bytes"
@@ -18,33 +18,33 @@
 	frameFirstByte = 0x0f
 )
 
-// Reader reads one incarnation. Calls must not overlap.
+// Reader reads one incarnation, beginning with its oldest remaining segment. Methods must not be called concurrently.
 type Reader struct {
-	Replay   *record.Replay // what was read so far
+	Replay   *record.Replay // state of everything read so far
 	fs       FS
 	dir      string
-	closed   bool // nobody writes it any more
-	finished bool // all was read, and nothing will follow
+	closed   bool // the incarnation is no longer written
+	finished bool // everything was read and nothing will follow
 
-	file          ReadFile // of the present segment; nil: none is open
+	file          ReadFile // the current segment; nil if none is open
 	segment       uint64
-	offset        int64 // in the file, of the buffer's beginning
+	offset        int64 // file offset of the start of buffer
 	buffer        []byte
-	rewrittenFrom uint64 // first ordinal of the next segment: from there on the present one is written anew; 0: not known
+	rewrittenFrom uint64 // first ordinal of the next segment, which rewrites the current one from there on; 0 if unknown
 
-	corruptBytes int64 // skipped since the last frame
-	corruptFrom  int64 // their offset in the file
+	corruptBytes int64 // skipped since the last valid frame
+	corruptFrom  int64 // file offset of the first skipped byte
 }
 
-// Read starts reading an incarnation; closed: it will never be written again.
+// NewReader returns a reader for an incarnation. closed tells it that the incarnation will not be written again.
 func (s *Spool) NewReader(incarnation string, closed bool) *Reader {
 	return &Reader{Replay: record.NewReplay(), fs: s.fs, dir: join(s.dir, incarnation), closed: closed}
 }
 
-// Segment is the one that is read now; those before it are done with.
+// Segment returns the number of the current segment. Segments before it have been read completely.
 func (r *Reader) Segment() uint64 { return r.segment }
 
-// Close ends reading.
+// Close closes the current segment.
 func (r *Reader) Close() {
 	if r.file != nil {
 		r.file.Close()
@@ -52,8 +52,8 @@
 	}
 }
 
-// Next reads on and returns what became final; more is false where nothing is left to read now. Of a closed incarnation
-// the last rows are those in doubt. After an error Next may be called again.
+// Next reads on and returns the rows that became final. more is false if there is nothing left to read for now. For a
+// closed incarnation, the last rows returned are those in doubt. Next may be called again after an error.
 func (r *Reader) Next() (rows []record.Row, more bool, err error) {
 	if r.finished {
 		return nil, false, nil
@@ -68,9 +68,9 @@
 		return nil, false, err
 	}
 	isLast := false
-	if atEnd { // looked up after reading, for the writer may begin another segment meanwhile
+	if atEnd { // checked after reading, because the writer may start another segment meanwhile
 		isLast = !r.lookAhead()
-		if !isLast && read > 0 { // what was written before that has not all been read, perhaps
+		if !isLast && read > 0 { // more may have been written before the writer moved on
 			atEnd = false
 		}
 	}
@@ -89,7 +89,7 @@
 	return rows, true, nil
 }
 
-// fill reads a chunk behind what the buffer holds.
+// fill appends the next chunk of the file to the buffer.
 func (r *Reader) fill() (read int, atEnd bool, err error) {
 	kept := len(r.buffer)
 	r.buffer = append(r.buffer, make([]byte, readChunk)...)
@@ -102,7 +102,8 @@
 	return read, atEnd, nil
 }
 
-// parse takes the frames out of the buffer. Where the file grows no more (final), what is left at its end is no frame.
+// parse extracts the frames from the buffer. If the file no longer grows (final), an incomplete frame at the end is
+// treated as corrupt.
 func (r *Reader) parse(final bool) (rows []record.Row, err error) {
 	used := 0
 	for used < len(r.buffer) {
@@ -125,7 +126,8 @@
 	return rows, nil
 }
 
-// skipCorrupt notes that what the buffer holds at an index is no frame, and returns how far the next may be away.
+// skipCorrupt records that there is no valid frame at index in the buffer and returns the distance to the next
+// candidate.
 func (r *Reader) skipCorrupt(index int) (skip int) {
 	if r.corruptBytes == 0 {
 		r.corruptFrom = r.offset + int64(index)
@@ -139,7 +141,7 @@
 	return step + 1
 }
 
-// endCorrupt notes the corrupt bytes before a frame as a defect.
+// endCorrupt reports the skipped bytes before a valid frame as a defect.
 func (r *Reader) endCorrupt() {
 	if r.corruptBytes > 0 {
 		r.Replay.AddCorruptBytes(r.corruptFrom, r.corruptBytes)
@@ -147,12 +149,12 @@
 	}
 }
 
-// take gives a frame to the replay and adds what became final by it.
+// applyFrame passes a frame to the replay and appends the rows that became final.
 func (r *Reader) applyFrame(rows []record.Row, frame record.Frame) ([]record.Row, error) {
 	if record.Kind(frame.Payload[0]) == record.KindHeader {
 		value, err := record.Decode(frame.Payload)
 		if err != nil {
-			return rows, fmt.Errorf("%s segment %d: its head: %w", r.dir, r.segment, err)
+			return rows, fmt.Errorf("%s segment %d: header: %w", r.dir, r.segment, err)
 		}
 		return rows, r.Replay.StartSegment(*value.(*record.SegmentHeader))
 	}
@@ -162,7 +164,7 @@
 	return rows, nil
 }
 
-// closeSegment ends the reading of the present segment: only the end of the last one may be torn.
+// closeSegment ends reading the current segment. A torn tail is allowed only in the last segment.
 func (r *Reader) closeSegment(isLast bool) {
 	missesFrames := r.rewrittenFrom == 0 || r.Replay.LastRead()+1 < r.rewrittenFrom
 	switch {
@@ -175,7 +177,7 @@
 	r.buffer, r.offset, r.corruptBytes, r.rewrittenFrom = r.buffer[:0], 0, 0, 0
 }
 
-// lookAhead notes where the next segment begins and reports whether there is one.
+// lookAhead determines the first ordinal of the next segment and reports whether there is one.
 func (r *Reader) lookAhead() bool {
 	next, ok := r.nextSegment()
 	if ok && r.rewrittenFrom == 0 {
@@ -183,12 +185,12 @@
 		if err == nil {
 			r.rewrittenFrom = header.From
 		}
-		return err == nil || r.closed // else it was made and its header is on the way
+		return err == nil || r.closed // while the writer runs, the header may not be written yet
 	}
 	return ok
 }
 
-// nextSegment is the one behind the present.
+// nextSegment returns the number of the segment after the current one.
 func (r *Reader) nextSegment() (number uint64, ok bool) {
 	for _, segment := range listSegments(r.fs, r.dir) {
 		if segment.number > r.segment {
--- a/internal/record/spool/segment.go
+++ b/internal/record/spool/segment.go
@@ -1,6 +1,6 @@
 package spool
 
-// This file owns the files of an incarnation's segments: their names, and the headers they begin with.
+// Segment files: their names and headers.
 
 import (
 	"errors"
@@ -13,10 +13,10 @@
 
 const segmentSuffix = ".seg"
 
-// maxHeaderBytes holds a frame with a segment's header.
+// maxHeaderBytes is large enough for a frame with a segment header.
 const maxHeaderBytes = 2048
 
-// segmentFile is a segment as its directory lists it.
+// segmentFile is a segment found in a directory listing.
 type segmentFile struct {
 	number uint64
 	bytes  int64
@@ -24,9 +24,9 @@
 
 func segmentName(number uint64) string { return fmt.Sprintf("%010d%s", number, segmentSuffix) }
 
-// listSegments lists the segments in a directory, in order. A directory that can't be listed has none.
+// listSegments returns the segments in a directory in order, or none if the directory can't be listed.
 func listSegments(files FS, dir string) (segments []segmentFile) {
-	all, _ := files.List(dir) // what it found before an error counts
+	all, _ := files.List(dir) // entries found before an error are used
 	for _, file := range all {
 		stem, ok := strings.CutSuffix(file.Name, segmentSuffix)
 		if !ok {
@@ -40,8 +40,8 @@
 	return segments
 }
 
-// readHeader reads the header of a segment. Errors wrap record.ErrShortFrame while it is being written, and
-// record.ErrCorruptFrame where there is none.
+// readHeader reads the header of a segment. Errors wrap record.ErrShortFrame if it is still being written and
+// record.ErrCorruptFrame if the segment does not begin with a header.
 func readHeader(files FS, name string) (header record.SegmentHeader, err error) {
 	file, err := files.Open(name)
 	if err != nil {
--- a/internal/record/spool/spool.go
+++ b/internal/record/spool/spool.go
@@ -1,8 +1,9 @@
-// Package spool keeps the ledger's frames in files: segments in a directory for each incarnation. It does what the ledger
-// says and must never decide when to write, what a failure means or what an entry is.
+// Package spool stores the frames of the ledger in files, with a directory of segments for each incarnation. It
+// executes the I/O that the ledger asks for. When to write, how to handle failures and what frames mean is decided by
+// package record.
 package spool
 
-// This file owns an instance's directory: its lock, its incarnations, and the removing of what is of no more use.
+// The directory of an instance: locking, listing and removing incarnations and segments.
 
 import (
 	"io"
@@ -14,15 +15,15 @@
 
 const lockName = "lock"
 
-// Spool is one instance's directory under a root.
+// Spool is the directory of one instance under a root directory.
 type Spool struct {
 	fs       FS
 	dir      string
 	Instance string
-	lock     io.Closer // nil: it is only looked at
+	lock     io.Closer // nil if opened read-only
 }
 
-// Open takes an instance's directory, alone. Errors wrap ErrLocked and ErrCopied.
+// Open creates or opens the directory of an instance and locks it. Errors wrap ErrLocked and ErrCopied.
 func Open(files FS, root, instance string) (*Spool, error) {
 	s := OpenReadOnly(files, root, instance)
 	if err := files.MkdirAll(s.dir); err != nil {
@@ -42,16 +43,16 @@
 	return s, nil
 }
 
-// OpenReadOnly looks at a directory without taking it.
+// OpenReadOnly opens the directory of an instance without locking it.
 func OpenReadOnly(files FS, root, instance string) *Spool {
 	return &Spool{fs: files, dir: join(root, url.PathEscape(instance)), Instance: instance}
 }
 
-// Instances lists whose directories are under a root.
+// Instances returns the names of the instances that have a directory under the root.
 func Instances(files FS, root string) (instances []string, err error) {
 	all, err := files.List(root)
 	for _, dir := range all {
-		inside, _ := files.List(join(root, dir.Name)) // anything else, such as a store's file, is no instance's
+		inside, _ := files.List(join(root, dir.Name)) // other entries, such as a store's file, contain no lock file
 		isInstance := slices.ContainsFunc(inside, func(file FileInfo) bool { return file.Name == lockName })
 		if instance, err := url.PathUnescape(dir.Name); err == nil && isInstance {
 			instances = append(instances, instance)
@@ -60,7 +61,7 @@
 	return instances, err
 }
 
-// Close lets the directory go.
+// Close releases the lock.
 func (s *Spool) Close() error {
 	if s.lock == nil {
 		return nil
@@ -68,7 +69,7 @@
 	return s.lock.Close()
 }
 
-// Incarnations lists them, in the order of their names; none where the directory can't be listed.
+// Incarnations returns the incarnations sorted by name, or none if the directory can't be listed.
 func (s *Spool) Incarnations() (incarnations []string) {
 	files, err := s.fs.List(s.dir)
 	if err != nil {
@@ -82,7 +83,7 @@
 	return incarnations
 }
 
-// Bytes is how many bytes the segments of all incarnations hold.
+// Bytes returns the total size of the segments of all incarnations.
 func (s *Spool) Bytes() (bytes int64) {
 	for _, incarnation := range s.Incarnations() {
 		for _, segment := range listSegments(s.fs, join(s.dir, incarnation)) {
@@ -92,7 +93,7 @@
 	return bytes
 }
 
-// Drop removes an incarnation's directory and returns the bytes that it held.
+// RemoveIncarnation removes an incarnation's directory and returns the number of bytes freed.
 func (s *Spool) RemoveIncarnation(incarnation string) (freed int64, err error) {
 	dir := join(s.dir, incarnation)
 	files, err := s.fs.List(dir)
@@ -106,14 +107,14 @@
 		}
 		freed += file.Bytes
 	}
-	// The owner file goes last: segments without it would be refused. What stays of either is a directory without
-	// segments, which the next start drops.
+	// The owner file is removed last, because segments without it are rejected by Open. If removing it or the directory
+	// fails, a directory without segments remains, which the next start removes.
 	_ = s.fs.Remove(join(dir, ownerName))
 	_ = s.fs.Remove(dir)
 	return freed, err
 }
 
-// Prune removes the segments before number `until` in which every ordinal is at most through, and returns their bytes.
+// Prune removes segments with numbers below `until` whose ordinals are all at most through. It returns the bytes freed.
 func (s *Spool) Prune(incarnation string, until, through uint64) (freed int64, err error) {
 	dir := join(s.dir, incarnation)
 	segments := listSegments(s.fs, dir)
--- a/internal/record/spool/writer.go
+++ b/internal/record/spool/writer.go
@@ -1,6 +1,6 @@
 package spool
 
-// This file owns the writing of one incarnation's segments.
+// Writing the segments of one incarnation.
 
 import (
 	"errors"
@@ -14,15 +14,15 @@
 
 var errNoSegment = errors.New("no segment is open")
 
-// Writer appends to one incarnation. Calls must not overlap.
+// Writer appends to one incarnation. Methods must not be called concurrently.
 type Writer struct {
 	fs          FS
 	dir         string
 	Incarnation string
-	file        File // nil: no segment is open
+	file        File // nil if no segment is open
 }
 
-// Begin makes a new incarnation.
+// NewIncarnation creates the directory of a new incarnation and returns its writer.
 func (s *Spool) NewIncarnation() (*Writer, error) {
 	id, err := uuid.NewRandom()
 	if err != nil {
@@ -39,8 +39,8 @@
 	return w, s.fs.SyncDir(s.dir)
 }
 
-// Do carries a step of the ledger out and tells how many bytes the files may now hold of it. After an error the next step
-// must begin a new segment.
+// Execute performs the I/O that the ledger asked for and returns how many of its bytes may have reached the file. After
+// an error the next I/O must start a new segment.
 func (w *Writer) Execute(next record.IO) (wrote int, err error) {
 	if next.NewSegment {
 		if err := w.beginSegment(next.Segment); err != nil {
@@ -53,7 +53,7 @@
 	if wrote, err = w.write(next.Bytes); err == nil && next.Sync {
 		err = w.sync(next.NewSegment)
 	}
-	if err != nil { // the ledger leaves the segment
+	if err != nil { // the ledger abandons the segment
 		w.file.Close()
 		w.file = nil
 	}
@@ -92,7 +92,7 @@
 	if err := w.file.Sync(); err != nil {
 		return err
 	}
-	if newSegment { // else the file's name may be lost with the power
+	if newSegment { // otherwise a power failure may lose the directory entry
 		if err := w.fs.SyncDir(w.dir); err != nil {
 			return err
 		}
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// Close ends writing.
+// Close closes the current segment.
 func (w *Writer) Close() error {
 	if w.file == nil {
 		return nil
--- a/internal/record/sqlite/sqlite.go
+++ b/internal/record/sqlite/sqlite.go
@@ -1,4 +1,4 @@
-// Package sqlite opens the embedded store: one file in WAL mode, shared by the instances of a host. It decides nothing.
+// Package sqlite opens the embedded store: one SQLite file in WAL mode, shared by the instances of a host.
 package sqlite
 
 import (
@@ -15,7 +15,8 @@
 	"onyxgate/internal/record/sqlstore"
 )
 
-// Open opens or makes a store; a writer waits for others up to busyTimeout. Nothing is read before the first use.
+// Open opens or creates a store. Writers wait up to busyTimeout for each other. The file is not accessed before first
+// use.
 func Open(path string, busyTimeout time.Duration) (*sqlstore.Store, error) {
 	options := url.Values{
 		"_pragma": {
@@ -28,7 +29,7 @@
 	if err != nil {
 		return nil, err
 	}
-	db.SetMaxOpenConns(2) // each has a cache of its own
+	db.SetMaxOpenConns(2) // each connection has its own cache
 	db.SetMaxIdleConns(1)
 	return sqlstore.New(database{runner{db}, db}, sqlstore.Dialect{
 		Name:       "sqlite",
@@ -41,7 +42,7 @@
 	}), nil
 }
 
-// runner carries database/sql over to what a store needs; database and transaction add what they have besides.
+// runner implements sqlstore.Runner on database/sql. database and transaction add the remaining methods.
 type runner struct {
 	conn interface {
 		ExecContext(ctx context.Context, text string, args ...any) (sql.Result, error)
@@ -94,10 +95,10 @@
 func (t transaction) Commit(context.Context) error { return t.tx.Commit() }
 
 func (t transaction) Rollback() {
-	_ = t.tx.Rollback() // after Commit there is none; else the connection goes, and the transaction with it
+	_ = t.tx.Rollback() // fails harmlessly after Commit; any other error drops the connection, ending the transaction
 }
 
-// Primary result codes, as SQLite publishes them.
+// Primary result codes of SQLite.
 const (
 	codeError    = 1
 	codeBusy     = 5
@@ -110,11 +111,11 @@
 	codeAuth     = 23
 	codeNotADB   = 26
 
-	// primaryMask takes the primary code out of an extended one.
+	// primaryMask extracts the primary code from an extended result code.
 	primaryMask = 0xff
 )
 
-// classify says what an error means for the next batch.
+// classify maps an error to an export result.
 func classify(err error) record.ExportResult {
 	var e *sqlite.Error
 	if !errors.As(err, &e) {
--- a/internal/record/sqlstore/put.go
+++ b/internal/record/sqlstore/put.go
@@ -1,6 +1,6 @@
 package sqlstore
 
-// This file owns the storing of a batch.
+// Storing batches.
 
 import (
 	"context"
@@ -12,16 +12,16 @@
 	"onyxgate/internal/record"
 )
 
-// Batch is what is stored at once.
+// Batch is a set of rows of one incarnation that are stored in one transaction.
 type Batch struct {
 	Instance, Incarnation, DirID string
 	Rows                         []record.Row
-	Through                      uint64 // everything up to it has become final
-	Closed                       bool   // and nothing will follow
+	Through                      uint64 // everything up to this ordinal is final
+	Closed                       bool   // nothing will follow
 }
 
-// Put stores a batch whole or not at all, each row once however often it comes. It returns the bytes that went. Errors wrap
-// ErrForeign; after any other the batch may be stored or not: Classify says what that means.
+// Put stores a batch atomically and returns the number of bytes sent. Rows that are already stored are skipped. If the
+// error wraps ErrForeign, nothing was stored; after any other error the batch may have been stored, see Classify.
 func (s *Store) Put(ctx context.Context, batch Batch) (bytes int, err error) {
 	tx, err := s.db.Begin(ctx)
 	if err != nil {
@@ -43,8 +43,8 @@
 	return bytes, nil
 }
 
-// claim locks the incarnation's row, so that of two exporters one waits, notes how far it is stored, and refuses it where it
-// is another place's.
+// claim locks the row of the incarnation, so that concurrent exporters wait for each other, and updates its progress.
+// It returns an error if the incarnation belongs to another spool directory.
 func claim(ctx context.Context, tx Tx, batch Batch) error {
 	if _, err := tx.Exec(ctx, NameClaim+`insert into onyxgate_incarnation (incarnation, agent, place, through, closed)
 		values ($1, $2, $3, 0, 0) on conflict do nothing`, batch.Incarnation, batch.Instance, batch.DirID); err != nil {
@@ -65,7 +65,7 @@
 		return err
 	}
 	if dirID != batch.DirID {
-		return fmt.Errorf("%w: %s, not %s", ErrForeign, dirID, batch.DirID)
+		return fmt.Errorf("%w: owner has directory ID %s, this one has %s", ErrForeign, dirID, batch.DirID)
 	}
 	return nil
 }
@@ -95,7 +95,7 @@
 	return bytes, nil
 }
 
-// insert sends rows as one JSON array and returns its bytes.
+// insert sends the rows as one JSON array and returns its size.
 func insert(ctx context.Context, tx Tx, text string, rows any) (bytes int, err error) {
 	array, err := json.Marshal(rows)
 	if err != nil {
--- a/internal/record/sqlstore/query.go
+++ b/internal/record/sqlstore/query.go
@@ -1,13 +1,13 @@
 package sqlstore
 
-// This file owns what is asked of the store, and the removing of old entries.
+// Queries and the removal of old entries.
 
 import (
 	"context"
 	"fmt"
 )
 
-// Through is how far an incarnation is stored, and whether it is closed.
+// Progress returns the ordinal up to which an incarnation is stored, and whether it is complete.
 func (s *Store) Progress(ctx context.Context, incarnation string) (through uint64, closed bool, err error) {
 	var throughColumn, closedColumn int64
 	err = queryOne(ctx, s.db, NameOwner+`select through, closed from onyxgate_incarnation where incarnation = $1`,
@@ -15,14 +15,14 @@
 	return uint64(throughColumn), closedColumn != 0, err
 }
 
-// Filter selects rows; empty fields select all. Times are Unix ms, From included and To not.
+// Filter selects entries. Empty fields match all. Times are Unix ms; From is inclusive, To is exclusive.
 type Filter struct {
 	From, To                                   float64
 	Instance, Class, Outcome, State, RequestID string
-	Limit                                      int // rows at most; 0: all
+	Limit                                      int // maximum number of rows; 0 for no limit
 }
 
-// where is the condition, and its arguments in the order of their numbers.
+// where returns the WHERE clause and its arguments.
 func (f Filter) where() (text string, args []any) {
 	text = " where true"
 	add := func(condition string, value any) {
@@ -49,7 +49,7 @@
 	return text, args
 }
 
-// Select calls each with the rows that match, oldest first, one at a time; an error of each ends it.
+// Select calls visit for each matching entry, oldest first. An error from visit ends the query.
 func (s *Store) Select(ctx context.Context, filter Filter, visit func(Row) error) error {
 	where, args := filter.where()
 	text := NameSelect + `select agent, incarnation, n, state, txn, product, outcome, reason, build, appliance, submissions,
@@ -70,7 +70,8 @@
 	})
 }
 
-// Gaps calls each with the gaps of an instance, or of all where none is named; an error of each ends it.
+// Gaps calls visit for each gap of an instance, or of all instances if instance is empty. An error from visit ends the
+// query.
 func (s *Store) Gaps(ctx context.Context, instance string, visit func(GapRow) error) error {
 	text, args := NameSelectGaps+`select agent, incarnation, n, settled, declined, voided, unknown, from_ms, to_ms, cause
 		from onyxgate_gap`, []any{}
@@ -90,8 +91,8 @@
 	})
 }
 
-// Count calls each with how many of the entries that match have the same instance, class, outcome and state; an error of
-// each ends it.
+// Count counts the matching entries by instance, class, outcome and state, and calls visit for each group. An error
+// from visit ends the query.
 func (s *Store) Count(ctx context.Context, filter Filter, visit func(GroupCount) error) error {
 	where, args := filter.where()
 	return s.db.Query(ctx, NameCount+`select agent, product, outcome, state, count(*) from onyxgate_entry`+where+
@@ -105,14 +106,15 @@
 		})
 }
 
-// Repeats counts the ordinals that are stored more than once: none, unless somebody dropped the primary key.
+// CountDuplicates returns the number of ordinals that are stored more than once. The primary key prevents duplicates
+// unless somebody has dropped it.
 func (s *Store) CountDuplicates(ctx context.Context) (n int64, err error) {
 	err = queryOne(ctx, s.db, NameCount+`select count(*) from (select 1 from onyxgate_entry group by incarnation, n
 		having count(*) > 1) repeats`, nil, &n)
 	return n, err
 }
 
-// Prune removes entries answered before a time (ms), `most` at the most, and returns how many.
+// Prune removes up to limit entries answered before a time (Unix ms) and returns how many it removed.
 func (s *Store) Prune(ctx context.Context, before float64, limit int) (int64, error) {
 	return s.db.Exec(ctx, NamePrune+`delete from onyxgate_entry where (incarnation, n) in (select incarnation, n
 		from onyxgate_entry where answered_ms < $1 limit $2)`, before, limit)
--- a/internal/record/sqlstore/rows.go
+++ b/internal/record/sqlstore/rows.go
@@ -1,6 +1,6 @@
 package sqlstore
 
-// This file owns the rows and columns of entries and gaps.
+// Rows and columns of the entry and gap tables.
 
 import (
 	"encoding/hex"
@@ -8,7 +8,7 @@
 	"onyxgate/internal/record"
 )
 
-// Row is a row of the store: an entry with what it belongs to, or a gap.
+// Row is an entry as stored.
 type Row struct {
 	Instance    string  `json:"agent"`
 	Incarnation string  `json:"incarnation"`
@@ -27,7 +27,7 @@
 	KeyDigest   string  `json:"mark"`
 }
 
-// GapRow is a gap as the store has it.
+// GapRow is a gap as stored.
 type GapRow struct {
 	Instance    string  `json:"agent"`
 	Incarnation string  `json:"incarnation"`
@@ -41,7 +41,7 @@
 	Cause       string  `json:"cause"`
 }
 
-// GroupCount is how many entries have the same instance, class, outcome and state.
+// GroupCount is the number of entries with the same instance, class, outcome and state.
 type GroupCount struct {
 	Instance, Class, Outcome, State string
 	Entries                         int64
@@ -72,7 +72,7 @@
 	return hex.EncodeToString(digest[:])
 }
 
-// column is one of a table; its name is also the JSON key of the field that goes into it.
+// column is a table column. Its name is also the JSON key of the corresponding field.
 type column struct {
 	name string
 	kind ColumnKind
--- a/internal/record/sqlstore/schema.go
+++ b/internal/record/sqlstore/schema.go
@@ -1,6 +1,6 @@
 package sqlstore
 
-// This file owns the schema and how it is brought up to date.
+// Database schema and migrations.
 
 import (
 	"context"
@@ -10,7 +10,8 @@
 	"onyxgate/internal/failpoint"
 )
 
-// migrations are numbered from 1 and never changed once they have run anywhere.
+// migrations returns the statements of each schema version, starting at version 1. Versions must not change once they
+// have been applied anywhere.
 func (s *Store) migrations() [][]string {
 	bigInt, double := s.dialect.BigIntType, s.dialect.DoubleType
 	key := `primary key (incarnation, n)`
@@ -39,17 +40,17 @@
 
 const createVersionTable = `create table if not exists onyxgate_schema (version integer primary key, applied_ms bigint not null)`
 
-// NewerSchemaError says that a newer program has been at the store.
+// NewerSchemaError is returned if the store was migrated by a newer version of the program.
 type NewerSchemaError struct {
-	Version, Known int // of the store, and the newest of this program
+	Version, Known int // version of the store, newest version known to this program
 }
 
 func (e *NewerSchemaError) Error() string {
-	return fmt.Sprintf("the store's schema is version %d, this program knows %d: use a newer program", e.Version, e.Known)
+	return fmt.Sprintf("store has schema version %d, newest supported is %d: use a newer program", e.Version, e.Known)
 }
 
-// Migrate brings the schema up to date, each step in a transaction of its own. Where the store's is newer than this program
-// the error is a *NewerSchemaError.
+// Migrate brings the schema up to date, running each step in its own transaction. It returns a *NewerSchemaError if the
+// schema is newer than this program.
 func (s *Store) Migrate(ctx context.Context) error {
 	if _, err := s.db.Exec(ctx, NameMigrate+createVersionTable); err != nil {
 		return fmt.Errorf("schema: %w", err)
@@ -63,7 +64,7 @@
 	return nil
 }
 
-// migrateTo does the step to a version, unless the store has it already. newest is the last that this program knows.
+// migrateTo applies the step to a version unless the store already has it. newest is the newest version known.
 func (s *Store) migrateTo(ctx context.Context, version int, statements []string, newest int) error {
 	tx, err := s.db.Begin(ctx)
 	if err != nil {
@@ -80,7 +81,8 @@
 	case current >= version:
 		return nil
 	}
-	// First, so that of two that migrate at once one waits for the other and then finds its own number taken.
+	// Inserted first, so that one of two concurrent migrations waits for the other and then fails on the duplicate
+	// version.
 	if _, err := tx.Exec(ctx, NameMigrate+"insert into onyxgate_schema (version, applied_ms) values ($1, $2)",
 		version, time.Now().UnixMilli()); err != nil {
 		return fmt.Errorf("schema version %d: %w", version, err)
--- a/internal/record/sqlstore/store.go
+++ b/internal/record/sqlstore/store.go
@@ -1,8 +1,9 @@
-// Package sqlstore keeps the record in an SQL database: schema, batches, selections, in one text for all stores that know
-// JSON. It must never decide when a batch goes or what a failure means for the next one.
+// Package sqlstore keeps the record in an SQL database: schema, batch inserts and queries, with the same SQL for all
+// databases that support JSON. When batches are sent and how failures affect later batches is decided by package
+// record.
 package sqlstore
 
-// This file owns what a store is made of, and the reading of its errors.
+// The store, its database interfaces and the classification of errors.
 
 import (
 	"context"
@@ -11,61 +12,64 @@
 	"onyxgate/internal/record"
 )
 
-// ColumnKind is what a column holds.
+// ColumnKind is the type of a column.
 type ColumnKind uint8
 
-// The kinds.
+// Column kinds.
 const (
 	Text   ColumnKind = iota
-	BigInt            // whole numbers of 64 bits
+	BigInt            // 64-bit integers
 	Double            // times in ms
 )
 
-// Dialect is what differs between stores.
+// Dialect holds the differences between databases.
 type Dialect struct {
 	Name string
-	// JSONRows names the set of elements of the JSON array $1 as v; JSONField reads one of its fields.
+	// JSONRows is the table expression that yields the elements of the JSON array $1 as v. JSONField returns the
+	// expression for a field of v.
 	JSONRows  string
 	JSONField func(name string, kind ColumnKind) string
-	// BigIntType and DoubleType are the types of such columns.
+	// BigIntType and DoubleType are the column types for BigInt and Double.
 	BigIntType, DoubleType string
-	// Classify says what an error of the database means.
+	// Classify maps a database error to an export result.
 	Classify func(error) record.ExportResult
-	// Checkpoint is run now and then; empty: nothing is.
+	// Checkpoint is a statement to run periodically; empty if none is needed.
 	Checkpoint string
 }
 
-// Runner runs statements; arguments and columns are strings, ints, int64s and float64s.
+// Runner executes statements. Arguments and columns are strings, ints, int64s and float64s.
 type Runner interface {
 	Exec(ctx context.Context, text string, args ...any) (affected int64, err error)
-	// Query calls each with a way to scan the row, one row in memory at a time; an error of each ends it.
+	// Query calls visit for each row with a function that scans it, holding one row in memory at a time. An error from
+	// visit ends the query.
 	Query(ctx context.Context, text string, args []any, visit func(scan func(...any) error) error) error
 }
 
-// Tx is a transaction; Rollback after Commit does nothing.
+// Tx is a transaction. Rollback does nothing after Commit.
 type Tx interface {
 	Runner
 	Commit(ctx context.Context) error
 	Rollback()
 }
 
-// DB is an open database. Behind database/sql all of pgx would be linked in, 1.4 MB of every instance's memory.
+// DB is an open database. It is used in place of database/sql because pgx's driver for the latter links in all of pgx,
+// which costs every instance 1.4 MB of memory.
 type DB interface {
 	Runner
 	Begin(ctx context.Context) (Tx, error)
 	Close() error
 }
 
-// Store keeps the record of any number of instances.
+// Store stores the records of any number of instances.
 type Store struct {
 	db      DB
 	dialect Dialect
 }
 
-// New makes a store on an open database.
+// New returns a store on an open database.
 func New(db DB, dialect Dialect) *Store { return &Store{db, dialect} }
 
-// Each statement begins with its name, by which operators find it in their store's own views.
+// Each statement starts with one of these comments, so that operators can identify it in the database's statistics.
 const (
 	NameVersion       = "/* onyxgate version */ "
 	NameMigrate       = "/* onyxgate migrate */ "
@@ -80,10 +84,10 @@
 	NamePrune         = "/* onyxgate prune */ "
 )
 
-// ErrForeign says that another place exports the same incarnation.
-var ErrForeign = errors.New("this incarnation is shipped from another place")
+// ErrForeign is returned if the incarnation is exported from another spool directory.
+var ErrForeign = errors.New("incarnation is exported from another spool directory")
 
-// Classify says what an error of Migrate or Put means for the batches to come.
+// Classify maps an error of Migrate or Put to an export result.
 func (s *Store) Classify(err error) record.ExportResult {
 	switch {
 	case err == nil:
@@ -96,7 +100,7 @@
 	return s.dialect.Classify(err)
 }
 
-// Checkpoint does the store's own upkeep, if it has any.
+// Checkpoint runs the database's checkpoint, if it has one.
 func (s *Store) Checkpoint(ctx context.Context) error {
 	if s.dialect.Checkpoint == "" {
 		return nil
@@ -105,11 +109,11 @@
 	return err
 }
 
-// Close lets the store go.
+// Close closes the database.
 func (s *Store) Close() error { return s.db.Close() }
 
-// HoldWriteLock keeps a transaction open while something runs, and rolls it back: with the store's write lock in it, others
-// wait meanwhile. It is for tests.
+// HoldWriteLock holds the database's write lock while a function runs, so that other writers wait, and then rolls back.
+// It is intended for tests.
 func (s *Store) HoldWriteLock(ctx context.Context, fn func()) error {
 	tx, err := s.db.Begin(ctx)
 	if err != nil {
@@ -123,7 +127,7 @@
 	return nil
 }
 
-// queryOne scans the only row of an answer; where there is none, nothing is scanned.
+// queryOne scans a result of at most one row. If there is no row, the destinations are left unchanged.
 func queryOne(ctx context.Context, runner Runner, text string, args []any, dest ...any) error {
 	return runner.Query(ctx, text, args, func(scan func(...any) error) error { return scan(dest...) })
 }
