--- a/internal/record/export_test.go
+++ b/internal/record/export_test.go
@@ -5,31 +5,31 @@
 	"testing"
 )
 
-// Batches grow while they are stored, pauses grow and scatter while they fail, and a store that may be back is asked with
-// one row.
+// Batches grow on success and shrink on failure, backoff grows and is randomized, and an unavailable store is probed
+// with single rows.
 func TestExportScheduler(t *testing.T) {
 	s := NewExportScheduler(100, 50, rand.New(rand.NewPCG(1, 2)))
 	now := 1000.0
 	if n, _ := s.Next(now, 0); n != 0 {
-		t.Error("nothing waits and something goes")
+		t.Errorf("Next with no rows waiting = %d rows, want 0", n)
 	}
 	if n, wait := s.Next(now, 3); n != 0 || wait != 50 {
-		t.Errorf("a few rows do not wait for more: %d, %v", n, wait)
+		t.Errorf("Next with 3 rows waiting = %d rows, wait %v, want 0 rows, wait 50", n, wait)
 	}
 	if n, _ := s.Next(now+50, 3); n != 3 {
-		t.Errorf("they wait too long: %d", n)
+		t.Errorf("Next with 3 rows waiting for 50 ms = %d rows, want 3", n)
 	}
 	if n, _ := s.Next(now, 1000); n != 64 {
-		t.Errorf("the first batch has %d", n)
+		t.Errorf("first batch = %d rows, want 64", n)
 	}
 	s.Result(now, ExportStored)
 	if n, _ := s.Next(now, 1000); n != 100 {
-		t.Errorf("it does not grow: %d", n)
+		t.Errorf("batch after a success = %d rows, want 100", n)
 	}
 	last := 0.0
 	for k, c := range []struct {
 		r                  ExportResult
-		minPause, maxPause float64 // of the pause
+		minPause, maxPause float64 // of the backoff (ms)
 	}{
 		{ExportUnknown, 50, 150},
 		{ExportUnknown, 100, 300},
@@ -41,22 +41,24 @@
 		s.Result(now, c.r)
 		n, wait := s.Next(now, 1000)
 		if n != 0 || wait < c.minPause || wait > c.maxPause {
-			t.Errorf("%d: after %v a pause of %v, %d rows", k, c.r, wait, n)
+			t.Errorf("step %d: backoff after %v = %v with %d rows, want %v to %v with 0 rows",
+				k, c.r, wait, n, c.minPause, c.maxPause)
 		}
 		if wait == last {
-			t.Error("pauses do not scatter")
+			t.Errorf("step %d: backoff = %v twice in a row, want randomized values", k, wait)
 		}
 		last = wait
 		if now += wait; s.CircuitOpen() != (k >= 3) {
-			t.Errorf("%d: broken %v", k, s.CircuitOpen())
+			t.Errorf("step %d: CircuitOpen = %v, want %v", k, s.CircuitOpen(), k >= 3)
 		}
 	}
 	if n, _ := s.Next(now, 1000); n != 1 {
-		t.Errorf("a store that may be back is asked with %d rows", n)
+		t.Errorf("batch with open circuit = %d rows, want 1", n)
 	}
 	s.Result(now, ExportStored)
 	if n, _ := s.Next(now, 1000); n < 2 || s.CircuitOpen() {
-		t.Errorf("it is back, and gets %d", n)
+		t.Errorf("after a success with open circuit: batch = %d rows, CircuitOpen = %v, want at least 2, false",
+			n, s.CircuitOpen())
 	}
 }
 
@@ -67,21 +69,21 @@
 		turns[scheduler.NextSource(true, true)]++
 	}
 	if turns[SourceRunning] != 300 || turns[SourceEarlier] != 100 {
-		t.Errorf("of 400 turns %v, want 300 of the running incarnation and 100 of earlier ones", turns)
+		t.Errorf("400 turns by source = %v, want 300 running and 100 earlier", turns)
 	}
 	for _, c := range []struct {
 		name             string
 		running, earlier bool
 		want             ExportSource
 	}{
-		{"the running one waits", true, false, SourceRunning},
-		{"an earlier one waits", false, true, SourceEarlier},
-		{"nothing waits", false, false, SourceNone},
+		{"only running", true, false, SourceRunning},
+		{"only earlier", false, true, SourceEarlier},
+		{"none", false, false, SourceNone},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for range turnsPerRound {
 				if source := scheduler.NextSource(c.running, c.earlier); source != c.want {
-					t.Errorf("source %d, want %d", source, c.want)
+					t.Errorf("NextSource = %d, want %d", source, c.want)
 				}
 			}
 		})
@@ -90,10 +92,10 @@
 
 func TestOnReadError(t *testing.T) {
 	if SourceRunning.OnReadError() != RetryRead {
-		t.Error("the running incarnation is not read again")
+		t.Errorf("SourceRunning.OnReadError = %v, want %v", SourceRunning.OnReadError(), RetryRead)
 	}
 	if SourceEarlier.OnReadError() != KeepFiles {
-		t.Error("the files of an earlier incarnation do not stay")
+		t.Errorf("SourceEarlier.OnReadError = %v, want %v", SourceEarlier.OnReadError(), KeepFiles)
 	}
 }
 
@@ -104,15 +106,15 @@
 		waiting      []Row
 		want         uint64
 	}{
-		{"nothing waits", 7, nil, 7},
-		{"a later entry waits", 7, []Row{{Entry: Entry{Ordinal: 9}}}, 7},
-		{"an entry waits", 7, []Row{{Entry: Entry{Ordinal: 5}}, {Entry: Entry{Ordinal: 6}}}, 4},
-		{"a gap waits", 7, []Row{{Entry: Entry{Ordinal: 6}}, {Gap: &Gap{Ordinal: 3}}}, 2},
-		{"the first waits", 7, []Row{{Entry: Entry{Ordinal: 1}}}, 0},
+		{"none waiting", 7, nil, 7},
+		{"later entry waiting", 7, []Row{{Entry: Entry{Ordinal: 9}}}, 7},
+		{"entries waiting", 7, []Row{{Entry: Entry{Ordinal: 5}}, {Entry: Entry{Ordinal: 6}}}, 4},
+		{"gap waiting", 7, []Row{{Entry: Entry{Ordinal: 6}}, {Gap: &Gap{Ordinal: 3}}}, 2},
+		{"first entry waiting", 7, []Row{{Entry: Entry{Ordinal: 1}}}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if through := StoredThrough(c.finalThrough, c.waiting); through != c.want {
-				t.Errorf("through %d, want %d", through, c.want)
+				t.Errorf("StoredThrough = %d, want %d", through, c.want)
 			}
 		})
 	}
--- a/internal/record/frame_test.go
+++ b/internal/record/frame_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// findFrame is where the first whole frame begins in b, or -1.
+// findFrame returns the offset of the first valid frame in b, or -1.
 func findFrame(b []byte) int {
 	for offset := range b {
 		if _, _, err := ParseFrame(b[offset:]); err == nil {
@@ -16,26 +16,26 @@
 	return -1
 }
 
-// Frames cut anywhere are short, changed anywhere spoilt; nothing else is ever read.
+// A frame that is truncated anywhere is short, and a frame with any bit flipped is rejected.
 func TestFrames(t *testing.T) {
 	whole := AppendFrame(nil, 7, Digest{1}, Encode(KindGap, Gap{Ordinal: 7, Cause: "x"}))
 	for i := range whole {
 		if _, _, err := ParseFrame(whole[:i]); !errors.Is(err, ErrShortFrame) {
-			t.Errorf("cut at %d: %v", i, err)
+			t.Errorf("frame truncated at byte %d: error %v, want %v", i, err, ErrShortFrame)
 		}
 		b := bytes.Clone(whole)
 		b[i] ^= 1 << (i % 8)
 		if _, _, err := ParseFrame(b); err == nil {
-			t.Errorf("bit of byte %d flipped: taken", i)
+			t.Errorf("frame with bit %d of byte %d flipped: error = nil, want one", i%8, i)
 		}
 	}
 	for _, bad := range [][]byte{nil, {0}, {1}, {2, 0xff}, {3, 0x9f}, {4, 0x80}} {
 		if v, err := Decode(bad); err == nil {
-			t.Errorf("%x decodes to %+v", bad, v)
+			t.Errorf("Decode(%x) = %+v, want an error", bad, v)
 		}
 	}
 	if offset := findFrame(append([]byte{0x0f, 'o', 'x', 0xf1, 0x0f}, whole...)); offset != 5 {
-		t.Errorf("found at %d", offset)
+		t.Errorf("frame found at offset %d, want 5", offset)
 	}
 }
 
@@ -52,11 +52,12 @@
 				continue
 			}
 			if size <= FrameOverhead || size > len(b) {
-				t.Fatalf("a frame of %d bytes in %d", size, len(b))
+				t.Fatalf("ParseFrame: size = %d of %d bytes, want more than %d and at most all",
+					size, len(b), FrameOverhead)
 			}
 			replay.Apply(frame)
 			if replay.FinalThrough() > replay.LastRead() {
-				t.Fatalf("through %d of %d", replay.FinalThrough(), replay.LastRead())
+				t.Fatalf("FinalThrough = %d, beyond LastRead = %d", replay.FinalThrough(), replay.LastRead())
 			}
 			b = b[size:]
 		}
--- a/internal/record/helper_test.go
+++ b/internal/record/helper_test.go
@@ -1,13 +1,13 @@
 package record
 
-// disk is what a ledger's steps leave behind, with failures by script, and what a reading of it finds.
+// disk holds the segments that a ledger's I/O produces, with scripted failures.
 type disk struct {
 	segments [][]byte
 	synced   []int
-	fail     func(next IO) (wrote int, ok bool) // nil: all goes well
+	fail     func(next IO) (wrote int, ok bool) // if nil, all I/O succeeds
 }
 
-// do carries out one step; it tells whether there was one.
+// step performs the next I/O and reports whether there was any.
 func (d *disk) step(l *Ledger, now float64) bool {
 	next := l.NextIO(now)
 	if next.Idle() {
@@ -29,13 +29,13 @@
 	return true
 }
 
-// all does all that is to be done now.
+// drain performs all I/O that is due now.
 func (d *disk) drain(l *Ledger, now float64) {
 	for d.step(l, now) {
 	}
 }
 
-// read replays what is there; synced: only that.
+// replay replays the segments, or only their synced parts.
 func (d *disk) replay(synced bool) (*Replay, []Row) {
 	replay, rows := NewReplay(), []Row(nil)
 	for i, segment := range d.segments {
@@ -70,7 +70,7 @@
 	return rows
 }
 
-// ledger makes one whose writes and segments are small.
+// testLedger returns a ledger with small writes and segments.
 func testLedger(options LedgerOptions) *Ledger {
 	options.Instance, options.Incarnation = "n", "i"
 	options.MaxWriteBytes, options.MaxSegmentBytes = 4096, 2048
@@ -78,7 +78,7 @@
 	return NewLedger(options)
 }
 
-// roomy are the options of a ledger that is not to get full.
+// largeOptions returns options with limits that tests don't reach.
 func largeOptions() LedgerOptions {
 	return LedgerOptions{Sync: true, MaxSpoolBytes: 1 << 20, MaxQueuedBytes: 1 << 16}
 }
--- a/internal/record/postgres/postgres_test.go
+++ b/internal/record/postgres/postgres_test.go
@@ -9,9 +9,9 @@
 func TestOpen(t *testing.T) {
 	for _, c := range []struct{ name, address, mode, wantErr string }{
 		{"no port", "db", "require", "address"},
-		{"an unknown mode", "db:1", "prefer", "tls"},
-		{"a port that is none", "db:x", "require", "port"},
-		{"right", "db:1", "require", ""},
+		{"unknown mode", "db:1", "prefer", "tls"},
+		{"invalid port", "db:x", "require", "port"},
+		{"valid", "db:1", "require", ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			store, err := Open(Options{
@@ -19,7 +19,7 @@
 			})
 			if c.wantErr != "" {
 				if err == nil || !strings.Contains(err.Error(), c.wantErr) {
-					t.Errorf("%v, want one about %s", err, c.wantErr)
+					t.Errorf("Open: error %v, want one containing %q", err, c.wantErr)
 				}
 				return
 			}
@@ -31,7 +31,7 @@
 			}
 		})
 	}
-	t.Run("a password that is not there", func(t *testing.T) {
+	t.Run("missing password file", func(t *testing.T) {
 		store, err := Open(Options{
 			Address: "127.0.0.1:1", Database: "d", User: "u", PasswordFile: "/no/such/password", TLS: "disable",
 			ConnectTimeout: time.Second,
@@ -40,7 +40,7 @@
 			t.Fatal(err)
 		}
 		if err := store.Migrate(t.Context()); err == nil || !strings.Contains(err.Error(), "password") {
-			t.Errorf("%v", err)
+			t.Errorf("Migrate: error %v, want one containing %q", err, "password")
 		}
 	})
 }
--- a/internal/record/postgres/tls_test.go
+++ b/internal/record/postgres/tls_test.go
@@ -20,7 +20,7 @@
 	"github.com/jackc/pgx/v5/pgconn"
 )
 
-// certificate is one for a name, signed by itself, and its PEM.
+// certificate returns a self-signed certificate for a host name, and its PEM encoding.
 func certificate(t *testing.T, name string) (tls.Certificate, []byte) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -48,7 +48,7 @@
 	return name
 }
 
-// Each mode takes the servers that it promises to take.
+// Each mode accepts exactly the servers that it should.
 func TestTLS(t *testing.T) {
 	ours, text := certificate(t, "db.internal")
 	other, _ := certificate(t, "db.internal")
@@ -58,43 +58,44 @@
 		server           tls.Certificate
 		ok               bool
 	}{
-		{"require, the right server", "require", "db.internal", ours, true},
-		{"require, another name and authority", "require", "elsewhere", other, true},
-		{"verify-ca, the right server", "verify-ca", "db.internal", ours, true},
-		{"verify-ca, another name", "verify-ca", "elsewhere", ours, true},
-		{"verify-ca, another authority", "verify-ca", "db.internal", other, false},
-		{"verify-full, the right server", "verify-full", "db.internal", ours, true},
-		{"verify-full, another name", "verify-full", "elsewhere", ours, false},
-		{"verify-full, another authority", "verify-full", "db.internal", other, false},
+		{"require, right server", "require", "db.internal", ours, true},
+		{"require, wrong name and authority", "require", "elsewhere", other, true},
+		{"verify-ca, right server", "verify-ca", "db.internal", ours, true},
+		{"verify-ca, wrong name", "verify-ca", "elsewhere", ours, true},
+		{"verify-ca, wrong authority", "verify-ca", "db.internal", other, false},
+		{"verify-full, right server", "verify-full", "db.internal", ours, true},
+		{"verify-full, wrong name", "verify-full", "elsewhere", ours, false},
+		{"verify-full, wrong authority", "verify-full", "db.internal", other, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			config, err := tlsConfig(c.host, c.mode, ca)
 			if err != nil {
 				t.Fatal(err)
 			}
-			// A client that refuses stops reading: the time-out ends it, in no real time.
+			// A client that rejects the server stops reading, and the server's handshake ends at its time-out, in fake
+			// time.
 			synctest.Test(t, func(t *testing.T) {
 				if err := handshake(t, config, c.server); (err == nil) != c.ok {
-					t.Errorf("%v", err)
+					t.Errorf("handshake: error %v, want success: %v", err, c.ok)
 				}
 			})
 		})
 	}
 	t.Run("disable", func(t *testing.T) {
 		if config, err := tlsConfig("h", "disable", ""); config != nil || err != nil {
-			t.Error(config, err)
+			t.Errorf("tlsConfig = %v, error %v, want nil, nil", config, err)
 		}
 	})
 }
 
-// handshake is how a client takes a server.
+// handshake returns the error of the client's TLS handshake with a server.
 func handshake(t *testing.T, config *tls.Config, server tls.Certificate) error {
 	t.Helper()
 	here, there := net.Pipe()
 	defer here.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
-	go func() { // until the client has closed its end, or ctx ends
+	go func() { // ends when the client closes its end or ctx is done
 		_ = tls.Server(there, &tls.Config{Certificates: []tls.Certificate{server}}).HandshakeContext(ctx)
 	}()
 	return tls.Client(here, config).HandshakeContext(ctx)
@@ -102,18 +103,18 @@
 
 func TestTLSFiles(t *testing.T) {
 	for name, file := range map[string]string{
-		"no certificate in it": writeFile(t, "no certificate"),
-		"missing":              filepath.Join(t.TempDir(), "missing"),
+		"no certificate": writeFile(t, "no certificate"),
+		"missing":        filepath.Join(t.TempDir(), "missing"),
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := tlsConfig("h", "require", file); err == nil {
-				t.Errorf("%s is taken", file)
+				t.Errorf("tlsConfig with CA file %s: error = nil, want one", file)
 			}
 		})
 	}
 }
 
-// A server that has no TLS is not sent anything in plain text.
+// Nothing is sent in plain text to a server without TLS.
 func TestNoPlainText(t *testing.T) {
 	config, err := pgconn.ParseConfig("host=h port=1 dbname=d user=u sslmode=disable")
 	if err != nil {
@@ -131,14 +132,15 @@
 	}
 	store := New(config, func() (string, error) { return "secret", nil })
 	if err := store.Migrate(t.Context()); err == nil {
-		t.Error("a server without TLS is taken")
+		t.Error("Migrate on a server without TLS: error = nil, want one")
 	}
 	if bytes := <-plain; bytes != 0 {
-		t.Errorf("%d bytes went in plain text", bytes)
+		t.Errorf("%d bytes were sent in plain text, want 0", bytes)
 	}
 }
 
-// refuseTLS answers the question for TLS with no, and returns how many bytes come all the same.
+// refuseTLS declines the client's TLS request and returns the number of bytes that the client sends nevertheless, or -1
+// if the connection fails before that.
 func refuseTLS(client net.Conn) (bytes int) {
 	question := make([]byte, 8)
 	if _, err := client.Read(question); err != nil {
--- a/internal/record/recorder/audit.go
+++ b/internal/record/recorder/audit.go
@@ -99,7 +99,7 @@
 		return err
 	}
 	if duplicates > 0 {
-		found(Finding{true, "store", fmt.Sprintf("%d ordinals stand more than once", duplicates)})
+		found(Finding{true, "store", fmt.Sprintf("%d ordinals are stored more than once", duplicates)})
 	}
 	if err := store.Gaps(ctx, instance, func(gap sqlstore.GapRow) error {
 		what := fmt.Sprintf("gap of %s/%s at %d: %d settled, %d declined, %d voided, %d unknown, %.0f to %.0f ms, %s",
--- a/internal/record/recorder/helper_test.go
+++ b/internal/record/recorder/helper_test.go
@@ -27,7 +27,7 @@
 	return Options{Settings: config, Instance: "n1", Classes: []string{"p"}, Now: clock(), Seed: 1}
 }
 
-// start runs a recorder; stop ends it and waits until nothing of it runs any more.
+// start runs a recorder. stop ends it and waits until everything that it started has ended.
 func start(r *Recorder) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -41,7 +41,7 @@
 	}
 }
 
-// rowsOfIncarnation reads all that an incarnation holds.
+// rowsOfIncarnation reads all rows of an incarnation.
 func rowsOfIncarnation(t *testing.T, reader *spool.Reader) (rows []record.Row) {
 	t.Helper()
 	defer reader.Close()
@@ -56,7 +56,7 @@
 	return rows
 }
 
-// openStore opens the store of the settings until the test ends.
+// openStore opens the configured store and closes it when the test ends.
 func openStore(t *testing.T, config Config) *sqlstore.Store {
 	t.Helper()
 	store, err := config.Store.Open()
--- a/internal/record/recorder/recorder_test.go
+++ b/internal/record/recorder/recorder_test.go
@@ -15,7 +15,7 @@
 	"onyxgate/internal/record/spool"
 )
 
-// onMemory makes a recorder on a file system that fails as it is told.
+// newOnFake returns a recorder on a file system whose failures are scripted.
 func newOnFake(t *testing.T, files *memfs.FS, config Config) *Recorder {
 	t.Helper()
 	r, err := newOn(files, "root", testOptions(config))
@@ -25,22 +25,23 @@
 	return r
 }
 
-// An answer waits for its sync, not for longer than patience or its time, and not at all where none is to be expected.
+// A response waits for its entry to be synced, but no longer than CommitDelay or its remaining time, and not at all if
+// the sync can't be expected to succeed.
 func TestWaits(t *testing.T) {
 	for _, c := range []struct {
 		name             string
-		sync             time.Duration // that a sync takes
+		sync             time.Duration // duration of a sync
 		err              error
 		left             float64 // ms
 		minWait, maxWait time.Duration
 		unsynced         uint64
 	}{
-		{"a quick disk", time.Millisecond, nil, 1000, time.Millisecond, 3 * time.Millisecond, 0},
-		{"a slow disk", 80 * time.Millisecond, nil, 1000, 80 * time.Millisecond, 85 * time.Millisecond, 0},
-		{"a disk that hangs", 10 * time.Second, nil, 1000, 249 * time.Millisecond, 251 * time.Millisecond, 1},
-		{"no time left", 80 * time.Millisecond, nil, 20, 19 * time.Millisecond, 21 * time.Millisecond, 1},
-		{"no time at all", 80 * time.Millisecond, nil, -5, 0, time.Millisecond, 1},
-		{"a sync that fails", time.Millisecond, errors.New("told to fail"), 1000, time.Millisecond, 3 * time.Millisecond, 1},
+		{"fast disk", time.Millisecond, nil, 1000, time.Millisecond, 3 * time.Millisecond, 0},
+		{"slow disk", 80 * time.Millisecond, nil, 1000, 80 * time.Millisecond, 85 * time.Millisecond, 0},
+		{"hanging disk", 10 * time.Second, nil, 1000, 249 * time.Millisecond, 251 * time.Millisecond, 1},
+		{"little time left", 80 * time.Millisecond, nil, 20, 19 * time.Millisecond, 21 * time.Millisecond, 1},
+		{"no time left", 80 * time.Millisecond, nil, -5, 0, time.Millisecond, 1},
+		{"failing sync", time.Millisecond, errors.New("injected sync failure"), 1000, time.Millisecond, 3 * time.Millisecond, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -62,10 +63,10 @@
 				completion := core.Completion{RequestID: "t", Kind: core.ActionServe, Now: now, Body: []byte("b")}
 				ordinal := r.BeforeResponse(completion, now+c.left)
 				if took := time.Since(from); took < c.minWait || took > c.maxWait {
-					t.Errorf("it waited %v, not %v to %v", took, c.minWait, c.maxWait)
+					t.Errorf("BeforeResponse took %v, want %v to %v", took, c.minWait, c.maxWait)
 				}
 				if n := r.Status().Unsynced; n != c.unsynced {
-					t.Errorf("%d unsynced, want %d", n, c.unsynced)
+					t.Errorf("Unsynced = %d, want %d", n, c.unsynced)
 				}
 				failing.Store(false)
 				r.AfterResponse(ordinal, r.now(), true)
@@ -77,20 +78,21 @@
 	}
 }
 
-// expectOneAnswered: however it went, the entry is there, once, with its end.
+// expectOneAnswered checks that the entry is read exactly once, with its completion.
 func expectOneAnswered(t *testing.T, files spool.FS, incarnation string) {
 	t.Helper()
 	reader := spool.OpenReadOnly(files, "root", "n1").NewReader(incarnation, true)
 	rows := rowsOfIncarnation(t, reader)
 	if defects := reader.Replay.Defects; len(defects) > 0 {
-		t.Errorf("defects %v", defects)
+		t.Errorf("defects = %v, want none", defects)
 	}
 	if len(rows) != 1 || rows[0].State != record.StateAnswered || rows[0].Entry.Class != "p" {
-		t.Errorf("rows %v", rows)
+		t.Errorf("rows = %v, want one row of class p in state %v", rows, record.StateAnswered)
 	}
 }
 
-// While the disk fails, what holds is what was set; what had no room is in a gap, and nothing waits.
+// While the disk fails, requests are handled as configured, unrecorded responses are counted in a gap, and no request
+// waits.
 func TestWhenFull(t *testing.T) {
 	for _, policy := range []string{"keep-serving", "decline"} {
 		t.Run(policy, func(t *testing.T) {
@@ -118,15 +120,16 @@
 	from := time.Now()
 	unrecorded, rejected := answer(r, all)
 	if took := time.Since(from); took > 3*time.Second {
-		t.Errorf("%d answers took %v", all, took)
+		t.Errorf("%d responses took %v, want at most 3s", all, took)
 	}
 	if policy == "decline" && rejected < all-10 || policy == "keep-serving" && rejected > 0 {
-		t.Errorf("%d of %d rejected", rejected, all)
+		t.Errorf("policy %s: %d of %d requests rejected, want almost all with decline, none with keep-serving",
+			policy, rejected, all)
 	}
 	failing.Store(false)
 	time.Sleep(5 * time.Second)
 	if _, reason := r.Admit(r.now()); reason != "" {
-		t.Error("rejected after the disk is back")
+		t.Errorf("Admit after the disk has recovered: reason = %q, want none", reason)
 	}
 	stop()
 	reader := spool.OpenReadOnly(files, "root", "n1").NewReader(r.writer.Incarnation, true)
@@ -137,15 +140,17 @@
 			continue
 		}
 		if recorded++; row.State != record.StateAnswered {
-			t.Errorf("%v is %v", row.Entry.RequestID, row.State)
+			t.Errorf("request %v: state = %v, want %v", row.Entry.RequestID, row.State, record.StateAnswered)
 		}
 	}
 	if unrecorded == 0 || recorded != all-unrecorded || gaps != unrecorded || len(reader.Replay.Defects) > 0 {
-		t.Errorf("%d recorded, %d in gaps, %d unrecorded of %d, %v", recorded, gaps, unrecorded, all, reader.Replay.Defects)
+		t.Errorf("of %d responses %d recorded, %d in gaps, %d unrecorded, defects = %v, want recorded and unrecorded "+
+			"to add up, gaps to count the unrecorded, no defects",
+			all, recorded, gaps, unrecorded, reader.Replay.Defects)
 	}
 }
 
-// answer answers n requests, one each millisecond, whether they are admitted or not.
+// answer handles n requests at intervals of 1 ms, whether or not they are admitted.
 func answer(r *Recorder, n int) (unrecorded, rejected int) {
 	for i := range n {
 		if _, reason := r.Admit(r.now()); reason == "unrecorded" {
--- a/internal/record/recorder/ship_test.go
+++ b/internal/record/recorder/ship_test.go
@@ -17,11 +17,11 @@
 	"onyxgate/internal/record/sqlstore"
 )
 
-// answersOfLife is how many answers a life in TestShip gives: of every hundred the end of one is not noted, and of the
-// others half are delivered.
+// answersPerIncarnation is the number of responses of each incarnation in TestShip. Of every hundred, one has no
+// completion; half of the others are delivered.
 const answersPerIncarnation = 300
 
-// live runs an instance without a store and leaves its spool.
+// writeSpool runs an instance without a store and leaves its spool.
 func writeSpool(t *testing.T, config Config, incarnation int) {
 	t.Helper()
 	config.Store.Kind = "none"
@@ -36,7 +36,7 @@
 		answers.Go(func() {
 			completion := core.Completion{RequestID: fmt.Sprint(incarnation, "-", i), Kind: core.ActionFail, Now: r.now()}
 			ordinal := r.BeforeResponse(completion, r.now()+1e6)
-			if i%100 != 0 { // else as if killed in between
+			if i%100 != 0 { // otherwise as if killed before the completion
 				r.AfterResponse(ordinal, r.now(), i%2 == 0)
 			}
 		})
@@ -44,7 +44,7 @@
 	answers.Wait()
 }
 
-// What earlier lives left goes to the store once, however many exporters come and wherever they were killed.
+// Rows of earlier incarnations are stored exactly once, even if exporting is interrupted and repeated.
 func TestShip(t *testing.T) {
 	dir := t.TempDir()
 	config := DefaultConfig()
@@ -58,8 +58,8 @@
 	store := openStore(t, config)
 	for round, c := range []struct {
 		name       string
-		maxBatches int // batches
-	}{{"stopped after its first batches", 4}, {"to the end", 0}, {"with nothing left", 0}} {
+		maxBatches int // number of batches; 0 for no limit
+	}{{"interrupted", 4}, {"resumed", 0}, {"nothing left", 0}} {
 		t.Run(c.name, func(t *testing.T) {
 			ctx, stop := context.WithCancel(t.Context())
 			defer stop()
@@ -70,14 +70,15 @@
 				}
 			})
 			if (err != nil) != (c.maxBatches > 0) || round == 2 && batches > 0 {
-				t.Errorf("%v after %d batches", err, batches)
+				t.Errorf("Ship: error %v after %d batches, want an error only if interrupted and no batches if "+
+					"nothing is left", err, batches)
 			}
 		})
 	}
 	seen, states := map[string]bool{}, map[string]int{}
 	if err := store.Select(t.Context(), sqlstore.Filter{}, func(row sqlstore.Row) error {
 		if seen[row.RequestID] {
-			t.Errorf("%s twice", row.RequestID)
+			t.Errorf("request %s is stored more than once", row.RequestID)
 		}
 		seen[row.RequestID] = true
 		states[row.State]++
@@ -86,19 +87,20 @@
 		t.Fatal(err)
 	}
 	if len(seen) != incarnations*answersPerIncarnation {
-		t.Errorf("%d of %d in the store", len(seen), incarnations*answersPerIncarnation)
+		t.Errorf("%d of %d requests are in the store", len(seen), incarnations*answersPerIncarnation)
 	}
 	if states["in doubt"] != incarnations*3 || states["given"] != incarnations*147 || states["unheard"] != incarnations*150 {
-		t.Errorf("states %v", states)
+		t.Errorf("entries by state = %v, want %d in doubt, %d given, %d unheard",
+			states, incarnations*3, incarnations*147, incarnations*150)
 	}
 	for _, finding := range audit(t, config, "") {
 		if finding.Defect {
-			t.Errorf("a defect: %+v", finding)
+			t.Errorf("audit found a defect: %+v", finding)
 		}
 	}
 }
 
-// An incarnation that another place exports is refused by the store, and its files stay.
+// The store rejects an incarnation that another spool directory exports, and its files are kept.
 func TestForeign(t *testing.T) {
 	dir := t.TempDir()
 	config := DefaultConfig()
@@ -116,10 +118,10 @@
 	err := Ship(t.Context(), config, "n1", func(uint64, uint64) {})
 	var refused *RefusedError
 	if !errors.As(err, &refused) || refused.Result != record.ExportForeign || !strings.Contains(err.Error(), "foreign") {
-		t.Errorf("shipped: %v", err)
+		t.Errorf("Ship: error %v, want a RefusedError with result %v", err, record.ExportForeign)
 	}
 	if left := spool.OpenReadOnly(spool.Disk{}, config.Directory, "n1"); left.Bytes() == 0 {
-		t.Error("its files are gone")
+		t.Errorf("spool of %d bytes left, want the incarnation's files", left.Bytes())
 	}
 }
 
@@ -149,16 +151,16 @@
 	return writer.Incarnation
 }
 
-// Where there is nothing to send to, that is said.
+// Without a store, Ship returns ErrNoStore.
 func TestShipWithoutStore(t *testing.T) {
 	config := DefaultConfig()
 	config.Mode, config.Directory = "spool", t.TempDir()
 	if err := Ship(t.Context(), config, "n1", func(uint64, uint64) {}); !errors.Is(err, ErrNoStore) {
-		t.Errorf("without a store: %v", err)
+		t.Errorf("Ship without a store: error %v, want %v", err, ErrNoStore)
 	}
 }
 
-// An earlier incarnation that can't be read stays as it is, and those after it go to the store.
+// An earlier incarnation that can't be read is kept, and later incarnations are exported.
 func TestShipUnreadable(t *testing.T) {
 	dir := t.TempDir()
 	config := DefaultConfig()
@@ -180,10 +182,10 @@
 	}
 	for _, row := range storedRows(t, openStore(t, config), "n1") {
 		if row.Incarnation != whole {
-			t.Errorf("a row of the unreadable incarnation is in the store: %+v", row)
+			t.Errorf("stored row = %+v, want only rows of incarnation %s", row, whole)
 		}
 	}
 	if left := spool.OpenReadOnly(spool.Disk{}, config.Directory, "n1").Incarnations(); !slices.Equal(left, []string{mixed}) {
-		t.Errorf("incarnations %v left, want %v", left, mixed)
+		t.Errorf("incarnations left in the spool = %v, want %v", left, mixed)
 	}
 }
--- a/internal/record/recorder/stored_test.go
+++ b/internal/record/recorder/stored_test.go
@@ -19,21 +19,21 @@
 	"onyxgate/internal/units"
 )
 
-// storedData is what the program at commit a848032 wrote: a spool of two instances (n1: two incarnations, segments left
-// after failed writes, a gap, a torn end; n2: a bit flipped in its first segment), and a SQLite store into which that
-// program had shipped a part of n1's rows when it was stopped. expected.json is what that program itself read, shipped and
-// audited.
+// storedData was written by the program at commit a848032: a spool of two instances (n1: two incarnations, segments
+// left after failed writes, a gap, a torn tail; n2: a flipped bit in its first segment), and an SQLite store to which
+// that program had exported some of n1's rows when it was stopped. expected.json holds what that program itself read,
+// exported and found in its audits.
 const storedData = "testdata/a848032"
 
-// storedInstance is what the old program made of one instance's spool.
+// storedInstance is what the old program read, exported and found for one instance.
 type storedInstance struct {
-	AuditSpool   []Finding         `json:"audit_spool"` // before anything was shipped
-	AuditStore   []Finding         `json:"audit_store"` // once everything was shipped
+	AuditSpool   []Finding         `json:"audit_spool"` // before the export
+	AuditStore   []Finding         `json:"audit_store"` // after the export
 	Rows         []sqlstore.Row    `json:"rows"`
 	Gaps         []sqlstore.GapRow `json:"gaps"`
 	Through      map[string]uint64 `json:"through"` // by incarnation
 	Closed       map[string]bool   `json:"closed"`
-	StoredBefore int               `json:"stored_before"` // rows of it in record.db
+	StoredBefore int               `json:"stored_before"` // rows of the instance in record.db
 }
 
 func expectedOfStoredData(t *testing.T) map[string]storedInstance {
@@ -58,9 +58,9 @@
 	return cmp.Or(cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.Ordinal, b.Ordinal))
 }
 
-// copyStoredData makes a spool and a store that the program takes for its own. A spool names the directory in which it was
-// made, and a store the directory from which an incarnation is shipped, so that a copy is refused. Here the copy is the only
-// one that is ever used, so both get the name of the place at which it stands, and the check itself stays in force.
+// copyStoredData copies the spool and the store and makes the copies usable. A spool records the directory in which it
+// was created, and a store the directory from which an incarnation is exported, so that copies are rejected. Here only
+// the copy is ever used, so the directory ID of the copy is written to both, and the check itself stays enabled.
 func copyStoredData(t *testing.T) Config {
 	t.Helper()
 	dir := t.TempDir()
@@ -78,7 +78,7 @@
 	defer db.Close()
 	owners, err := filepath.Glob(filepath.Join(config.Directory, "*", "*", "owner.json"))
 	if err != nil || len(owners) != 3 {
-		t.Fatalf("owner files %v, %v", owners, err)
+		t.Fatalf("owner files = %v, error %v, want 3 files", owners, err)
 	}
 	for _, file := range owners {
 		place, err := spool.Disk{}.DirID(filepath.Dir(file))
@@ -108,13 +108,13 @@
 	return config
 }
 
-// TestStoredDataRead: each row that the old program shipped is read from its spool.
+// TestStoredDataRead checks that each row that the old program exported is read from its spool.
 func TestStoredDataRead(t *testing.T) {
 	for instance, want := range expectedOfStoredData(t) {
 		t.Run(instance, func(t *testing.T) {
 			rows, gaps := rowsOfSpool(t, copyStoredData(t).Directory, instance)
 			for i := range want.Rows {
-				want.Rows[i].BodyDigest, want.Rows[i].KeyDigest = "", "" // compared where they are stored
+				want.Rows[i].BodyDigest, want.Rows[i].KeyDigest = "", "" // compared by TestStoredDataShip
 			}
 			if !slices.Equal(rows, want.Rows) || gaps != len(want.Gaps) {
 				t.Errorf("%d gaps, rows\n%+v\nwant %d gaps, rows\n%+v", gaps, rows, len(want.Gaps), want.Rows)
@@ -123,7 +123,7 @@
 	}
 }
 
-// rowsOfSpool reads all that an instance's spool holds, without digests.
+// rowsOfSpool reads all rows in the spool of an instance, without digests.
 func rowsOfSpool(t *testing.T, directory, instance string) (rows []sqlstore.Row, gaps int) {
 	t.Helper()
 	opened, err := spool.Open(spool.Disk{}, directory, instance)
@@ -150,21 +150,21 @@
 	return rows, gaps
 }
 
-// TestStoredDataShip: shipped to a new store and onto the one that the old program left half filled, the rows are those
-// that the old program shipped, each once.
+// TestStoredDataShip checks that exports to a new store and to the one that the old program left partly filled store
+// the rows that the old program exported, each once.
 func TestStoredDataShip(t *testing.T) {
 	expected := expectedOfStoredData(t)
-	t.Run("into a new store", func(t *testing.T) {
+	t.Run("new store", func(t *testing.T) {
 		config := copyStoredData(t)
 		config.Store.Path = filepath.Join(t.TempDir(), "new.db")
 		shipStoredData(t, config, expected)
 	})
-	t.Run("onto the old store", func(t *testing.T) {
+	t.Run("existing store", func(t *testing.T) {
 		config := copyStoredData(t)
 		store := openStore(t, config)
 		for instance, want := range expected {
 			if before := len(storedRows(t, store, instance)); before != want.StoredBefore {
-				t.Errorf("%s: %d rows in the store at first, want %d", instance, before, want.StoredBefore)
+				t.Errorf("%s: %d rows in the store before the export, want %d", instance, before, want.StoredBefore)
 			}
 		}
 		shipStoredData(t, config, expected)
@@ -180,14 +180,15 @@
 		}
 		checkStored(t, store, instance, want)
 	}
-	for instance, left := range map[string]int{"n1": 0, "n2": 1} { // a damaged incarnation's files stay
+	for instance, left := range map[string]int{"n1": 0, "n2": 1} { // the files of a damaged incarnation are kept
 		if in := spool.OpenReadOnly(spool.Disk{}, config.Directory, instance).Incarnations(); len(in) != left {
-			t.Errorf("%s: incarnations %v left in the spool, want %d", instance, in, left)
+			t.Errorf("%s: incarnations left in the spool = %v, want %d", instance, in, left)
 		}
 	}
 }
 
-// TestStoredDataAudit: the findings are the old program's, in the spool before it is shipped and in the store afterwards.
+// TestStoredDataAudit checks that audits of the spool before the export and of the store after it find the same as the
+// old program's.
 func TestStoredDataAudit(t *testing.T) {
 	config := copyStoredData(t)
 	for instance, want := range expectedOfStoredData(t) {
@@ -196,13 +197,13 @@
 			spoolOnly.Store.Kind = "none"
 			storeOnly.Directory = t.TempDir()
 			if found := audit(t, spoolOnly, instance); !slices.Equal(found, want.AuditSpool) {
-				t.Errorf("in the spool: %+v\nwant %+v", found, want.AuditSpool)
+				t.Errorf("audit of the spool found %+v\nwant %+v", found, want.AuditSpool)
 			}
 			if err := Ship(t.Context(), config, instance, func(uint64, uint64) {}); err != nil {
 				t.Fatal(err)
 			}
 			if found := audit(t, storeOnly, instance); !slices.Equal(found, want.AuditStore) {
-				t.Errorf("in the store: %+v\nwant %+v", found, want.AuditStore)
+				t.Errorf("audit of the store found %+v\nwant %+v", found, want.AuditStore)
 			}
 		})
 	}
@@ -251,15 +252,15 @@
 		}
 	}
 	if !reflect.DeepEqual(through, want.Through) || !reflect.DeepEqual(closed, want.Closed) {
-		t.Errorf("%s: through %v, closed %v, want %v, %v", instance, through, closed, want.Through, want.Closed)
+		t.Errorf("%s: through = %v, closed = %v, want %v, %v", instance, through, closed, want.Through, want.Closed)
 	}
 }
 
-// TestStoredDataEncode: what the old program wrote is written the same way today, byte by byte.
+// TestStoredDataEncode checks that frames written by the old program are encoded to the same bytes today.
 func TestStoredDataEncode(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join(storedData, "spool", "n1", "*", "*.seg"))
 	if err != nil || len(files) != 7 {
-		t.Fatalf("segments %v, %v", files, err)
+		t.Fatalf("segments = %v, error %v, want 7 segments", files, err)
 	}
 	kinds := map[record.Kind]int{}
 	for _, file := range files {
@@ -270,26 +271,26 @@
 		for len(segment) > 0 {
 			frame, size, err := record.ParseFrame(segment)
 			if errors.Is(err, record.ErrShortFrame) {
-				break // where a write was cut short
+				break // the rest is a short write
 			}
 			if err != nil {
-				t.Fatalf("%s: %v", file, err)
+				t.Fatalf("%s: parse frame: %v", file, err)
 			}
 			value, err := record.Decode(frame.Payload)
 			if err != nil {
-				t.Fatalf("%s, frame %d: %v", file, frame.Ordinal, err)
+				t.Fatalf("%s: decode frame %d: %v", file, frame.Ordinal, err)
 			}
 			kind := record.Kind(frame.Payload[0])
 			kinds[kind]++
 			encoded := record.AppendFrame(nil, frame.Ordinal, frame.Chain, record.Encode(kind, value))
 			if !bytes.Equal(encoded, segment[:size]) {
-				t.Errorf("%s, frame %d is written as %x, was %x", file, frame.Ordinal, encoded, segment[:size])
+				t.Errorf("%s: frame %d is encoded as %x, want %x", file, frame.Ordinal, encoded, segment[:size])
 			}
 			segment = segment[size:]
 		}
 	}
 	want := map[record.Kind]int{record.KindHeader: 7, record.KindEntry: 60, record.KindCompletions: 35, record.KindGap: 1}
 	if !reflect.DeepEqual(kinds, want) {
-		t.Errorf("frames by kind %v, want %v", kinds, want)
+		t.Errorf("frames by kind = %v, want %v", kinds, want)
 	}
 }
--- a/internal/record/replay_test.go
+++ b/internal/record/replay_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// written is a spool of n entries, each with its end, in small segments.
+// writtenDisk returns a disk with n completed entries in small segments.
 func writtenDisk(t *testing.T, n int) *disk {
 	t.Helper()
 	options := largeOptions()
@@ -22,30 +22,31 @@
 		d.drain(l, float64(n+300*i+300))
 	}
 	if replay, rows := d.replay(true); len(replay.Defects) != 0 || len(rows) != n || replay.Counts[StateAnswered] != uint64(n) {
-		t.Fatalf("%v, %d rows", replay.Defects, len(rows))
+		t.Fatalf("defects = %v, %d rows, %d answered, want none, %d, %d",
+			replay.Defects, len(rows), replay.Counts[StateAnswered], n, n)
 	}
 	return d
 }
 
-// What is wrong with a spool is found, and the rest is kept.
+// Damage to a spool is detected, and undamaged entries are still read.
 func TestDamage(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		damage  func(d *disk)
-		kind    string // of the first defect; empty: none
-		minRows int    // rows
+		kind    string // of the first defect; empty for none
+		minRows int    // minimum number of rows
 	}{
-		{"a torn tail", func(d *disk) { s := &d.segments[3]; *s = (*s)[:len(*s)-7]; d.segments = d.segments[:4] }, "", 20},
-		{"a segment gone", func(d *disk) { d.segments = append(d.segments[:2:2], d.segments[3:]...) }, "hole", 28},
-		{"the first segments gone", func(d *disk) { d.segments = d.segments[2:] }, "", 13},
-		{"an edited entry with its checksum made right", func(d *disk) {
+		{"torn tail", func(d *disk) { s := &d.segments[3]; *s = (*s)[:len(*s)-7]; d.segments = d.segments[:4] }, "", 20},
+		{"missing segment", func(d *disk) { d.segments = append(d.segments[:2:2], d.segments[3:]...) }, "hole", 28},
+		{"first segments missing", func(d *disk) { d.segments = d.segments[2:] }, "", 13},
+		{"modified entry with a valid checksum", func(d *disk) {
 			s := d.segments[1]
 			_, head, _ := ParseFrame(s)
 			frame, size, _ := ParseFrame(s[head:])
 			payload := bytes.Replace(frame.Payload, []byte("answered"), []byte("declined"), 1)
 			copy(s[head:head+size], AppendFrame(nil, frame.Ordinal, frame.Chain, payload))
 		}, "chain", 40},
-		{"a frame that says another kind", func(d *disk) {
+		{"frame with an unknown kind", func(d *disk) {
 			s := d.segments[1]
 			_, head, _ := ParseFrame(s)
 			frame, size, _ := ParseFrame(s[head:])
@@ -65,18 +66,19 @@
 				kind = replay.Defects[0].Kind
 			}
 			if kind != c.kind || len(rows) < c.minRows {
-				t.Errorf("%v, %d rows, want %q and at least %d", replay.Defects, len(rows), c.kind, c.minRows)
+				t.Errorf("defects = %v, %d rows, want first defect %q, at least %d rows",
+					replay.Defects, len(rows), c.kind, c.minRows)
 			}
 		})
 	}
 }
 
-// A frame without a header is a defect, and a segment of another incarnation, or of an earlier number, an error.
+// A frame before any header is a defect. A segment of another incarnation or out of sequence is an error.
 func TestReplayRefuses(t *testing.T) {
-	t.Run("a frame before any header", func(t *testing.T) {
+	t.Run("frame before any header", func(t *testing.T) {
 		replay := NewReplay()
 		if replay.Apply(Frame{Ordinal: 3, Payload: []byte{0}}); len(replay.Defects) == 0 {
-			t.Error("it passes")
+			t.Errorf("defects = %v, want one", replay.Defects)
 		}
 	})
 	for _, c := range []struct {
@@ -84,20 +86,20 @@
 		second SegmentHeader
 		want   string
 	}{
-		{"another incarnation", SegmentHeader{Instance: "n", Incarnation: "j", Segment: 2, From: 1}, "two incarnations"},
-		{"another instance", SegmentHeader{Instance: "m", Incarnation: "i", Segment: 2, From: 1}, "two incarnations"},
-		{"the same segment", SegmentHeader{Instance: "n", Incarnation: "i", Segment: 1, From: 1}, "comes after"},
+		{"other incarnation", SegmentHeader{Instance: "n", Incarnation: "j", Segment: 2, From: 1}, "two incarnations"},
+		{"other instance", SegmentHeader{Instance: "m", Incarnation: "i", Segment: 2, From: 1}, "two incarnations"},
+		{"same segment", SegmentHeader{Instance: "n", Incarnation: "i", Segment: 1, From: 1}, "comes after"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			replay := startedReplay(t)
 			if err := replay.StartSegment(c.second); err == nil || !strings.Contains(err.Error(), c.want) {
-				t.Errorf("%+v: %v", c.second, err)
+				t.Errorf("StartSegment(%+v): error %v, want one containing %q", c.second, err, c.want)
 			}
 		})
 	}
 }
 
-// startedReplay has read the header of the first segment.
+// startedReplay returns a replay that has read the header of the first segment.
 func startedReplay(t *testing.T) *Replay {
 	t.Helper()
 	replay := NewReplay()
@@ -107,7 +109,7 @@
 	return replay
 }
 
-// FinalThrough never passes an entry whose end is not read, whatever the order of ends.
+// FinalThrough never passes an entry without a completion, in whatever order completions are read.
 func TestThrough(t *testing.T) {
 	l, d := testLedger(largeOptions()), &disk{}
 	for i := range 4 {
@@ -125,12 +127,12 @@
 			applyFrames(t, replay, segment)
 		}
 		if replay.FinalThrough() != c.through {
-			t.Errorf("after the end of %d: through %d, want %d", c.done, replay.FinalThrough(), c.through)
+			t.Errorf("FinalThrough after the completion of %d = %d, want %d", c.done, replay.FinalThrough(), c.through)
 		}
 	}
 }
 
-// applyFrames applies all of a segment but its header.
+// applyFrames applies all frames of a segment except its header.
 func applyFrames(t *testing.T, replay *Replay, segment []byte) {
 	t.Helper()
 	for len(segment) > 0 {
--- a/internal/record/spool/bench_test.go
+++ b/internal/record/spool/bench_test.go
@@ -9,7 +9,8 @@
 	"onyxgate/internal/record/spool"
 )
 
-// BenchmarkRecover reads what a killed instance left: time and peak heap must be linear and flat. -benchtime 1x is enough.
+// BenchmarkRecover reads the spool of a killed instance. Time must be linear in the number of entries, and peak heap
+// must not depend on it. -benchtime 1x is enough.
 func BenchmarkRecover(b *testing.B) {
 	for _, n := range []int{1e5, 1e6, 1e7} {
 		b.Run(fmt.Sprintf("%.0e entries", float64(n)), func(b *testing.B) {
@@ -25,7 +26,8 @@
 				reader := opened.NewReader(incarnation, true)
 				rows, heap := readWithPeak(b, reader)
 				if rows < n-1000 || len(reader.Replay.Defects) > 0 {
-					b.Fatal(rows, reader.Replay.Defects)
+					b.Fatalf("read %d rows with defects %v, want at least %d without defects",
+						rows, reader.Replay.Defects, n-1000)
 				}
 				peak = max(peak, heap)
 			}
@@ -36,7 +38,7 @@
 	}
 }
 
-// writeEntries writes n entries with their ends, 500 at a time.
+// writeEntries writes n completed entries, 500 at a time.
 func writeEntries(b *testing.B, opened *spool.Spool, n int) (incarnation string) {
 	b.Helper()
 	writer, err := opened.NewIncarnation()
@@ -71,7 +73,7 @@
 	return writer.Incarnation
 }
 
-// readWithPeak reads all and looks at the heap now and then.
+// readWithPeak reads all rows and samples the heap size on every 64th call.
 func readWithPeak(b *testing.B, reader *spool.Reader) (rows int, peak uint64) {
 	b.Helper()
 	for calls, more := 0, true; more; calls++ {
--- a/internal/record/spool/damage_test.go
+++ b/internal/record/spool/damage_test.go
@@ -10,22 +10,22 @@
 	"onyxgate/internal/record/spool"
 )
 
-// Bytes that change in an old segment are told, and all else is read.
+// Damage in an earlier segment is reported, and everything else is read.
 func TestEdits(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		edit    func([]byte) []byte
 		kind    string
-		maxLost int // entries lost
+		maxLost int // maximum number of entries lost
 	}{
-		{"a bit flipped", func(b []byte) []byte { b[len(b)/2] ^= 4; return b }, "spoilt", 1},
-		{"zeros in the middle", func(b []byte) []byte { clear(b[500:900]); return b }, "spoilt", 4},
-		{"bytes taken out", func(b []byte) []byte { return append(b[:600:600], b[640:]...) }, "spoilt", 2},
-		{"noise put in", func(b []byte) []byte {
+		{"flipped bit", func(b []byte) []byte { b[len(b)/2] ^= 4; return b }, "spoilt", 1},
+		{"zeroed range", func(b []byte) []byte { clear(b[500:900]); return b }, "spoilt", 4},
+		{"missing bytes", func(b []byte) []byte { return append(b[:600:600], b[640:]...) }, "spoilt", 2},
+		{"inserted bytes", func(b []byte) []byte {
 			return append(append(b[:600:600], "\x0fox\xf1\xff\xff\x00\x00 noise"...), b[600:]...)
 		}, "spoilt", 2},
-		{"the end cut off", func(b []byte) []byte { return b[:len(b)-300] }, "spoilt", 3},
-		{"all gone", func([]byte) []byte { return nil }, "hole", 20},
+		{"truncated", func(b []byte) []byte { return b[:len(b)-300] }, "spoilt", 3},
+		{"empty", func([]byte) []byte { return nil }, "hole", 20},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			files := memfs.New()
@@ -33,7 +33,7 @@
 			edit(t, files, spool.Join("root", "n1", name, spool.SegmentName(2)), c.edit)
 			reader, states := readAll(t, files, name)
 			if len(reader.Replay.Defects) == 0 || reader.Replay.Defects[0].Kind != c.kind {
-				t.Errorf("%v, want %s first", reader.Replay.Defects, c.kind)
+				t.Errorf("defects = %v, want the first of kind %s", reader.Replay.Defects, c.kind)
 			}
 			in := 0
 			for request := range states {
@@ -42,20 +42,19 @@
 				}
 			}
 			if in < 60-c.maxLost || in == 60 && c.kind != "spoilt" {
-				t.Errorf("%d entries of 60", in)
+				t.Errorf("read %d of 60 entries, want at least %d", in, 60-c.maxLost)
 			}
 		})
 	}
 }
 
-// A tail of zeros, of noise, or of a later frame without the one before is cut and told as torn, not as a hole in what
-// was durable.
+// A tail of zeros, random bytes or an incomplete frame is reported as a torn tail, not as a hole in the durable frames.
 func TestTails(t *testing.T) {
 	for name, tail := range map[string]string{
-		"zeros":                    "\x00\x00\x00\x00\x00\x00",
-		"the beginning of a frame": "\x0fox\xf1",
-		"noise":                    strings.Repeat("noise", 99),
-		"a frame without its end":  "\x0fox\xf1\x04\x00\x00\x00aaaa",
+		"zeros":            "\x00\x00\x00\x00\x00\x00",
+		"start of a frame": "\x0fox\xf1",
+		"random bytes":     strings.Repeat("noise", 99),
+		"incomplete frame": "\x0fox\xf1\x04\x00\x00\x00aaaa",
 	} {
 		t.Run(name, func(t *testing.T) {
 			files := memfs.New()
@@ -63,17 +62,19 @@
 			edit(t, files, lastSegment(t, files, incarnation), func(b []byte) []byte { return append(b, tail...) })
 			reader, states := readAll(t, files, incarnation)
 			if len(reader.Replay.Defects) > 0 || reader.Replay.TornBytes != int64(len(tail)) || len(states) != 5 {
-				t.Errorf("%q: %v, %d torn, %d entries", tail, reader.Replay.Defects, reader.Replay.TornBytes, len(states))
+				t.Errorf("tail %q: defects = %v, TornBytes = %d, %d entries, want none, %d, 5",
+					tail, reader.Replay.Defects, reader.Replay.TornBytes, len(states), len(tail))
 			}
 		})
 	}
 }
 
-// Pages that reached the disk in another order than they were written: what is there is read, and what is not is told.
+// If pages reach the disk out of order, the frames that are there are read, and the missing ones are reported as
+// defects.
 func TestReordered(t *testing.T) {
 	files := memfs.New()
 	name, _ := writeIncarnation(t, files, 5)
-	var last, before int // where the last two frames begin
+	var last, before int // offsets of the last two frames
 	edit(t, files, lastSegment(t, files, name), func(b []byte) []byte {
 		for offset := 0; offset < len(b); {
 			_, size, err := record.ParseFrame(b[offset:])
@@ -92,11 +93,13 @@
 		kinds = append(kinds, defect.Kind)
 	}
 	if !slices.Equal(kinds, []string{"spoilt", "hole"}) || len(states) < 4 {
-		t.Errorf("%v, %d entries", reader.Replay.Defects, len(states))
+		t.Errorf("defects = %v, %d entries, want kinds spoilt and hole, at least 4 entries",
+			reader.Replay.Defects, len(states))
 	}
 }
 
-// Whatever stands in a segment, reading it ends, keeps to what is there and claims no end that it has not read.
+// Whatever a segment contains, reading it terminates, uses bounded memory and reports no more completions than it can
+// hold.
 func FuzzReader(f *testing.F) {
 	ledger := record.NewLedger(smallLedger("n1", "i", 0))
 	ordinal, _ := ledger.AddEntry(1, record.Entry{RequestID: "x"})
@@ -116,7 +119,7 @@
 		ends := 0
 		for calls, more := 0, true; more; calls++ {
 			if calls > 100 {
-				t.Fatal("reading does not end")
+				t.Fatalf("reading has not finished after %d calls of Next", calls)
 			}
 			rows, left, err := reader.Next()
 			for _, row := range rows {
@@ -127,7 +130,8 @@
 			more = left && err == nil
 		}
 		if bytes := len(one) + len(two); ends > bytes || reader.Replay.OpenEntries() > bytes {
-			t.Fatalf("%d ends and %d open in %d bytes", ends, reader.Replay.OpenEntries(), bytes)
+			t.Fatalf("read %d completions and %d open entries from %d bytes, want at most one of each per byte",
+				ends, reader.Replay.OpenEntries(), bytes)
 		}
 	})
 }
--- a/internal/record/spool/export_test.go
+++ b/internal/record/spool/export_test.go
@@ -1,6 +1,6 @@
 package spool
 
-// What tests outside of the package see of its file names.
+// Internal names used by external tests.
 const (
 	SegmentSuffix = segmentSuffix
 	OwnerName     = ownerName
@@ -11,7 +11,7 @@
 	SegmentName = segmentName
 )
 
-// SegmentNumbers lists the segments in a directory.
+// SegmentNumbers returns the numbers of the segments in a directory.
 func SegmentNumbers(files FS, dir string) (numbers []uint64) {
 	for _, segment := range listSegments(files, dir) {
 		numbers = append(numbers, segment.number)
--- a/internal/record/spool/faults_test.go
+++ b/internal/record/spool/faults_test.go
@@ -13,11 +13,11 @@
 
 var errDisk = errors.New("no space left")
 
-// faultEntries fill enough segments that each operation fails at least once.
+// faultEntries is large enough that each operation on segments fails at least once.
 const faultEntries = 100
 
-// failEvery makes each n-th operation of a kind on a segment fail. Of syncs of a directory it is each n-th of the
-// incarnation's after the first, with which the incarnation begins.
+// failEvery fails every n-th operation of a kind on segments. For syncs of directories it fails every n-th of the
+// incarnation's directory, not counting the one that creates the incarnation.
 func failEvery(n int, op string) func(op, name string, bytes int) (int, error) {
 	calls, begun := 0, false
 	return func(called, name string, bytes int) (int, error) {
@@ -37,8 +37,8 @@
 	}
 }
 
-// Whatever fails at whichever moment, and however the power goes, what was durable is read once and nothing else claims
-// an end.
+// Whichever operation fails, and whatever a power failure loses, durable entries are read exactly once with the right
+// state.
 func TestFaults(t *testing.T) {
 	for _, op := range []string{"none", "create", "write", "sync", "close", "syncdir"} {
 		for every := 2; every <= 5; every++ {
@@ -61,15 +61,15 @@
 	name, durable := writeIncarnation(t, files, faultEntries)
 	files.Fail = nil
 	if (failures > 0) != fails {
-		t.Errorf("%d operations failed", failures)
+		t.Errorf("%d operations failed, want failures: %v", failures, fails)
 	}
-	crash(t, files, 11) // 11 bytes of what no sync confirmed got to the disk
+	crash(t, files, 11) // 11 bytes of the unsynced data survive
 	reader, states := readAll(t, files, name)
 	if len(reader.Replay.Defects) > 0 {
-		t.Fatal(reader.Replay.Defects)
+		t.Fatalf("defects = %v, want none", reader.Replay.Defects)
 	}
 	if len(durable) != faultEntries {
-		t.Errorf("%d durable", len(durable))
+		t.Errorf("%d entries durable, want %d", len(durable), faultEntries)
 	}
 	for i := range faultEntries {
 		request, want := fmt.Sprint("x", i), record.StateAnswered
@@ -77,15 +77,15 @@
 			want = record.StateInDoubt
 		}
 		if state, ok := states[request]; !ok || state != want {
-			t.Errorf("%s: %v %v, want %v", request, ok, state, want)
+			t.Errorf("request %s: found = %v, state = %v, want true, %v", request, ok, state, want)
 		}
 	}
 }
 
-// killed is what a script panics with where the process is to be killed.
+// killed is the value with which a script panics to simulate the death of the process.
 type killed struct{}
 
-// untilKilled runs f and tells whether it was killed.
+// runUntilKilled runs f and reports whether it was killed.
 func runUntilKilled(f func()) (wasKilled bool) {
 	defer func() {
 		if x := recover(); x != nil {
@@ -99,7 +99,7 @@
 	return false
 }
 
-// killAt kills at the n-th operation of a kind, or of any where op is empty; the first has number 0.
+// killAt kills at the n-th operation of a kind, or of any kind if op is empty, counting from 0.
 func killAt(n int, op string) func(op, name string, bytes int) (int, error) {
 	calls := 0
 	return func(called, _ string, bytes int) (int, error) {
@@ -112,21 +112,21 @@
 	}
 }
 
-// A kill within any of the operations of a life leaves a spool that the next life takes over, and a kill within that
-// as well.
+// A kill during any operation of an incarnation leaves a spool that the next incarnation can take over, and so does a
+// second kill during the takeover.
 func TestKillAnywhere(t *testing.T) {
 	for operation := 0; ; operation++ {
 		if wasKilled := killTwice(t, operation); !wasKilled {
 			if operation < 20 {
-				t.Fatalf("only %d operations", operation)
+				t.Fatalf("an incarnation performed only %d operations, want at least 20", operation)
 			}
 			return
 		}
 	}
 }
 
-// killOnceAndAgain kills a life at its n-th operation, and then each dropping of what it left. It tells whether the life
-// had as many operations.
+// killTwice kills an incarnation at the given operation and then each removal of the incarnations that it left. It
+// reports whether the operation was reached.
 func killTwice(t *testing.T, operation int) (wasKilled bool) {
 	t.Helper()
 	files := memfs.New()
@@ -143,12 +143,12 @@
 	for _, name := range opened.Incarnations() {
 		reader, states := readAll(t, files, name)
 		if len(reader.Replay.Defects) > 0 {
-			t.Fatalf("killed at operation %d: %v", operation, reader.Replay.Defects)
+			t.Fatalf("killed at operation %d: defects = %v, want none", operation, reader.Replay.Defects)
 		}
 		for request := range states {
 			found[request] = true
 		}
-		// The second kill: in dropping what has been exported.
+		// The second kill is during the removal of an exported incarnation.
 		files.Fail = killAt(operation%3, "remove")
 		runUntilKilled(func() {
 			if _, err := opened.RemoveIncarnation(name); err != nil {
@@ -159,12 +159,12 @@
 	}
 	for request := range confirmed {
 		if !found[request] {
-			t.Errorf("killed at operation %d: %s is gone", operation, request)
+			t.Errorf("killed at operation %d: confirmed request %s was not found", operation, request)
 		}
 	}
 	crash(t, files, 0)
 	if opened, err = spool.Open(files, "root", "n1"); err != nil {
-		t.Fatalf("killed at operation %d and again: %v", operation, err)
+		t.Fatalf("killed at operation %d and during the removal: %v", operation, err)
 	}
 	if _, err := opened.NewIncarnation(); err != nil {
 		t.Fatal(err)
--- a/internal/record/spool/helper_test.go
+++ b/internal/record/spool/helper_test.go
@@ -9,7 +9,7 @@
 	"onyxgate/internal/record/spool"
 )
 
-// smallLedger are the options of a ledger that begins a new segment every few entries.
+// smallLedger returns options with which a new segment starts every few entries.
 func smallLedger(instance, incarnation string, spoolBytes int64) record.LedgerOptions {
 	return record.LedgerOptions{
 		Instance: instance, Incarnation: incarnation, Sync: true, MaxWriteBytes: 4096, MaxSegmentBytes: 2048,
@@ -17,7 +17,7 @@
 	}
 }
 
-// incarnation is one that a test writes.
+// incarnation is an incarnation that a test writes.
 type incarnation struct {
 	spool  *spool.Spool
 	writer *spool.Writer
@@ -25,7 +25,7 @@
 	now    float64 // ms
 }
 
-// begin starts one of instance n1.
+// newIncarnation begins an incarnation of instance n1.
 func newIncarnation(t *testing.T, files spool.FS) *incarnation {
 	t.Helper()
 	opened, err := spool.Open(files, "root", "n1")
@@ -40,7 +40,7 @@
 	return &incarnation{spool: opened, writer: writer, ledger: ledger}
 }
 
-// write does all that is to be done now.
+// write performs all I/O that is due now.
 func (i *incarnation) write() {
 	for next := i.ledger.NextIO(i.now); !next.Idle(); next = i.ledger.NextIO(i.now) {
 		wrote, err := i.writer.Execute(next)
@@ -48,8 +48,8 @@
 	}
 }
 
-// life writes n entries, x0 and on, each with its end but the last, and leaves the spool as a kill would. It returns which
-// were durable.
+// writeIncarnation writes n entries named x0, x1 and so on, completes all but the last, and leaves the spool as a
+// killed process would. It returns which entries were durable.
 func writeIncarnation(t *testing.T, files spool.FS, n int) (name string, durable map[string]bool) {
 	t.Helper()
 	i := newIncarnation(t, files)
@@ -57,7 +57,7 @@
 	for k := range n {
 		request := fmt.Sprint("x", k)
 		ordinals[request], _ = i.ledger.AddEntry(i.now, record.Entry{RequestID: request, Outcome: record.OutcomeServed})
-		for range 30 { // pauses after failures pass
+		for range 30 { // long enough for any backoff to pass
 			i.write()
 			i.now += 100
 		}
@@ -78,7 +78,7 @@
 	return i.writer.Incarnation, durable
 }
 
-// next reads on.
+// readNext calls Next and fails the test on an error.
 func readNext(t *testing.T, reader *spool.Reader) (rows []record.Row, more bool) {
 	t.Helper()
 	rows, more, err := reader.Next()
@@ -88,7 +88,7 @@
 	return rows, more
 }
 
-// readAll reads an incarnation that nobody writes: the final state of each request.
+// readAll reads an incarnation that is no longer written, and returns the final state of each request.
 func readAll(t *testing.T, files spool.FS, name string) (*spool.Reader, map[string]record.State) {
 	t.Helper()
 	reader := spool.OpenReadOnly(files, "root", "n1").NewReader(name, true)
@@ -98,7 +98,7 @@
 		rows, more = readNext(t, reader)
 		for _, row := range rows {
 			if _, twice := states[row.Entry.RequestID]; twice && row.Gap == nil {
-				t.Errorf("%s twice", row.Entry.RequestID)
+				t.Errorf("request %s was read more than once", row.Entry.RequestID)
 			}
 			states[row.Entry.RequestID] = row.State
 		}
@@ -120,12 +120,12 @@
 	}
 }
 
-// lastSegment is the file that an incarnation was written to last.
+// lastSegment returns the last segment file of an incarnation.
 func lastSegment(t *testing.T, files spool.FS, name string) string {
 	t.Helper()
 	numbers := spool.SegmentNumbers(files, spool.Join("root", "n1", name))
 	if len(numbers) == 0 {
-		t.Fatal("no segments")
+		t.Fatalf("incarnation %s has no segments", name)
 	}
 	return spool.Join("root", "n1", name, spool.SegmentName(numbers[len(numbers)-1]))
 }
--- a/internal/record/spool/spool_test.go
+++ b/internal/record/spool/spool_test.go
@@ -12,7 +12,7 @@
 	"onyxgate/internal/record/spool"
 )
 
-// A reader that follows a writer gets each row once, over turns of segments and prunes.
+// A reader that follows a writer reads each row once, across new segments and pruning.
 func TestFollow(t *testing.T) {
 	i := newIncarnation(t, memfs.New())
 	reader := i.spool.NewReader(i.writer.Incarnation, false)
@@ -30,7 +30,7 @@
 			rows, more = readNext(t, reader)
 			for _, row := range rows {
 				if row.Entry.RequestID != fmt.Sprint(read) {
-					t.Fatalf("%s after %d", row.Entry.RequestID, read-1)
+					t.Fatalf("read request %s, want %d", row.Entry.RequestID, read)
 				}
 				read++
 			}
@@ -41,11 +41,12 @@
 		}
 	}
 	if read < 190 || freed == 0 || len(reader.Replay.Defects) > 0 {
-		t.Errorf("%d read, %d bytes freed, %v", read, freed, reader.Replay.Defects)
+		t.Errorf("read %d rows, freed %d bytes, defects = %v, want at least 190 rows, some bytes, no defects",
+			read, freed, reader.Replay.Defects)
 	}
 }
 
-// On the host's own file system: one process at a time, and a copied directory is refused until it is adopted.
+// On the host's file system, only one process can open a spool, and a copied directory is rejected until it is adopted.
 func TestDisk(t *testing.T) {
 	root := t.TempDir()
 	s, err := spool.Open(spool.Disk{}, root, "a/b c")
@@ -53,7 +54,7 @@
 		t.Fatal(err)
 	}
 	if _, err := spool.Open(spool.Disk{}, root, "a/b c"); !errors.Is(err, spool.ErrLocked) {
-		t.Errorf("a second process gets in: %v", err)
+		t.Errorf("second Open: error %v, want %v", err, spool.ErrLocked)
 	}
 	w, err := s.NewIncarnation()
 	if err != nil {
@@ -63,12 +64,13 @@
 	l.AddEntry(1, record.Entry{RequestID: "x"})
 	next := l.NextIO(1)
 	if wrote, err := w.Execute(next); err != nil || wrote != len(next.Bytes) || s.Bytes() != int64(wrote) {
-		t.Fatalf("%d of %d bytes, %d used, %v", wrote, len(next.Bytes), s.Bytes(), err)
+		t.Fatalf("Execute wrote %d of %d bytes, spool has %d, error %v, want all bytes and no error",
+			wrote, len(next.Bytes), s.Bytes(), err)
 	}
 	w.Close()
 	s.Close()
 	if instances, err := spool.Instances(spool.Disk{}, root); err != nil || len(instances) != 1 || instances[0] != "a/b c" {
-		t.Errorf("%v %v", instances, err)
+		t.Errorf("Instances = %v, error %v, want [a/b c], nil", instances, err)
 	}
 
 	copied := t.TempDir()
@@ -84,10 +86,10 @@
 		writeFile(t, spool.Disk{}, spool.Join(to, name), text)
 	}
 	if _, err := spool.Open(spool.Disk{}, copied, "a/b c"); !errors.Is(err, spool.ErrCopied) || !strings.Contains(err.Error(), "adopt") {
-		t.Errorf("a copied directory: %v", err)
+		t.Errorf("Open of a copied directory: error %v, want %v with a hint to adopt it", err, spool.ErrCopied)
 	}
 	if adopted, err := spool.Adopt(spool.Disk{}, copied, "a/b c"); err != nil || len(adopted) != 1 {
-		t.Errorf("adopted %v, %v", adopted, err)
+		t.Errorf("Adopt = %v, error %v, want one incarnation, nil", adopted, err)
 	}
 	s, err = spool.Open(spool.Disk{}, copied, "a/b c")
 	if err != nil {
@@ -97,9 +99,10 @@
 	r := s.NewReader(w.Incarnation, true)
 	rows, _, err := r.Next()
 	if err != nil || len(rows) != 1 || rows[0].State != record.StateInDoubt {
-		t.Errorf("%v %v", rows, err)
+		t.Errorf("Next = %v, error %v, want one row in state %v, nil", rows, err, record.StateInDoubt)
 	}
 	if freed, err := s.RemoveIncarnation(w.Incarnation); err != nil || freed == 0 || len(s.Incarnations()) != 0 {
-		t.Errorf("%d freed, %v, %v left", freed, err, s.Incarnations())
+		t.Errorf("RemoveIncarnation freed %d bytes, error %v, %v left, want some bytes, nil, none left",
+			freed, err, s.Incarnations())
 	}
 }
--- a/internal/record/sqlstore/faults_test.go
+++ b/internal/record/sqlstore/faults_test.go
@@ -13,12 +13,12 @@
 	"onyxgate/internal/record/sqlstore"
 )
 
-// Each way in which a server fails is known by what it means, and what was committed is there once.
+// Each server failure is mapped to the right export result, and committed rows are stored exactly once.
 func TestServerFails(t *testing.T) {
 	for _, c := range []struct {
 		mode   string
 		result record.ExportResult
-		stored int // rows after the failure
+		stored int // rows stored after the failure
 	}{
 		{"cut", record.ExportUnknown, 0},
 		{"lose", record.ExportUnknown, 20},
@@ -39,19 +39,21 @@
 		canceled, cancel := context.WithCancel(t.Context())
 		cancel()
 		if _, err := store.Put(canceled, batch(1, 2, 2)); store.Classify(err) != record.ExportUnknown {
-			t.Errorf("%v", err)
+			t.Errorf("Put with a canceled context: error %v is classified as %v, want %v",
+				err, store.Classify(err), record.ExportUnknown)
 		}
 		server.Fail("")
 	})
-	t.Run("a wrong password", func(t *testing.T) {
+	t.Run("wrong password", func(t *testing.T) {
 		store, _ := newPipeStore(t, filepath.Join(t.TempDir(), "pg"), "wrong")
 		if err := store.Migrate(t.Context()); store.Classify(err) != record.ExportDenied {
-			t.Errorf("%v is taken for %v", err, store.Classify(err))
+			t.Errorf("Migrate with a wrong password: error %v is classified as %v, want %v",
+				err, store.Classify(err), record.ExportDenied)
 		}
 	})
 }
 
-// failOnce has a server fail in a way at a batch, and then take it.
+// failOnce makes the server fail one batch in the given way and then accept it.
 func failOnce(t *testing.T, mode string, result record.ExportResult, stored int) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "pg")
@@ -60,10 +62,10 @@
 	server.Fail(mode)
 	_, err := store.Put(t.Context(), batch(1, 20, 20))
 	if store.Classify(err) != result {
-		t.Errorf("%v is taken for %v, not %v", err, store.Classify(err), result)
+		t.Errorf("Put: error %v is classified as %v, want %v", err, store.Classify(err), result)
 	}
 	if len(server.Entries) != stored {
-		t.Errorf("%d rows after the failure", len(server.Entries))
+		t.Errorf("%d rows stored after the failure, want %d", len(server.Entries), stored)
 	}
 	server.Fail("")
 	for range 2 {
@@ -76,14 +78,14 @@
 		t.Fatal(err)
 	}
 	if len(server.Entries) != 25 {
-		t.Errorf("%d rows", len(server.Entries))
+		t.Errorf("%d rows stored after the retry, want 25", len(server.Entries))
 	}
 	if len(again.Entries) != 25 {
-		t.Errorf("%d rows after a restart", len(again.Entries))
+		t.Errorf("%d rows stored after a restart, want 25", len(again.Entries))
 	}
 }
 
-// A file that is locked and one that can't be reached are told apart; a newer schema is refused.
+// A locked SQLite file and an unreachable one have different export results, and a newer schema is rejected.
 func TestSQLiteFails(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "x.db")
 	store := openSQLite(t, file, 0)
@@ -92,7 +94,8 @@
 		other := openSQLite(t, file, 0)
 		if err := store.HoldWriteLock(t.Context(), func() {
 			if _, err := other.Put(t.Context(), batch(1, 1, 1)); other.Classify(err) != record.ExportBusy {
-				t.Errorf("%v, %v", err, other.Classify(err))
+				t.Errorf("Put to a locked file: error %v is classified as %v, want %v",
+					err, other.Classify(err), record.ExportBusy)
 			}
 		}); err != nil {
 			t.Error(err)
@@ -101,10 +104,11 @@
 	t.Run("no directory", func(t *testing.T) {
 		unreachable := openSQLite(t, filepath.Join(t.TempDir(), "no", "such", "x.db"), 0)
 		if err := unreachable.Migrate(t.Context()); unreachable.Classify(err) != record.ExportUnreachable {
-			t.Errorf("%v, %v", err, unreachable.Classify(err))
+			t.Errorf("Migrate without a directory: error %v is classified as %v, want %v",
+				err, unreachable.Classify(err), record.ExportUnreachable)
 		}
 	})
-	t.Run("a newer schema", func(t *testing.T) {
+	t.Run("newer schema", func(t *testing.T) {
 		db, err := sql.Open("sqlite", file)
 		if err != nil {
 			t.Fatal(err)
@@ -116,7 +120,7 @@
 		err = store.Migrate(t.Context())
 		var newer *sqlstore.NewerSchemaError
 		if !errors.As(err, &newer) || newer.Version != 99 || !strings.Contains(err.Error(), "newer program") {
-			t.Errorf("%v", err)
+			t.Errorf("Migrate: error %v, want a NewerSchemaError for version 99", err)
 		}
 	})
 }
--- a/internal/record/sqlstore/helper_test.go
+++ b/internal/record/sqlstore/helper_test.go
@@ -16,8 +16,8 @@
 	"onyxgate/internal/record/sqlstore"
 )
 
-// pipes is a listener whose connections are made by dial. A driver may still dial when the test is over, so the channel of
-// connections is never closed.
+// pipeListener is a listener whose connections are created by dial. A driver may still dial after the test has ended,
+// so the connections channel is never closed.
 type pipeListener struct {
 	connections chan net.Conn
 	closed      chan struct{}
@@ -53,7 +53,7 @@
 	}
 }
 
-// onPipes is a store at a fake server, with a password.
+// newPipeStore returns a store that connects to a fake server with the given password. The server expects "right".
 func newPipeStore(t testing.TB, file, password string) (*sqlstore.Store, *fakepostgres.Server) {
 	server, err := fakepostgres.New(file, "accounts", "right")
 	if err != nil {
@@ -84,7 +84,7 @@
 	return b
 }
 
-// openSQLite opens a store until the test ends. Nothing is read of it before it is used.
+// openSQLite opens a store and closes it when the test ends. The file is not accessed before the store is used.
 func openSQLite(t testing.TB, file string, busyTimeout time.Duration) *sqlstore.Store {
 	t.Helper()
 	store, err := sqlite.Open(file, busyTimeout)
@@ -109,7 +109,7 @@
 	}
 }
 
-// selectAll is what a filter selects.
+// selectAll returns all rows that match the filter.
 func selectAll(t testing.TB, store *sqlstore.Store, filter sqlstore.Filter) (rows []sqlstore.Row) {
 	t.Helper()
 	if err := store.Select(t.Context(), filter, func(row sqlstore.Row) error {
--- a/internal/record/sqlstore/sqlstore_test.go
+++ b/internal/record/sqlstore/sqlstore_test.go
@@ -12,7 +12,7 @@
 	"onyxgate/internal/record/sqlstore"
 )
 
-// Both stores keep what they are given, once, and give it back.
+// Both stores keep each row once, however often it is put, and return it unchanged.
 func TestStores(t *testing.T) {
 	sqliteStore := openSQLite(t, filepath.Join(t.TempDir(), "a b?.db"), time.Second)
 	postgresStore, _ := newPipeStore(t, filepath.Join(t.TempDir(), "pg"), "right")
@@ -24,11 +24,11 @@
 	}
 	t.Run("filters", func(t *testing.T) { checkFilters(t, sqliteStore) })
 	t.Run("prune", func(t *testing.T) { checkPrune(t, sqliteStore) })
-	t.Run("an error of the reader", func(t *testing.T) {
+	t.Run("visit error", func(t *testing.T) {
 		stop := errors.New("stop")
 		err := sqliteStore.Select(t.Context(), sqlstore.Filter{}, func(sqlstore.Row) error { return stop })
 		if !errors.Is(err, stop) {
-			t.Errorf("%v", err)
+			t.Errorf("Select: error %v, want %v", err, stop)
 		}
 	})
 	t.Run("checkpoint", func(t *testing.T) {
@@ -38,23 +38,25 @@
 	})
 }
 
-// fill stores entries 1 to 31 but for 21, which is a gap, some of them again and again, and lets another place try.
+// fill stores entries 1 to 31, except for 21, which is a gap. Some are put repeatedly, and another spool directory
+// tries too.
 func fill(t *testing.T, store *sqlstore.Store) {
 	t.Helper()
-	for range 2 { // a second one finds the schema there
+	for range 2 { // the second time the schema exists
 		migrate(t, store)
 	}
 	withGap := batch(1, 20, 20)
 	gap := record.Gap{Ordinal: 21, Counts: [4]uint64{0, 3, 2, 1}, From: 5, To: 6, Cause: "full"}
 	withGap.Rows = append(withGap.Rows, record.Row{Gap: &gap})
-	for _, b := range []sqlstore.Batch{withGap, withGap, batch(10, 30, 30), batch(1, 5, 5)} { // some come again
+	for _, b := range []sqlstore.Batch{withGap, withGap, batch(10, 30, 30), batch(1, 5, 5)} { // some rows are put more than once
 		put(t, store, b)
 	}
 	other := batch(31, 32, 32)
 	other.DirID = "elsewhere"
 	_, err := store.Put(t.Context(), other)
 	if !errors.Is(err, sqlstore.ErrForeign) || store.Classify(err) != record.ExportForeign {
-		t.Errorf("from another place: %v", err)
+		t.Errorf("Put from another directory: error %v is classified as %v, want %v",
+			err, store.Classify(err), record.ExportForeign)
 	}
 	closed := batch(31, 31, 31)
 	closed.Closed = true
@@ -64,10 +66,10 @@
 func expectFilled(t *testing.T, store *sqlstore.Store) {
 	t.Helper()
 	if through, closed, err := store.Progress(t.Context(), "i1"); through != 31 || !closed || err != nil {
-		t.Errorf("through %d, %v, %v", through, closed, err)
+		t.Errorf("Progress = %d, %v, error %v, want 31, true, nil", through, closed, err)
 	}
 	if through, _, err := store.Progress(t.Context(), "unknown"); through != 0 || err != nil {
-		t.Errorf("of none: %d, %v", through, err)
+		t.Errorf("Progress of an unknown incarnation = %d, error %v, want 0, nil", through, err)
 	}
 	rows := selectAll(t, store, sqlstore.Filter{})
 	want := sqlstore.Row{
@@ -76,10 +78,10 @@
 		BodyDigest: "01" + strings.Repeat("0", 30),
 	}
 	if len(rows) != 31 {
-		t.Errorf("%d rows", len(rows))
+		t.Errorf("%d rows selected, want 31", len(rows))
 	}
 	if !slices.Contains(rows, want) {
-		t.Errorf("rows %+v, want among them %+v", rows, want)
+		t.Errorf("rows = %+v, want one to be %+v", rows, want)
 	}
 	gaps := 0
 	if err := store.Gaps(t.Context(), "", func(gap sqlstore.GapRow) error {
@@ -88,17 +90,17 @@
 			Instance: "n1", Incarnation: "i1", Ordinal: 21, Served: 3, Rejected: 2, Failed: 1, From: 5, To: 6, Cause: "full",
 		}
 		if gap != want {
-			t.Errorf("gap %+v, want %+v", gap, want)
+			t.Errorf("gap = %+v, want %+v", gap, want)
 		}
 		return nil
 	}); err != nil {
 		t.Error(err)
 	}
 	if gaps != 1 {
-		t.Errorf("%d gaps", gaps)
+		t.Errorf("%d gaps, want 1", gaps)
 	}
 	if n, err := store.CountDuplicates(t.Context()); n != 0 || err != nil {
-		t.Errorf("%d repeats, %v", n, err)
+		t.Errorf("CountDuplicates = %d, error %v, want 0, nil", n, err)
 	}
 }
 
@@ -112,11 +114,11 @@
 		{"by time", sqlstore.Filter{From: 10, To: 20}, 10},
 		{"by request", sqlstore.Filter{RequestID: "t'\"\\3"}, 1},
 		{"by instance", sqlstore.Filter{Instance: "n2"}, 0},
-		{"by several, limited", sqlstore.Filter{State: "given", Outcome: "settled", Class: "p", Limit: 7}, 7},
+		{"by several fields, limited", sqlstore.Filter{State: "given", Outcome: "settled", Class: "p", Limit: 7}, 7},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if rows := selectAll(t, store, c.filter); len(rows) != c.want {
-				t.Errorf("%+v: %d rows, want %d", c.filter, len(rows), c.want)
+				t.Errorf("Select(%+v): %d rows, want %d", c.filter, len(rows), c.want)
 			}
 		})
 	}
@@ -125,7 +127,7 @@
 func checkPrune(t *testing.T, store *sqlstore.Store) {
 	t.Helper()
 	if n, err := store.Prune(t.Context(), 10, 5); n != 5 || err != nil {
-		t.Errorf("%d pruned, %v", n, err)
+		t.Errorf("Prune = %d, error %v, want 5, nil", n, err)
 	}
 	counted := int64(0)
 	if err := store.Count(t.Context(), sqlstore.Filter{}, func(group sqlstore.GroupCount) error {
@@ -135,6 +137,6 @@
 		t.Error(err)
 	}
 	if counted != 26 {
-		t.Errorf("%d left", counted)
+		t.Errorf("%d entries left, want 26", counted)
 	}
 }
