--- a/internal/record/recorder/audit.go
+++ b/internal/record/recorder/audit.go
@@ -1,6 +1,6 @@
 package recorder
 
-// This file owns the audit of spools and store: it reads all, changes nothing and reports what must not be.
+// Audits of spools and the store, which only read and report inconsistencies.
 
 import (
 	"context"
@@ -12,21 +12,21 @@
 	"onyxgate/internal/record/sqlstore"
 )
 
-// Finding is one result of an audit; a defect is one that must not be.
+// Finding is a result of an audit. Defect marks an inconsistency.
 type Finding struct {
 	Defect bool   `json:"defect"`
 	Where  string `json:"where"`
 	What   string `json:"what"`
 }
 
-// Audit reads an instance's spool, or every instance's where none is named, and the store where there is one. A spool that
-// an instance works in is read as far as it is written. found is called with each finding, progress with the rows read so
-// far. An error says that the audit is not complete.
-func Audit(ctx context.Context, table Config, instance string, found func(Finding), progress func(rows int)) error {
+// Audit reads the spool of an instance, or of all instances if instance is empty, and the store if there is one. The
+// spool of a running instance is read as far as it has been written. It calls found with each finding and progress with
+// the number of rows read so far. An error means that the audit is incomplete.
+func Audit(ctx context.Context, config Config, instance string, found func(Finding), progress func(rows int)) error {
 	instances := []string{instance}
 	if instance == "" {
 		var err error
-		if instances, err = spool.Instances(spool.Disk{}, table.Directory); err != nil {
+		if instances, err = spool.Instances(spool.Disk{}, config.Directory); err != nil {
 			return err
 		}
 	}
@@ -36,11 +36,11 @@
 		progress(rows)
 	}
 	for _, name := range instances {
-		if err := auditSpool(ctx, table.Directory, name, found, count); err != nil {
+		if err := auditSpool(ctx, config.Directory, name, found, count); err != nil {
 			return err
 		}
 	}
-	store, err := table.Store.Open()
+	store, err := config.Store.Open()
 	if err != nil || store == nil {
 		return err
 	}
@@ -48,8 +48,8 @@
 	return auditStore(ctx, store, instance, found)
 }
 
-// auditSpool reads all of an instance's incarnations. A directory that can't be taken, for another reason than that its
-// instance runs, is a defect and is read all the same.
+// auditSpool reads all incarnations of an instance. If the directory can't be opened for a reason other than that its
+// instance is running, this is reported as a defect, and the directory is read nevertheless.
 func auditSpool(ctx context.Context, directory, instance string, found func(Finding), count func(rows int)) error {
 	opened, err := spool.Open(spool.Disk{}, directory, instance)
 	running := errors.Is(err, spool.ErrLocked)
@@ -61,7 +61,7 @@
 	}
 	defer opened.Close()
 	for _, incarnation := range opened.Incarnations() {
-		reader := opened.Read(incarnation, !running)
+		reader := opened.NewReader(incarnation, !running)
 		if err := auditIncarnation(ctx, reader, instance+"/"+incarnation, found, count); err != nil {
 			return err
 		}
@@ -94,12 +94,12 @@
 }
 
 func auditStore(ctx context.Context, store *sqlstore.Store, instance string, found func(Finding)) error {
-	repeats, err := store.Repeats(ctx)
+	duplicates, err := store.CountDuplicates(ctx)
 	if err != nil {
 		return err
 	}
-	if repeats > 0 {
-		found(Finding{true, "store", fmt.Sprintf("%d ordinals stand more than once", repeats)})
+	if duplicates > 0 {
+		found(Finding{true, "store", fmt.Sprintf("%d ordinals are stored more than once", duplicates)})
 	}
 	if err := store.Gaps(ctx, instance, func(gap sqlstore.GapRow) error {
 		what := fmt.Sprintf("gap of %s/%s at %d: %d settled, %d declined, %d voided, %d unknown, %.0f to %.0f ms, %s",
--- a/internal/record/recorder/helper_test.go
+++ b/internal/record/recorder/helper_test.go
@@ -23,11 +23,11 @@
 
 func span(d time.Duration) units.Span { return units.Span(d) }
 
-func testOptions(table Config) Options {
-	return Options{Settings: table, Instance: "n1", Classes: []string{"p"}, Now: clock(), Seed: 1}
+func testOptions(config Config) Options {
+	return Options{Settings: config, Instance: "n1", Classes: []string{"p"}, Now: clock(), Seed: 1}
 }
 
-// start runs a recorder; stop ends it and waits until nothing of it runs any more.
+// start runs a recorder. stop ends it and waits until everything that it started has ended.
 func start(r *Recorder) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -41,7 +41,7 @@
 	}
 }
 
-// rowsOfIncarnation reads all that an incarnation holds.
+// rowsOfIncarnation reads all rows of an incarnation.
 func rowsOfIncarnation(t *testing.T, reader *spool.Reader) (rows []record.Row) {
 	t.Helper()
 	defer reader.Close()
@@ -56,10 +56,10 @@
 	return rows
 }
 
-// openStore opens the store of the settings until the test ends.
-func openStore(t *testing.T, table Config) *sqlstore.Store {
+// openStore opens the configured store and closes it when the test ends.
+func openStore(t *testing.T, config Config) *sqlstore.Store {
 	t.Helper()
-	store, err := table.Store.Open()
+	store, err := config.Store.Open()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/record/recorder/turns.go
+++ b/internal/record/recorder/turns.go
@@ -1,7 +1,7 @@
 package recorder
 
-// This file owns the reading of the incarnation whose turn it is, and what is logged of reading and sending. Whose turn it
-// is, and what a failure to read means, are package record's decisions.
+// Reading the incarnation to export next, and logging of read and export failures. Which incarnation is next and how
+// read failures are handled is decided by package record.
 
 import (
 	"github.com/sirupsen/logrus"
@@ -9,8 +9,9 @@
 	"onyxgate/internal/record"
 )
 
-// pick is the incarnation whose turn it is, with rows read; nil where nothing waits. Under the lock.
-func (e *exporter) pick() *incarnationReader {
+// nextIncarnation returns the incarnation to export next, with rows already read, or nil if there is nothing to export.
+// The caller must hold mu.
+func (e *exporter) nextIncarnation() *incarnationReader {
 	runningWaits := e.readRunning()
 	for {
 		e.skipRefused()
@@ -27,17 +28,17 @@
 	}
 }
 
-// readRunning reads on in the running incarnation and tells whether the store lacks something of it.
+// readRunning reads ahead in the running incarnation and reports whether it has rows to export.
 func (e *exporter) readRunning() (waits bool) {
 	if e.running == nil {
 		return false
 	}
-	err := e.running.read(e.table.MaxBatchRows)
-	if err != nil && record.SourceRunning.OnReadError() == record.ReadAgain {
+	err := e.running.read(e.config.MaxBatchRows)
+	if err != nil && record.SourceRunning.OnReadError() == record.RetryRead {
 		e.logFailure(err, record.ExportUnreachable)
 	}
 	logDefects(e.running)
-	waits = e.running.waits()
+	waits = e.running.hasPending()
 	e.oldestWaiting = 0
 	if waits && e.running.rows[0].Gap == nil {
 		e.oldestWaiting = e.running.rows[0].Entry.AnsweredAt
@@ -45,44 +46,44 @@
 	return waits
 }
 
-// readEarlier reads on in the first of the earlier incarnations and tells whether it can be read.
+// readEarlier reads ahead in the first of the earlier incarnations and reports whether it could be read.
 func (e *exporter) readEarlier() bool {
 	first := e.earlier[0]
-	err := first.read(e.table.MaxBatchRows)
+	err := first.read(e.config.MaxBatchRows)
 	logDefects(first)
 	if err == nil {
 		return true
 	}
-	if record.SourceEarlier.OnReadError() == record.LeaveFiles {
+	if record.SourceEarlier.OnReadError() == record.KeepFiles {
 		logrus.WithField("incarnation", first.incarnation).WithError(err).Error("an earlier incarnation can't be read, " +
 			"its files stay: 'onyxgate record verify' shows what is wrong")
-		e.leaveFirst()
+		e.closeFirstEarlier()
 	}
 	return false
 }
 
 func (e *exporter) skipRefused() {
 	for len(e.earlier) > 0 && e.earlier[0].refused {
-		e.leaveFirst()
+		e.closeFirstEarlier()
 	}
 }
 
-// leaveFirst ends the reading of the first of the earlier incarnations.
-func (e *exporter) leaveFirst() {
+// closeFirstEarlier stops reading the first of the earlier incarnations and removes it from the list.
+func (e *exporter) closeFirstEarlier() {
 	e.earlier[0].reader.Close()
 	e.earlier = e.earlier[1:]
 }
 
-// logFailure logs a failure once, until another kind comes.
+// logFailure logs a failure unless the previous one was of the same kind.
 func (e *exporter) logFailure(err error, result record.ExportResult) {
 	if result != e.lastResult {
-		logrus.WithFields(logrus.Fields{"store": e.table.Kind, "reply": result.String()}).WithError(err).
+		logrus.WithFields(logrus.Fields{"store": e.config.Kind, "reply": result.String()}).WithError(err).
 			Warn("record can't be shipped")
 		e.lastResult = result
 	}
 }
 
-// logDefects logs each defect once.
+// logDefects logs the defects that have not been logged yet.
 func logDefects(from *incarnationReader) {
 	all := from.reader.Replay.Defects
 	for _, defect := range all[min(from.loggedDefects, len(all)):] {
--- a/internal/record/recorder/upkeep.go
+++ b/internal/record/recorder/upkeep.go
@@ -1,6 +1,6 @@
 package recorder
 
-// This file owns the background work of an instance that runs: exporting, pruning of the spool, upkeep of the store.
+// Background jobs of a running instance: exporting, pruning the spool and checkpointing the store.
 
 import (
 	"context"
@@ -16,18 +16,18 @@
 const (
 	pruneInterval      = 500 * time.Millisecond
 	checkpointInterval = 2 * time.Second
-	// jobWorkers: a checkpoint may take long, and batches go on meanwhile.
+	// jobWorkers is 2 so that a slow checkpoint does not delay batches.
 	jobWorkers = 2
 )
 
-// run exports until ctx ends; nothing of it runs any more when it returns.
+// run runs the background jobs until ctx is done, and returns when all of them have ended.
 func (e *exporter) run(ctx context.Context) {
 	if e.store == nil {
 		return
 	}
 	background := runner.New()
 	pruneNow := func() {}
-	export := jobs.Options{Name: "ship", MaxBytesPerSecond: float64(e.table.BytesPerSecond)}
+	export := jobs.Options{Name: "ship", MaxBytesPerSecond: float64(e.config.BytesPerSecond)}
 	background.Add(export, func(ctx context.Context) (int64, time.Duration) {
 		sent, wait, _ := e.step(ctx)
 		if sent > 0 {
@@ -48,7 +48,7 @@
 	background.Run(ctx, jobWorkers)
 }
 
-// prune removes the segments in which everything is stored.
+// prune removes segments whose contents are all in the store.
 func (e *exporter) prune() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -56,11 +56,11 @@
 		e.pruneIncarnation(e.earlier[0], math.MaxUint64)
 	}
 	if e.running != nil {
-		e.pruneIncarnation(e.running, e.segment())
+		e.pruneIncarnation(e.running, e.currentSegment())
 	}
 }
 
-// pruneIncarnation removes segments before number `until`.
+// pruneIncarnation removes fully stored segments with numbers below `until`.
 func (e *exporter) pruneIncarnation(from *incarnationReader, until uint64) {
 	freed, err := e.spool.Prune(from.incarnation, min(until, from.reader.Segment()), from.storedThrough())
 	if err != nil {
@@ -78,7 +78,7 @@
 	if !ready {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(e.table.BatchTimeout))
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(e.config.BatchTimeout))
 	defer cancel()
 	if err := e.store.Checkpoint(ctx); err != nil {
 		logrus.WithError(err).Debug("no checkpoint")
--- a/internal/record/spool/spool_test.go
+++ b/internal/record/spool/spool_test.go
@@ -12,10 +12,10 @@
 	"onyxgate/internal/record/spool"
 )
 
-// A reader that follows a writer gets each row once, over turns of segments and prunes.
+// A reader that follows a writer reads each row once, across new segments and pruning.
 func TestFollow(t *testing.T) {
-	i := begin(t, memfs.New())
-	reader := i.spool.Read(i.writer.Incarnation, false)
+	i := newIncarnation(t, memfs.New())
+	reader := i.spool.NewReader(i.writer.Incarnation, false)
 	read, freed := 0, int64(0)
 	for k := range 200 {
 		ordinal, _ := i.ledger.AddEntry(i.now, record.Entry{RequestID: fmt.Sprint(k)})
@@ -27,25 +27,26 @@
 		}
 		for more := true; more; {
 			var rows []record.Row
-			rows, more = next(t, reader)
+			rows, more = readNext(t, reader)
 			for _, row := range rows {
 				if row.Entry.RequestID != fmt.Sprint(read) {
-					t.Fatalf("%s after %d", row.Entry.RequestID, read-1)
+					t.Fatalf("read request %s, want %d", row.Entry.RequestID, read)
 				}
 				read++
 			}
 		}
-		pruned, err := i.spool.Prune(i.writer.Incarnation, min(i.ledger.Segment(), reader.Segment()), reader.Replay.FinalThrough())
+		pruned, err := i.spool.Prune(i.writer.Incarnation, min(i.ledger.CurrentSegment(), reader.Segment()), reader.Replay.FinalThrough())
 		if freed += pruned; err != nil {
 			t.Fatal(err)
 		}
 	}
 	if read < 190 || freed == 0 || len(reader.Replay.Defects) > 0 {
-		t.Errorf("%d read, %d bytes freed, %v", read, freed, reader.Replay.Defects)
+		t.Errorf("read %d rows, freed %d bytes, defects = %v, want at least 190 rows, some bytes, no defects",
+			read, freed, reader.Replay.Defects)
 	}
 }
 
-// On the host's own file system: one process at a time, and a copied directory is refused until it is adopted.
+// On the host's file system, only one process can open a spool, and a copied directory is rejected until it is adopted.
 func TestDisk(t *testing.T) {
 	root := t.TempDir()
 	s, err := spool.Open(spool.Disk{}, root, "a/b c")
@@ -53,22 +54,23 @@
 		t.Fatal(err)
 	}
 	if _, err := spool.Open(spool.Disk{}, root, "a/b c"); !errors.Is(err, spool.ErrLocked) {
-		t.Errorf("a second process gets in: %v", err)
+		t.Errorf("second Open: error %v, want %v", err, spool.ErrLocked)
 	}
-	w, err := s.Begin()
+	w, err := s.NewIncarnation()
 	if err != nil {
 		t.Fatal(err)
 	}
 	l := record.NewLedger(smallLedger("a/b c", w.Incarnation, 0))
 	l.AddEntry(1, record.Entry{RequestID: "x"})
-	x := l.NextIO(1)
-	if wrote, err := w.Do(x); err != nil || wrote != len(x.Bytes) || s.Bytes() != int64(wrote) {
-		t.Fatalf("%d of %d bytes, %d used, %v", wrote, len(x.Bytes), s.Bytes(), err)
+	next := l.NextIO(1)
+	if wrote, err := w.Execute(next); err != nil || wrote != len(next.Bytes) || s.Bytes() != int64(wrote) {
+		t.Fatalf("Execute wrote %d of %d bytes, spool has %d, error %v, want all bytes and no error",
+			wrote, len(next.Bytes), s.Bytes(), err)
 	}
 	w.Close()
 	s.Close()
 	if instances, err := spool.Instances(spool.Disk{}, root); err != nil || len(instances) != 1 || instances[0] != "a/b c" {
-		t.Errorf("%v %v", instances, err)
+		t.Errorf("Instances = %v, error %v, want [a/b c], nil", instances, err)
 	}
 
 	copied := t.TempDir()
@@ -84,22 +86,23 @@
 		writeFile(t, spool.Disk{}, spool.Join(to, name), text)
 	}
 	if _, err := spool.Open(spool.Disk{}, copied, "a/b c"); !errors.Is(err, spool.ErrCopied) || !strings.Contains(err.Error(), "adopt") {
-		t.Errorf("a copied directory: %v", err)
+		t.Errorf("Open of a copied directory: error %v, want %v with a hint to adopt it", err, spool.ErrCopied)
 	}
 	if adopted, err := spool.Adopt(spool.Disk{}, copied, "a/b c"); err != nil || len(adopted) != 1 {
-		t.Errorf("adopted %v, %v", adopted, err)
+		t.Errorf("Adopt = %v, error %v, want one incarnation, nil", adopted, err)
 	}
 	s, err = spool.Open(spool.Disk{}, copied, "a/b c")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	r := s.Read(w.Incarnation, true)
+	r := s.NewReader(w.Incarnation, true)
 	rows, _, err := r.Next()
 	if err != nil || len(rows) != 1 || rows[0].State != record.StateInDoubt {
-		t.Errorf("%v %v", rows, err)
+		t.Errorf("Next = %v, error %v, want one row in state %v, nil", rows, err, record.StateInDoubt)
 	}
-	if freed, err := s.Drop(w.Incarnation); err != nil || freed == 0 || len(s.Incarnations()) != 0 {
-		t.Errorf("%d freed, %v, %v left", freed, err, s.Incarnations())
+	if freed, err := s.RemoveIncarnation(w.Incarnation); err != nil || freed == 0 || len(s.Incarnations()) != 0 {
+		t.Errorf("RemoveIncarnation freed %d bytes, error %v, %v left, want some bytes, nil, none left",
+			freed, err, s.Incarnations())
 	}
 }
--- a/internal/record/sqlstore/helper_test.go
+++ b/internal/record/sqlstore/helper_test.go
@@ -16,18 +16,18 @@
 	"onyxgate/internal/record/sqlstore"
 )
 
-// pipes is a listener whose connections are made by dial. A driver may still dial when the test is over, so the channel of
-// connections is never closed.
-type pipes struct {
+// pipeListener is a listener whose connections are created by dial. A driver may still dial after the test has ended,
+// so the connections channel is never closed.
+type pipeListener struct {
 	connections chan net.Conn
 	closed      chan struct{}
 }
 
-func newPipes() *pipes {
-	return &pipes{connections: make(chan net.Conn), closed: make(chan struct{})}
+func newPipeListener() *pipeListener {
+	return &pipeListener{connections: make(chan net.Conn), closed: make(chan struct{})}
 }
 
-func (p *pipes) Accept() (net.Conn, error) {
+func (p *pipeListener) Accept() (net.Conn, error) {
 	select {
 	case connection := <-p.connections:
 		return connection, nil
@@ -36,14 +36,14 @@
 	}
 }
 
-func (p *pipes) Close() error {
+func (p *pipeListener) Close() error {
 	close(p.closed)
 	return nil
 }
 
-func (p *pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (p *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-func (p *pipes) dial(context.Context, string, string) (net.Conn, error) {
+func (p *pipeListener) dial(context.Context, string, string) (net.Conn, error) {
 	here, there := net.Pipe()
 	select {
 	case p.connections <- there:
@@ -53,13 +53,13 @@
 	}
 }
 
-// onPipes is a store at a fake server, with a password.
-func onPipes(t testing.TB, file, password string) (*sqlstore.Store, *fakepostgres.Server) {
+// newPipeStore returns a store that connects to a fake server with the given password. The server expects "right".
+func newPipeStore(t testing.TB, file, password string) (*sqlstore.Store, *fakepostgres.Server) {
 	server, err := fakepostgres.New(file, "accounts", "right")
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := newPipes()
+	l := newPipeListener()
 	go server.Serve(l) // until the listener is closed
 	c, err := pgconn.ParseConfig("host=h port=1 dbname=d user=accounts sslmode=disable")
 	if err != nil {
@@ -84,7 +84,7 @@
 	return b
 }
 
-// openSQLite opens a store until the test ends. Nothing is read of it before it is used.
+// openSQLite opens a store and closes it when the test ends. The file is not accessed before the store is used.
 func openSQLite(t testing.TB, file string, busyTimeout time.Duration) *sqlstore.Store {
 	t.Helper()
 	store, err := sqlite.Open(file, busyTimeout)
@@ -109,7 +109,7 @@
 	}
 }
 
-// selectAll is what a filter selects.
+// selectAll returns all rows that match the filter.
 func selectAll(t testing.TB, store *sqlstore.Store, filter sqlstore.Filter) (rows []sqlstore.Row) {
 	t.Helper()
 	if err := store.Select(t.Context(), filter, func(row sqlstore.Row) error {
