--- a/internal/simadapter/batch.go
+++ b/internal/simadapter/batch.go
@@ -18,12 +18,12 @@
 )
 
 // poolCount is how many endpoint lists the wire may keep in a process.
-const poolCount = 16
+const maxPools = 16
 
 // host holds what one process of the simulator hosts: instances, which share nothing, and the endpoint lists that events refer to.
 type host struct {
 	instances map[string]*instance // by their name on the wire
-	pools     [poolCount][]policy.Endpoint
+	pools     [maxPools][]policy.Endpoint
 	reply     []byte
 }
 
@@ -36,7 +36,7 @@
 func newHost() *host { return &host{instances: map[string]*instance{}} }
 
 // answer handles one batch. The reply holds until the next call.
-func (h *host) answer(text []byte) (reply []byte, err error) {
+func (h *host) handleBatch(text []byte) (reply []byte, err error) {
 	if !gjson.ValidBytes(text) {
 		return nil, ErrNotJSON
 	}
--- a/internal/simadapter/events.go
+++ b/internal/simadapter/events.go
@@ -27,11 +27,11 @@
 
 // startingEvents are handed over whether or not the instance is started, startedEvents only then. Both go by the wire's names.
 var (
-	startingEvents = map[string]func(event) error{
+	handlersBeforeStart = map[string]func(event) error{
 		"pool": event.pool,
 		"init": event.start,
 	}
-	startedEvents = map[string]func(event) error{
+	handlersAfterStart = map[string]func(event) error{
 		"killed":           event.kill,
 		"backends-changed": event.endpoints,
 		"knock":            event.request,
@@ -55,13 +55,13 @@
 			e.instance.begin("panic").text("line", fmt.Sprint(text)).end()
 		}
 	}()
-	if handle := startingEvents[name]; handle != nil {
+	if handle := handlersBeforeStart[name]; handle != nil {
 		return handle(e)
 	}
 	if e.instance.policy == nil {
 		return ErrNotStarted
 	}
-	if handle := startedEvents[name]; handle != nil {
+	if handle := handlersAfterStart[name]; handle != nil {
 		return handle(e)
 	}
 	return ErrUnknownEvent
--- a/internal/simadapter/fleet_actions_test.go
+++ b/internal/simadapter/fleet_actions_test.go
@@ -5,7 +5,7 @@
 // This file carries out the actions of the instances.
 
 // perform carries out one action of an instance.
-func (f *fleet) perform(k int, name string, fields gjson.Result) {
+func (f *fleet) applyAction(k int, name string, fields gjson.Result) {
 	request := f.instances[k].requests[fields.Get("request-id").Str]
 	number := func(field string) int { return int(fields.Get(field).Int()) }
 	switch name {
@@ -18,7 +18,7 @@
 		}
 	case "revoke":
 		attempt := number("copy")
-		f.after(200, func() { f.finishAttempt(request, attempt, outcomeCanceled) })
+		f.schedule(200, func() { f.finishAttempt(request, attempt, outcomeCanceled) })
 	case "probe":
 		f.startProbe(k, fields.Get("appliance").Str)
 	case "signal":
@@ -26,7 +26,7 @@
 	case "notify-me":
 		f.setTimer(k, number("label"), fields.Get("after-us").Int())
 	case "stream-changes", "read-list":
-		f.askDiscovery(k)
+		f.fetchEndpoints(k)
 	case "say-so":
 		f.receiveVote(k, number("ver"), number("how"), number("wave"))
 	}
@@ -34,7 +34,7 @@
 
 // sendMessage brings a message to another instance, if that one is played here.
 func (f *fleet) sendMessage(from, to int, raw string) {
-	f.after(f.randomTime(2*millisecond), func() {
+	f.schedule(f.randomTime(2*millisecond), func() {
 		if to < len(f.instances) {
 			f.send(to, "mail", map[string]any{"sender": from, "raw": raw})
 		}
@@ -45,7 +45,7 @@
 func (f *fleet) setTimer(k, label int, delay int64) {
 	in := f.instances[k]
 	seed := in.seed
-	f.after(delay, func() {
+	f.schedule(delay, func() {
 		if in.seed == seed {
 			f.send(k, "wakeup", map[string]any{"label": label})
 		}
@@ -53,8 +53,8 @@
 }
 
 // askDiscovery brings the whole list, or that it can't be had: one answer in six fails.
-func (f *fleet) askDiscovery(k int) {
-	f.after(f.randomTime(10*millisecond), func() {
+func (f *fleet) fetchEndpoints(k int) {
+	f.schedule(f.randomTime(10*millisecond), func() {
 		if f.discovery.down || f.rng.IntN(6) == 0 {
 			f.sendEndpointsFailed(k)
 			return
@@ -74,7 +74,7 @@
 	case b.hanging || f.rng.IntN(50) == 0:
 		outcome, took = outcomeTimedOut, 600*millisecond
 	}
-	f.after(took, func() {
+	f.schedule(took, func() {
 		f.send(k, "checked", map[string]any{
 			"appliance": backend, "how": outcome, "took-us": f.now - sentAt, "feedback": f.loadReport(b),
 		})
--- a/internal/simadapter/fleet_backends_test.go
+++ b/internal/simadapter/fleet_backends_test.go
@@ -13,8 +13,8 @@
 	listSlots         = 16
 	drainTime         = 2 * second
 	connectTimeout    = 250 * millisecond
-	longestQueueing   = 800 * millisecond
-	coldTime          = 5 * second // after its start a backend takes twice as long
+	maxQueueing       = 800 * millisecond
+	warmUpTime        = 5 * second // after its start a backend takes twice as long
 )
 
 // Conditions of a backend on the wire.
@@ -52,7 +52,7 @@
 	defect                    defect // of its release
 }
 
-func (b *fleetBackend) runs(release int) bool {
+func (b *fleetBackend) isRunning(release int) bool {
 	return b.release == release && b.condition == conditionRunning
 }
 
@@ -115,9 +115,9 @@
 }
 
 // announce tells every instance of a change of one backend, each after a delay of its own.
-func (f *fleet) announce(b *fleetBackend) {
+func (f *fleet) announceBackend(b *fleetBackend) {
 	for k, in := range f.instances {
-		f.after(f.randomTime(200*millisecond), func() {
+		f.schedule(f.randomTime(200*millisecond), func() {
 			watches := in.subscribed || !f.onSubscription()
 			if !f.discovery.down && watches {
 				f.sendEndpoints(listChange, k, b)
@@ -128,10 +128,10 @@
 
 func (f *fleet) drain(b *fleetBackend) {
 	b.condition = conditionDraining
-	f.announce(b)
-	f.after(drainTime, func() {
+	f.announceBackend(b)
+	f.schedule(drainTime, func() {
 		b.condition, b.unreachable = conditionRemoved, true
-		f.announce(b)
+		f.announceBackend(b)
 		f.backends = slices.DeleteFunc(f.backends, func(x *fleetBackend) bool { return x == b })
 	})
 }
@@ -172,7 +172,7 @@
 		}
 	}
 	start := max(f.now, b.busyUntil[worker])
-	if start > f.now+longestQueueing {
+	if start > f.now+maxQueueing {
 		return outcomeRejected, millisecond
 	}
 	end := start + f.workTime(b, class)
@@ -187,7 +187,7 @@
 		mean *= f.rollout.sharedSlowdown
 	}
 	took := int64(mean * math.Exp(0.5*f.rng.NormFloat64()))
-	if b.startedAt > 0 && f.now < b.startedAt+coldTime {
+	if b.startedAt > 0 && f.now < b.startedAt+warmUpTime {
 		took *= 2
 	}
 	return took
--- a/internal/simadapter/fleet_faults_test.go
+++ b/internal/simadapter/fleet_faults_test.go
@@ -6,28 +6,28 @@
 
 // injectFault has one fault begin, which heals by itself, and schedules the next one.
 func (f *fleet) injectFault() {
-	f.after(f.randomTime(f.faultEvery*second), f.injectFault)
+	f.schedule(f.randomTime(f.faultEvery*second), f.injectFault)
 	b := f.backends[f.rng.IntN(len(f.backends))]
 	length := second + f.randomTime(4*second)
 	switch f.rng.IntN(9) {
 	case 0:
 		b.slowdown = 6
-		f.after(length, func() { b.slowdown = 1 })
+		f.schedule(length, func() { b.slowdown = 1 })
 	case 1:
 		b.errors = 0.5
-		f.after(length, func() { b.errors = 0 })
+		f.schedule(length, func() { b.errors = 0 })
 	case 2:
 		b.hanging = true
-		f.after(length, func() { b.hanging = false })
+		f.schedule(length, func() { b.hanging = false })
 	case 3:
 		f.restartBackend(b, length)
 	case 4:
 		f.arrivalFactor = 3
-		f.after(length, func() { f.arrivalFactor = 1 })
+		f.schedule(length, func() { f.arrivalFactor = 1 })
 	case 5:
 		f.stopDiscovery(length)
 	case 6:
-		f.cutZone(length)
+		f.partitionZone(length)
 	case 7:
 		f.killInstance()
 	case 8: // all stand still: timers come late
@@ -38,15 +38,15 @@
 // restartBackend has a backend die and come back cold, unless it was to go meanwhile.
 func (f *fleet) restartBackend(b *fleetBackend, length int64) {
 	b.unreachable = true
-	f.after(length, func() {
+	f.schedule(length, func() {
 		b.unreachable, b.startedAt = b.condition == conditionRemoved, f.now
-		f.announce(b)
+		f.announceBackend(b)
 	})
 }
 
 func (f *fleet) stopDiscovery(length int64) {
 	f.discovery.down = true
-	f.after(length, func() {
+	f.schedule(length, func() {
 		f.discovery.down = false
 		for k := range f.instances {
 			f.sendEndpoints(listSnapshot, k, f.listedBackends()...)
@@ -61,12 +61,12 @@
 }
 
 // cutZone cuts off a zone, where there is more than one.
-func (f *fleet) cutZone(length int64) {
+func (f *fleet) partitionZone(length int64) {
 	zone := f.randomZone()
 	for _, b := range f.backends {
 		if b.zone == zone && f.zones > 1 {
 			b.unreachable = true
-			f.after(length/2, func() { b.unreachable = b.condition == conditionRemoved })
+			f.schedule(length/2, func() { b.unreachable = b.condition == conditionRemoved })
 		}
 	}
 }
@@ -76,24 +76,24 @@
 	k := f.rng.IntN(len(f.instances))
 	f.instances[k].pending = nil
 	f.send(k, "killed", map[string]any{})
-	f.instances[k].live = false
+	f.instances[k].running = false
 	f.startInstance(k)
 }
 
 func (f *fleet) startInstance(k int) {
 	in := f.instances[k]
-	in.live, in.requests, in.subscribed, in.vote = true, map[string]*fleetRequest{}, !f.onSubscription(), voteNone
+	in.running, in.requests, in.subscribed, in.vote = true, map[string]*fleetRequest{}, !f.onSubscription(), voteNone
 	settings := map[string]any{"me": k, "zone": k % max(f.zones, 1)}
 	maps.Copy(settings, f.settings)
 	f.send(k, "init", map[string]any{"prng": in.seed, "profile-data": settings})
 	in.seed++
 	f.sendEndpoints(listCached, k, f.listedBackends()...)
-	f.after(50*millisecond, func() { f.sendRelease(k, 0, voteCounted) })
+	f.schedule(50*millisecond, func() { f.sendRelease(k, 0, voteCounted) })
 }
 
 // periodicUpdates has the platform tell of the newest release and of its counts.
 func (f *fleet) periodicUpdates() {
-	f.after(4*second, f.periodicUpdates)
+	f.schedule(4*second, f.periodicUpdates)
 	f.sendReleaseToAll()
 	for k := range f.instances {
 		f.send(k, "counts-by-build", map[string]any{
--- a/internal/simadapter/fleet_releases_test.go
+++ b/internal/simadapter/fleet_releases_test.go
@@ -54,14 +54,14 @@
 func newFleetRollout(s scenario) fleetRollout {
 	r := fleetRollout{
 		release: firstRelease, phase: phaseReleased, backends: s.backends, sharedSlowdown: 1,
-		caps: s.family()["most-shares"].([]float64), stages: s.family()["rings"].([]float64),
+		caps: s.familyInfo()["most-shares"].([]float64), stages: s.familyInfo()["rings"].([]float64),
 	}
 	r.stage = len(r.stages) - 1
 	return r
 }
 
 // goesBack tells that no more backends get the release.
-func (r *fleetRollout) goesBack() bool {
+func (r *fleetRollout) isClosed() bool {
 	return r.phase == phaseRollingBack || r.phase == phaseWithdrawn
 }
 
@@ -107,7 +107,7 @@
 
 func (f *fleet) sendReleaseToAll() {
 	for k := range f.instances {
-		f.after(f.randomTime(300*millisecond), func() { f.sendRelease(k, 0, voteCounted) })
+		f.schedule(f.randomTime(300*millisecond), func() { f.sendRelease(k, 0, voteCounted) })
 	}
 }
 
@@ -136,24 +136,24 @@
 	}
 	f.setPhase(0, phaseRollingOut)
 	f.fillStage()
-	f.after(90*second+f.randomTime(60*second), f.announceRelease)
+	f.schedule(90*second+f.randomTime(60*second), f.announceRelease)
 }
 
 // fillStage has as many backends run the newest release as its stage wants.
 func (f *fleet) fillStage() {
-	if f.rollout.goesBack() {
+	if f.rollout.isClosed() {
 		return
 	}
 	want := f.rollout.wantedBackends()
 	for n := f.countRunning(f.rollout.release); n < want; n++ {
-		f.after(f.randomTime(700*millisecond), f.upgradeBackend)
+		f.schedule(f.randomTime(700*millisecond), f.upgradeBackend)
 	}
 }
 
 // upgradeBackend puts a backend with the newest release in the place of one with an earlier release.
 func (f *fleet) upgradeBackend() {
 	r := &f.rollout
-	if r.goesBack() {
+	if r.isClosed() {
 		return
 	}
 	old := slices.IndexFunc(f.backends, func(b *fleetBackend) bool {
@@ -164,12 +164,12 @@
 		zone = f.backends[old].zone
 		f.drain(f.backends[old])
 	}
-	f.announce(f.addBackend(r.release, zone, f.now))
+	f.announceBackend(f.addBackend(r.release, zone, f.now))
 }
 
 func (f *fleet) countRunning(release int) (n int) {
 	for _, b := range f.backends {
-		if b.runs(release) {
+		if b.isRunning(release) {
 			n++
 		}
 	}
@@ -179,25 +179,25 @@
 // replaceBackends replaces those that run a release that goes back by ones with the release before it.
 func (f *fleet) replaceBackends(release int) {
 	for _, b := range slices.Clone(f.backends) {
-		if b.runs(release) {
+		if b.isRunning(release) {
 			f.drain(b)
 			fresh := f.addBackend(max(release-1, firstRelease), b.zone, f.now)
 			fresh.defect = defect{slowdown: 1}
-			f.announce(fresh)
+			f.announceBackend(fresh)
 		}
 	}
 }
 
 // countVotes moves the newest release on or back by the votes that it has accepted.
 func (f *fleet) countVotes() {
-	f.after(500*millisecond, f.countVotes)
+	f.schedule(500*millisecond, f.countVotes)
 	r := &f.rollout
 	if r.phase != phaseRollingOut {
 		return
 	}
 	promote, rollback := f.acceptedVotes()
 	soaked := f.now > r.stageSince+soakTime
-	timed := f.family()["decided-by"] == "clocked" && f.now > r.stageSince+timedStage
+	timed := f.familyInfo()["decided-by"] == "clocked" && f.now > r.stageSince+timedStage
 	enough := 2*promote > len(f.instances)
 	if f.quorum > 0 {
 		enough = promote >= f.quorum
@@ -231,7 +231,7 @@
 func (f *fleet) rollBack() {
 	f.setPhase(f.rollout.stage, phaseRollingBack)
 	release := f.rollout.release
-	f.after(rollbackDelay, func() {
+	f.schedule(rollbackDelay, func() {
 		f.replaceBackends(release)
 		if f.rollout.release == release {
 			f.setPhase(f.rollout.stage, phaseWithdrawn)
@@ -241,7 +241,7 @@
 
 // receiveVote answers a vote. A vote to roll back what is released already is enough by itself.
 func (f *fleet) receiveVote(k, release, verdict, stage int) {
-	f.after(f.randomTime(30*millisecond), func() {
+	f.schedule(f.randomTime(30*millisecond), func() {
 		in, r := f.instances[k], &f.rollout
 		status := []int{
 			voteCounted, voteCounted, voteCounted, voteCounted, voteCounted, voteError, voteFull, voteUnanswered,
@@ -257,7 +257,7 @@
 		rollsBackReleased := verdict == voteRollback && r.phase == phaseReleased && release == r.release
 		if rollsBackReleased && status == voteCounted {
 			f.setPhase(r.stage, phaseRollingBack)
-			f.after(rollbackDelay, func() {
+			f.schedule(rollbackDelay, func() {
 				f.replaceBackends(release)
 				f.setPhase(r.stage, phaseWithdrawn)
 			})
--- a/internal/simadapter/fleet_requests_test.go
+++ b/internal/simadapter/fleet_requests_test.go
@@ -19,7 +19,7 @@
 const maxTries = 3 // of a client
 
 // patience is how long (us) a client waits at its first, second and third try.
-var patience = [maxTries]int64{4000 * millisecond, 2500 * millisecond, 1200 * millisecond}
+var clientTimeouts = [maxTries]int64{4000 * millisecond, 2500 * millisecond, 1200 * millisecond}
 
 type fleetAttempt struct {
 	backend string
@@ -40,7 +40,7 @@
 
 // nextArrival has a new request come to an instance, and schedules the one after it.
 func (f *fleet) nextArrival(k int) {
-	f.after(f.randomTime(second/(f.rate*f.arrivalFactor)), func() { f.nextArrival(k) })
+	f.schedule(f.randomTime(second/(f.rate*f.arrivalFactor)), func() { f.nextArrival(k) })
 	key := ""
 	if f.rng.IntN(4) > 0 { // some keys are asked for far more often than others
 		key = fmt.Sprint("key/", min(f.rng.IntN(400), f.rng.IntN(400), f.rng.IntN(400)))
@@ -51,17 +51,17 @@
 // sendRequest sends a request under an ID of its own. One client in forty leaves before its time is up.
 func (f *fleet) sendRequest(r *fleetRequest) {
 	in := f.instances[r.instance]
-	if !in.live {
+	if !in.running {
 		return
 	}
 	f.lastID++
 	r.id, r.seed = fmt.Sprint("t/", f.lastID), in.seed
 	in.requests[r.id] = r
-	wait := patience[min(r.try, maxTries)-1]
+	wait := clientTimeouts[min(r.try, maxTries)-1]
 	f.send(r.instance, "knock", f.requestFields(r, wait))
-	f.after(wait, func() { f.timeOut(r) })
+	f.schedule(wait, func() { f.timeOut(r) })
 	if f.rng.IntN(40) == 0 {
-		f.after(f.randomTime(300*millisecond), func() { f.clientGone(r) })
+		f.schedule(f.randomTime(300*millisecond), func() { f.clientGone(r) })
 	}
 }
 
@@ -99,7 +99,7 @@
 			f.finishAttempt(r, n, outcomeTimedOut)
 		}
 	}
-	f.after(20*millisecond, func() { f.clientGone(r) })
+	f.schedule(20*millisecond, func() { f.clientGone(r) })
 }
 
 // startAttempt carries out an attempt.
@@ -107,12 +107,12 @@
 	n, attempt := len(r.attempts), &fleetAttempt{backend: backend, sentAt: f.now, open: true}
 	r.attempts = append(r.attempts, attempt)
 	if r.closed {
-		f.after(1, func() { f.finishAttempt(r, n, outcomeNotSent) })
+		f.schedule(1, func() { f.finishAttempt(r, n, outcomeNotSent) })
 		return
 	}
 	outcome, took := f.runAttempt(f.byID[backend], r.class)
 	if outcome == outcomeServed && f.streamed[r.class] {
-		f.after(took/2, func() {
+		f.schedule(took/2, func() {
 			if attempt.open && !r.closed && !f.instanceKilled(r) {
 				f.send(r.instance, "head-received", map[string]any{
 					"request-id": r.id, "copy": n, "appliance": backend, "took-us": f.now - attempt.sentAt,
@@ -120,7 +120,7 @@
 			}
 		})
 	}
-	f.after(took, func() { f.finishAttempt(r, n, outcome) })
+	f.schedule(took, func() { f.finishAttempt(r, n, outcome) })
 }
 
 // finishAttempt tells how an attempt ended, unless it has ended. Of the answers one in 150 turns out wrong later.
@@ -137,7 +137,7 @@
 		"took-us": f.now - attempt.sentAt, "feedback": f.loadReport(f.byID[attempt.backend]),
 	})
 	if served && f.rng.IntN(150) == 0 {
-		f.after(second, func() {
+		f.schedule(second, func() {
 			f.send(r.instance, "reported-wrong", map[string]any{
 				"appliance": attempt.backend, "kind": r.class, "old-us": f.now - attempt.sentAt,
 			})
@@ -149,7 +149,7 @@
 func (f *fleet) retry(r *fleetRequest, harmless bool) {
 	mayRetry := r.try < maxTries && (harmless || r.class == 0)
 	if mayRetry && f.rng.IntN(2) == 0 {
-		f.after(50*millisecond+f.randomTime(200*millisecond), func() {
+		f.schedule(50*millisecond+f.randomTime(200*millisecond), func() {
 			f.sendRequest(&fleetRequest{instance: r.instance, class: r.class, key: r.key, try: r.try + 1})
 		})
 	}
--- a/internal/simadapter/fleet_test.go
+++ b/internal/simadapter/fleet_test.go
@@ -40,7 +40,7 @@
 
 func (s scenario) onSubscription() bool { return s.settings["discovery"] == "subscribe" }
 
-func (s scenario) family() map[string]any { return s.settings["family-info"].(map[string]any) }
+func (s scenario) familyInfo() map[string]any { return s.settings["family-info"].(map[string]any) }
 
 // randomZone draws one of the scenario's zones.
 func (f *fleet) randomZone() int { return f.rng.IntN(max(f.zones, 1)) }
@@ -48,7 +48,7 @@
 // fleetInstance is an instance as the fleet sees it from outside.
 type fleetInstance struct {
 	name       string
-	live       bool
+	running    bool
 	seed       uint64   // of its present life; it changes with each start
 	pending    []string // events of the next batch
 	requests   map[string]*fleetRequest
@@ -117,7 +117,7 @@
 }
 
 // after has something happen in so many microseconds, one at least.
-func (f *fleet) after(delay int64, do func()) {
+func (f *fleet) schedule(delay int64, do func()) {
 	f.sequence++
 	heap.Push(&f.queue, fleetEvent{at: f.now + max(delay, 1), sequence: f.sequence, do: do})
 }
@@ -125,7 +125,7 @@
 // randomTime draws a time (us) from an exponential distribution with this mean.
 func (f *fleet) randomTime(mean float64) int64 { return int64(mean * f.rng.ExpFloat64()) }
 
-func asJSON(v any) string {
+func mustJSON(v any) string {
 	b, err := json.Marshal(v)
 	if err != nil {
 		panic(err)
@@ -135,28 +135,28 @@
 
 // send puts an event into an instance's next batch; one that is not live gets none.
 func (f *fleet) send(to int, name string, fields any) {
-	if in := f.instances[to]; in.live {
-		in.pending = append(in.pending, fmt.Sprintf(`{%q:%s}`, name, asJSON(fields)))
+	if in := f.instances[to]; in.running {
+		in.pending = append(in.pending, fmt.Sprintf(`{%q:%s}`, name, mustJSON(fields)))
 	}
 }
 
 // player is what the fleet plays against.
-type player struct {
+type driver struct {
 	answer func(batch string) (reply string)
 	effect func(events, action string) (more bool) // is shown every action of a reply but its log lines; false ends the play
 }
 
 // play hands over batch after batch and carries out the actions of the replies.
-func (f *fleet) play(p player) {
+func (f *fleet) run(d driver) {
 	for k := range f.instances {
-		f.instances[k].live = true
+		f.instances[k].running = true
 		f.startInstance(k)
 		f.nextArrival(k)
 	}
-	f.after(4*second, f.periodicUpdates)
-	f.after(12*second, f.announceRelease)
-	f.after(second, f.countVotes)
-	f.after(8*second, f.injectFault)
+	f.schedule(4*second, f.periodicUpdates)
+	f.schedule(12*second, f.announceRelease)
+	f.schedule(second, f.countVotes)
+	f.schedule(8*second, f.injectFault)
 	end := f.now + f.seconds*second
 	for f.now < end {
 		f.now = max(f.now, f.queue[0].at) + fleetTick - 1
@@ -164,14 +164,14 @@
 		for len(f.queue) > 0 && f.queue[0].at <= f.now {
 			heap.Pop(&f.queue).(fleetEvent).do()
 		}
-		if !f.exchange(p) {
+		if !f.exchange(d) {
 			return
 		}
 	}
 }
 
 // exchange hands over what is pending as one batch, if anything is, and carries out the actions of the reply.
-func (f *fleet) exchange(p player) (more bool) {
+func (f *fleet) exchange(d driver) (more bool) {
 	var groups []string
 	events := map[string]string{}
 	for _, in := range f.instances {
@@ -185,14 +185,14 @@
 	if len(groups) == 0 {
 		return true
 	}
-	reply := p.answer(fmt.Sprintf(`{"now-us":%d,"agents":[%s]}`, f.now, strings.Join(groups, ",")) + "\n")
+	reply := d.answer(fmt.Sprintf(`{"now-us":%d,"agents":[%s]}`, f.now, strings.Join(groups, ",")) + "\n")
 	if !gjson.Valid(reply) {
 		panic("not JSON: " + reply)
 	}
 	for _, group := range gjson.Get(reply, "agents").Array() {
 		name := group.Get("who").Str
 		k := slices.IndexFunc(f.instances, func(in *fleetInstance) bool { return in.name == name })
-		if !f.performAll(p, k, fmt.Sprintf("%d %s: %s", f.now, name, events[name]), group.Get("out")) {
+		if !f.applyActions(d, k, fmt.Sprintf("%d %s: %s", f.now, name, events[name]), group.Get("out")) {
 			return false
 		}
 	}
@@ -200,14 +200,14 @@
 }
 
 // performAll carries out the actions of one instance, which come from these events.
-func (f *fleet) performAll(p player, k int, events string, actions gjson.Result) (more bool) {
+func (f *fleet) applyActions(d driver, k int, events string, actions gjson.Result) (more bool) {
 	more = true
 	actions.ForEach(func(_, action gjson.Result) bool {
 		action.ForEach(func(name, fields gjson.Result) bool {
 			// What a line of the log says is no decision.
-			more = name.Str == "log" || p.effect(events, action.Raw)
+			more = name.Str == "log" || d.effect(events, action.Raw)
 			if more {
-				f.perform(k, name.Str, fields)
+				f.applyAction(k, name.Str, fields)
 			}
 			return more
 		})
--- a/internal/simadapter/replay_test.go
+++ b/internal/simadapter/replay_test.go
@@ -17,7 +17,7 @@
 			t.Parallel()
 			recorder := replay.Open(t, filepath.Join("testdata", "replay", s.name+".txt"))
 			lastEvents := ""
-			newFleet(s).play(player{
+			newFleet(s).run(driver{
 				answer: serve(t),
 				effect: func(events, action string) bool {
 					if events != lastEvents {
--- a/internal/simadapter/simadapter.go
+++ b/internal/simadapter/simadapter.go
@@ -29,7 +29,7 @@
 			return fmt.Errorf("reading line %d: %w", line, err)
 		}
 		if holdsBatch(batch, atEnd) {
-			reply, err := h.answer(batch)
+			reply, err := h.handleBatch(batch)
 			if err != nil {
 				return fmt.Errorf("line %d: %w", line, err)
 			}
--- a/internal/simadapter/simadapter_test.go
+++ b/internal/simadapter/simadapter_test.go
@@ -10,15 +10,15 @@
 	"onyxgate/policy"
 )
 
-const hello = `{"now-us":1000,"agents":[{"who":"agent_0","happened":[` +
+const initBatch = `{"now-us":1000,"agents":[{"who":"agent_0","happened":[` +
 	`{"pool":{"slot":0,"items":[{"ver":1,"condition":"on","rating":1,"boot-time-us":null,"site":0,"appliance":"h:1","machine":0,"stripe":0}]}},` +
 	`{"init":{"prng":9223372036854775807,"profile-data":{"balancers":1,"novelty":[1],"grades":[{"aim-us":1000000,"deadline-us":4000000,` +
 	`"effect":"once","worth":1}],"limits":{"max-attempts":5}}}},{"backends-changed":{"serial":1,"form":"C","slot":0}}]}]}` + "\n"
 
-const knock = `{"now-us":2000,"agents":[{"who":"agent_0","happened":[{"knock":{"request-id":"t/a","affinity":null,"kind":0,"time-budget-us":4000000,"extra":{}}}]}]}` + "\n"
+const requestBatch = `{"now-us":2000,"agents":[{"who":"agent_0","happened":[{"knock":{"request-id":"t/a","affinity":null,"kind":0,"time-budget-us":4000000,"extra":{}}}]}]}` + "\n"
 
 // happened is a batch with these events of the instance that hello starts.
-func happened(events string) string {
+func eventBatch(events string) string {
 	return `{"now-us":3000,"agents":[{"who":"agent_0","happened":[` + events + `]}]}` + "\n"
 }
 
@@ -26,15 +26,15 @@
 func TestServe(t *testing.T) {
 	for _, c := range []struct{ name, in, out, err string }{
 		{"empty batch", `{"now-us":1,"agents":[]}` + "\n", `{"agents":[]}`, ""},
-		{"a request is placed", hello + knock, `{"place":{"request-id":"t/a","appliance":"h:1"`, ""},
-		{"large labels are read", hello + happened(`{"wakeup":{"label":9223372036854775808}}`), "", ""},
-		{"an ended ID is ignored", hello + happened(`{"hangup":{"request-id":"t/z"}}`), "", ""},
+		{"a request is placed", initBatch + requestBatch, `{"place":{"request-id":"t/a","appliance":"h:1"`, ""},
+		{"large labels are read", initBatch + eventBatch(`{"wakeup":{"label":9223372036854775808}}`), "", ""},
+		{"an ended ID is ignored", initBatch + eventBatch(`{"hangup":{"request-id":"t/z"}}`), "", ""},
 		{"not JSON", "{\"now-us\":\n", "", "not a JSON value"},
 		{"no clock", `{"agents":[]}` + "\n", "", "without now-us"},
-		{"never started", knock, "", "never started"},
-		{"unknown event", hello + happened(`{"storm":{}}`), "", "unknown event"},
-		{"a killed instance", hello + happened(`{"killed":{}},{"wakeup":{"label":1}}`), "", "never started"},
-		{"a panic is told", hello + strings.Replace(knock, `"kind":0`, `"kind":7`, 1), `{"panic":{"line":"runtime error`, ""},
+		{"never started", requestBatch, "", "never started"},
+		{"unknown event", initBatch + eventBatch(`{"storm":{}}`), "", "unknown event"},
+		{"a killed instance", initBatch + eventBatch(`{"killed":{}},{"wakeup":{"label":1}}`), "", "never started"},
+		{"a panic is told", initBatch + strings.Replace(requestBatch, `"kind":0`, `"kind":7`, 1), `{"panic":{"line":"runtime error`, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var out bytes.Buffer
@@ -58,20 +58,20 @@
 	}{
 		{"not JSON", "{\n", "line 1: not a JSON value", ErrNotJSON, ValueError{}},
 		{"no instances", `{"now-us":1}` + "\n", "line 1: a batch without now-us or agents", ErrIncompleteBatch, ValueError{}},
-		{"not started", knock, "line 1: agent_0, knock: an event for an instance that was never started", ErrNotStarted, ValueError{}},
-		{"unknown event", hello + happened(`{"storm":{}}`), "line 2: agent_0, storm: unknown event", ErrUnknownEvent, ValueError{}},
-		{"unknown event, not started", happened(`{"storm":{}}`), "line 1: agent_0, storm: an event for an instance that was never started", ErrNotStarted, ValueError{}},
-		{"outcome", hello + happened(`{"done":{"how":9}}`), "line 2: agent_0, done: outcome 9", nil, ValueError{"outcome", "9"}},
-		{"no outcome", hello + happened(`{"done":{}}`), "line 2: agent_0, done: outcome 0", nil, ValueError{"outcome", "0"}},
-		{"phase", hello + happened(`{"promotion":{"standing":4}}`), "line 2: agent_0, promotion: standing 4", nil, ValueError{"standing", "4"}},
-		{"pool's slot", hello + happened(`{"pool":{"slot":16}}`), "line 2: agent_0, pool: slot 16", nil, ValueError{"slot", "16"}},
+		{"not started", requestBatch, "line 1: agent_0, knock: an event for an instance that was never started", ErrNotStarted, ValueError{}},
+		{"unknown event", initBatch + eventBatch(`{"storm":{}}`), "line 2: agent_0, storm: unknown event", ErrUnknownEvent, ValueError{}},
+		{"unknown event, not started", eventBatch(`{"storm":{}}`), "line 1: agent_0, storm: an event for an instance that was never started", ErrNotStarted, ValueError{}},
+		{"outcome", initBatch + eventBatch(`{"done":{"how":9}}`), "line 2: agent_0, done: outcome 9", nil, ValueError{"outcome", "9"}},
+		{"no outcome", initBatch + eventBatch(`{"done":{}}`), "line 2: agent_0, done: outcome 0", nil, ValueError{"outcome", "0"}},
+		{"phase", initBatch + eventBatch(`{"promotion":{"standing":4}}`), "line 2: agent_0, promotion: standing 4", nil, ValueError{"standing", "4"}},
+		{"pool's slot", initBatch + eventBatch(`{"pool":{"slot":16}}`), "line 2: agent_0, pool: slot 16", nil, ValueError{"slot", "16"}},
 		{
-			"list's slot", hello + happened(`{"backends-changed":{"form":"D","slot":-1}}`),
+			"list's slot", initBatch + eventBatch(`{"backends-changed":{"form":"D","slot":-1}}`),
 			`line 2: agent_0, backends-changed: list form "D", slot -1`, nil,
 			ValueError{"list form", `"D", slot -1`},
 		},
 		{
-			"list's form", hello + happened(`{"backends-changed":{"form":"Z","slot":3}}`),
+			"list's form", initBatch + eventBatch(`{"backends-changed":{"form":"Z","slot":3}}`),
 			`line 2: agent_0, backends-changed: list form "Z", slot 3`, nil,
 			ValueError{"list form", `"Z", slot 3`},
 		},
@@ -125,16 +125,16 @@
 }
 
 // Instances share nothing: two with the same events act alike, whatever else the process hosts.
-func TestApart(t *testing.T) {
+func TestInstancesAreIndependent(t *testing.T) {
 	two := func(batch string) string {
 		from, to := strings.Index(batch, `{"who"`), strings.LastIndex(batch, "]}")
 		return batch[:to] + "," + strings.Replace(batch[from:to], "agent_0", "agent_1", 1) + batch[to:]
 	}
 	var one, both bytes.Buffer
-	if err := Serve(strings.NewReader(hello+knock), &one); err != nil {
+	if err := Serve(strings.NewReader(initBatch+requestBatch), &one); err != nil {
 		t.Fatal(err)
 	}
-	if err := Serve(strings.NewReader(two(hello)+two(knock)), &both); err != nil {
+	if err := Serve(strings.NewReader(two(initBatch)+two(requestBatch)), &both); err != nil {
 		t.Fatal(err)
 	}
 	last := func(out bytes.Buffer) string {
--- a/internal/simadapter/values.go
+++ b/internal/simadapter/values.go
@@ -38,7 +38,7 @@
 	return &ValueError{Name: name, Value: strconv.FormatInt(value, 10)}
 }
 
-func validSlot(slot int64) bool { return slot >= 0 && slot < poolCount }
+func validSlot(slot int64) bool { return slot >= 0 && slot < maxPools }
 
 // setPool keeps an endpoint list under its slot.
 func (h *host) setPool(fields gjson.Result) error {
--- a/policy/exposure/affinity.go
+++ b/policy/exposure/affinity.go
@@ -30,11 +30,11 @@
 // Affinity knows which releases have answered a key, or may be about to. Such a key goes to no earlier release until that
 // release is rolled back.
 type Affinity struct {
-	answered map[release.ID]*keySet
-	pending  map[release.ID]map[Key]int // open attempts
-	base     release.ID                 // every key counts as answered by this release: its own keys were forgotten; 0: none
-	maxKeys  int                        // of one release
-	changes  uint64                     // counted, so that a floor need not be found again while nothing has changed
+	answered    map[release.ID]*keySet
+	pending     map[release.ID]map[Key]int // open attempts
+	baseRelease release.ID                 // every key counts as answered by this release: its own keys were forgotten; 0: none
+	maxKeys     int                        // of one release
+	version     uint64                     // counted, so that a floor need not be found again while nothing has changed
 }
 
 // keySet is the keys that one release has answered.
@@ -58,7 +58,7 @@
 	if key == 0 {
 		return 0
 	}
-	release = a.base
+	release = a.baseRelease
 	for r, set := range a.answered {
 		if r > release && set.has(key) {
 			release = r
@@ -73,7 +73,7 @@
 }
 
 // Version counts what may have moved a floor: as long as it is the same, so is every floor.
-func (a *Affinity) Version() uint64 { return a.changes }
+func (a *Affinity) Version() uint64 { return a.version }
 
 // AttemptStarted notes an open attempt at a release: its answer may bind the key before it is seen here.
 func (a *Affinity) AttemptStarted(key Key, release release.ID) {
@@ -84,7 +84,7 @@
 		a.pending[release] = map[Key]int{}
 	}
 	a.pending[release][key]++
-	a.changes++
+	a.version++
 }
 
 // AttemptEnded notes the end of an attempt that AttemptStarted has noted.
@@ -96,7 +96,7 @@
 	case n == 1:
 		delete(keys, key)
 	}
-	a.changes++
+	a.version++
 }
 
 // RecordAnswer notes that a release has answered a key.
@@ -104,7 +104,7 @@
 	if key == 0 {
 		return
 	}
-	a.changes++
+	a.version++
 	set := a.answered[release]
 	if set == nil {
 		set = &keySet{keys: map[Key]struct{}{}}
@@ -122,7 +122,7 @@
 func (a *Affinity) ForgetRelease(release release.ID) {
 	delete(a.answered, release)
 	delete(a.pending, release)
-	a.changes++
+	a.version++
 }
 
 // ForgetBefore forgets the keys of all releases before one, since none of these is to return. Should a backend of an even earlier
@@ -130,7 +130,7 @@
 func (a *Affinity) ForgetBefore(release release.ID) {
 	for r := range a.answered {
 		if r < release {
-			a.base = max(a.base, r)
+			a.baseRelease = max(a.baseRelease, r)
 			delete(a.answered, r)
 		}
 	}
@@ -139,7 +139,7 @@
 			delete(a.pending, r)
 		}
 	}
-	a.changes++
+	a.version++
 }
 
 // Len is how many keys are remembered, for all releases together.
--- a/policy/exposure/allowance.go
+++ b/policy/exposure/allowance.go
@@ -6,28 +6,28 @@
 // requests taken in it can leave: each request taken adds the cap to a balance that never exceeds the free attempts, and each
 // attempt takes one off.
 type Allowance struct {
-	free     float64                  // attempts in any span of time, beside the share
-	lanes    int                      // each of which counts for itself
-	from     float64                  // ms; before this time a balance starts empty
-	balances map[release.ID][]float64 // attempts that may go, by release and then by lane
+	freeAttempts    float64                  // attempts in any span of time, beside the share
+	buckets         int                      // each of which counts for itself
+	startEmptyUntil float64                  // ms; before this time a balance starts empty
+	balances        map[release.ID][]float64 // attempts that may go, by release and then by lane
 }
 
 // NewAllowance is an allowance of free attempts for each of a number of lanes (one for each class, or one for all).
-func NewAllowance(free float64, lanes int) *Allowance {
-	return &Allowance{free: free, lanes: max(lanes, 1), balances: map[release.ID][]float64{}}
+func NewAllowance(freeAttempts float64, buckets int) *Allowance {
+	return &Allowance{freeAttempts: freeAttempts, buckets: max(buckets, 1), balances: map[release.ID][]float64{}}
 }
 
 // StartEmptyUntil keeps the free attempts back until a time (ms): the process before this one may have used them inside the same window.
-func (a *Allowance) StartEmptyUntil(until float64) { a.from = until }
+func (a *Allowance) StartEmptyUntil(until float64) { a.startEmptyUntil = until }
 
 // balance is the balance of a release, by lane. It starts with the free attempts on first use.
 func (a *Allowance) balance(release release.ID, now float64) []float64 {
 	balance := a.balances[release]
 	if balance == nil {
-		balance = make([]float64, a.lanes)
-		if now >= a.from {
-			for lane := range balance {
-				balance[lane] = a.free
+		balance = make([]float64, a.buckets)
+		if now >= a.startEmptyUntil {
+			for bucket := range balance {
+				balance[bucket] = a.freeAttempts
 			}
 		}
 		a.balances[release] = balance
@@ -36,12 +36,14 @@
 }
 
 // Allows says whether one more attempt may go to a release.
-func (a *Allowance) Allows(release release.ID, lane int, now float64) bool {
-	return a.balance(release, now)[lane] >= 1
+func (a *Allowance) Allows(release release.ID, bucket int, now float64) bool {
+	return a.balance(release, now)[bucket] >= 1
 }
 
 // Use counts one attempt at a release.
-func (a *Allowance) Use(release release.ID, lane int, now float64) { a.balance(release, now)[lane]-- }
+func (a *Allowance) Use(release release.ID, bucket int, now float64) {
+	a.balance(release, now)[bucket]--
+}
 
 // Caps says what a release's cap is, and whether it has one.
 type Caps interface {
@@ -49,10 +51,10 @@
 }
 
 // OnRequest counts one request that was taken, for every release under a cap.
-func (a *Allowance) OnRequest(lane int, caps Caps) {
+func (a *Allowance) OnRequest(bucket int, caps Caps) {
 	for release, balance := range a.balances { // each by itself, so that the order does not matter
 		if share, limited := caps.Cap(release); limited {
-			balance[lane] = min(balance[lane]+share, a.free)
+			balance[bucket] = min(balance[bucket]+share, a.freeAttempts)
 		}
 	}
 }
--- a/policy/exposure/exposure_test.go
+++ b/policy/exposure/exposure_test.go
@@ -8,7 +8,7 @@
 )
 
 // The earliest release that may serve a key, after answers and attempts.
-func TestFloor(t *testing.T) {
+func TestOldestAllowed(t *testing.T) {
 	k := KeyOf("k")
 	for _, tc := range []struct {
 		name string
--- a/policy/gossip/gossip.go
+++ b/policy/gossip/gossip.go
@@ -49,27 +49,27 @@
 
 // Queue holds summaries until they are sent, in the order in which they were added. The zero value is an empty queue.
 type Queue struct {
-	waiting []Summary
+	pending []Summary
 }
 
 // Add appends a summary.
-func (q *Queue) Add(summary Summary) { q.waiting = append(q.waiting, summary) }
+func (q *Queue) Add(summary Summary) { q.pending = append(q.pending, summary) }
 
 // Len is the number of summaries that wait.
-func (q *Queue) Len() int { return len(q.waiting) }
+func (q *Queue) Len() int { return len(q.pending) }
 
 // Encode empties the queue into messages of at most maxBytes each, which must be RecordSize or more. The ages in them are
 // those at the time now.
 func (q *Queue) Encode(now float64, maxBytes int) (messages [][]byte) {
 	perMessage := maxBytes / RecordSize
-	for i, summary := range q.waiting {
+	for i, summary := range q.pending {
 		if i%perMessage == 0 {
 			messages = append(messages, nil)
 		}
 		last := len(messages) - 1
 		messages[last] = appendRecord(messages[last], now, summary)
 	}
-	q.waiting = nil
+	q.pending = nil
 	return messages
 }
 
--- a/policy/release/release.go
+++ b/policy/release/release.go
@@ -66,74 +66,74 @@
 
 // Registry is the records of all releases.
 type Registry struct {
-	records  map[ID]*Record
-	newest   ID      // announced; valid if known is set
-	known    bool    // a release was announced
-	oldest   ID      // listed
-	firstCap float64 // share of the requests taken, in the first stage
+	records       map[ID]*Record
+	newest        ID      // announced; valid if known is set
+	hasNewest     bool    // a release was announced
+	oldestListed  ID      // listed
+	firstStageCap float64 // share of the requests taken, in the first stage
 }
 
 // NewRegistry is an empty book; a release without an update has the cap of the first stage, a share of the requests taken.
-func NewRegistry(firstCap float64) *Registry {
-	return &Registry{records: map[ID]*Record{}, firstCap: firstCap}
+func NewRegistry(firstStageCap float64) *Registry {
+	return &Registry{records: map[ID]*Record{}, firstStageCap: firstStageCap}
 }
 
 // Newest is the newest announced release's record, and whether there is one.
-func (b *Registry) Newest() (Record, bool) {
-	if !b.known {
+func (reg *Registry) Newest() (Record, bool) {
+	if !reg.hasNewest {
 		return Record{}, false
 	}
-	return *b.records[b.newest], true
+	return *reg.records[reg.newest], true
 }
 
 // SetOldestListed notes the oldest release that is listed: as long as none is announced, that one counts as what the fleet runs.
-func (b *Registry) SetOldestListed(release ID) { b.oldest = release }
+func (reg *Registry) SetOldestListed(release ID) { reg.oldestListed = release }
 
 // OldestIfUnknown is the release that decides which keys a backend may serve: its own, or the oldest listed one where that is unknown.
-func (b *Registry) OldestIfUnknown(release ID) ID {
+func (reg *Registry) OldestIfUnknown(release ID) ID {
 	if release == Unknown {
-		return b.oldest
+		return reg.oldestListed
 	}
 	return release
 }
 
 // LatestIfUnknown is the release to which an answer of a backend binds its key: its own, or the latest known one where that is unknown.
-func (b *Registry) LatestIfUnknown(release ID) ID {
+func (reg *Registry) LatestIfUnknown(release ID) ID {
 	if release != Unknown {
 		return release
 	}
-	latest := b.oldest
-	for r := range b.records {
+	latest := reg.oldestListed
+	for r := range reg.records {
 		latest = max(latest, r)
 	}
 	return latest
 }
 
 // Record is a copy of what is known of a release.
-func (b *Registry) Record(release ID) Record {
-	if r := b.records[release]; r != nil {
+func (reg *Registry) Record(release ID) Record {
+	if r := reg.records[release]; r != nil {
 		return *r
 	}
-	first := Update{Release: release, Phase: RollingOut, Cap: b.firstCap}
-	if b.before(release) {
+	first := Update{Release: release, Phase: RollingOut, Cap: reg.firstStageCap}
+	if reg.predatesRollout(release) {
 		first.Phase, first.Cap = Released, 1
 	}
 	return Record{Update: first}
 }
 
 // before says of a release without a record whether the fleet ran it before the newest one came: it is what is being replaced.
-func (b *Registry) before(release ID) bool {
-	return b.known && release < b.newest || !b.known && release <= b.oldest
+func (reg *Registry) predatesRollout(release ID) bool {
+	return reg.hasNewest && release < reg.newest || !reg.hasNewest && release <= reg.oldestListed
 }
 
 // Apply takes an update and says what it did to its release's record.
-func (b *Registry) Apply(u Update) UpdateResult {
-	r := b.records[u.Release]
+func (reg *Registry) Apply(u Update) UpdateResult {
+	r := reg.records[u.Release]
 	if r == nil || !r.Announced {
-		b.announce(u)
+		reg.applyFirst(u)
 		return Changed
 	}
-	change := r.move(u)
+	change := r.apply(u)
 	if change == Changed && r.Superseded {
 		r.supersede()
 	}
@@ -142,27 +142,27 @@
 
 // OnListed notes that a backend of a release is listed. early says that the release is later than the newest announced one and was not
 // known before: its first update is still to come.
-func (b *Registry) OnListed(release ID) (early bool) {
-	if release == Unknown || b.records[release] != nil || !b.known || release <= b.newest {
+func (reg *Registry) OnListed(release ID) (early bool) {
+	if release == Unknown || reg.records[release] != nil || !reg.hasNewest || release <= reg.newest {
 		return false
 	}
-	b.records[release] = &Record{Update: Update{Release: release, Phase: RollingOut, Cap: b.firstCap}}
+	reg.records[release] = &Record{Update: Update{Release: release, Phase: RollingOut, Cap: reg.firstStageCap}}
 	return true
 }
 
 // announce takes a release's first update. It supersedes every earlier release that has not ended.
-func (b *Registry) announce(u Update) {
+func (reg *Registry) applyFirst(u Update) {
 	r := &Record{Update: u, Announced: true}
 	if u.Phase == Withdrawn {
 		r.Cap = 0
 	}
-	b.records[u.Release] = r
-	if b.known && u.Release < b.newest {
+	reg.records[u.Release] = r
+	if reg.hasNewest && u.Release < reg.newest {
 		r.supersede()
 		return
 	}
-	b.newest, b.known = u.Release, true
-	for release, earlier := range b.records {
+	reg.newest, reg.hasNewest = u.Release, true
+	for release, earlier := range reg.records {
 		if release < u.Release {
 			earlier.supersede()
 		}
@@ -170,7 +170,7 @@
 }
 
 // move takes a later update of the same release.
-func (r *Record) move(u Update) UpdateResult {
+func (r *Record) apply(u Update) UpdateResult {
 	switch from, to := r.Phase.rank(), u.Phase.rank(); {
 	case to < from, to == from && u.Phase == RollingOut && u.Stage < r.Stage:
 		return StaleUpdate
@@ -202,39 +202,39 @@
 
 // InferReleased notes that a superseded release runs on most of the backends of earlier releases. So it was released and that update was
 // missed: one that is rolled back never gets there.
-func (b *Registry) InferReleased(release ID) {
-	if r := b.records[release]; r != nil && r.Superseded && r.Phase == RollingOut {
+func (reg *Registry) InferReleased(release ID) {
+	if r := reg.records[release]; r != nil && r.Superseded && r.Phase == RollingOut {
 		r.Phase, r.Cap, r.Superseded = Released, 1, false
 	}
 }
 
 // Cap is the share of the requests taken that may go to a release, and whether that is limited at all.
-func (b *Registry) Cap(release ID) (limit float64, limited bool) {
-	r := b.records[release]
+func (reg *Registry) Cap(release ID) (limit float64, limited bool) {
+	r := reg.records[release]
 	switch {
-	case r != nil && r.Phase == Released, r == nil && b.before(release):
+	case r != nil && r.Phase == Released, r == nil && reg.predatesRollout(release):
 		return 1, false
 	case r != nil:
 		return r.Cap, true
 	}
-	return b.firstCap, true
+	return reg.firstStageCap, true
 }
 
 // IsClosed says whether a release is rolling back or withdrawn: its answers bind no key.
-func (b *Registry) IsClosed(release ID) bool {
-	p := b.Record(release).Phase
+func (reg *Registry) IsClosed(release ID) bool {
+	p := reg.Record(release).Phase
 	return p == RollingBack || p == Withdrawn
 }
 
 // IsEvaluated says whether outcomes of a release are evidence: it is the newest one, or an earlier one without a cap.
-func (b *Registry) IsEvaluated(release ID) bool {
-	return b.known && (release == b.newest || release < b.newest && b.Record(release).Phase == Released)
+func (reg *Registry) IsEvaluated(release ID) bool {
+	return reg.hasNewest && (release == reg.newest || release < reg.newest && reg.Record(release).Phase == Released)
 }
 
 // Baseline is the newest released release before the newest announced one; 0: none is known.
-func (b *Registry) Baseline() (base ID) {
-	for release, r := range b.records {
-		if release < b.newest && r.Phase == Released {
+func (reg *Registry) Baseline() (base ID) {
+	for release, r := range reg.records {
+		if release < reg.newest && r.Phase == Released {
 			base = max(base, release)
 		}
 	}
--- a/policy/release/release_test.go
+++ b/policy/release/release_test.go
@@ -49,13 +49,13 @@
 		{"no update, a later one", []Update{withdrawn(2)}, 3, RollingOut, 0, 0.08, true, Changed},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			book := NewRegistry(0.08)
+			registry := NewRegistry(0.08)
 			var last UpdateResult
 			for _, update := range tc.updates {
-				last = book.Apply(update)
+				last = registry.Apply(update)
 			}
-			record := book.Record(tc.of)
-			limit, limited := book.Cap(tc.of)
+			record := registry.Record(tc.of)
+			limit, limited := registry.Cap(tc.of)
 			got := fmt.Sprint(record.Phase, record.Stage, limit, limited, last)
 			if want := fmt.Sprint(tc.phase, tc.stage, tc.limit, tc.limited, tc.last); got != want {
 				t.Errorf("got %s, want %s", got, want)
@@ -107,15 +107,15 @@
 }
 
 // checkBook compares a book with what each release's own updates say: the furthest phase of each, the newest, and the withdrawn.
-func checkBook(t *rapid.T, book *Registry, furthest map[ID]Phase, newest ID) {
-	if record, known := book.Newest(); !known || record.Release != newest {
+func checkRegistry(t *rapid.T, registry *Registry, furthest map[ID]Phase, newest ID) {
+	if record, known := registry.Newest(); !known || record.Release != newest {
 		t.Fatalf("newest is %d, not %d", record.Release, newest)
 	}
 	for id, phase := range furthest {
-		if got := book.Record(id).Phase; got.rank() < phase.rank() {
+		if got := registry.Record(id).Phase; got.rank() < phase.rank() {
 			t.Fatalf("release %d: %v after %v", id, got, phase)
 		}
-		if limit, limited := book.Cap(id); phase == Withdrawn && (!limited || limit > 0) {
+		if limit, limited := registry.Cap(id); phase == Withdrawn && (!limited || limit > 0) {
 			t.Fatalf("release %d is withdrawn, and open with %v", id, limit)
 		}
 	}
@@ -125,7 +125,7 @@
 // goes back, a withdrawn release stays closed, and the newest stays the newest.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		book, furthest, newest := NewRegistry(0.08), map[ID]Phase{}, ID(0)
+		registry, furthest, newest := NewRegistry(0.08), map[ID]Phase{}, ID(0)
 		for range rapid.IntRange(1, 40).Draw(t, "updates") {
 			update := Update{
 				Release: ID(rapid.IntRange(1, 4).Draw(t, "release")),
@@ -134,14 +134,14 @@
 				Cap:     float64(rapid.IntRange(0, 4).Draw(t, "cap")) / 4,
 			}
 			if rapid.Bool().Draw(t, "listed first") {
-				book.OnListed(update.Release)
+				registry.OnListed(update.Release)
 			}
-			book.Apply(update)
+			registry.Apply(update)
 			if was, announced := furthest[update.Release]; !announced || update.Phase.rank() > was.rank() {
 				furthest[update.Release] = update.Phase
 			}
 			newest = max(newest, update.Release)
-			checkBook(t, book, furthest, newest)
+			checkRegistry(t, registry, furthest, newest)
 		}
 	})
 }
--- a/policy/verdict/evaluator.go
+++ b/policy/verdict/evaluator.go
@@ -77,7 +77,7 @@
 
 	desired        Verdict
 	rollbackReason string // why the latest evaluation wanted a rollback
-	ballot         ballot
+	voteState      voteState
 }
 
 // New makes an Evaluator that knows of no release.
@@ -138,7 +138,7 @@
 	e.startBaseline(now, before, fleet)
 	e.saturation = newSaturation()
 	e.release, e.announced, e.stage = newest, true, -1
-	e.stageStarted, e.desired, e.ballot.accepted = false, NoVerdict, NoVerdict
+	e.stageStarted, e.desired, e.voteState.accepted = false, NoVerdict, NoVerdict
 }
 
 // SetState takes the newest release's stage and phase, and since when (ms) it is in both. What was seen of one stage carries no
@@ -148,7 +148,7 @@
 		return
 	}
 	e.stage, e.phase, e.stateSince = stage, phase, since
-	e.ballot.notBefore = 0
+	e.voteState.notBefore = 0
 	e.stageStarted, e.desired = false, NoVerdict
 }
 
@@ -174,7 +174,7 @@
 	switch {
 	case result.Regression != "":
 		e.desired = Rollback
-	case byVotes && !saturated && now >= e.promoteAt(fleet, result.Earned):
+	case byVotes && !saturated && now >= e.earliestPromotion(fleet, result.NonInferior):
 		e.desired = Promote
 	}
 }
@@ -189,9 +189,9 @@
 
 // promoteAt is from when (ms) the stage is promoted. A comparison that shows neither blocks nothing: with the least sample seen
 // only the stage's least time is waited for.
-func (e *Evaluator) promoteAt(fleet Fleet, earned bool) float64 {
+func (e *Evaluator) earliestPromotion(fleet Fleet, nonInferior bool) float64 {
 	at := max(fleet.LastCandidateStart, e.stateSince) + minStageTime + stageClockMargin
-	few := !earned && e.evidence.count(Candidate) < minSample
+	few := !nonInferior && e.evidence.count(Candidate) < minSample
 	if few {
 		at = max(at, fleet.LastCandidateStart+maxEvidenceWait)
 	}
@@ -211,7 +211,7 @@
 		rollbackVotes:    e.settings.RollbackVotes,
 	}
 	candidate, baseline := withPooled(e.evidence.outcomes[Candidate]), withPooled(e.evidence.outcomes[Baseline])
-	earned := false
+	nonInferior := false
 	for class := range candidate {
 		result := compare(candidate[class], baseline[class], by)
 		if result.Regression != "" {
@@ -221,9 +221,9 @@
 			}
 			return Comparison{Regression: name + ": " + result.Regression}
 		}
-		earned = earned || result.Earned
+		nonInferior = nonInferior || result.NonInferior
 	}
-	return Comparison{Earned: earned}
+	return Comparison{NonInferior: nonInferior}
 }
 
 // withPooled is the classes, and after them all of them pooled.
--- a/policy/verdict/evaluator_test.go
+++ b/policy/verdict/evaluator_test.go
@@ -9,7 +9,7 @@
 )
 
 // feed records so many outcomes of each arm, alike in latency; of the candidate's each nth fails (0: none).
-func feed(e *Evaluator, from, to float64, count, failEvery int) {
+func recordOutcomes(e *Evaluator, from, to float64, count, failEvery int) {
 	for k := range count {
 		at := from + (to-from)*float64(k)/float64(count)
 		latency := 50 + float64(k*37%101)
@@ -62,7 +62,7 @@
 			if c.bad {
 				failEvery = 3 // not in step with the backends
 			}
-			feed(e, 0, c.now, 200, failEvery)
+			recordOutcomes(e, 0, c.now, 200, failEvery)
 			fleet := steadyFleet
 			if c.fleet != nil {
 				c.fleet(&fleet)
@@ -99,7 +99,7 @@
 			e := New(Settings{Classes: 1, Stages: []float64{0.1, 1}, Control: c.control, RollbackVotes: 1})
 			e.StartRollout(0, 2, true, steadyFleet)
 			e.SetState(0, release.RollingOut, 0)
-			feed(e, 0, 1000, c.count, 0)
+			recordOutcomes(e, 0, 1000, c.count, 0)
 			e.Evaluate(c.at-1, steadyFleet)
 			expect(t, "before", e.desired, NoVerdict)
 			e.Evaluate(c.at, steadyFleet)
@@ -116,7 +116,7 @@
 		want Verdict
 	}{
 		{"nothing", func(*Evaluator) {}, Rollback},
-		{"good outcomes", func(e *Evaluator) { feed(e, 2000, 4000, 2000, 0) }, Rollback},
+		{"good outcomes", func(e *Evaluator) { recordOutcomes(e, 2000, 4000, 2000, 0) }, Rollback},
 		{"the same state again", func(e *Evaluator) { e.SetState(0, release.RollingOut, 3000) }, Rollback},
 		{"rolling back", func(e *Evaluator) { e.SetState(0, release.RollingBack, 3000) }, NoVerdict},
 		{"the next release", func(e *Evaluator) {
@@ -128,7 +128,7 @@
 			e := New(Settings{Classes: 1, Stages: []float64{0.1, 1}, Control: ControlMajority, RollbackVotes: 1})
 			e.StartRollout(0, 2, true, steadyFleet)
 			e.SetState(0, release.RollingOut, 0)
-			feed(e, 0, 2000, 100, 3)
+			recordOutcomes(e, 0, 2000, 100, 3)
 			e.Evaluate(2000, steadyFleet)
 			expect(t, "first", e.desired, Rollback)
 			c.then(e)
@@ -212,11 +212,11 @@
 // The first class with a regression is named, the pooled classes as such; any class may earn a promotion.
 func TestCompareClasses(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		failed [3]bool // classes in which the candidate fails
-		few    [3]bool // classes with too few outcomes to earn anything
-		earned bool
-		want   string
+		name        string
+		failed      [3]bool // classes in which the candidate fails
+		few         [3]bool // classes with too few outcomes to earn anything
+		nonInferior bool
+		want        string
 	}{
 		{"none", [3]bool{}, [3]bool{}, true, ""},
 		{"the first", [3]bool{true}, [3]bool{}, false, "class 0: failures"},
@@ -241,7 +241,7 @@
 				}
 			}
 			got := e.compareClasses(Fleet{Instances: 2})
-			expect(t, "earned", got.Earned, c.earned)
+			expect(t, "earned", got.NonInferior, c.nonInferior)
 			if !strings.HasPrefix(got.Regression, c.want) || (got.Regression == "") != (c.want == "") {
 				t.Errorf("regression %q, want %q", got.Regression, c.want)
 			}
@@ -275,15 +275,15 @@
 }
 
 // When a stage may be promoted, in ms after the state's and the last backend's start.
-func TestPromoteAt(t *testing.T) {
+func TestEarliestPromotion(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		count    int
-		earned   bool
-		control  RolloutControl
-		fleet    Fleet
-		stage    float64 // since when it is in this state
-		promotes float64
+		name        string
+		count       int
+		nonInferior bool
+		control     RolloutControl
+		fleet       Fleet
+		stage       float64 // since when it is in this state
+		promotes    float64
 	}{
 		{"enough, at once", 20, false, ControlMajority, Fleet{}, 0, 3550},
 		{"enough, the stage is younger", 20, false, ControlMajority, Fleet{LastCandidateStart: 500}, 1000, 4550},
@@ -302,7 +302,7 @@
 			for range c.count {
 				e.evidence.add(Candidate, 0, Outcome{EndedAt: 1, Latency: 1}, true)
 			}
-			expect(t, "from", e.promoteAt(c.fleet, c.earned), c.promotes)
+			expect(t, "from", e.earliestPromotion(c.fleet, c.nonInferior), c.promotes)
 		})
 	}
 }
--- a/policy/verdict/evidence.go
+++ b/policy/verdict/evidence.go
@@ -10,12 +10,12 @@
 
 const (
 	// maxOutcomes is how many outcomes are kept for each arm and class at the least; at twice as many the oldest go.
-	maxOutcomes = 400
+	minKeptOutcomes = 400
 	// steadySample is how many of a backend's latest outcomes are compared, half against half, to see whether a backend that
 	// warms up is steady: fewer tell nothing, more would take longer than a warm-up.
-	steadySample = 12
+	steadyStateSample = 12
 	// meanWeight is the weight of one answer in a class's mean latency.
-	meanWeight = 0.02
+	meanLatencyWeight = 0.02
 )
 
 // Arm is one side of the comparison.
@@ -61,9 +61,9 @@
 	if *mean == 0 {
 		*mean = outcome.Latency
 	}
-	*mean += meanWeight * (outcome.Latency - *mean)
+	*mean += meanLatencyWeight * (outcome.Latency - *mean)
 	outcome.relativeLatency = outcome.Latency / max(*mean, 1e-9)
-	outcome.comparable = !outcome.Failed && e.isSteady(outcome.Backend, outcome.relativeLatency, warm)
+	outcome.comparable = !outcome.Failed && e.checkSteadyState(outcome.Backend, outcome.relativeLatency, warm)
 	if arm == Unrelated {
 		return
 	}
@@ -77,27 +77,27 @@
 		at--
 	}
 	outcomes = slices.Insert(outcomes, at, outcome)
-	if len(outcomes) > 2*maxOutcomes {
-		outcomes = slices.Clone(outcomes[len(outcomes)-maxOutcomes:])
+	if len(outcomes) > 2*minKeptOutcomes {
+		outcomes = slices.Clone(outcomes[len(outcomes)-minKeptOutcomes:])
 	}
 	return outcomes
 }
 
 // isSteady is the steady-state check of a backend, which takes its latest relative latency: its warm-up has ended, or the two
 // halves of its latest outcomes have means within the equivalence zone.
-func (e *evidence) isSteady(backend int, relativeLatency float64, warm bool) bool {
+func (e *evidence) checkSteadyState(backend int, relativeLatency float64, warm bool) bool {
 	for len(e.recent) <= backend {
 		e.recent = append(e.recent, nil)
 	}
 	recent := append(e.recent[backend], relativeLatency)
-	if len(recent) > steadySample {
+	if len(recent) > steadyStateSample {
 		recent = recent[1:]
 	}
 	e.recent[backend] = recent
-	if warm || len(recent) < steadySample {
+	if warm || len(recent) < steadyStateSample {
 		return warm
 	}
-	first, second := stat.Mean(recent[:steadySample/2], nil), stat.Mean(recent[steadySample/2:], nil)
+	first, second := stat.Mean(recent[:steadyStateSample/2], nil), stat.Mean(recent[steadyStateSample/2:], nil)
 	return math.Abs(first-second) <= latencyZone*max(first, second)
 }
 
@@ -195,7 +195,7 @@
 	return count
 }
 
-func brokenCount(outcomes []Outcome) (count int) {
+func connectionFailureCount(outcomes []Outcome) (count int) {
 	for _, outcome := range outcomes {
 		if outcome.ConnectionBroken {
 			count++
@@ -232,7 +232,7 @@
 }
 
 // A figure is one number of an outcome, and whether the outcome has it.
-type figure func(Outcome) (value float64, present bool)
+type metric func(Outcome) (value float64, present bool)
 
 func comparableLatency(o Outcome) (float64, bool) { return o.Latency, o.comparable }
 
--- a/policy/verdict/evidence_test.go
+++ b/policy/verdict/evidence_test.go
@@ -7,7 +7,7 @@
 
 // endTimes are when the outcomes of an arm and class ended, in the order on record.
 func endTimes(e *evidence, arm Arm, class int) []float64 {
-	return each(e.outcomes[arm][class], func(o Outcome) float64 { return o.EndedAt })
+	return mapSlice(e.outcomes[arm][class], func(o Outcome) float64 { return o.EndedAt })
 }
 
 // Outcomes stand in order of time however they come in.
@@ -40,10 +40,10 @@
 		count, want int
 		oldest      float64
 	}{
-		{2 * maxOutcomes, 2 * maxOutcomes, 0},
-		{2*maxOutcomes + 1, maxOutcomes, maxOutcomes + 1},
-		{2*maxOutcomes + 2, maxOutcomes + 1, maxOutcomes + 1},
-		{20 * maxOutcomes, 0, 0}, // below the bound, whatever it is
+		{2 * minKeptOutcomes, 2 * minKeptOutcomes, 0},
+		{2*minKeptOutcomes + 1, minKeptOutcomes, minKeptOutcomes + 1},
+		{2*minKeptOutcomes + 2, minKeptOutcomes + 1, minKeptOutcomes + 1},
+		{20 * minKeptOutcomes, 0, 0}, // below the bound, whatever it is
 	} {
 		t.Run(fmt.Sprint(c.count), func(t *testing.T) {
 			e := newEvidence(1)
@@ -51,7 +51,7 @@
 				e.add(Baseline, 0, Outcome{EndedAt: float64(k), Latency: 1}, true)
 			}
 			got := len(e.outcomes[Baseline][0])
-			if got > 2*maxOutcomes || got < maxOutcomes {
+			if got > 2*minKeptOutcomes || got < minKeptOutcomes {
 				t.Errorf("%d outcomes on record", got)
 			}
 			if c.want > 0 {
@@ -80,11 +80,11 @@
 		{"warm", nil, true, false, true},
 		{"warm, failed", nil, true, true, false},
 		{"warming up, the first", nil, false, false, false},
-		{"warming up, one short of the sample", repeat(10, steadySample-2), false, false, false},
-		{"warming up, steady", repeat(10, steadySample-1), false, false, true},
-		{"warming up, steady, failed", repeat(10, steadySample-1), false, true, false},
-		{"warming up, getting faster", append(repeat(30, steadySample/2), repeat(10, steadySample/2-1)...), false, false, false},
-		{"warming up, steady of late", append(repeat(30, steadySample), repeat(10, 3*steadySample)...), false, false, true},
+		{"warming up, one short of the sample", repeat(10, steadyStateSample-2), false, false, false},
+		{"warming up, steady", repeat(10, steadyStateSample-1), false, false, true},
+		{"warming up, steady, failed", repeat(10, steadyStateSample-1), false, true, false},
+		{"warming up, getting faster", append(repeat(30, steadyStateSample/2), repeat(10, steadyStateSample/2-1)...), false, false, false},
+		{"warming up, steady of late", append(repeat(30, steadyStateSample), repeat(10, 3*steadyStateSample)...), false, false, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			e := newEvidence(1)
@@ -101,15 +101,15 @@
 // Another process under a backend's index begins its steady-state check anew.
 func TestResetBackend(t *testing.T) {
 	e := newEvidence(1)
-	for k := range steadySample {
+	for k := range steadyStateSample {
 		e.add(Candidate, 0, Outcome{EndedAt: float64(k), Latency: 10, Backend: 1}, false)
 	}
-	expect(t, "steady", e.outcomes[Candidate][0][steadySample-1].comparable, true)
+	expect(t, "steady", e.outcomes[Candidate][0][steadyStateSample-1].comparable, true)
 	e.resetBackend(1)
 	e.resetBackend(7) // nothing is known of it
 	e.add(Candidate, 0, Outcome{EndedAt: 100, Latency: 10, Backend: 1}, false)
-	expect(t, "another process", e.outcomes[Candidate][0][steadySample].comparable, false)
-	expect(t, "outcomes stay", len(e.outcomes[Candidate][0]), steadySample+1)
+	expect(t, "another process", e.outcomes[Candidate][0][steadyStateSample].comparable, false)
+	expect(t, "outcomes stay", len(e.outcomes[Candidate][0]), steadyStateSample+1)
 }
 
 // An unrelated release's outcome is not kept, yet teaches the mean latency of its class.
@@ -211,7 +211,7 @@
 		e.add(Candidate, 1, Outcome{EndedAt: float64(2*k + 1), Latency: 1000}, true)
 	}
 	pooled := poolClasses(e.outcomes[Candidate])
-	expect(t, "times", each(pooled, func(o Outcome) float64 { return o.EndedAt }), "[0 1 2 3 4 5 6 7]")
+	expect(t, "times", mapSlice(pooled, func(o Outcome) float64 { return o.EndedAt }), "[0 1 2 3 4 5 6 7]")
 	expect(t, "latencies", latencies(pooled), "[1 1 1 1 1 1 1 1]")
 	expect(t, "the classes keep theirs", latencies(e.outcomes[Candidate][1]), "[1000 1000 1000 1000]")
 }
@@ -244,10 +244,10 @@
 }
 
 // Outcomes of one time keep the order in which they came.
-func TestEvidenceOfOneTime(t *testing.T) {
+func TestEvidenceEqualTimes(t *testing.T) {
 	e := newEvidence(1)
 	for backend := range 4 {
 		e.add(Baseline, 0, Outcome{EndedAt: 7, Latency: 1, Backend: backend}, true)
 	}
-	expect(t, "backends", each(e.outcomes[Baseline][0], func(o Outcome) int { return o.Backend }), "[0 1 2 3]")
+	expect(t, "backends", mapSlice(e.outcomes[Baseline][0], func(o Outcome) int { return o.Backend }), "[0 1 2 3]")
 }
--- a/policy/verdict/gates.go
+++ b/policy/verdict/gates.go
@@ -13,33 +13,33 @@
 	minPerBackend = 3  // backends, and outcomes of each, that tell how backends of one release differ
 	// fewOutcomes is the least number of latencies of each arm below minSample that may yet show a slower candidate, where
 	// many votes roll back.
-	fewOutcomes = 4
+	minSmallSample = 4
 	// manyVotes is the number of rollback votes from which many instances must agree, so that each may speak on little.
 	manyVotes = 4
 
 	// Equivalence zones: differences up to these count as none.
-	latencyZone = 0.10 // of the baseline's latency quantile
-	shareZone   = 0.05 // of attempts, difference of success shares
+	latencyZone      = 0.10 // of the baseline's latency quantile
+	successShareZone = 0.05 // of attempts, difference of success shares
 	// Margins beyond latencyZone, as parts of the baseline's latency, for gates that see little.
 	smallSampleMargin = 0.4
 	shiftMargin       = 0.15
 
 	// equivalenceErrors is Student's t at 95% for sliceCount-1 = 4 degrees of freedom: an interval of 90%, in standard errors.
-	equivalenceErrors = 2.13
+	equivalenceStdErrors = 2.13
 	// maxSliceVariation is the greatest variation coefficient of the slices' success shares at which their difference counts.
 	maxSliceVariation = 0.15
 	// minSlowerQuantiles of the latencyQuantiles must be wholly slower: one of many that are looked at often is so by chance.
 	minSlowerQuantiles = 2
 
 	// latencyErrorParts: each latency gate may be wrong with this part of the probability that the failure gate has.
-	latencyErrorParts = 4
+	latencyErrorDivisor = 4
 
 	// usualBreakShare is the share of the baseline's attempts whose connection breaks, from which breaks say nothing of a release.
-	usualBreakShare = 0.02
+	maxBaselineBreakShare = 0.02
 	// minFailuresWithBreaks: among fewer failures of the candidate broken connections do not count, as the network may be the cause.
 	minFailuresWithBreaks = 3
 	// failuresAndVotes: so many failures less one for each vote that a rollback needs must be seen, and at least one.
-	failuresAndVotes = 4
+	minFailuresPlusVotes = 4
 )
 
 // latencyQuantiles are compared slice by slice.
@@ -48,7 +48,7 @@
 // Comparison is what the gates say of a candidate.
 type Comparison struct {
 	// Earned tells that a success share or a latency quantile is shown to be equivalent to the baseline's or better.
-	Earned bool
+	NonInferior bool
 	// Regression says in what the candidate is worse, for the log; empty: it is not shown to be worse.
 	Regression string
 }
@@ -91,13 +91,13 @@
 		candidate = withoutWorstBackend(candidate)
 	}
 	failures, baselineFailures := failureCount(candidate), failureCount(baseline)
-	if failures < minFailuresWithBreaks || float64(brokenCount(baseline)) > usualBreakShare*float64(len(baseline)) {
-		failures, baselineFailures = failures-brokenCount(candidate), baselineFailures-brokenCount(baseline)
+	if failures < minFailuresWithBreaks || float64(connectionFailureCount(baseline)) > maxBaselineBreakShare*float64(len(baseline)) {
+		failures, baselineFailures = failures-connectionFailureCount(candidate), baselineFailures-connectionFailureCount(baseline)
 	}
 	usual := (float64(baselineFailures) + 0.1) / (float64(len(baseline)) + 1)
-	bound := min(usual+shareZone+2*c.failureVariation(candidate)/math.Sqrt(backendCount(candidate)), 1)
+	bound := min(usual+successShareZone+2*c.failureVariation(candidate)/math.Sqrt(backendCount(candidate)), 1)
 	beyond := 1 - failurePosterior(failures, len(candidate)-failures).CDF(bound)
-	return failures >= max(failuresAndVotes-c.rollbackVotes, 1) && beyond > 1-c.errorProbability
+	return failures >= max(minFailuresPlusVotes-c.rollbackVotes, 1) && beyond > 1-c.errorProbability
 }
 
 // failureVariation is how far backends of one release differ in their failure shares. Once released, the candidate has no
@@ -126,7 +126,7 @@
 	if c.rollbackVotes < manyVotes || !c.comparesLatency() {
 		return ""
 	}
-	ratio := latencyRatioLowerBound(latencies(c.candidate), c.baselineLatencies(), fewOutcomes, 1-c.errorProbability/latencyErrorParts)
+	ratio := latencyRatioLowerBound(latencies(c.candidate), c.baselineLatencies(), minSmallSample, 1-c.errorProbability/latencyErrorDivisor)
 	if ratio > 1+latencyZone+smallSampleMargin {
 		return "latency: slower by few outcomes"
 	}
@@ -145,7 +145,7 @@
 	ratio += 1 + latencyZone + shiftMargin
 	above := countAbove(candidate, baseline, ratio)
 	posterior := distuv.Beta{Alpha: above + 0.5, Beta: float64(len(candidate)) - above + 0.5}
-	if posterior.CDF(0.5) < c.errorProbability/latencyErrorParts {
+	if posterior.CDF(0.5) < c.errorProbability/latencyErrorDivisor {
 		return fmt.Sprintf("latency: %.0f of %d above %.2f times the baseline's median", above, len(candidate), ratio)
 	}
 	return ""
@@ -155,33 +155,33 @@
 func (c comparison) sliceGates() Comparison {
 	candidateSlices := sliceByCount(c.candidate)
 	baselineSlices, paired := sliceByTime(c.baseline, c.candidate)
-	earned := c.successShareEarned(candidateSlices, baselineSlices)
-	candidate, baseline := each(candidateSlices, latencies), each(baselineSlices, latencies)
-	if !c.compareLatency || !paired || !agree(candidate) || !agree(baseline) {
-		return Comparison{Earned: earned}
+	nonInferior := c.successShareNonInferior(candidateSlices, baselineSlices)
+	candidate, baseline := mapSlice(candidateSlices, latencies), mapSlice(baselineSlices, latencies)
+	if !c.compareLatency || !paired || !agreementGate(candidate) || !agreementGate(baseline) {
+		return Comparison{NonInferior: nonInferior}
 	}
 	latency := c.latencyQuantileGate(candidate, baseline)
-	latency.Earned = latency.Regression == "" && (earned || latency.Earned)
+	latency.NonInferior = latency.Regression == "" && (nonInferior || latency.NonInferior)
 	return latency
 }
 
 // agree is the agreement gate: every slice has enough latencies, and they are alike enough to be taken as one.
-func agree(latencySlices [][]float64) bool {
+func agreementGate(latencySlices [][]float64) bool {
 	few := func(latencies []float64) bool { return len(latencies) < minPerSlice }
 	return !slices.ContainsFunc(latencySlices, few) && slicesAgree(latencySlices)
 }
 
 // successShareEarned tells that the success shares are steady over the slices, and the candidate's equivalent or higher.
-func (c comparison) successShareEarned(candidateSlices, baselineSlices [][]Outcome) bool {
-	candidate, baseline := each(candidateSlices, successShare), each(baselineSlices, successShare)
+func (c comparison) successShareNonInferior(candidateSlices, baselineSlices [][]Outcome) bool {
+	candidate, baseline := mapSlice(candidateSlices, successShare), mapSlice(baselineSlices, successShare)
 	if variationCoefficient(candidate) > maxSliceVariation || variationCoefficient(baseline) > maxSliceVariation {
 		return false
 	}
 	// Slices without a failure have no deviation; the error on so rare a failure is not 0.
 	minError := math.Sqrt(float64(failureCount(c.candidate)+1) / float64(len(c.candidate)+2) / float64(len(c.candidate)))
-	low, high := interval(differences(candidate, baseline), equivalenceErrors, minError)
-	equivalent := low > -shareZone && high < shareZone
-	return equivalent || low > shareZone
+	low, high := interval(differences(candidate, baseline), equivalenceStdErrors, minError)
+	equivalent := low > -successShareZone && high < successShareZone
+	return equivalent || low > successShareZone
 }
 
 // latencyQuantileGate compares quantiles of latency, slice by slice. It finds a regression where enough of them are slower by
@@ -189,16 +189,16 @@
 func (c comparison) latencyQuantileGate(candidateSlices, baselineSlices [][]float64) Comparison {
 	var result Comparison
 	slower := 0
-	regressionErrors := distuv.StudentsT{Sigma: 1, Nu: sliceCount - 1}.Quantile(1 - c.errorProbability/latencyErrorParts)
+	regressionStdErrors := distuv.StudentsT{Sigma: 1, Nu: sliceCount - 1}.Quantile(1 - c.errorProbability/latencyErrorDivisor)
 	variation := 2 * backendVariation(c.baseline, comparableLatency) / math.Sqrt(backendCount(c.candidate))
 	for _, share := range latencyQuantiles {
 		ofSlice := func(latencies []float64) float64 { return quantile(share, latencies) }
-		more := differences(each(candidateSlices, ofSlice), each(baselineSlices, ofSlice))
+		more := differences(mapSlice(candidateSlices, ofSlice), mapSlice(baselineSlices, ofSlice))
 		usual := quantile(share, latencies(c.baseline))
-		low, high := interval(more, equivalenceErrors, 0)
+		low, high := interval(more, equivalenceStdErrors, 0)
 		equivalent := low > -latencyZone*usual && high < latencyZone*usual
-		result.Earned = result.Earned || equivalent || high < -latencyZone*usual
-		if low, _ = interval(more, regressionErrors, 0); low > latencyZone*usual+variation {
+		result.NonInferior = result.NonInferior || equivalent || high < -latencyZone*usual
+		if low, _ = interval(more, regressionStdErrors, 0); low > latencyZone*usual+variation {
 			slower++
 			result.Regression = fmt.Sprintf("latency quantile %.2f: at least %.0f%% above the baseline's", share, 100*low/usual)
 		}
--- a/policy/verdict/gates_test.go
+++ b/policy/verdict/gates_test.go
@@ -11,12 +11,12 @@
 // What the gates say of two arms; n outcomes each, latencies 50 to 150 ms times slow, a share bad.
 func TestGates(t *testing.T) {
 	for _, c := range []struct {
-		name       string
-		n          int
-		slow, bad  float64
-		jump       float64 // the candidate's third slice so many times slower
-		earned     bool
-		regression string
+		name        string
+		n           int
+		slow, bad   float64
+		jump        float64 // the candidate's third slice so many times slower
+		nonInferior bool
+		regression  string
 	}{
 		{"the same", 200, 1, 0, 1, true, ""},
 		{"wholly slower", 200, 2, 0, 1, false, "latency"},
@@ -44,8 +44,8 @@
 			}
 			by := criteria{compareLatency: true, errorProbability: 0.01, rollbackVotes: 1}
 			got := compare(arm(c.slow, c.bad, c.jump), arm(1, 0, 1), by)
-			if got.Earned != c.earned || !strings.HasPrefix(got.Regression, c.regression) || (got.Regression != "") != (c.regression != "") {
-				t.Errorf("earned %v, regression %q", got.Earned, got.Regression)
+			if got.NonInferior != c.nonInferior || !strings.HasPrefix(got.Regression, c.regression) || (got.Regression != "") != (c.regression != "") {
+				t.Errorf("earned %v, regression %q", got.NonInferior, got.Regression)
 			}
 		})
 	}
@@ -53,12 +53,12 @@
 
 // With the few outcomes of a stage, and latencies as uneven as they are, a release twice as slow is seen and one that is not is
 // left alone; so is one of whose few backends some are in trouble that the baseline's know too.
-func TestSlow(t *testing.T) {
+func TestSlowCandidate(t *testing.T) {
 	for _, c := range []struct {
-		name             string
-		times            float64
-		backends, ailing int // of the candidate: so many are four times slower, as one of six of the baseline is
-		least, most      int // times of 100 that a regression is found
+		name               string
+		times              float64
+		backends, degraded int // of the candidate: so many are four times slower, as one of six of the baseline is
+		least, most        int // times of 100 that a regression is found
 	}{
 		{"twice as slow", 2.3, 5, 0, 80, 100},
 		{"as fast", 1, 5, 0, 0, 1},
@@ -70,8 +70,8 @@
 			regressions := 0
 			for seed := range uint64(100) {
 				random := rand.New(rand.NewPCG(seed, 7919))
-				candidate := unevenArm(random, 50, c.backends, c.times, func(backend int) bool { return backend < c.ailing })
-				baseline := unevenArm(random, 600, 18, 1, func(backend int) bool { return backend%6 == 0 && c.ailing > 0 })
+				candidate := logNormalArm(random, 50, c.backends, c.times, func(backend int) bool { return backend < c.degraded })
+				baseline := logNormalArm(random, 600, 18, 1, func(backend int) bool { return backend%6 == 0 && c.degraded > 0 })
 				by := criteria{compareLatency: true, errorProbability: 0.0133, rollbackVotes: 1}
 				if compare(candidate, baseline, by).Regression != "" {
 					regressions++
@@ -85,10 +85,10 @@
 }
 
 // unevenArm is n outcomes with latencies of a log-normal distribution, four times as long at the ailing backends.
-func unevenArm(random *rand.Rand, n, backends int, times float64, ailing func(backend int) bool) (outcomes []Outcome) {
+func logNormalArm(random *rand.Rand, n, backends int, times float64, degraded func(backend int) bool) (outcomes []Outcome) {
 	for k := range n {
 		o := Outcome{EndedAt: float64(k) / float64(n), Latency: 70 * times * math.Exp(0.7*random.NormFloat64()), Backend: k % backends, comparable: true}
-		if ailing(o.Backend) {
+		if degraded(o.Backend) {
 			o.Latency *= 4
 		}
 		outcomes = append(outcomes, o)
@@ -97,7 +97,7 @@
 }
 
 // How sure one instance must be goes by how many votes roll a release back and how many instances look.
-func TestLevels(t *testing.T) {
+func TestFailureGateCertainty(t *testing.T) {
 	for _, c := range []struct {
 		name                        string
 		instances, votes            int
@@ -156,7 +156,7 @@
 				return outcomes
 			}
 			x := comparison{candidate: arm(c.candidate), baseline: arm(c.baseline)}
-			expect(t, "earned", x.successShareEarned(sliceByCount(x.candidate), sliceByCount(x.baseline)), c.want)
+			expect(t, "earned", x.successShareNonInferior(sliceByCount(x.candidate), sliceByCount(x.baseline)), c.want)
 		})
 	}
 }
@@ -185,7 +185,7 @@
 		{"few outcomes, one vote less than many", few, arm(12, 3, 3), arm(12, 3, 1), false, manyVotes - 1, false},
 		{"few outcomes of two backends", few, arm(12, 2, 3), arm(12, 3, 1), false, manyVotes, false},
 		{"few outcomes, baseline idle", few, arm(12, 3, 3), arm(12, 3, 1), true, manyVotes, false},
-		{"fewer than few outcomes", few, arm(fewOutcomes-1, 3, 9), arm(12, 3, 1), false, manyVotes, false},
+		{"fewer than few outcomes", few, arm(minSmallSample-1, 3, 9), arm(12, 3, 1), false, manyVotes, false},
 		{"shift, slower", shift, arm(40, 4, 2), arm(40, 4, 1), false, 1, true},
 		{"shift, as fast", shift, arm(40, 4, 1), arm(40, 4, 1), false, 1, false},
 		{"shift, two backends", shift, arm(40, 2, 2), arm(40, 4, 1), false, 1, false},
@@ -194,7 +194,7 @@
 		{"quantiles, slower", quantiles, arm(400, 4, 1.5), arm(400, 4, 1), false, 1, true},
 		{"quantiles, within the zone", quantiles, arm(400, 4, 1.05), arm(400, 4, 1), false, 1, false},
 		{"quantiles, baseline idle", quantiles, arm(400, 4, 1.5), arm(400, 4, 1), true, 1, false},
-		{"quantiles, of other times", quantiles, outcomesLater(arm(400, 4, 1.5), 1000), arm(400, 4, 1), false, 1, false},
+		{"quantiles, of other times", quantiles, delayOutcomes(arm(400, 4, 1.5), 1000), arm(400, 4, 1), false, 1, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			by := criteria{compareLatency: !c.idle, errorProbability: 0.01, rollbackVotes: c.votes}
@@ -207,15 +207,15 @@
 }
 
 // outcomesLater moves outcomes by a time.
-func outcomesLater(outcomes []Outcome, by float64) []Outcome {
-	return each(outcomes, func(o Outcome) Outcome {
+func delayOutcomes(outcomes []Outcome, by float64) []Outcome {
+	return mapSlice(outcomes, func(o Outcome) Outcome {
 		o.EndedAt += by
 		return o
 	})
 }
 
 // At which number of outcomes of each arm a comparison is no longer one of few: from there on the latency shift is looked for.
-func TestLeastSample(t *testing.T) {
+func TestMinSample(t *testing.T) {
 	arm := func(n int, latency float64) (outcomes []Outcome) {
 		for k := range n {
 			outcomes = append(outcomes, Outcome{EndedAt: float64(k) / float64(n), Latency: latency, Backend: k % 4, comparable: true})
@@ -253,7 +253,7 @@
 }
 
 // Broken connections count as failures only up to a share of the baseline's attempts that break too, 2 of 100.
-func TestUsualBreaks(t *testing.T) {
+func TestBaselineConnectionFailures(t *testing.T) {
 	for _, c := range []struct {
 		broken int // of the baseline's 200
 		want   bool
@@ -273,7 +273,7 @@
 }
 
 // uneven makes an arm of 200 outcomes in five slices; each slice has its own failures (of 40) and latency.
-func uneven(failures [5]int, latencies [5]float64) (outcomes []Outcome) {
+func unevenSlices(failures [5]int, latencies [5]float64) (outcomes []Outcome) {
 	for k := range 200 {
 		slice := k / 40
 		o := Outcome{EndedAt: float64(k), Latency: latencies[slice] + float64(k*7%11), Backend: k % 4, comparable: true}
@@ -293,26 +293,26 @@
 		name                string
 		candidate, baseline []Outcome
 		idle                bool
-		earned              bool
+		nonInferior         bool
 		regression          string
 	}{
-		{"alike in both", uneven(none, same), uneven(none, same), false, true, ""},
-		{"shares alike, baseline idle", uneven(none, same), uneven(none, same), true, true, ""},
-		{"shares alike, candidate's latency drifts", uneven(none, drifting), uneven(none, same), false, true, ""},
-		{"shares alike, baseline's latency drifts", uneven(none, same), uneven(none, drifting), false, true, ""},
-		{"candidate's shares uneven, latency alike", uneven(wild, same), uneven(none, same), false, true, ""},
-		{"baseline's shares uneven, latency alike", uneven(none, same), uneven(wild, same), false, true, ""},
-		{"candidate's shares uneven, faster", uneven(wild, faster), uneven(none, same), false, true, ""},
-		{"candidate's shares uneven, baseline idle", uneven(wild, same), uneven(none, same), true, false, ""},
-		{"baseline's shares uneven, baseline idle", uneven(none, same), uneven(wild, same), true, false, ""},
-		{"candidate's shares uneven, its latency drifts", uneven(wild, drifting), uneven(none, same), false, false, ""},
-		{"candidate's shares uneven, baseline's latency drifts", uneven(wild, same), uneven(none, drifting), false, false, ""},
-		{"shares alike, slower: not earned", uneven(none, slower), uneven(none, same), false, false, "latency quantile 0.90"},
+		{"alike in both", unevenSlices(none, same), unevenSlices(none, same), false, true, ""},
+		{"shares alike, baseline idle", unevenSlices(none, same), unevenSlices(none, same), true, true, ""},
+		{"shares alike, candidate's latency drifts", unevenSlices(none, drifting), unevenSlices(none, same), false, true, ""},
+		{"shares alike, baseline's latency drifts", unevenSlices(none, same), unevenSlices(none, drifting), false, true, ""},
+		{"candidate's shares uneven, latency alike", unevenSlices(wild, same), unevenSlices(none, same), false, true, ""},
+		{"baseline's shares uneven, latency alike", unevenSlices(none, same), unevenSlices(wild, same), false, true, ""},
+		{"candidate's shares uneven, faster", unevenSlices(wild, faster), unevenSlices(none, same), false, true, ""},
+		{"candidate's shares uneven, baseline idle", unevenSlices(wild, same), unevenSlices(none, same), true, false, ""},
+		{"baseline's shares uneven, baseline idle", unevenSlices(none, same), unevenSlices(wild, same), true, false, ""},
+		{"candidate's shares uneven, its latency drifts", unevenSlices(wild, drifting), unevenSlices(none, same), false, false, ""},
+		{"candidate's shares uneven, baseline's latency drifts", unevenSlices(wild, same), unevenSlices(none, drifting), false, false, ""},
+		{"shares alike, slower: not earned", unevenSlices(none, slower), unevenSlices(none, same), false, false, "latency quantile 0.90"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			by := criteria{compareLatency: !c.idle, errorProbability: 0.01, rollbackVotes: 1}
 			got := comparison{criteria: by, candidate: c.candidate, baseline: c.baseline}.sliceGates()
-			expect(t, "earned", got.Earned, c.earned)
+			expect(t, "earned", got.NonInferior, c.nonInferior)
 			if !strings.HasPrefix(got.Regression, c.regression) || (got.Regression == "") != (c.regression == "") {
 				t.Errorf("regression %q, want %q", got.Regression, c.regression)
 			}
@@ -340,7 +340,7 @@
 		t.Run(fmt.Sprint("slowest ", c.slowest, " of 10"), func(t *testing.T) {
 			by := criteria{compareLatency: true, errorProbability: 0.01, rollbackVotes: 1}
 			x := comparison{criteria: by, candidate: arm(c.slowest, 2), baseline: arm(0, 1)}
-			got := x.latencyQuantileGate(each(sliceByCount(x.candidate), latencies), each(sliceByCount(x.baseline), latencies))
+			got := x.latencyQuantileGate(mapSlice(sliceByCount(x.candidate), latencies), mapSlice(sliceByCount(x.baseline), latencies))
 			if !strings.HasPrefix(got.Regression, c.want) || (got.Regression == "") != (c.want == "") {
 				t.Errorf("regression %q, want %q", got.Regression, c.want)
 			}
--- a/policy/verdict/saturation.go
+++ b/policy/verdict/saturation.go
@@ -14,11 +14,11 @@
 	saturationLimit = 7000
 	// saturatedFrom and saturatedUntil are how many times slower than before the rollout the fleet is when a saturation begins
 	// and when it ends.
-	saturatedFrom  = 1.6
-	saturatedUntil = 1.35
+	saturationStart = 1.6
+	saturationEnd   = 1.35
 	// comparableArrivals is the arrival rate, as times that before the rollout, up to which latencies are compared: a higher one
 	// is itself the cause of any saturation.
-	comparableArrivals = 1.3
+	maxArrivalRatio = 1.3
 	// releaseSettleTime (ms) after a release all traffic has moved to it; what begins later is not its doing.
 	releaseSettleTime = 500
 	// lowQuantile is the quantile that is taken for a low latency: queues touch it least.
@@ -46,16 +46,16 @@
 // update takes the latency inflation now. What begins from outside the rollout is not the candidate's doing and counts only for
 // what it grows by: a saturation that a candidate makes grows by stage. A saturation blocks promotion, and counts as a
 // regression once it is too long. That may hurt a good release in a long slowness.
-func (s *saturation) update(now, inflation float64, outside bool) (saturated, tooLong bool) {
+func (s *saturation) update(now, inflation float64, external bool) (saturated, tooLong bool) {
 	switch {
-	case inflation < saturatedUntil*s.correction:
+	case inflation < saturationEnd*s.correction:
 		s.since = math.Inf(1)
-		if inflation < saturatedUntil {
+		if inflation < saturationEnd {
 			s.correction = 1
 		}
-	case outside && math.IsInf(s.since, 1):
+	case external && math.IsInf(s.since, 1):
 		s.correction = max(s.correction, inflation)
-	case inflation >= saturatedFrom*s.correction && math.IsInf(s.since, 1):
+	case inflation >= saturationStart*s.correction && math.IsInf(s.since, 1):
 		s.since = now
 	}
 	return now >= s.since, now >= s.since+saturationLimit
@@ -64,14 +64,14 @@
 // updateSaturation tells whether the fleet is saturated, and for too long. Outside the rollout is what begins before the
 // candidate had a share worth the name, or after its release.
 func (e *Evaluator) updateSaturation(now float64, fleet Fleet) (saturated, tooLong bool) {
-	outside := e.stage < 1 || e.phase == release.Released && now > e.stateSince+releaseSettleTime
-	return e.saturation.update(now, e.latencyInflation(now, fleet), outside)
+	external := e.stage < 1 || e.phase == release.Released && now > e.stateSince+releaseSettleTime
+	return e.saturation.update(now, e.latencyInflation(now, fleet), external)
 }
 
 // latencyInflation is the fleet's typical latency over what it was before the rollout; 0 where too little is seen, or where more
 // arrives than before.
 func (e *Evaluator) latencyInflation(now float64, fleet Fleet) float64 {
-	if e.baseline.typical == 0 || fleet.ArrivalRate > comparableArrivals*e.baseline.arrivalRate {
+	if e.baseline.typical == 0 || fleet.ArrivalRate > maxArrivalRatio*e.baseline.arrivalRate {
 		return 0
 	}
 	return e.typicalLatency(e.evidence.outcomes, now-inflationWindow, fleet) / e.baseline.typical
@@ -125,10 +125,10 @@
 func (e *Evaluator) relativeToBaseline(outcomes [2][][]Outcome, since float64) [][]float64 {
 	var byBackend [][]float64
 	for _, arm := range outcomes {
-		for class, ofClass := range arm {
+		for class, classOutcomes := range arm {
 			low := e.baseline.lowLatency[class]
-			for i := len(ofClass) - 1; i >= 0 && ofClass[i].EndedAt > since && low > 0; i-- {
-				outcome := ofClass[i]
+			for i := len(classOutcomes) - 1; i >= 0 && classOutcomes[i].EndedAt > since && low > 0; i-- {
+				outcome := classOutcomes[i]
 				if !outcome.comparable {
 					continue
 				}
--- a/policy/verdict/saturation_test.go
+++ b/policy/verdict/saturation_test.go
@@ -40,7 +40,7 @@
 func TestSaturationUpdate(t *testing.T) {
 	type step struct {
 		now, inflation float64
-		outside        bool
+		external       bool
 		want           string // saturated, too long
 	}
 	for _, c := range []struct {
@@ -48,8 +48,8 @@
 		steps []step
 	}{
 		{"below the start", []step{{0, 1.59, false, "false false"}}},
-		{"at the start", []step{{0, saturatedFrom, false, "true false"}}},
-		{"stays until the end", []step{{0, 1.7, false, "true false"}, {200, saturatedUntil, false, "true false"}, {400, 1.34, false, "false false"}}},
+		{"at the start", []step{{0, saturationStart, false, "true false"}}},
+		{"stays until the end", []step{{0, 1.7, false, "true false"}, {200, saturationEnd, false, "true false"}, {400, 1.34, false, "false false"}}},
 		{"too long", []step{{0, 1.7, false, "true false"}, {saturationLimit - 1, 1.7, false, "true false"}, {saturationLimit, 1.5, false, "true true"}}},
 		{"begins anew", []step{{0, 1.7, false, "true false"}, {6000, 1, false, "false false"}, {6200, 1.7, false, "true false"}, {13000, 1.7, false, "true false"}, {13200, 1.7, false, "true true"}}},
 		{"from outside", []step{{0, 2, true, "false false"}, {200, 2.5, false, "false false"}, {400, 3.2, false, "true false"}}},
@@ -59,7 +59,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := newSaturation()
 			for _, step := range c.steps {
-				saturated, tooLong := s.update(step.now, step.inflation, step.outside)
+				saturated, tooLong := s.update(step.now, step.inflation, step.external)
 				expect(t, fmt.Sprint("at ", step.now), fmt.Sprint(saturated, tooLong), step.want)
 			}
 		})
@@ -67,7 +67,7 @@
 }
 
 // What begins before the candidate had a share, or once it is released and all traffic has moved, is from outside.
-func TestOutsideSaturation(t *testing.T) {
+func TestExternalSaturation(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		stage int
@@ -109,7 +109,7 @@
 		{"two backends", []float64{20, 20}, Fleet{Instances: 2}, 1, 0},
 		{"two backends, many instances: too few together", []float64{20, 20}, Fleet{Instances: manyInstances}, 1, 0},
 		{"seven backends, many instances", []float64{20, 20, 20, 20, 20, 20, 20}, Fleet{Instances: manyInstances}, 1, 2},
-		{"as many arrivals as are compared", []float64{20, 20, 20, 20}, Fleet{Instances: 2}, comparableArrivals, 2},
+		{"as many arrivals as are compared", []float64{20, 20, 20, 20}, Fleet{Instances: 2}, maxArrivalRatio, 2},
 		{"more arrivals", []float64{20, 20, 20, 20}, Fleet{Instances: 2}, 1.4, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -130,7 +130,7 @@
 }
 
 // The typical latency: the least numbers of backends and outcomes, and which outcomes count.
-func TestTypicalLatencyLeast(t *testing.T) {
+func TestTypicalLatencyMinimums(t *testing.T) {
 	for _, c := range []struct {
 		name              string
 		backends, each    int
--- a/policy/verdict/slices_test.go
+++ b/policy/verdict/slices_test.go
@@ -14,7 +14,7 @@
 }
 
 func sizes(parts [][]Outcome) []int {
-	return each(parts, func(part []Outcome) int { return len(part) })
+	return mapSlice(parts, func(part []Outcome) int { return len(part) })
 }
 
 func TestSliceByCount(t *testing.T) {
@@ -52,7 +52,7 @@
 }
 
 // The agreement gate for latency: slices further apart than a slice is from itself do not agree.
-func TestAgree(t *testing.T) {
+func TestSlicesAgree(t *testing.T) {
 	for _, c := range []struct {
 		times float64 // the last slice against the others
 		want  bool
@@ -76,7 +76,7 @@
 }
 
 // Every slice needs its least number of latencies, four.
-func TestAgreeNeedsLatencies(t *testing.T) {
+func TestAgreementGateMinLatencies(t *testing.T) {
 	for _, c := range []struct {
 		last int // latencies in the last slice
 		want bool
@@ -84,7 +84,7 @@
 		t.Run(fmt.Sprint(c.last), func(t *testing.T) {
 			latencySlices := [][]float64{{1, 2, 3, 4}, {1, 2, 3, 4}, {1, 2, 3, 4}, {1, 2, 3, 4}, nil}
 			latencySlices[4] = []float64{1, 2, 3, 4}[:c.last]
-			expect(t, "agree", agree(latencySlices), c.want)
+			expect(t, "agree", agreementGate(latencySlices), c.want)
 		})
 	}
 }
--- a/policy/verdict/statistics.go
+++ b/policy/verdict/statistics.go
@@ -53,7 +53,7 @@
 }
 
 func logarithms(values []float64) []float64 {
-	return each(values, func(value float64) float64 { return math.Log(max(value, 1e-6)) })
+	return mapSlice(values, func(value float64) float64 { return math.Log(max(value, 1e-6)) })
 }
 
 // countAbove counts the values of x that are more than so many times the median of y, which it sorts.
@@ -79,7 +79,7 @@
 // backendVariation is how far the backends of one release differ among themselves in a figure, beyond what chance makes of so
 // few outcomes: a standard deviation, 0 where too few backends have enough outcomes. It is a negative control: a difference
 // between releases that backends of one release show as well does not come from the release.
-func backendVariation(outcomes []Outcome, of figure) float64 {
+func backendVariation(outcomes []Outcome, of metric) float64 {
 	var byBackend [][]float64
 	for _, outcome := range outcomes {
 		for len(byBackend) <= outcome.Backend {
@@ -105,7 +105,7 @@
 }
 
 // each applies a function to all elements.
-func each[X, Y any](elements []X, apply func(X) Y) []Y {
+func mapSlice[X, Y any](elements []X, apply func(X) Y) []Y {
 	results := make([]Y, len(elements))
 	for i := range elements {
 		results[i] = apply(elements[i])
--- a/policy/verdict/statistics_test.go
+++ b/policy/verdict/statistics_test.go
@@ -50,8 +50,8 @@
 
 func TestWassersteinDistance(t *testing.T) {
 	ten := []float64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10}
-	moved := each(ten, func(value float64) float64 { return value + 2.5 })
-	doubled := each(ten, func(value float64) float64 { return value * 2 })
+	moved := mapSlice(ten, func(value float64) float64 { return value + 2.5 })
+	doubled := mapSlice(ten, func(value float64) float64 { return value * 2 })
 	for _, c := range []struct {
 		name string
 		x, y []float64
@@ -72,7 +72,7 @@
 
 func TestLatencyRatioLowerBound(t *testing.T) {
 	sample := []float64{50, 60, 70, 80, 90, 100}
-	tripled := each(sample, func(value float64) float64 { return 3 * value })
+	tripled := mapSlice(sample, func(value float64) float64 { return 3 * value })
 	for _, c := range []struct {
 		name          string
 		x, y          []float64
@@ -168,14 +168,14 @@
 }
 
 // Few latencies are compared from four of each arm on.
-func TestLatencyRatioCount(t *testing.T) {
+func TestLatencyRatioMinCount(t *testing.T) {
 	four := []float64{10, 11, 12, 13}
 	for _, c := range []struct {
 		x, y []float64
 		want bool
 	}{{four, four, true}, {four[:3], four, false}, {four, four[:3], false}} {
 		t.Run(fmt.Sprint(len(c.x), " and ", len(c.y)), func(t *testing.T) {
-			expect(t, "compared", latencyRatioLowerBound(c.x, c.y, fewOutcomes, 0.5) > 0, c.want)
+			expect(t, "compared", latencyRatioLowerBound(c.x, c.y, minSmallSample, 0.5) > 0, c.want)
 		})
 	}
 }
--- a/policy/verdict/votes.go
+++ b/policy/verdict/votes.go
@@ -15,7 +15,7 @@
 )
 
 // ballot is the vote that is out, and the one that the platform has counted.
-type ballot struct {
+type voteState struct {
 	pending   bool // a vote is out and has no response
 	sent      Vote // the latest
 	accepted  Verdict
@@ -26,7 +26,7 @@
 
 // VoteDue tells whether the desired verdict is to be sent now: it is another one than the accepted, or that is to be renewed.
 func (e *Evaluator) VoteDue(now float64) bool {
-	b := &e.ballot
+	b := &e.voteState
 	if b.pending || now < b.notBefore || e.desired == NoVerdict {
 		return false
 	}
@@ -37,19 +37,19 @@
 
 // BeginVote is the desired verdict, for the caller to send now. No vote is due until OnVoteResponse.
 func (e *Evaluator) BeginVote() Vote {
-	e.ballot.pending = true
-	e.ballot.sent = Vote{Release: e.release, Stage: e.stage, Verdict: e.desired}
-	return e.ballot.sent
+	e.voteState.pending = true
+	e.voteState.sent = Vote{Release: e.release, Stage: e.stage, Verdict: e.desired}
+	return e.voteState.sent
 }
 
 // VotePending tells that a vote is out and has no response yet.
-func (e *Evaluator) VotePending() bool { return e.ballot.pending }
+func (e *Evaluator) VotePending() bool { return e.voteState.pending }
 
 // OnVoteResponse takes the platform's response to the vote that is out; it draws one number from random. Where the vote did not
 // count, retry tells that one may be due again at the time retryAt (ms). A response on an earlier release than the newest says
 // nothing of votes on that one.
 func (e *Evaluator) OnVoteResponse(now float64, response VoteResponse, random *rand.Rand) (retryAt float64, retry bool) {
-	b := &e.ballot
+	b := &e.voteState
 	b.pending = false
 	if b.sent.Release != e.release {
 		return 0, false
--- a/policy/verdict/votes_test.go
+++ b/policy/verdict/votes_test.go
@@ -21,26 +21,26 @@
 // Whether a vote is due, by the desired verdict, what was accepted and the time.
 func TestVoteDue(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		desired Verdict
-		ballot  ballot
-		want    bool
+		name      string
+		desired   Verdict
+		voteState voteState
+		want      bool
 	}{
-		{"none is desired", NoVerdict, ballot{}, false},
-		{"promote", Promote, ballot{}, true},
-		{"rollback", Rollback, ballot{}, true},
-		{"one is out", Promote, ballot{pending: true}, false},
-		{"not before", Promote, ballot{notBefore: 1001}, false},
-		{"at the time", Promote, ballot{notBefore: 1000}, true},
-		{"accepted", Promote, ballot{accepted: Promote, stage: 1, renewAt: 1001}, false},
-		{"to be renewed", Promote, ballot{accepted: Promote, stage: 1, renewAt: 1000}, true},
-		{"accepted for the stage before", Promote, ballot{accepted: Promote, stage: 0, renewAt: 9000}, true},
-		{"rollback accepted in the stage before", Rollback, ballot{accepted: Rollback, stage: 0, renewAt: 9000}, false},
-		{"another was accepted", Rollback, ballot{accepted: Promote, stage: 1, renewAt: 9000}, true},
+		{"none is desired", NoVerdict, voteState{}, false},
+		{"promote", Promote, voteState{}, true},
+		{"rollback", Rollback, voteState{}, true},
+		{"one is out", Promote, voteState{pending: true}, false},
+		{"not before", Promote, voteState{notBefore: 1001}, false},
+		{"at the time", Promote, voteState{notBefore: 1000}, true},
+		{"accepted", Promote, voteState{accepted: Promote, stage: 1, renewAt: 1001}, false},
+		{"to be renewed", Promote, voteState{accepted: Promote, stage: 1, renewAt: 1000}, true},
+		{"accepted for the stage before", Promote, voteState{accepted: Promote, stage: 0, renewAt: 9000}, true},
+		{"rollback accepted in the stage before", Rollback, voteState{accepted: Rollback, stage: 0, renewAt: 9000}, false},
+		{"another was accepted", Rollback, voteState{accepted: Promote, stage: 1, renewAt: 9000}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			e := rollingOut(1)
-			e.desired, e.ballot = c.desired, c.ballot
+			e.desired, e.voteState = c.desired, c.voteState
 			expect(t, "due", e.VoteDue(1000), c.want)
 		})
 	}
@@ -63,14 +63,14 @@
 		t.Run(fmt.Sprint("response ", int(c.response)), func(t *testing.T) {
 			e, random := rollingOut(1), seeded()
 			for range 100 {
-				e.desired, e.ballot = Promote, ballot{}
+				e.desired, e.voteState = Promote, voteState{}
 				expect(t, "vote", e.BeginVote(), Vote{Release: 2, Stage: 1, Verdict: Promote})
 				expect(t, "pending", e.VotePending(), true)
 				expect(t, "due while it is out", e.VoteDue(1e9), false)
 				retryAt, retry := e.OnVoteResponse(10000, c.response, random)
 				expect(t, "retry", retry, c.retry)
-				expect(t, "retry not before", !retry || retryAt == e.ballot.notBefore, true)
-				expect(t, "accepted", e.ballot.accepted, c.accepted)
+				expect(t, "retry not before", !retry || retryAt == e.voteState.notBefore, true)
+				expect(t, "accepted", e.voteState.accepted, c.accepted)
 				expect(t, "pending after the response", e.VotePending(), false)
 				expect(t, "due too soon", e.VoteDue(10000+c.from-1), false)
 				expect(t, "due", e.VoteDue(10000+c.to), true)
@@ -102,7 +102,7 @@
 }
 
 // A response to a vote on the release before is none to one on the release that has come meanwhile.
-func TestVoteOnReleaseBefore(t *testing.T) {
+func TestVoteOnPreviousRelease(t *testing.T) {
 	e := rollingOut(0)
 	e.desired = Promote
 	expect(t, "vote", e.BeginVote().Release, 2)
@@ -110,7 +110,7 @@
 	e.SetState(0, release.RollingOut, 7)
 	retryAt, retry := e.OnVoteResponse(8, VoteCounted, seeded())
 	expect(t, "retry", fmt.Sprint(retryAt, retry), "0 false")
-	expect(t, "accepted for release 3", e.ballot.accepted, NoVerdict)
+	expect(t, "accepted for release 3", e.voteState.accepted, NoVerdict)
 	expect(t, "newest", e.Release(), 3)
 	e.desired = Promote
 	expect(t, "due", e.VoteDue(9), true)
