--- a/internal/simadapter/actions.go
+++ b/internal/simadapter/actions.go
@@ -9,13 +9,13 @@
 	"onyxgate/policy"
 )
 
-// action writes one action in pieces: begin, its fields in the wire's order, end.
+// action encodes one action: begin, its fields in the order of the protocol, end.
 type action struct {
 	instance *instance
 	fields   int
 }
 
-// begin opens an action by its name on the wire.
+// begin starts an action with the given protocol name.
 func (i *instance) begin(name string) *action {
 	if len(i.actions) > 0 {
 		i.actions = append(i.actions, ',')
@@ -24,7 +24,7 @@
 	return &action{instance: i}
 }
 
-// field opens a field. Names are the wire's and need no quoting.
+// field starts a field. Names come from the protocol and need no escaping.
 func (a *action) field(name string) {
 	if a.fields > 0 {
 		a.instance.actions = append(a.instance.actions, ',')
@@ -57,7 +57,7 @@
 	return a
 }
 
-// microseconds writes a time of the decisions (ms) as the whole microseconds that the wire counts.
+// microseconds writes a time in ms as a whole number of microseconds, the unit of the protocol.
 func (a *action) microseconds(name string, value float64) *action {
 	a.field(name)
 	a.instance.actions = strconv.AppendInt(a.instance.actions, int64(value*1000+0.5), 10)
@@ -66,7 +66,7 @@
 
 func (a *action) end() { a.instance.actions = append(a.instance.actions, "}}"...) }
 
-// The methods below make instance a policy.Port: each writes one action.
+// The following methods implement policy.Port. Each of them writes one action.
 
 // SendAttempt implements policy.Port.
 func (i *instance) SendAttempt(requestID, backend string, limit float64) {
--- a/internal/simadapter/batch.go
+++ b/internal/simadapter/batch.go
@@ -11,23 +11,25 @@
 	"onyxgate/policy"
 )
 
-// What Serve returns for a batch that it can't answer.
+// The errors that Serve returns for malformed batches.
 var (
-	ErrNotJSON         = errors.New("not a JSON value")
-	ErrIncompleteBatch = errors.New("a batch without now-us or agents")
+	ErrNotJSON         = errors.New("batch is not valid JSON")
+	ErrIncompleteBatch = errors.New("batch lacks now-us or agents")
 )
 
-// poolCount is how many endpoint lists the wire may keep in a process.
+// maxPools is the number of endpoint lists that the protocol may store in a process.
 const maxPools = 16
 
-// host holds what one process of the simulator hosts: instances, which share nothing, and the endpoint lists that events refer to.
+// host is one process of the simulator: its instances, which share no state, and the endpoint lists that events refer
+// to.
 type host struct {
-	instances map[string]*instance // by their name on the wire
+	instances map[string]*instance // by their name in the protocol
 	pools     [maxPools][]policy.Endpoint
 	reply     []byte
 }
 
-// instance is one instance's decisions, nil while it is not started, and the actions that they have written in this batch.
+// instance holds the decisions of one instance, or nil while it is not started, and the actions written by them
+// during this batch.
 type instance struct {
 	policy  *policy.Instance
 	actions []byte
@@ -35,7 +37,7 @@
 
 func newHost() *host { return &host{instances: map[string]*instance{}} }
 
-// answer handles one batch. The reply holds until the next call.
+// handleBatch handles one batch. The reply is valid until the next call.
 func (h *host) handleBatch(text []byte) (reply []byte, err error) {
 	if !gjson.ValidBytes(text) {
 		return nil, ErrNotJSON
@@ -47,7 +49,7 @@
 	}
 	now := siteconfig.Milliseconds(clock)
 	h.reply = append(h.reply[:0], `{"agents":[`...)
-	// A pool belongs to the process and may stand beside the instances or among their events.
+	// A pool belongs to the process. It may appear next to the instances or among their events.
 	batch.ForEach(func(key, value gjson.Result) bool {
 		switch key.Str {
 		case "pool":
@@ -72,7 +74,7 @@
 	return err
 }
 
-// handleGroup hands over the events of one instance, in their order, and appends its actions to the reply.
+// handleGroup delivers the events of one instance in order and appends its actions to the reply.
 func (h *host) handleGroup(now float64, group gjson.Result) (err error) {
 	name := group.Get("who").Str
 	in := h.instances[name]
@@ -97,7 +99,7 @@
 	return err
 }
 
-// appendReply appends one instance's actions to the reply.
+// appendReply appends the actions of one instance to the reply.
 func (h *host) appendReply(name string, actions []byte) {
 	if h.reply[len(h.reply)-1] != '[' {
 		h.reply = append(h.reply, ',')
--- a/internal/simadapter/events.go
+++ b/internal/simadapter/events.go
@@ -11,13 +11,13 @@
 	"onyxgate/policy"
 )
 
-// What Serve returns for an event that it can't hand over.
+// The errors that Serve returns for events that cannot be delivered.
 var (
-	ErrNotStarted   = errors.New("an event for an instance that was never started")
+	ErrNotStarted   = errors.New("event for an instance that is not started")
 	ErrUnknownEvent = errors.New("unknown event")
 )
 
-// event is one event of the wire.
+// event is one event of the protocol.
 type event struct {
 	host     *host
 	instance *instance
@@ -25,7 +25,8 @@
 	fields   gjson.Result
 }
 
-// startingEvents are handed over whether or not the instance is started, startedEvents only then. Both go by the wire's names.
+// handlersBeforeStart handle events whether or not the instance is started, and handlersAfterStart only if it is. The
+// keys are the protocol's event names.
 var (
 	handlersBeforeStart = map[string]func(event) error{
 		"pool": event.pool,
@@ -47,8 +48,8 @@
 	}
 )
 
-// handleEvent hands one event to its instance. Where the decisions panic, their text is written as an action, so that the
-// simulated day ends by it and not by a guessed action.
+// handleEvent delivers one event to its instance. If the decisions panic, the message is written as an action, so
+// that the simulated day ends with it and not with a guessed action.
 func (h *host) handleEvent(e event, name string) error {
 	defer func() {
 		if text := recover(); text != nil {
@@ -80,7 +81,8 @@
 	return nil
 }
 
-// endpoints hands over an endpoint list: a change of it (form D), a snapshot (F), a cached snapshot (C), or that it failed (X).
+// endpoints delivers an endpoint list: a change (form D), a snapshot (F), a cached snapshot (C), or a notice that the
+// list could not be retrieved (X).
 func (e event) endpoints() error {
 	form := e.fields.Get("form").Str
 	if form == "X" {
@@ -141,7 +143,7 @@
 	return nil
 }
 
-// message hands over what another instance sent. What is not base64 is dropped: a damaged message is none.
+// message delivers a message from another instance. A message that is not valid base64 is damaged and gets dropped.
 func (e event) message() error {
 	if raw, err := base64.StdEncoding.DecodeString(e.text("raw")); err == nil {
 		e.instance.policy.OnMessage(e.now, raw)
@@ -180,7 +182,7 @@
 
 func (e event) number(field string) int { return int(e.fields.Get(field).Int()) }
 
-// milliseconds reads a field that holds microseconds.
+// milliseconds converts a field in microseconds.
 func (e event) milliseconds(field string) float64 {
 	return siteconfig.Milliseconds(e.fields.Get(field))
 }
--- a/internal/simadapter/fleet_actions_test.go
+++ b/internal/simadapter/fleet_actions_test.go
@@ -2,9 +2,9 @@
 
 import "github.com/tidwall/gjson"
 
-// This file carries out the actions of the instances.
+// How the fleet carries out the actions of its instances.
 
-// perform carries out one action of an instance.
+// applyAction carries out one action of an instance.
 func (f *fleet) applyAction(k int, name string, fields gjson.Result) {
 	request := f.instances[k].requests[fields.Get("request-id").Str]
 	number := func(field string) int { return int(fields.Get(field).Int()) }
@@ -32,7 +32,7 @@
 	}
 }
 
-// sendMessage brings a message to another instance, if that one is played here.
+// sendMessage delivers a message to another instance, if that instance is simulated.
 func (f *fleet) sendMessage(from, to int, raw string) {
 	f.schedule(f.randomTime(2*millisecond), func() {
 		if to < len(f.instances) {
@@ -41,7 +41,7 @@
 	})
 }
 
-// setTimer wakes an instance up, if it has not been killed by then.
+// setTimer wakes an instance up after a delay, unless it was killed in the meantime.
 func (f *fleet) setTimer(k, label int, delay int64) {
 	in := f.instances[k]
 	seed := in.seed
@@ -52,7 +52,7 @@
 	})
 }
 
-// askDiscovery brings the whole list, or that it can't be had: one answer in six fails.
+// fetchEndpoints sends the whole endpoint list, or a failure for one in six requests.
 func (f *fleet) fetchEndpoints(k int) {
 	f.schedule(f.randomTime(10*millisecond), func() {
 		if f.discovery.down || f.rng.IntN(6) == 0 {
@@ -64,7 +64,7 @@
 	})
 }
 
-// startProbe asks a backend for its load.
+// startProbe probes the load of a backend.
 func (f *fleet) startProbe(k int, backend string) {
 	b, sentAt := f.byID[backend], f.now
 	outcome, took := outcomeServed, 2*millisecond+f.randomTime(3*millisecond*b.slowdown)
--- a/internal/simadapter/fleet_backends_test.go
+++ b/internal/simadapter/fleet_backends_test.go
@@ -6,25 +6,25 @@
 	"slices"
 )
 
-// This file holds the fleet's backends, and the discovery that tells of them.
+// The fleet's backends and the discovery service that lists them.
 
 const (
-	workersPerBackend = 4 // requests that a backend works on at once
+	workersPerBackend = 4 // requests that a backend processes in parallel
 	listSlots         = 16
 	drainTime         = 2 * second
 	connectTimeout    = 250 * millisecond
 	maxQueueing       = 800 * millisecond
-	warmUpTime        = 5 * second // after its start a backend takes twice as long
+	warmUpTime        = 5 * second // time after its start during which a backend takes twice as long
 )
 
-// Conditions of a backend on the wire.
+// Conditions of a backend in the protocol.
 const (
 	conditionRunning  = "on"
 	conditionDraining = "fading"
 	conditionRemoved  = "off"
 )
 
-// Forms of an endpoint list on the wire.
+// Forms of an endpoint list in the protocol.
 const (
 	listChange   = "D"
 	listSnapshot = "F"
@@ -32,10 +32,10 @@
 	listFailed   = "X"
 )
 
-// defect is what a release does to the backends that run it.
+// defect is the effect of a release on the backends that run it.
 type defect struct {
-	slowdown float64 // times the usual latency; below 1: none
-	errors   float64 // share of the attempts
+	slowdown float64 // multiple of the usual latency; below 1: none
+	errors   float64 // share of the attempts that fail
 }
 
 type fleetBackend struct {
@@ -43,23 +43,23 @@
 	release                   int
 	condition                 string
 	weight                    float64
-	startedAt                 int64 // 0: long ago
+	startedAt                 int64 // 0: started long ago
 	zone, hardwareClass, cell int
-	slowdown                  float64 // times the usual latency
-	errors                    float64 // share of the attempts
+	slowdown                  float64 // multiple of the usual latency
+	errors                    float64 // share of the attempts that fail
 	unreachable, hanging      bool
 	busyUntil                 [workersPerBackend]int64
-	defect                    defect // of its release
+	defect                    defect // of the release
 }
 
 func (b *fleetBackend) isRunning(release int) bool {
 	return b.release == release && b.condition == conditionRunning
 }
 
-// fleetDiscovery is what tells instances of the backends.
+// fleetDiscovery is the service that sends the endpoint list to the instances.
 type fleetDiscovery struct {
 	down         bool
-	serial, slot int // of the last list
+	serial, slot int // of the latest list
 }
 
 func (f *fleet) addBackend(release, zone int, startedAt int64) *fleetBackend {
@@ -77,7 +77,7 @@
 	return b
 }
 
-// endpoint is a backend as the wire lists it.
+// endpoint encodes a backend for an endpoint list.
 func endpoint(b *fleetBackend) map[string]any {
 	var startedAt any
 	if b.startedAt > 0 {
@@ -114,7 +114,7 @@
 	return backends
 }
 
-// announce tells every instance of a change of one backend, each after a delay of its own.
+// announceBackend sends a change of one backend to every instance, each after its own random delay.
 func (f *fleet) announceBackend(b *fleetBackend) {
 	for k, in := range f.instances {
 		f.schedule(f.randomTime(200*millisecond), func() {
@@ -136,7 +136,7 @@
 	})
 }
 
-// loadReport is what a backend tells of its load; of three answers one tells nothing.
+// loadReport returns a backend's load report. One in three reports is empty.
 func (f *fleet) loadReport(b *fleetBackend) map[string]any {
 	fields := map[string]any{}
 	if f.rng.IntN(3) > 0 {
@@ -152,7 +152,7 @@
 	return fields
 }
 
-// runAttempt says how an attempt at a backend ends, and after how many microseconds.
+// runAttempt returns the outcome of an attempt at a backend and how long it takes (us).
 func (f *fleet) runAttempt(b *fleetBackend, class int) (outcome int, took int64) {
 	switch {
 	case b.unreachable && f.rng.IntN(2) == 0:
@@ -165,7 +165,7 @@
 		failures := []int{outcomeErrored, outcomeErrored, outcomeReset, outcomeRejected}
 		return failures[f.rng.IntN(len(failures))], 2 * millisecond
 	}
-	worker := 0 // the one that is free first
+	worker := 0 // index of the worker that becomes free first
 	for k, until := range b.busyUntil {
 		if until < b.busyUntil[worker] {
 			worker = k
@@ -180,7 +180,7 @@
 	return outcomeServed, end - f.now
 }
 
-// workTime draws how long (us) a backend works on a request of a class.
+// workTime returns a random processing time (us) of a request of the given class.
 func (f *fleet) workTime(b *fleetBackend, class int) int64 {
 	mean := float64([]int64{30, 60, 120}[class%3]*millisecond) * b.slowdown * max(b.defect.slowdown, 1) / b.weight
 	if f.rollout.phase == phaseRollingOut {
--- a/internal/simadapter/fleet_faults_test.go
+++ b/internal/simadapter/fleet_faults_test.go
@@ -2,9 +2,9 @@
 
 import "maps"
 
-// This file holds what befalls the fleet: faults, starts of instances, and what the platform tells every so often.
+// Faults, starts of instances, and periodic updates from the platform.
 
-// injectFault has one fault begin, which heals by itself, and schedules the next one.
+// injectFault starts one random fault, which ends by itself, and schedules the next one.
 func (f *fleet) injectFault() {
 	f.schedule(f.randomTime(f.faultEvery*second), f.injectFault)
 	b := f.backends[f.rng.IntN(len(f.backends))]
@@ -30,12 +30,12 @@
 		f.partitionZone(length)
 	case 7:
 		f.killInstance()
-	case 8: // all stand still: timers come late
+	case 8: // everything pauses, so timers fire late
 		f.now += 300 * millisecond
 	}
 }
 
-// restartBackend has a backend die and come back cold, unless it was to go meanwhile.
+// restartBackend makes a backend unreachable and then restarts it, unless it is removed in the meantime.
 func (f *fleet) restartBackend(b *fleetBackend, length int64) {
 	b.unreachable = true
 	f.schedule(length, func() {
@@ -60,7 +60,7 @@
 	}
 }
 
-// cutZone cuts off a zone, where there is more than one.
+// partitionZone makes a zone unreachable if there is more than one.
 func (f *fleet) partitionZone(length int64) {
 	zone := f.randomZone()
 	for _, b := range f.backends {
@@ -71,7 +71,7 @@
 	}
 }
 
-// killInstance kills an instance, which starts anew at once.
+// killInstance kills an instance, which restarts at once.
 func (f *fleet) killInstance() {
 	k := f.rng.IntN(len(f.instances))
 	f.instances[k].pending = nil
@@ -91,7 +91,7 @@
 	f.schedule(50*millisecond, func() { f.sendRelease(k, 0, voteCounted) })
 }
 
-// periodicUpdates has the platform tell of the newest release and of its counts.
+// periodicUpdates sends the state of the newest release and the platform's counts.
 func (f *fleet) periodicUpdates() {
 	f.schedule(4*second, f.periodicUpdates)
 	f.sendReleaseToAll()
--- a/internal/simadapter/fleet_releases_test.go
+++ b/internal/simadapter/fleet_releases_test.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// This file holds the fleet's release platform: releases come one after the other, some of them with a defect, and go on or back
-// by the votes of the instances.
+// The fleet's release platform: it announces releases one after the other, some of them with a defect, and promotes
+// or rolls them back according to the votes of the instances.
 
 const firstRelease = 1
 
-// Phases of a release on the wire.
+// Phases of a release in the protocol.
 const (
 	phaseRollingOut = iota
 	phaseRollingBack
@@ -18,14 +18,14 @@
 	phaseWithdrawn
 )
 
-// Verdicts of a vote on the wire.
+// Verdicts of a vote in the protocol.
 const (
 	voteNone     = 0
 	votePromote  = 1
 	voteRollback = 3
 )
 
-// What the platform says to a vote. voteCounted is also what it says in an update that answers none.
+// The platform's responses to a vote. Updates that are not a response to a vote use voteCounted as well.
 const (
 	voteCounted    = 1
 	voteFull       = 2
@@ -35,20 +35,20 @@
 )
 
 const (
-	soakTime      = 4 * second // before a stage may move on
-	timedStage    = 9 * second // after which it moves on by itself, where the settings say so
-	rollbackDelay = 2 * second // from the verdict until the backends are replaced
+	soakTime      = 4 * second // minimum time before a stage may be promoted
+	timedStage    = 9 * second // time after which a stage is promoted in a timed rollout
+	rollbackDelay = 2 * second // time from the verdict until the backends are replaced
 )
 
-// fleetRollout is the newest release and its phase.
+// fleetRollout is the newest release and its state.
 type fleetRollout struct {
 	release, stage, phase int
 	stageSince            int64
-	caps, stages          []float64 // shares of the requests, and of the backends, in each stage
-	backends              int       // places to fill
+	caps, stages          []float64 // shares of the requests and of the backends in each stage
+	backends              int       // number of places
 	defect                defect
-	sharedSlowdown        float64 // of all backends while it rolls out, whatever they run: times the usual latency
-	announced             int     // releases so far
+	sharedSlowdown        float64 // latency factor of all backends during the rollout, whatever release they run
+	announced             int     // number of releases announced so far
 }
 
 func newFleetRollout(s scenario) fleetRollout {
@@ -60,12 +60,12 @@
 	return r
 }
 
-// goesBack tells that no more backends get the release.
+// isClosed reports whether the release is rolling back or withdrawn, so that no more backends get it.
 func (r *fleetRollout) isClosed() bool {
 	return r.phase == phaseRollingBack || r.phase == phaseWithdrawn
 }
 
-// wantedBackends is how many backends shall run the release.
+// wantedBackends returns the number of backends that should run the release.
 func (r *fleetRollout) wantedBackends() int {
 	if r.phase == phaseReleased {
 		return r.backends
@@ -73,7 +73,7 @@
 	return int(math.Ceil(r.stages[r.stage] * float64(r.backends)))
 }
 
-// setNextDefect gives the newest release its defect: most releases have none.
+// setNextDefect chooses the defect of the newest release. Most releases have none.
 func (r *fleetRollout) setNextDefect() {
 	r.announced++
 	r.defect, r.sharedSlowdown = defect{slowdown: 1}, 1
@@ -89,7 +89,7 @@
 	}
 }
 
-// sendRelease tells an instance of the newest release, in answer to a vote (isResponse 1) or by itself (0).
+// sendRelease sends the state of the newest release to an instance, as a response to a vote if isResponse is 1.
 func (f *fleet) sendRelease(to, isResponse, status int) {
 	r := &f.rollout
 	ceiling := 1.0
@@ -111,7 +111,7 @@
 	}
 }
 
-// setPhase moves the newest release; votes to promote hold for one stage only.
+// setPhase changes the stage and phase of the newest release. Votes to promote apply to one stage only and are reset.
 func (f *fleet) setPhase(stage, phase int) {
 	f.rollout.stage, f.rollout.phase, f.rollout.stageSince = stage, phase, f.now
 	for _, in := range f.instances {
@@ -122,7 +122,7 @@
 	f.sendReleaseToAll()
 }
 
-// announceRelease begins the next release. One that is still rolling out is withdrawn.
+// announceRelease announces the next release. If the current one is still rolling out, it is withdrawn.
 func (f *fleet) announceRelease() {
 	r := &f.rollout
 	if r.phase == phaseRollingOut {
@@ -139,7 +139,7 @@
 	f.schedule(90*second+f.randomTime(60*second), f.announceRelease)
 }
 
-// fillStage has as many backends run the newest release as its stage wants.
+// fillStage schedules upgrades of backends until the stage has the number that it wants.
 func (f *fleet) fillStage() {
 	if f.rollout.isClosed() {
 		return
@@ -150,7 +150,7 @@
 	}
 }
 
-// upgradeBackend puts a backend with the newest release in the place of one with an earlier release.
+// upgradeBackend replaces a backend of an earlier release with one of the newest release.
 func (f *fleet) upgradeBackend() {
 	r := &f.rollout
 	if r.isClosed() {
@@ -176,7 +176,7 @@
 	return n
 }
 
-// replaceBackends replaces those that run a release that goes back by ones with the release before it.
+// replaceBackends replaces the backends of a release that is withdrawn with backends of the release before it.
 func (f *fleet) replaceBackends(release int) {
 	for _, b := range slices.Clone(f.backends) {
 		if b.isRunning(release) {
@@ -188,7 +188,7 @@
 	}
 }
 
-// countVotes moves the newest release on or back by the votes that it has accepted.
+// countVotes promotes the newest release or rolls it back according to the accepted votes.
 func (f *fleet) countVotes() {
 	f.schedule(500*millisecond, f.countVotes)
 	r := &f.rollout
@@ -227,7 +227,7 @@
 	return promote, rollback
 }
 
-// rollBack takes the newest release back; what came after it meanwhile stays.
+// rollBack rolls the newest release back. A release announced in the meantime is not affected.
 func (f *fleet) rollBack() {
 	f.setPhase(f.rollout.stage, phaseRollingBack)
 	release := f.rollout.release
@@ -239,7 +239,7 @@
 	})
 }
 
-// receiveVote answers a vote. A vote to roll back what is released already is enough by itself.
+// receiveVote responds to a vote. A single vote is enough to roll back a release that is already released.
 func (f *fleet) receiveVote(k, release, verdict, stage int) {
 	f.schedule(f.randomTime(30*millisecond), func() {
 		in, r := f.instances[k], &f.rollout
--- a/internal/simadapter/fleet_requests_test.go
+++ b/internal/simadapter/fleet_requests_test.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// This file holds the fleet's clients: requests, their attempts and their retries.
+// The fleet's clients: their requests, attempts and retries.
 
-// Outcomes of an attempt or a probe on the wire.
+// Outcomes of an attempt or a probe in the protocol.
 const (
 	outcomeServed = iota + 1
 	outcomeErrored
@@ -16,9 +16,9 @@
 	outcomeNotSent
 )
 
-const maxTries = 3 // of a client
+const maxTries = 3 // tries of one client
 
-// patience is how long (us) a client waits at its first, second and third try.
+// clientTimeouts are the times (us) after which a client leaves in its first, second and third try.
 var clientTimeouts = [maxTries]int64{4000 * millisecond, 2500 * millisecond, 1200 * millisecond}
 
 type fleetAttempt struct {
@@ -30,25 +30,25 @@
 type fleetRequest struct {
 	id       string
 	instance int
-	seed     uint64 // of the instance's life in which it came
+	seed     uint64 // incarnation of the instance that accepted the request
 	class    int
 	key      string
-	closed   bool // answered, or the client has gone
+	closed   bool // answered, or the client has left
 	attempts []*fleetAttempt
-	try      int // of the client, from 1
+	try      int // number of the client's try, from 1
 }
 
-// nextArrival has a new request come to an instance, and schedules the one after it.
+// nextArrival sends a new request to an instance and schedules the next one.
 func (f *fleet) nextArrival(k int) {
 	f.schedule(f.randomTime(second/(f.rate*f.arrivalFactor)), func() { f.nextArrival(k) })
 	key := ""
-	if f.rng.IntN(4) > 0 { // some keys are asked for far more often than others
+	if f.rng.IntN(4) > 0 { // some keys are much more popular than others
 		key = fmt.Sprint("key/", min(f.rng.IntN(400), f.rng.IntN(400), f.rng.IntN(400)))
 	}
 	f.sendRequest(&fleetRequest{instance: k, class: f.rng.IntN(len(f.streamed)), key: key, try: 1})
 }
 
-// sendRequest sends a request under an ID of its own. One client in forty leaves before its time is up.
+// sendRequest sends a request under a new ID. One client in forty leaves before its timeout.
 func (f *fleet) sendRequest(r *fleetRequest) {
 	in := f.instances[r.instance]
 	if !in.running {
@@ -82,7 +82,7 @@
 	return fields
 }
 
-// instanceKilled tells that the instance that accepted a request has been killed.
+// instanceKilled reports whether the instance that accepted a request has been killed since.
 func (f *fleet) instanceKilled(r *fleetRequest) bool { return f.instances[r.instance].seed != r.seed }
 
 func (f *fleet) clientGone(r *fleetRequest) {
@@ -92,7 +92,7 @@
 	}
 }
 
-// timeOut ends a request's attempts at its deadline. The client leaves a little later.
+// timeOut ends the attempts of a request at its deadline. The client leaves shortly afterwards.
 func (f *fleet) timeOut(r *fleetRequest) {
 	for n, attempt := range r.attempts {
 		if attempt.open {
@@ -102,7 +102,7 @@
 	f.schedule(20*millisecond, func() { f.clientGone(r) })
 }
 
-// startAttempt carries out an attempt.
+// startAttempt runs an attempt at a backend.
 func (f *fleet) startAttempt(r *fleetRequest, backend string) {
 	n, attempt := len(r.attempts), &fleetAttempt{backend: backend, sentAt: f.now, open: true}
 	r.attempts = append(r.attempts, attempt)
@@ -123,7 +123,8 @@
 	f.schedule(took, func() { f.finishAttempt(r, n, outcome) })
 }
 
-// finishAttempt tells how an attempt ended, unless it has ended. Of the answers one in 150 turns out wrong later.
+// finishAttempt reports the outcome of an attempt, unless it has already ended. One in 150 answers is later reported
+// as wrong.
 func (f *fleet) finishAttempt(r *fleetRequest, n, outcome int) {
 	attempt := r.attempts[n]
 	if !attempt.open || f.instanceKilled(r) {
@@ -145,7 +146,7 @@
 	}
 }
 
-// retry is the client's next try; half of the clients give up instead.
+// retry sends the client's next try. Half of the clients do not retry.
 func (f *fleet) retry(r *fleetRequest, harmless bool) {
 	mayRetry := r.try < maxTries && (harmless || r.class == 0)
 	if mayRetry && f.rng.IntN(2) == 0 {
--- a/internal/simadapter/fleet_test.go
+++ b/internal/simadapter/fleet_test.go
@@ -1,9 +1,10 @@
 package simadapter
 
-// This file and the fleet_*_test.go beside it hold the fleet of the replay test: backends, clients, discovery and a release
-// platform under one seed, which speak the simulator's wire. The fleet decides nothing by wall time or map order, so one seed
-// gives one stream of events for as long as the decisions stay the same. The order in which it draws random numbers and schedules
-// is part of that stream: a change of it differs from the recordings.
+// This file and the other fleet_*_test.go files implement the fleet of the replay test: backends, clients, discovery
+// and a release platform, driven by one seed, that use the simulator's protocol. The fleet does not depend on wall
+// time or map order, so a seed always results in the same events as long as the decisions stay the same. The order in
+// which the fleet draws random numbers and schedules events must not change either, or the events differ from the
+// recordings.
 
 import (
 	"container/heap"
@@ -16,25 +17,26 @@
 	"github.com/tidwall/gjson"
 )
 
-// Times of the fleet are microseconds, as on the wire.
+// The fleet uses microseconds, like the protocol.
 const (
 	millisecond = 1_000
 	second      = 1_000_000
-	fleetTick   = 5 * millisecond // between two batches at least
-	fleetStart  = 1000 * second   // what the clock shows at the start
+	fleetTick   = 5 * millisecond // minimum time between two batches
+	fleetStart  = 1000 * second   // initial time of the clock
 )
 
-// scenario is one stream: a deployment's settings and what befalls it.
+// scenario is a deployment's settings and the load and faults that it is exposed to, the source of one stream of
+// events.
 type scenario struct {
 	name       string
 	seed       uint64
-	instances  int // played here, of as many as the settings say
+	instances  int // simulated here; the settings may specify a larger fleet
 	seconds    int64
 	backends   int
 	zones      int
-	rate       float64 // requests a second at each instance
-	faultEvery float64 // seconds between two faults, on the average
-	quorum     int     // votes that move a stage on; 0: more than half of the instances
+	rate       float64 // requests per second at each instance
+	faultEvery float64 // mean time between two faults, in seconds
+	quorum     int     // votes that advance a stage; 0: more than half of the instances
 	settings   map[string]any
 }
 
@@ -42,22 +44,22 @@
 
 func (s scenario) familyInfo() map[string]any { return s.settings["family-info"].(map[string]any) }
 
-// randomZone draws one of the scenario's zones.
+// randomZone returns a random zone of the scenario.
 func (f *fleet) randomZone() int { return f.rng.IntN(max(f.zones, 1)) }
 
-// fleetInstance is an instance as the fleet sees it from outside.
+// fleetInstance is the fleet's view of an instance.
 type fleetInstance struct {
 	name       string
 	running    bool
-	seed       uint64   // of its present life; it changes with each start
+	seed       uint64   // of the current incarnation; it changes with each start
 	pending    []string // events of the next batch
 	requests   map[string]*fleetRequest
 	subscribed bool
-	vote       int // the accepted verdict
+	vote       int // accepted verdict
 	voteStage  int
 }
 
-// fleetEvent is something that will happen. Of two at one time, the one that was scheduled first comes first.
+// fleetEvent is a scheduled event. Events with equal times are processed in the order in which they were scheduled.
 type fleetEvent struct {
 	at       int64
 	sequence int
@@ -78,7 +80,7 @@
 	return last
 }
 
-// fleet is a scenario as it is played.
+// fleet is the state of a running scenario.
 type fleet struct {
 	scenario
 	rng           *rand.Rand
@@ -87,13 +89,13 @@
 	queue         fleetQueue
 	instances     []*fleetInstance
 	backends      []*fleetBackend
-	byID          map[string]*fleetBackend // also those that are gone
-	lastID        int                      // of backends and requests alike
+	byID          map[string]*fleetBackend // including removed backends
+	lastID        int                      // last ID used, for backends and requests
 	discovery     fleetDiscovery
 	rollout       fleetRollout
-	streamed      []bool // of each class: its responses come in pieces
+	streamed      []bool // by class: responses are streamed
 	tenants       int
-	arrivalFactor float64 // times the usual rate
+	arrivalFactor float64 // multiple of the usual arrival rate
 }
 
 func newFleet(s scenario) *fleet {
@@ -116,13 +118,13 @@
 	return f
 }
 
-// after has something happen in so many microseconds, one at least.
+// schedule runs do after a delay of at least 1 microsecond.
 func (f *fleet) schedule(delay int64, do func()) {
 	f.sequence++
 	heap.Push(&f.queue, fleetEvent{at: f.now + max(delay, 1), sequence: f.sequence, do: do})
 }
 
-// randomTime draws a time (us) from an exponential distribution with this mean.
+// randomTime returns a random time (us) from an exponential distribution with the given mean.
 func (f *fleet) randomTime(mean float64) int64 { return int64(mean * f.rng.ExpFloat64()) }
 
 func mustJSON(v any) string {
@@ -133,20 +135,20 @@
 	return string(b)
 }
 
-// send puts an event into an instance's next batch; one that is not live gets none.
+// send adds an event to the next batch of an instance, unless the instance is not running.
 func (f *fleet) send(to int, name string, fields any) {
 	if in := f.instances[to]; in.running {
 		in.pending = append(in.pending, fmt.Sprintf(`{%q:%s}`, name, mustJSON(fields)))
 	}
 }
 
-// player is what the fleet plays against.
+// driver connects the fleet to the adapter under test.
 type driver struct {
 	answer func(batch string) (reply string)
-	effect func(events, action string) (more bool) // is shown every action of a reply but its log lines; false ends the play
+	effect func(events, action string) (more bool) // called with each action but log lines; false ends the run
 }
 
-// play hands over batch after batch and carries out the actions of the replies.
+// run sends batch after batch and carries out the actions in the replies.
 func (f *fleet) run(d driver) {
 	for k := range f.instances {
 		f.instances[k].running = true
@@ -170,7 +172,7 @@
 	}
 }
 
-// exchange hands over what is pending as one batch, if anything is, and carries out the actions of the reply.
+// exchange sends all pending events as one batch, if there are any, and carries out the actions in the reply.
 func (f *fleet) exchange(d driver) (more bool) {
 	var groups []string
 	events := map[string]string{}
@@ -187,7 +189,7 @@
 	}
 	reply := d.answer(fmt.Sprintf(`{"now-us":%d,"agents":[%s]}`, f.now, strings.Join(groups, ",")) + "\n")
 	if !gjson.Valid(reply) {
-		panic("not JSON: " + reply)
+		panic("reply is not valid JSON: " + reply)
 	}
 	for _, group := range gjson.Get(reply, "agents").Array() {
 		name := group.Get("who").Str
@@ -199,12 +201,12 @@
 	return true
 }
 
-// performAll carries out the actions of one instance, which come from these events.
+// applyActions carries out the actions of one instance. events are the events that caused them.
 func (f *fleet) applyActions(d driver, k int, events string, actions gjson.Result) (more bool) {
 	more = true
 	actions.ForEach(func(_, action gjson.Result) bool {
 		action.ForEach(func(name, fields gjson.Result) bool {
-			// What a line of the log says is no decision.
+			// Log lines are not decisions.
 			more = name.Str == "log" || d.effect(events, action.Raw)
 			if more {
 				f.applyAction(k, name.Str, fields)
--- a/internal/simadapter/replay_test.go
+++ b/internal/simadapter/replay_test.go
@@ -9,8 +9,8 @@
 	"onyxgate/internal/fake/replay"
 )
 
-// The adapter's replies to an hour of simulated days are those of the recordings, to the byte: whoever moves code is told by the
-// first effect that differs.
+// The adapter's replies to an hour of simulated days are identical to the recordings, byte for byte. A behavior
+// change caused by moving code is reported with the first effect that differs.
 func TestReplay(t *testing.T) {
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -33,7 +33,7 @@
 	}
 }
 
-// serve runs Serve until the end of the test, and returns how a batch is answered by it.
+// serve runs Serve until the end of the test and returns a function that sends it a batch and returns the reply.
 func serve(t *testing.T) (answer func(batch string) (reply string)) {
 	t.Helper()
 	in, batches := io.Pipe()
@@ -47,17 +47,17 @@
 	t.Cleanup(func() {
 		batches.Close()
 		if err := <-served; err != nil {
-			t.Error(err)
+			t.Errorf("Serve: %v", err)
 		}
 	})
 	lines := bufio.NewReader(replies)
 	return func(batch string) string {
 		if _, err := io.WriteString(batches, batch); err != nil {
-			t.Fatal(err)
+			t.Fatalf("sending a batch: %v", err)
 		}
 		reply, err := lines.ReadString('\n')
 		if err != nil {
-			t.Fatalf("no reply: %v", err)
+			t.Fatalf("reading a reply: %v", err)
 		}
 		return reply
 	}
--- a/internal/simadapter/scenarios_test.go
+++ b/internal/simadapter/scenarios_test.go
@@ -2,7 +2,7 @@
 
 import "maps"
 
-// This file holds the settings under which the replay test plays its fleet, as the simulator gives them.
+// The settings of the fleets in the replay test, in the simulator's format.
 
 func classSettings(effect, scope string, worth float64, streamed bool) map[string]any {
 	return map[string]any{
@@ -38,7 +38,7 @@
 	return out
 }
 
-// scenarios are an hour in all, over the ways in which deployments differ.
+// scenarios cover the ways in which deployments differ, with about an hour of simulated time in total.
 var scenarios = []scenario{
 	{name: "few", seed: 11, instances: 3, seconds: 600, backends: 12, zones: 1, rate: 6, faultEvery: 15, settings: map[string]any{
 		"balancers": 3, "discovery": "automatic", "contract": contractSettings(),
--- a/internal/simadapter/simadapter.go
+++ b/internal/simadapter/simadapter.go
@@ -1,9 +1,10 @@
-// Package simadapter runs the decisions (policy.Instance) on the simulator's wire: one JSON object a line, a batch of events for
-// any number of instances in, their actions out. It turns the wire's words, numbers and microseconds into the terms of the
-// decisions and back, and decides nothing.
+// Package simadapter connects the decisions (policy.Instance) to the simulator's line protocol. Each input line is a
+// JSON object with a batch of events for any number of instances, and the reply contains their actions. The package
+// translates the protocol's names, numbers and microseconds to those of the decisions and back. It makes no
+// decisions.
 //
-// The files: simadapter.go reads lines and writes replies, batch.go finds the instances of a batch, events.go hands over each
-// event, values.go reads the values in them, actions.go writes the actions.
+// simadapter.go reads lines and writes replies, batch.go dispatches a batch to its instances, events.go delivers
+// events, values.go decodes their values and actions.go encodes the actions.
 package simadapter
 
 import (
@@ -13,12 +14,12 @@
 	"io"
 )
 
-// bufferSize (bytes) holds the batch or the reply of a usual moment in one piece.
+// bufferSize (bytes) is large enough for a typical batch or reply.
 const bufferSize = 1 << 20
 
-// Serve answers each batch that it reads from r on w, and returns nil where r ends. An error names the line that it could not read
-// or answer, and ends the service; errors.Is and errors.As find ErrNotJSON, ErrIncompleteBatch, ErrNotStarted, ErrUnknownEvent,
-// *ValueError or the error of r or w in it.
+// Serve reads batches from r and writes a reply to each of them to w. It returns nil at the end of r. An error ends
+// the service and names the line that could not be read or handled. With errors.Is and errors.As it matches
+// ErrNotJSON, ErrIncompleteBatch, ErrNotStarted, ErrUnknownEvent, *ValueError or the error of r or w.
 func Serve(r io.Reader, w io.Writer) error {
 	in, out := bufio.NewReaderSize(r, bufferSize), bufio.NewWriterSize(w, bufferSize)
 	h := newHost()
@@ -34,7 +35,7 @@
 				return fmt.Errorf("line %d: %w", line, err)
 			}
 			if err := write(out, reply); err != nil {
-				return fmt.Errorf("writing: %w", err)
+				return fmt.Errorf("writing reply: %w", err)
 			}
 		}
 		if atEnd {
@@ -43,7 +44,8 @@
 	}
 }
 
-// holdsBatch tells whether a line is more than what is left after the last newline.
+// holdsBatch reports whether a line contains a batch. The rest after the last newline does if it is longer than one
+// byte.
 func holdsBatch(line []byte, atEnd bool) bool {
 	if atEnd {
 		return len(line) > 1
--- a/internal/simadapter/simadapter_test.go
+++ b/internal/simadapter/simadapter_test.go
@@ -17,50 +17,50 @@
 
 const requestBatch = `{"now-us":2000,"agents":[{"who":"agent_0","happened":[{"knock":{"request-id":"t/a","affinity":null,"kind":0,"time-budget-us":4000000,"extra":{}}}]}]}` + "\n"
 
-// happened is a batch with these events of the instance that hello starts.
+// eventBatch returns a batch with these events for the instance that initBatch starts.
 func eventBatch(events string) string {
 	return `{"now-us":3000,"agents":[{"who":"agent_0","happened":[` + events + `]}]}` + "\n"
 }
 
-// A batch is answered, and what can't be is named.
+// TestServe checks the replies to valid batches and the errors for invalid ones.
 func TestServe(t *testing.T) {
 	for _, c := range []struct{ name, in, out, err string }{
 		{"empty batch", `{"now-us":1,"agents":[]}` + "\n", `{"agents":[]}`, ""},
-		{"a request is placed", initBatch + requestBatch, `{"place":{"request-id":"t/a","appliance":"h:1"`, ""},
-		{"large labels are read", initBatch + eventBatch(`{"wakeup":{"label":9223372036854775808}}`), "", ""},
-		{"an ended ID is ignored", initBatch + eventBatch(`{"hangup":{"request-id":"t/z"}}`), "", ""},
-		{"not JSON", "{\"now-us\":\n", "", "not a JSON value"},
-		{"no clock", `{"agents":[]}` + "\n", "", "without now-us"},
-		{"never started", requestBatch, "", "never started"},
+		{"request placed", initBatch + requestBatch, `{"place":{"request-id":"t/a","appliance":"h:1"`, ""},
+		{"large label", initBatch + eventBatch(`{"wakeup":{"label":9223372036854775808}}`), "", ""},
+		{"unknown request ID ignored", initBatch + eventBatch(`{"hangup":{"request-id":"t/z"}}`), "", ""},
+		{"not JSON", "{\"now-us\":\n", "", "not valid JSON"},
+		{"no clock", `{"agents":[]}` + "\n", "", "lacks now-us"},
+		{"not started", requestBatch, "", "not started"},
 		{"unknown event", initBatch + eventBatch(`{"storm":{}}`), "", "unknown event"},
-		{"a killed instance", initBatch + eventBatch(`{"killed":{}},{"wakeup":{"label":1}}`), "", "never started"},
-		{"a panic is told", initBatch + strings.Replace(requestBatch, `"kind":0`, `"kind":7`, 1), `{"panic":{"line":"runtime error`, ""},
+		{"killed instance", initBatch + eventBatch(`{"killed":{}},{"wakeup":{"label":1}}`), "", "not started"},
+		{"panic reported", initBatch + strings.Replace(requestBatch, `"kind":0`, `"kind":7`, 1), `{"panic":{"line":"runtime error`, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var out bytes.Buffer
 			err := Serve(strings.NewReader(c.in), &out)
 			if (err == nil) != (c.err == "") || err != nil && !strings.Contains(err.Error(), c.err) {
-				t.Errorf("error %v, want %q", err, c.err)
+				t.Errorf("Serve error = %v, want one containing %q", err, c.err)
 			}
 			if !strings.Contains(out.String(), c.out) {
-				t.Errorf("wrote %s, want %s", out.String(), c.out)
+				t.Errorf("Serve wrote %s, want output containing %s", out.String(), c.out)
 			}
 		})
 	}
 }
 
-// An error says in full where and what, and a caller can tell its kind.
+// Errors state the location and the problem in full, and callers can determine their kind.
 func TestServeErrors(t *testing.T) {
 	for _, c := range []struct {
 		name, in, text string
-		kind           error // for errors.Is, or nil where it is a ValueError
+		kind           error // for errors.Is; nil if a ValueError is expected
 		value          ValueError
 	}{
-		{"not JSON", "{\n", "line 1: not a JSON value", ErrNotJSON, ValueError{}},
-		{"no instances", `{"now-us":1}` + "\n", "line 1: a batch without now-us or agents", ErrIncompleteBatch, ValueError{}},
-		{"not started", requestBatch, "line 1: agent_0, knock: an event for an instance that was never started", ErrNotStarted, ValueError{}},
+		{"not JSON", "{\n", "line 1: batch is not valid JSON", ErrNotJSON, ValueError{}},
+		{"no instances", `{"now-us":1}` + "\n", "line 1: batch lacks now-us or agents", ErrIncompleteBatch, ValueError{}},
+		{"not started", requestBatch, "line 1: agent_0, knock: event for an instance that is not started", ErrNotStarted, ValueError{}},
 		{"unknown event", initBatch + eventBatch(`{"storm":{}}`), "line 2: agent_0, storm: unknown event", ErrUnknownEvent, ValueError{}},
-		{"unknown event, not started", eventBatch(`{"storm":{}}`), "line 1: agent_0, storm: an event for an instance that was never started", ErrNotStarted, ValueError{}},
+		{"unknown event, not started", eventBatch(`{"storm":{}}`), "line 1: agent_0, storm: event for an instance that is not started", ErrNotStarted, ValueError{}},
 		{"outcome", initBatch + eventBatch(`{"done":{"how":9}}`), "line 2: agent_0, done: outcome 9", nil, ValueError{"outcome", "9"}},
 		{"no outcome", initBatch + eventBatch(`{"done":{}}`), "line 2: agent_0, done: outcome 0", nil, ValueError{"outcome", "0"}},
 		{"phase", initBatch + eventBatch(`{"promotion":{"standing":4}}`), "line 2: agent_0, promotion: standing 4", nil, ValueError{"standing", "4"}},
@@ -79,20 +79,20 @@
 		t.Run(c.name, func(t *testing.T) {
 			err := Serve(strings.NewReader(c.in), io.Discard)
 			if err == nil || err.Error() != c.text {
-				t.Fatalf("error %v, want %q", err, c.text)
+				t.Fatalf("Serve error = %v, want %q", err, c.text)
 			}
 			var value *ValueError
 			if c.kind != nil && !errors.Is(err, c.kind) {
-				t.Errorf("%v is no %v", err, c.kind)
+				t.Errorf("errors.Is(%q, %q) = false, want true", err, c.kind)
 			}
 			if c.kind == nil && (!errors.As(err, &value) || *value != c.value) {
-				t.Errorf("value %+v, want %+v", value, c.value)
+				t.Errorf("ValueError in %q = %+v, want %+v", err, value, c.value)
 			}
 		})
 	}
 }
 
-// Each effect of the decisions has its own text on the wire.
+// TestActions checks the encoding of each effect of the decisions.
 func TestActions(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -118,13 +118,13 @@
 			in := &instance{}
 			c.effect(in)
 			if got := string(in.actions); got != c.want {
-				t.Errorf("wrote %s, want %s", got, c.want)
+				t.Errorf("encoded actions = %s, want %s", got, c.want)
 			}
 		})
 	}
 }
 
-// Instances share nothing: two with the same events act alike, whatever else the process hosts.
+// Instances share no state: two instances with the same events act the same way, whatever else the process hosts.
 func TestInstancesAreIndependent(t *testing.T) {
 	two := func(batch string) string {
 		from, to := strings.Index(batch, `{"who"`), strings.LastIndex(batch, "]}")
@@ -132,16 +132,16 @@
 	}
 	var one, both bytes.Buffer
 	if err := Serve(strings.NewReader(initBatch+requestBatch), &one); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Serve for one instance: %v", err)
 	}
 	if err := Serve(strings.NewReader(two(initBatch)+two(requestBatch)), &both); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Serve for two instances: %v", err)
 	}
 	last := func(out bytes.Buffer) string {
 		lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 		return strings.TrimSuffix(lines[len(lines)-1], "]}")
 	}
 	if want := last(one) + "," + strings.Replace(strings.TrimPrefix(last(one), `{"agents":[`), "agent_0", "agent_1", 1); last(both) != want {
-		t.Errorf("got %s, want %s", last(both), want)
+		t.Errorf("reply for two instances = %s, want %s", last(both), want)
 	}
 }
--- a/internal/simadapter/values.go
+++ b/internal/simadapter/values.go
@@ -9,7 +9,7 @@
 	"onyxgate/policy"
 )
 
-// The wire's words and numbers in the terms of the decisions.
+// The protocol's names and numbers, mapped to the constants of package policy and back.
 var (
 	attemptStatuses = [...]policy.AttemptStatus{
 		1: policy.StatusServed, 2: policy.StatusErrored, 3: policy.StatusRejected, 4: policy.StatusTimedOut,
@@ -25,10 +25,10 @@
 	verdictNumbers = map[policy.Verdict]int{policy.Promote: 1, policy.Hold: 2, policy.Rollback: 3}
 )
 
-// ValueError says that a field of an event holds a value that the wire does not have.
+// ValueError reports a field of an event whose value the protocol does not define.
 type ValueError struct {
-	Name  string // of the field, in words
-	Value string // as it was read
+	Name  string // description of the field
+	Value string // value that was read
 }
 
 // Error implements error.
@@ -40,7 +40,7 @@
 
 func validSlot(slot int64) bool { return slot >= 0 && slot < maxPools }
 
-// setPool keeps an endpoint list under its slot.
+// setPool stores an endpoint list in its slot.
 func (h *host) setPool(fields gjson.Result) error {
 	slot := fields.Get("slot").Int()
 	if !validSlot(slot) {
@@ -64,7 +64,8 @@
 	}
 }
 
-// readLoad reads a load report, of which any part may be missing: the waiting requests (q, or rif) and the busy share.
+// readLoad decodes a load report, any part of which may be missing: the number of waiting requests (q, or rif) and
+// the busy share.
 func readLoad(fields gjson.Result) policy.LoadReport {
 	const missing = -1.0
 	waiting, busy := missing, missing
--- a/policy/exposure/affinity.go
+++ b/policy/exposure/affinity.go
@@ -1,8 +1,9 @@
-// Package exposure limits what a release that rolls out may get of one instance's requests.
+// Package exposure limits how much of one instance's traffic a release gets while it is rolled out.
 //
-// It owns how many attempts may still go to a release under a cap (Allowance) and which releases may serve a key that a release has
-// answered (Affinity). It must never know a backend, a request or a clock: it knows releases by number alone, and the state of a release is
-// package release's. Its types are for one goroutine.
+// Allowance counts how many more attempts may go to a release under a cap. Affinity tracks which releases may serve a
+// key that some release has already answered. The package must not depend on backends, requests or a clock: it
+// identifies releases by number only, and package release tracks their state. Its types are not safe for concurrent
+// use.
 package exposure
 
 import (
@@ -11,11 +12,11 @@
 	"onyxgate/policy/release"
 )
 
-// Key identifies a key by its hash; 0 stands for no key. Two keys of the same hash keep each other from earlier releases,
-// which costs a little and breaks nothing.
+// Key is the hash of a key; 0 means no key. Keys with equal hashes restrict each other to later releases, which costs
+// some flexibility but breaks no rule.
 type Key uint64
 
-// KeyOf is the Key of a request's key; an empty one gives 0.
+// KeyOf returns the Key of a request's key, or 0 if the key is empty.
 func KeyOf(key string) Key {
 	if key == "" {
 		return 0
@@ -23,24 +24,24 @@
 	return Key(xxhash.Sum64String(key) | 1)
 }
 
-// maxKeys is how many keys of a release are remembered, at about 20 bytes each. Beyond it every key counts as one of them:
-// forgetting one could send it to an earlier release.
+// maxKeys is the maximum number of keys remembered for one release, at about 20 bytes each. Beyond it, every key
+// counts as answered by the release, because forgetting a key could send it to an earlier release.
 const maxKeys = 1 << 18
 
-// Affinity knows which releases have answered a key, or may be about to. Such a key goes to no earlier release until that
-// release is rolled back.
+// Affinity tracks which releases have answered a key or may be about to. Such a key is not sent to an earlier release
+// until the release that answered it is rolled back.
 type Affinity struct {
 	answered    map[release.ID]*keySet
-	pending     map[release.ID]map[Key]int // open attempts
-	baseRelease release.ID                 // every key counts as answered by this release: its own keys were forgotten; 0: none
-	maxKeys     int                        // of one release
-	version     uint64                     // counted, so that a floor need not be found again while nothing has changed
+	pending     map[release.ID]map[Key]int // open attempts by release and key
+	baseRelease release.ID                 // counts as having answered every key, as its keys were forgotten; 0: none
+	maxKeys     int                        // limit for each release
+	version     uint64                     // incremented when the result of OldestAllowed may change
 }
 
-// keySet is the keys that one release has answered.
+// keySet is the set of keys that one release has answered.
 type keySet struct {
 	keys map[Key]struct{}
-	all  bool // there were too many: every key counts as answered
+	all  bool // the set exceeded its limit: every key counts as answered
 }
 
 func (s *keySet) has(key Key) bool {
@@ -48,12 +49,12 @@
 	return ok || s.all
 }
 
-// NewAffinity is an affinity that has seen no key.
+// NewAffinity returns an Affinity without any keys.
 func NewAffinity() *Affinity {
 	return &Affinity{answered: map[release.ID]*keySet{}, pending: map[release.ID]map[Key]int{}, maxKeys: maxKeys}
 }
 
-// OldestAllowed is the earliest release that may serve a key; 0: any.
+// OldestAllowed returns the oldest release that may serve a key, or 0 if any release may.
 func (a *Affinity) OldestAllowed(key Key) (release release.ID) {
 	if key == 0 {
 		return 0
@@ -72,10 +73,12 @@
 	return release
 }
 
-// Version counts what may have moved a floor: as long as it is the same, so is every floor.
+// Version returns a number that changes whenever the result of OldestAllowed may have changed for any key, so that
+// callers can cache the result.
 func (a *Affinity) Version() uint64 { return a.version }
 
-// AttemptStarted notes an open attempt at a release: its answer may bind the key before it is seen here.
+// AttemptStarted registers an open attempt at a release: the release may answer the key before the instance sees the
+// answer.
 func (a *Affinity) AttemptStarted(key Key, release release.ID) {
 	if key == 0 {
 		return
@@ -87,7 +90,7 @@
 	a.version++
 }
 
-// AttemptEnded notes the end of an attempt that AttemptStarted has noted.
+// AttemptEnded removes an attempt that was registered with AttemptStarted.
 func (a *Affinity) AttemptEnded(key Key, release release.ID) {
 	keys := a.pending[release]
 	switch n := keys[key]; {
@@ -99,7 +102,7 @@
 	a.version++
 }
 
-// RecordAnswer notes that a release has answered a key.
+// RecordAnswer records that a release has answered a key.
 func (a *Affinity) RecordAnswer(key Key, release release.ID) {
 	if key == 0 {
 		return
@@ -118,15 +121,15 @@
 	}
 }
 
-// ForgetRelease frees the keys that a release has bound: it is rolled back.
+// ForgetRelease drops the keys of a release that is being rolled back, so that earlier releases may serve them again.
 func (a *Affinity) ForgetRelease(release release.ID) {
 	delete(a.answered, release)
 	delete(a.pending, release)
 	a.version++
 }
 
-// ForgetBefore forgets the keys of all releases before one, since none of these is to return. Should a backend of an even earlier
-// release return all the same, it gets no key at all.
+// ForgetBefore drops the keys of all releases before the given one, as none of them is expected to return. If a
+// backend of an even older release does return, it gets no requests with a key.
 func (a *Affinity) ForgetBefore(release release.ID) {
 	for r := range a.answered {
 		if r < release {
@@ -142,7 +145,7 @@
 	a.version++
 }
 
-// Len is how many keys are remembered, for all releases together.
+// Len returns the number of remembered keys, over all releases.
 func (a *Affinity) Len() (n int) {
 	for _, set := range a.answered {
 		n += len(set.keys)
@@ -150,7 +153,7 @@
 	return n
 }
 
-// PendingKeys is how many keys have open attempts.
+// PendingKeys returns the number of keys with open attempts, counted for each release.
 func (a *Affinity) PendingKeys() (n int) {
 	for _, keys := range a.pending {
 		n += len(keys)
--- a/policy/exposure/allowance.go
+++ b/policy/exposure/allowance.go
@@ -2,25 +2,27 @@
 
 import "onyxgate/policy/release"
 
-// Allowance limits the attempts at each release under a cap. In any span of time at most the free attempts and the cap's share of the
-// requests taken in it can leave: each request taken adds the cap to a balance that never exceeds the free attempts, and each
-// attempt takes one off.
+// Allowance limits the attempts at each release under a cap. It is a token bucket: each accepted request adds the cap
+// to the balance, which never exceeds the number of free attempts, and each attempt subtracts one. In any span of
+// time, at most the free attempts plus the cap's share of the requests accepted in that span are sent.
 type Allowance struct {
-	freeAttempts    float64                  // attempts in any span of time, beside the share
-	buckets         int                      // each of which counts for itself
-	startEmptyUntil float64                  // ms; before this time a balance starts empty
-	balances        map[release.ID][]float64 // attempts that may go, by release and then by lane
+	freeAttempts    float64                  // attempts in any span of time beyond the cap's share
+	buckets         int                      // buckets per release, each with its own balance
+	startEmptyUntil float64                  // ms; a balance that is created before this time starts at zero
+	balances        map[release.ID][]float64 // attempts that may still be sent, by release and bucket
 }
 
-// NewAllowance is an allowance of free attempts for each of a number of lanes (one for each class, or one for all).
+// NewAllowance returns an Allowance with the given number of free attempts for each bucket: one bucket per class, or
+// one for all classes.
 func NewAllowance(freeAttempts float64, buckets int) *Allowance {
 	return &Allowance{freeAttempts: freeAttempts, buckets: max(buckets, 1), balances: map[release.ID][]float64{}}
 }
 
-// StartEmptyUntil keeps the free attempts back until a time (ms): the process before this one may have used them inside the same window.
+// StartEmptyUntil makes balances that are created before the given time (ms) start without the free attempts, which
+// the previous process may have used within the same window.
 func (a *Allowance) StartEmptyUntil(until float64) { a.startEmptyUntil = until }
 
-// balance is the balance of a release, by lane. It starts with the free attempts on first use.
+// balance returns the balances of a release, by bucket. They are created on first use, holding the free attempts.
 func (a *Allowance) balance(release release.ID, now float64) []float64 {
 	balance := a.balances[release]
 	if balance == nil {
@@ -35,31 +37,31 @@
 	return balance
 }
 
-// Allows says whether one more attempt may go to a release.
+// Allows reports whether one more attempt may go to a release.
 func (a *Allowance) Allows(release release.ID, bucket int, now float64) bool {
 	return a.balance(release, now)[bucket] >= 1
 }
 
-// Use counts one attempt at a release.
+// Use subtracts one attempt at a release.
 func (a *Allowance) Use(release release.ID, bucket int, now float64) {
 	a.balance(release, now)[bucket]--
 }
 
-// Caps says what a release's cap is, and whether it has one.
+// Caps reports the cap of a release, and whether it has one.
 type Caps interface {
 	Cap(release release.ID) (limit float64, limited bool)
 }
 
-// OnRequest counts one request that was taken, for every release under a cap.
+// OnRequest credits one accepted request to every release under a cap.
 func (a *Allowance) OnRequest(bucket int, caps Caps) {
-	for release, balance := range a.balances { // each by itself, so that the order does not matter
+	for release, balance := range a.balances { // the balances are independent, so map order does not matter
 		if share, limited := caps.Cap(release); limited {
 			balance[bucket] = min(balance[bucket]+share, a.freeAttempts)
 		}
 	}
 }
 
-// ForgetBefore drops the balances of releases before one.
+// ForgetBefore drops the balances of all releases before the given one.
 func (a *Allowance) ForgetBefore(before release.ID) {
 	for release := range a.balances {
 		if release < before {
@@ -68,5 +70,5 @@
 	}
 }
 
-// Len is for how many releases there is a balance.
+// Len returns the number of releases that have a balance.
 func (a *Allowance) Len() int { return len(a.balances) }
--- a/policy/gossip/gossip.go
+++ b/policy/gossip/gossip.go
@@ -1,15 +1,16 @@
-// Package gossip encodes the outcome summaries that instances send each other, and decodes them. It owns the summaries
-// that wait to be sent, and nothing else: whom they go to, when, and what a received summary does is decided by its caller.
-// It knows no instance, no endpoint list and no clock, does no I/O, and starts no goroutine. A Queue is for one goroutine.
+// Package gossip encodes and decodes the outcome summaries that instances send each other, and queues summaries until
+// they are sent. Which instances receive them, when they are sent and how received summaries are used is up to the
+// caller. The package does not depend on instances, the endpoint list or a clock, does no I/O and starts no
+// goroutines. A Queue is not safe for concurrent use.
 //
-// A message is a row of records of RecordSize bytes each, all numbers little-endian:
+// A message is a sequence of records of RecordSize bytes each. All numbers are little-endian:
 //
-//	0  uint32   hash of the backend's id (BackendHash)
-//	4  uint16   release; a higher one is cut to its lowest 16 bits
+//	0  uint32   hash of the backend's ID (BackendHash)
+//	4  uint16   release, truncated to its lowest 16 bits
 //	6  uint8    class
 //	7  uint8    bit 0: failed, bit 1: the connection broke
-//	8  float32  latency, in ms for each unit of work
-//	12 uint16   age when the message was made, in whole ms, 65535 for all that are older
+//	8  float32  latency in ms per unit of work
+//	12 uint16   age in whole ms at the time of encoding, at most 65535
 package gossip
 
 import (
@@ -18,10 +19,11 @@
 	"math"
 )
 
-// RecordSize is the length of one summary in a message, in bytes.
+// RecordSize is the encoded length of one summary, in bytes.
 const RecordSize = 14
 
-// latencyLimit (ms): a record that tells this latency or more, a negative one or none was not made by Encode.
+// latencyLimit (ms) bounds the latencies that Decode accepts. Encode never writes a record whose latency is this
+// high, negative or not a number.
 const latencyLimit = 1e9
 
 const (
@@ -31,16 +33,16 @@
 
 // Summary is the outcome of one attempt.
 type Summary struct {
-	BackendHash      uint32 // BackendHash of the backend's id: indices differ from instance to instance
+	BackendHash      uint32 // BackendHash of the backend's ID, as indices differ between instances
 	Release          int
 	Class            int
 	Failed           bool
 	ConnectionBroken bool
-	Latency          float64 // ms for each unit of work
-	EndedAt          float64 // ms by the clock of the instance that holds the summary
+	Latency          float64 // ms per unit of work
+	EndedAt          float64 // ms, by the clock of the instance that holds the summary
 }
 
-// BackendHash is what a backend is called in a summary.
+// BackendHash returns the identifier of a backend in summaries, a hash of its ID.
 func BackendHash(id string) uint32 {
 	hash := fnv.New32a()
 	hash.Write([]byte(id))
@@ -55,11 +57,11 @@
 // Add appends a summary.
 func (q *Queue) Add(summary Summary) { q.pending = append(q.pending, summary) }
 
-// Len is the number of summaries that wait.
+// Len returns the number of queued summaries.
 func (q *Queue) Len() int { return len(q.pending) }
 
-// Encode empties the queue into messages of at most maxBytes each, which must be RecordSize or more. The ages in them are
-// those at the time now.
+// Encode removes all summaries from the queue and encodes them into messages of at most maxBytes each. maxBytes must
+// be at least RecordSize. Ages are relative to now.
 func (q *Queue) Encode(now float64, maxBytes int) (messages [][]byte) {
 	perMessage := maxBytes / RecordSize
 	for i, summary := range q.pending {
@@ -89,8 +91,8 @@
 	return binary.LittleEndian.AppendUint16(message, uint16(age))
 }
 
-// Decode reads a message that came in at the time now. A cut record at its end and records with an impossible latency are
-// left out. Backend, release and class are as the message has them: whether they exist is for the caller to check.
+// Decode reads a message received at the time now. It skips a truncated record at the end and records with an
+// impossible latency. It does not check whether the backend, release and class exist; the caller has to.
 func Decode(now float64, message []byte) (summaries []Summary) {
 	for ; len(message) >= RecordSize; message = message[RecordSize:] {
 		summary := decodeRecord(now, message)
--- a/policy/release/release.go
+++ b/policy/release/release.go
@@ -1,84 +1,88 @@
-// Package release keeps the state of each release that an instance has heard of.
+// Package release tracks the state of every release that an instance has learned of.
 //
-// It owns one record for each release (Book) and the state machine that moves it, which never goes back. It answers what may be asked of a
-// release (is it under a cap, is it closed) by that release's own record, never by the newest one's. It must never know a backend, a
-// request, a clock or the wire. A Book is for one goroutine.
+// A Registry keeps one record per release, a state machine that only ever moves forward. Whether a release is under a
+// cap or closed is always answered from its own record, never from the record of the newest release. The package must
+// not depend on backends, requests, a clock or the wire protocol. A Registry is not safe for concurrent use.
 //
-// Updates come from several sources in any order: notices, responses to votes, the configuration. An update is identified by its
-// release and ordered by phase, then stage; where both are the same the lower cap holds. What an update would move back is
-// ignored, however fresh it looks: an update's age says nothing of how long it was on its way. Records are kept for good: forgetting
-// one would open a withdrawn release.
+// Updates arrive in any order from several sources: notices, vote responses and the configuration. Updates of one
+// release are ordered by phase, then by stage; if both are equal, the lower cap wins. An update that would move a
+// release back is ignored, however recent it claims to be: the reported age does not include the time that the update
+// spent in transit. Records are never deleted, because losing the record of a withdrawn release would reopen it.
 package release
 
-// ID identifies a release. A later release has a higher one.
+// ID identifies a release. Later releases have higher IDs.
 type ID int
 
-// Unknown is the release of a backend for which no source has named one. It may be any. So the backend gets what the first stage may,
-// its answers bind keys as the latest release's would, and it serves only keys that the oldest release may.
+// Unknown is the release of a backend whose release no source has reported. It could be any release, so the strictest
+// rules apply: the backend may only get the traffic of a release in its first stage, its answers bind keys as answers
+// of the latest release do, and it may only serve keys that the oldest release may serve.
 const Unknown ID = 1 << 30
 
-// Phase is the phase that a release is in.
+// Phase is the phase of a rollout.
 type Phase uint8
 
-// Phases of a release.
+// The phases of a release.
 const (
-	RollingOut  Phase = iota // stage by stage, under a cap
-	RollingBack              // its backends are replaced by those of the release before
+	RollingOut  Phase = iota // advancing stage by stage, under a cap
+	RollingBack              // its backends are being replaced by backends of the previous release
 	Released                 // without a cap
-	Withdrawn                // no backend of it remains
+	Withdrawn                // no backend runs it any more
 )
 
 var phaseNames = [...]string{RollingOut: "rolling out", RollingBack: "rolling back", Released: "released", Withdrawn: "withdrawn"}
 
-// String is the phase for operators' eyes.
+// String returns the name of the phase for logs.
 func (p Phase) String() string { return phaseNames[p] }
 
-// rank orders the phases: a release moves to a higher one only. A released one may still be rolled back.
+// rank orders the phases: a release only moves to a phase of higher rank. RollingBack ranks above Released because a
+// released release can still be rolled back.
 func (p Phase) rank() int {
 	return [...]int{RollingOut: 0, Released: 1, RollingBack: 2, Withdrawn: 3}[p]
 }
 
-// Update is the state of a release as one source sends it.
+// Update is the state of a release as reported by one source.
 type Update struct {
 	Release ID
 	Stage   int
 	Phase   Phase
-	Cap     float64 // share of the requests taken, 0 to 1
+	Cap     float64 // maximum share of the accepted requests, from 0 to 1
 }
 
-// Record is what is known of one release. Before its first update only its backends are known, and it counts as in the first stage.
+// Record is the known state of one release. A release without an update, of which only backends are known, is treated
+// as being in its first stage.
 type Record struct {
 	Update
-	Announced bool // an update has come
-	// Superseded: a later release was announced before an update ended this one. It was withdrawn by then, or the update was missed.
+	Announced bool // an update has been received
+	// Superseded reports that a later release was announced before an update ended this one. Either it was withdrawn
+	// by then, or its last update was missed.
 	Superseded bool
 }
 
-// UpdateResult says what an update did.
+// UpdateResult is the effect of an update on the record of its release.
 type UpdateResult uint8
 
-// What an update did.
+// The results of an update.
 const (
-	StaleUpdate UpdateResult = iota // it would have moved the release back, and was ignored
-	NoChange                        // the record says the same already
+	StaleUpdate UpdateResult = iota // ignored, as it would have moved the release back
+	NoChange                        // the record already holds this state
 	Changed                         // the record has changed
 )
 
-// Registry is the records of all releases.
+// Registry holds the records of all releases.
 type Registry struct {
 	records       map[ID]*Record
-	newest        ID      // announced; valid if known is set
-	hasNewest     bool    // a release was announced
-	oldestListed  ID      // listed
-	firstStageCap float64 // share of the requests taken, in the first stage
+	newest        ID      // highest announced release; valid if hasNewest
+	hasNewest     bool    // at least one release has been announced
+	oldestListed  ID      // oldest release in the endpoint list
+	firstStageCap float64 // cap of the first stage
 }
 
-// NewRegistry is an empty book; a release without an update has the cap of the first stage, a share of the requests taken.
+// NewRegistry returns an empty Registry. firstStageCap is the cap of releases that have no update yet.
 func NewRegistry(firstStageCap float64) *Registry {
 	return &Registry{records: map[ID]*Record{}, firstStageCap: firstStageCap}
 }
 
-// Newest is the newest announced release's record, and whether there is one.
+// Newest returns the record of the newest announced release, and whether any release has been announced.
 func (reg *Registry) Newest() (Record, bool) {
 	if !reg.hasNewest {
 		return Record{}, false
@@ -86,10 +90,12 @@
 	return *reg.records[reg.newest], true
 }
 
-// SetOldestListed notes the oldest release that is listed: as long as none is announced, that one counts as what the fleet runs.
+// SetOldestListed sets the oldest release in the endpoint list. Until a release is announced, it is taken to be the
+// release that the fleet runs.
 func (reg *Registry) SetOldestListed(release ID) { reg.oldestListed = release }
 
-// OldestIfUnknown is the release that decides which keys a backend may serve: its own, or the oldest listed one where that is unknown.
+// OldestIfUnknown returns the release that determines which keys a backend may serve: the given release, or the
+// oldest listed one if it is Unknown.
 func (reg *Registry) OldestIfUnknown(release ID) ID {
 	if release == Unknown {
 		return reg.oldestListed
@@ -97,7 +103,8 @@
 	return release
 }
 
-// LatestIfUnknown is the release to which an answer of a backend binds its key: its own, or the latest known one where that is unknown.
+// LatestIfUnknown returns the release to which a backend's answer binds a key: the given release, or the latest known
+// one if it is Unknown.
 func (reg *Registry) LatestIfUnknown(release ID) ID {
 	if release != Unknown {
 		return release
@@ -109,7 +116,7 @@
 	return latest
 }
 
-// Record is a copy of what is known of a release.
+// Record returns a copy of the record of a release.
 func (reg *Registry) Record(release ID) Record {
 	if r := reg.records[release]; r != nil {
 		return *r
@@ -121,12 +128,13 @@
 	return Record{Update: first}
 }
 
-// before says of a release without a record whether the fleet ran it before the newest one came: it is what is being replaced.
+// predatesRollout reports whether a release without a record ran in the fleet before the newest release arrived, and
+// so is being replaced by it.
 func (reg *Registry) predatesRollout(release ID) bool {
 	return reg.hasNewest && release < reg.newest || !reg.hasNewest && release <= reg.oldestListed
 }
 
-// Apply takes an update and says what it did to its release's record.
+// Apply applies an update to the record of its release.
 func (reg *Registry) Apply(u Update) UpdateResult {
 	r := reg.records[u.Release]
 	if r == nil || !r.Announced {
@@ -140,8 +148,8 @@
 	return change
 }
 
-// OnListed notes that a backend of a release is listed. early says that the release is later than the newest announced one and was not
-// known before: its first update is still to come.
+// OnListed registers a release that a listed backend runs. It returns true if the release is later than the newest
+// announced one and was not known before, that is, if its first update is still to come.
 func (reg *Registry) OnListed(release ID) (early bool) {
 	if release == Unknown || reg.records[release] != nil || !reg.hasNewest || release <= reg.newest {
 		return false
@@ -150,7 +158,7 @@
 	return true
 }
 
-// announce takes a release's first update. It supersedes every earlier release that has not ended.
+// applyFirst applies the first update of a release and supersedes all earlier releases that have not ended.
 func (reg *Registry) applyFirst(u Update) {
 	r := &Record{Update: u, Announced: true}
 	if u.Phase == Withdrawn {
@@ -169,7 +177,7 @@
 	}
 }
 
-// move takes a later update of the same release.
+// apply applies a further update of the release.
 func (r *Record) apply(u Update) UpdateResult {
 	switch from, to := r.Phase.rank(), u.Phase.rank(); {
 	case to < from, to == from && u.Phase == RollingOut && u.Stage < r.Stage:
@@ -191,8 +199,8 @@
 	return Changed
 }
 
-// supersede takes the announcement of a later release. No more updates are to be expected on this one: where it was rolling back it counts
-// as withdrawn, and where it was rolling out it keeps its last cap.
+// supersede marks the release as superseded by the announcement of a later one. No more updates are expected for it:
+// if it was rolling back it now counts as withdrawn, and if it was rolling out it keeps its last cap.
 func (r *Record) supersede() {
 	r.Superseded = r.Phase != Released && r.Phase != Withdrawn
 	if r.Phase == RollingBack {
@@ -200,15 +208,16 @@
 	}
 }
 
-// InferReleased notes that a superseded release runs on most of the backends of earlier releases. So it was released and that update was
-// missed: one that is rolled back never gets there.
+// InferReleased marks a superseded release as released. It is called for a release that runs on most of the backends
+// with earlier releases: it must have been released and the update missed, because a release that is rolled back
+// never gets that far.
 func (reg *Registry) InferReleased(release ID) {
 	if r := reg.records[release]; r != nil && r.Superseded && r.Phase == RollingOut {
 		r.Phase, r.Cap, r.Superseded = Released, 1, false
 	}
 }
 
-// Cap is the share of the requests taken that may go to a release, and whether that is limited at all.
+// Cap returns the share of the accepted requests that may go to a release, and whether its share is limited at all.
 func (reg *Registry) Cap(release ID) (limit float64, limited bool) {
 	r := reg.records[release]
 	switch {
@@ -220,18 +229,19 @@
 	return reg.firstStageCap, true
 }
 
-// IsClosed says whether a release is rolling back or withdrawn: its answers bind no key.
+// IsClosed reports whether a release is rolling back or withdrawn. Answers of a closed release bind no keys.
 func (reg *Registry) IsClosed(release ID) bool {
 	p := reg.Record(release).Phase
 	return p == RollingBack || p == Withdrawn
 }
 
-// IsEvaluated says whether outcomes of a release are evidence: it is the newest one, or an earlier one without a cap.
+// IsEvaluated reports whether outcomes of a release are used as evidence: it is the newest announced release, or an
+// earlier one without a cap.
 func (reg *Registry) IsEvaluated(release ID) bool {
 	return reg.hasNewest && (release == reg.newest || release < reg.newest && reg.Record(release).Phase == Released)
 }
 
-// Baseline is the newest released release before the newest announced one; 0: none is known.
+// Baseline returns the latest release before the newest announced one that was released, or 0 if there is none.
 func (reg *Registry) Baseline() (base ID) {
 	for release, r := range reg.records {
 		if release < reg.newest && r.Phase == Released {
--- a/policy/verdict/evaluator.go
+++ b/policy/verdict/evaluator.go
@@ -10,66 +10,72 @@
 )
 
 const (
-	// minStageTime (ms) is the least time from the start of a stage, or of its last backend, to a promotion; stageClockMargin
-	// (ms) is added for the clocks that tell those starts.
+	// minStageTime (ms) is the minimum time between the start of a stage, or of its last backend, and a promotion.
+	// stageClockMargin (ms) is added for the inaccuracy of the clocks that report these starts.
 	minStageTime     = 3000
 	stageClockMargin = 550
-	// maxEvidenceWait (ms) after its last backend's start a stage short of outcomes is promoted, if nothing speaks against it.
+	// maxEvidenceWait (ms) after the start of its last backend, a stage with too few outcomes is promoted unless a
+	// regression was found.
 	maxEvidenceWait = 4000
-	// stalledStageAfter (ms) a stage is evaluated with the backends that are listed, however few.
+	// stalledStageAfter (ms) after its start, a stage is evaluated with the backends that are listed, even if they
+	// are too few.
 	stalledStageAfter = 10000
-	// stagePlacesMargin is how many backends fewer than its share of the places a stage may have: rounding errors.
+	// stagePlacesMargin is the number of backends by which a stage may fall short of its share of the places. It
+	// absorbs rounding errors.
 	stagePlacesMargin = 0.01
 
-	// EvaluatorCount is how many instances, the first by index, get every instance's outcomes where instances may send each other
-	// messages, and evaluate for all.
+	// EvaluatorCount is the number of instances, those with the lowest indices, that receive the outcomes of all
+	// instances and evaluate on behalf of the fleet if instances may send each other messages.
 	EvaluatorCount = 3
-	// soloEvaluationDelay (ms) is how long the other instances leave a promotion to the evaluators.
+	// soloEvaluationDelay (ms) is how long the other instances wait for the evaluators to promote a stage.
 	soloEvaluationDelay = 2000
 
-	// fleetErrorProbability is the probability that as many instances as roll a release back are wrong together.
+	// fleetErrorProbability is the probability that enough instances for a rollback are wrong about a release at the
+	// same time.
 	fleetErrorProbability = 0.04
-	// maxErrorProbability is the greatest probability at which one instance may be wrong: troubles befall many alike.
+	// maxErrorProbability is the upper limit on the error probability of one instance. The errors of instances are
+	// not independent, because the same trouble affects many of them.
 	maxErrorProbability = 0.05
 )
 
-// Settings are what an Evaluator is made with; they stay.
+// Settings configure an Evaluator and do not change during its lifetime.
 type Settings struct {
 	Classes       int       // number of request classes
-	Stages        []float64 // share of the places that get the release, for each stage
+	Stages        []float64 // share of the places that run the release, for each stage
 	Control       RolloutControl
-	RollbackVotes int     // votes that roll a release back, at least 1
+	RollbackVotes int     // votes needed to roll a release back, at least 1
 	VoteLifetime  float64 // ms for which an accepted vote counts
 }
 
-// Fleet is what an evaluation needs to know of the instance's surroundings at the time.
+// Fleet describes the fleet at the time of an evaluation, as seen by this instance.
 type Fleet struct {
 	Instances    int  // in the fleet, at least 1
-	Index        int  // of this instance, from 0
+	Index        int  // index of this instance, from 0
 	PeerMessages bool // instances send each other their outcomes
 
-	ArrivalRate        float64 // new requests of late, in any one unit
-	Places             int     // backends that ran when the rollout began
+	ArrivalRate        float64 // recent rate of new requests, in any unit that stays the same
+	Places             int     // number of running backends when the rollout began
 	CandidateBackends  int     // running backends of the newest release
-	LastCandidateStart float64 // ms, when the last of them started
-	BaselineIdle       bool    // the last stage: only the candidate gets traffic
+	LastCandidateStart float64 // ms, start of the most recently started one
+	BaselineIdle       bool    // in the last stage only the candidate receives traffic
 }
 
-// isEvaluator tells whether this instance evaluates for all. It is always the same few, since what came before a rollout counts
-// too. The others evaluate by what they see themselves, and step in where the evaluators stay silent.
+// isEvaluator reports whether this instance evaluates on behalf of the fleet. The evaluators are always the same few
+// instances, because the evaluation also needs outcomes from before the rollout. The others evaluate what they
+// observe themselves, and step in if the evaluators do not vote.
 func (f Fleet) isEvaluator() bool { return !f.PeerMessages || f.Index < EvaluatorCount }
 
-// Evaluator is what an instance knows and wants of the newest release.
+// Evaluator collects the evidence on the newest release and determines this instance's votes on it.
 type Evaluator struct {
 	settings Settings
 	evidence evidence
 
-	release    release.ID // the newest announced one; valid if announced
+	release    release.ID // newest announced release; valid if announced
 	announced  bool
 	stage      int
 	phase      release.Phase
-	stateSince float64 // ms, when stage or phase last changed
-	// stageStarted tells that the present stage's backends have started, so that it may be evaluated.
+	stateSince float64 // ms, time of the last change of stage or phase
+	// stageStarted is set once the backends of the current stage have started, so that it may be evaluated.
 	stageStarted bool
 
 	baseline   baseline
@@ -80,7 +86,7 @@
 	voteState      voteState
 }
 
-// New makes an Evaluator that knows of no release.
+// New returns an Evaluator for which no release has been announced yet.
 func New(settings Settings) *Evaluator {
 	return &Evaluator{
 		settings:   settings,
@@ -90,27 +96,29 @@
 	}
 }
 
-// Announced tells whether any release has been announced.
+// Announced reports whether any release has been announced.
 func (e *Evaluator) Announced() bool { return e.announced }
 
-// Release is the newest announced release; 0 before any is.
+// Release returns the newest announced release, or 0 before the first announcement.
 func (e *Evaluator) Release() release.ID { return e.release }
 
-// Stage is the newest release's, from 0.
+// Stage returns the stage of the newest release, from 0.
 func (e *Evaluator) Stage() int { return e.stage }
 
-// RollbackReason says why the latest evaluation wants a rollback, for the log; empty: it wants none.
+// RollbackReason returns the reason why the latest evaluation wants a rollback, for logs. It is empty if it wants
+// none.
 func (e *Evaluator) RollbackReason() string { return e.rollbackReason }
 
-// OutcomeCount is the number of outcomes on record for an arm, in all classes.
+// OutcomeCount returns the number of stored outcomes of an arm, over all classes.
 func (e *Evaluator) OutcomeCount(arm Arm) int { return e.evidence.count(arm) }
 
-// Record takes an attempt's outcome on a release. warm tells that its backend has ended its warm-up, evaluated that the
-// release is the newest one or runs without a cap: outcomes of any other are evidence on neither side.
-func (e *Evaluator) Record(of release.ID, class int, outcome Outcome, warm, evaluated bool) {
+// Record adds the outcome of an attempt at a release to the evidence. warm is set if the backend has finished its
+// warm-up. evaluated is set if the release is the newest one or runs without a cap; outcomes of other releases count
+// for neither arm.
+func (e *Evaluator) Record(id release.ID, class int, outcome Outcome, warm, evaluated bool) {
 	arm := Unrelated
 	switch {
-	case evaluated && of >= e.release:
+	case evaluated && id >= e.release:
 		arm = Candidate
 	case evaluated:
 		arm = Baseline
@@ -118,20 +126,21 @@
 	e.evidence.add(arm, class, outcome, warm)
 }
 
-// MarkFailed corrects the latest recorded success of a backend that was sent within a millisecond of sentAt: its answer was
-// wrong.
+// MarkFailed turns a recorded success into a failure after its answer turned out to be wrong: the latest success of
+// the backend that was sent within a millisecond of sentAt.
 func (e *Evaluator) MarkFailed(class, backend int, sentAt float64) {
 	e.evidence.markFailed(class, backend, sentAt)
 }
 
-// ResetBackend tells that another process runs as this backend. What its predecessor showed of the release stays.
+// ResetBackend handles the start of another process under a backend's index. Outcomes of the previous process remain
+// evidence on the release.
 func (e *Evaluator) ResetBackend(backend int) { e.evidence.resetBackend(backend) }
 
-// ForgetBackend drops all outcomes of a backend whose index goes to another one.
+// ForgetBackend drops all outcomes of a backend whose index is being reused for another backend.
 func (e *Evaluator) ForgetBackend(backend int) { e.evidence.forgetBackend(backend) }
 
-// StartRollout begins with a newly announced release. previousReleased tells that the newest one until now was released, so that
-// its outcomes become the baseline's. SetState must follow.
+// StartRollout starts the evaluation of a newly announced release. If previousReleased is set, the release that was
+// the newest until now has been released, and its outcomes become the baseline. SetState must be called afterwards.
 func (e *Evaluator) StartRollout(now float64, newest release.ID, previousReleased bool, fleet Fleet) {
 	before := e.evidence.snapshot()
 	e.evidence.startCandidate(previousReleased)
@@ -141,8 +150,8 @@
 	e.stageStarted, e.desired, e.voteState.accepted = false, NoVerdict, NoVerdict
 }
 
-// SetState takes the newest release's stage and phase, and since when (ms) it is in both. What was seen of one stage carries no
-// vote on the next.
+// SetState sets the stage and phase of the newest release and the time (ms) since which both have applied. A verdict
+// on one stage does not carry over to the next.
 func (e *Evaluator) SetState(stage int, phase release.Phase, since float64) {
 	if stage == e.stage && phase == e.phase {
 		return
@@ -152,8 +161,8 @@
 	e.stageStarted, e.desired = false, NoVerdict
 }
 
-// Evaluate runs the gates and sets the desired verdict. A desired rollback stays until the release is rolling back or another
-// stage begins.
+// Evaluate runs the gates and updates the desired verdict. A desired rollback stays until the release is rolling back
+// or another stage begins.
 func (e *Evaluator) Evaluate(now float64, fleet Fleet) {
 	ended := !e.announced || e.phase == release.RollingBack || e.phase == release.Withdrawn
 	if e.desired == Rollback && !ended {
@@ -179,32 +188,32 @@
 	}
 }
 
-// mayEvaluateStage tells whether the stage has as many backends as it should, now or before, or has waited long enough for
-// them. The platform may round the number of backends otherwise.
+// mayEvaluateStage reports whether the stage has, or has had, as many backends as it should, or has waited long
+// enough for them. The platform may round the number of backends differently.
 func (e *Evaluator) mayEvaluateStage(now float64, fleet Fleet) bool {
-	wanted := e.settings.Stages[e.stage] * float64(fleet.Places)
-	e.stageStarted = e.stageStarted || float64(fleet.CandidateBackends) > wanted-stagePlacesMargin
+	wantedBackends := e.settings.Stages[e.stage] * float64(fleet.Places)
+	e.stageStarted = e.stageStarted || float64(fleet.CandidateBackends) > wantedBackends-stagePlacesMargin
 	return e.stageStarted || now >= e.stateSince+stalledStageAfter
 }
 
-// promoteAt is from when (ms) the stage is promoted. A comparison that shows neither blocks nothing: with the least sample seen
-// only the stage's least time is waited for.
+// earliestPromotion returns the time (ms) from which the stage may be promoted. An inconclusive comparison does not
+// block a promotion: once the minimum sample has been observed, only the minimum stage time remains to be waited for.
 func (e *Evaluator) earliestPromotion(fleet Fleet, nonInferior bool) float64 {
 	at := max(fleet.LastCandidateStart, e.stateSince) + minStageTime + stageClockMargin
-	few := !nonInferior && e.evidence.count(Candidate) < minSample
-	if few {
+	insufficient := !nonInferior && e.evidence.count(Candidate) < minSample
+	if insufficient {
 		at = max(at, fleet.LastCandidateStart+maxEvidenceWait)
 	}
-	if !fleet.isEvaluator() || few && e.settings.Control == ControlSingleVote {
+	if !fleet.isEvaluator() || insufficient && e.settings.Control == ControlSingleVote {
 		at += soloEvaluationDelay
 	}
 	return at
 }
 
-// compareClasses compares the arms class by class, and all classes at once by latency relative to the class's mean, which sees a
-// slow release sooner. The first regression ends it.
+// compareClasses compares the arms class by class, then all classes together by latency relative to the mean of the
+// class, which detects a slow release sooner. It stops at the first regression.
 func (e *Evaluator) compareClasses(fleet Fleet) Comparison {
-	by := criteria{
+	gateCriteria := criteria{
 		compareLatency:   !fleet.BaselineIdle,
 		released:         e.phase == release.Released,
 		errorProbability: errorProbability(e.settings.RollbackVotes, fleet),
@@ -213,7 +222,7 @@
 	candidate, baseline := withPooled(e.evidence.outcomes[Candidate]), withPooled(e.evidence.outcomes[Baseline])
 	nonInferior := false
 	for class := range candidate {
-		result := compare(candidate[class], baseline[class], by)
+		result := compare(candidate[class], baseline[class], gateCriteria)
 		if result.Regression != "" {
 			name := "all classes"
 			if class < e.settings.Classes {
@@ -226,13 +235,14 @@
 	return Comparison{NonInferior: nonInferior}
 }
 
-// withPooled is the classes, and after them all of them pooled.
+// withPooled returns the outcomes by class, followed by those of all classes pooled.
 func withPooled(classes [][]Outcome) [][]Outcome {
 	return append(slices.Clone(classes), poolClasses(classes))
 }
 
-// errorProbability is the probability at which one instance may be wrong in wanting a rollback: small where few of many
-// instances roll a release back, larger where many must agree, each of which sees little.
+// errorProbability returns the probability with which one instance may be wrong in wanting a rollback. It is small if
+// few votes of many instances suffice for a rollback, and larger if many instances, each of which observes little,
+// have to agree.
 func errorProbability(rollbackVotes int, fleet Fleet) float64 {
 	evaluating := fleet.Instances
 	if fleet.PeerMessages && fleet.isEvaluator() {
--- a/policy/verdict/evaluator_test.go
+++ b/policy/verdict/evaluator_test.go
@@ -8,7 +8,8 @@
 	"onyxgate/policy/release"
 )
 
-// feed records so many outcomes of each arm, alike in latency; of the candidate's each nth fails (0: none).
+// recordOutcomes records count outcomes of each arm with equal latencies. If failEvery is not 0, every failEvery-th
+// outcome of the candidate is a failure.
 func recordOutcomes(e *Evaluator, from, to float64, count, failEvery int) {
 	for k := range count {
 		at := from + (to-from)*float64(k)/float64(count)
@@ -18,10 +19,10 @@
 	}
 }
 
-// steadyFleet is ten places, four of them with the candidate since the time 0.
+// steadyFleet has ten places, four of which have run the candidate since time 0.
 var steadyFleet = Fleet{Instances: 2, Places: 10, CandidateBackends: 4}
 
-// What is desired in each phase and under each control, of a good and a bad candidate.
+// TestEvaluate checks the desired verdict on a good and a bad candidate in each phase and under each control.
 func TestEvaluate(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -35,24 +36,24 @@
 	}{
 		{"good", ControlMajority, 0, release.RollingOut, false, 5000, nil, Promote},
 		{"good, too soon", ControlMajority, 0, release.RollingOut, false, minStageTime + stageClockMargin - 1, nil, NoVerdict},
-		{"good, at the least time", ControlMajority, 0, release.RollingOut, false, minStageTime + stageClockMargin, nil, Promote},
-		{"good, by time", ControlTimed, 0, release.RollingOut, false, 5000, nil, NoVerdict},
+		{"good, at the minimum time", ControlMajority, 0, release.RollingOut, false, minStageTime + stageClockMargin, nil, Promote},
+		{"good, timed rollout", ControlTimed, 0, release.RollingOut, false, 5000, nil, NoVerdict},
 		{"good, released", ControlMajority, 0, release.Released, false, 5000, nil, NoVerdict},
 		{"good, rolling back", ControlMajority, 0, release.RollingBack, false, 5000, nil, NoVerdict},
 		{"good, its last backend started late", ControlMajority, 0, release.RollingOut, false, 5000, func(f *Fleet) { f.LastCandidateStart = 3000 }, NoVerdict},
 		{"good, not an evaluator", ControlMajority, 0, release.RollingOut, false, 5000, func(f *Fleet) { f.PeerMessages, f.Index = true, EvaluatorCount }, NoVerdict},
 		{"good, not an evaluator, later", ControlMajority, 0, release.RollingOut, false, 5000 + soloEvaluationDelay, func(f *Fleet) { f.PeerMessages, f.Index = true, EvaluatorCount }, Promote},
 		{"good, the last evaluator", ControlMajority, 0, release.RollingOut, false, 5000, func(f *Fleet) { f.PeerMessages, f.Index = true, EvaluatorCount-1 }, Promote},
-		{"good, high index without messages", ControlMajority, 0, release.RollingOut, false, 5000, func(f *Fleet) { f.Index = EvaluatorCount }, Promote},
+		{"good, high index without peer messages", ControlMajority, 0, release.RollingOut, false, 5000, func(f *Fleet) { f.Index = EvaluatorCount }, Promote},
 		{"bad", ControlMajority, 0, release.RollingOut, true, 2000, nil, Rollback},
-		{"bad, by time", ControlTimed, 0, release.RollingOut, true, 2000, nil, Rollback},
+		{"bad, timed rollout", ControlTimed, 0, release.RollingOut, true, 2000, nil, Rollback},
 		{"bad, released", ControlMajority, 2, release.Released, true, 2000, func(f *Fleet) { f.CandidateBackends = 10 }, Rollback},
 		{"bad, rolling back", ControlMajority, 0, release.RollingBack, true, 2000, nil, NoVerdict},
 		{"bad, withdrawn", ControlMajority, 0, release.Withdrawn, true, 2000, nil, NoVerdict},
 		{"bad, no backends left", ControlMajority, 0, release.RollingOut, true, 2000, func(f *Fleet) { f.CandidateBackends = 0 }, NoVerdict},
-		{"bad, no such stage", ControlMajority, 3, release.RollingOut, true, 2000, nil, NoVerdict},
-		{"bad, stage without its backends", ControlMajority, 1, release.RollingOut, true, 2000, nil, NoVerdict},
-		{"bad, stage without its backends for long", ControlMajority, 1, release.RollingOut, true, stalledStageAfter, nil, Rollback},
+		{"bad, stage out of range", ControlMajority, 3, release.RollingOut, true, 2000, nil, NoVerdict},
+		{"bad, stage lacks backends", ControlMajority, 1, release.RollingOut, true, 2000, nil, NoVerdict},
+		{"bad, stage lacks backends for too long", ControlMajority, 1, release.RollingOut, true, stalledStageAfter, nil, Rollback},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			e := New(Settings{Classes: 1, Stages: []float64{0.1, 0.5, 1}, Control: c.control, RollbackVotes: 1, VoteLifetime: 4000})
@@ -60,7 +61,7 @@
 			e.SetState(c.stage, c.phase, 0)
 			failEvery := 0
 			if c.bad {
-				failEvery = 3 // not in step with the backends
+				failEvery = 3 // not a divisor of the number of backends
 			}
 			recordOutcomes(e, 0, c.now, 200, failEvery)
 			fleet := steadyFleet
@@ -68,26 +69,26 @@
 				c.fleet(&fleet)
 			}
 			e.Evaluate(c.now, fleet)
-			expect(t, "desired", e.desired, c.want)
-			expect(t, "reason", strings.HasPrefix(e.RollbackReason(), "class 0: failures: "), c.want == Rollback)
+			expect(t, "desired verdict", e.desired, c.want)
+			expect(t, "RollbackReason starts with 'class 0: failures: '", strings.HasPrefix(e.RollbackReason(), "class 0: failures: "), c.want == Rollback)
 		})
 	}
 }
 
-// Before any release is announced nothing is desired.
+// No verdict is desired before a release is announced.
 func TestEvaluateUnannounced(t *testing.T) {
 	e := New(Settings{Classes: 1, Stages: []float64{1}, Control: ControlMajority, RollbackVotes: 1})
 	e.Evaluate(50000, steadyFleet)
-	expect(t, "announced", e.Announced(), false)
-	expect(t, "desired", e.desired, NoVerdict)
+	expect(t, "Announced", e.Announced(), false)
+	expect(t, "desired verdict", e.desired, NoVerdict)
 }
 
-// Short of outcomes a candidate is promoted all the same, after a wait; by a single vote after a longer one.
+// A candidate with too few outcomes is still promoted after a wait, which is longer if a single vote decides.
 func TestEvaluateFewOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		control RolloutControl
 		count   int
-		at      float64 // of the promotion
+		at      float64 // time of the promotion
 	}{
 		{ControlMajority, minSample, minStageTime + stageClockMargin},
 		{ControlMajority, minSample - 1, maxEvidenceWait},
@@ -101,21 +102,22 @@
 			e.SetState(0, release.RollingOut, 0)
 			recordOutcomes(e, 0, 1000, c.count, 0)
 			e.Evaluate(c.at-1, steadyFleet)
-			expect(t, "before", e.desired, NoVerdict)
+			expect(t, "desired verdict 1 ms before the promotion", e.desired, NoVerdict)
 			e.Evaluate(c.at, steadyFleet)
-			expect(t, "then", e.desired, Promote)
+			expect(t, "desired verdict at the time of the promotion", e.desired, Promote)
 		})
 	}
 }
 
-// A desired rollback stays, whatever is seen later, until another stage, the release's end or the next release.
+// A desired rollback stays, whatever is observed later, until another stage, the end of the release or the next
+// release.
 func TestRollbackStays(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		then func(e *Evaluator)
 		want Verdict
 	}{
-		{"nothing", func(*Evaluator) {}, Rollback},
+		{"no event", func(*Evaluator) {}, Rollback},
 		{"good outcomes", func(e *Evaluator) { recordOutcomes(e, 2000, 4000, 2000, 0) }, Rollback},
 		{"the same state again", func(e *Evaluator) { e.SetState(0, release.RollingOut, 3000) }, Rollback},
 		{"rolling back", func(e *Evaluator) { e.SetState(0, release.RollingBack, 3000) }, NoVerdict},
@@ -130,15 +132,15 @@
 			e.SetState(0, release.RollingOut, 0)
 			recordOutcomes(e, 0, 2000, 100, 3)
 			e.Evaluate(2000, steadyFleet)
-			expect(t, "first", e.desired, Rollback)
+			expect(t, "desired verdict after failures", e.desired, Rollback)
 			c.then(e)
 			e.Evaluate(4000, steadyFleet)
-			expect(t, "then", e.desired, c.want)
+			expect(t, "desired verdict afterwards", e.desired, c.want)
 		})
 	}
 }
 
-// A saturated fleet blocks a promotion at first, then counts as a regression.
+// A saturated fleet first blocks a promotion and later counts as a regression.
 func TestEvaluateSaturated(t *testing.T) {
 	e := New(Settings{Classes: 1, Stages: []float64{0.1, 0.2, 1}, Control: ControlMajority, RollbackVotes: 1})
 	fleet := steadyFleet
@@ -157,14 +159,14 @@
 	e.SetState(1, release.RollingOut, 6000)
 	slow(6000, 12000, 150)
 	e.Evaluate(12000, fleet)
-	expect(t, "while it is saturated", e.desired, NoVerdict)
+	expect(t, "desired verdict at the start of the saturation", e.desired, NoVerdict)
 	slow(12000, 12000+saturationLimit, 150)
 	e.Evaluate(12000+saturationLimit, fleet)
-	expect(t, "for too long", e.desired, Rollback)
-	expect(t, "reason", strings.HasPrefix(e.RollbackReason(), "saturation: "), true)
+	expect(t, "desired verdict after saturationLimit", e.desired, Rollback)
+	expect(t, "RollbackReason starts with 'saturation: '", strings.HasPrefix(e.RollbackReason(), "saturation: "), true)
 }
 
-// To which arm an outcome counts: by its release, and whether outcomes of that release are evidence at all.
+// An outcome counts for an arm according to its release, provided that outcomes of the release are evidence at all.
 func TestRecordByRelease(t *testing.T) {
 	for _, c := range []struct {
 		name                string
@@ -172,21 +174,22 @@
 		evaluated           bool
 		baseline, candidate int
 	}{
-		{"the newest", 2, true, 0, 1},
-		{"the one before", 1, true, 1, 0},
-		{"taken off", 1, false, 0, 0},
-		{"not announced", 3, false, 0, 0},
+		{"newest release", 2, true, 0, 1},
+		{"previous release", 1, true, 1, 0},
+		{"withdrawn release", 1, false, 0, 0},
+		{"unannounced release", 3, false, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			e := rollingOut(0)
 			e.Record(c.release, 0, Outcome{EndedAt: 10, Latency: 5}, true, c.evaluated)
-			expect(t, "baseline", e.OutcomeCount(Baseline), c.baseline)
-			expect(t, "candidate", e.OutcomeCount(Candidate), c.candidate)
+			expect(t, "baseline outcomes", e.OutcomeCount(Baseline), c.baseline)
+			expect(t, "candidate outcomes", e.OutcomeCount(Candidate), c.candidate)
 		})
 	}
 }
 
-// The probability at which one instance may be wrong falls with those that look and grows with the votes that are needed.
+// The error probability of one instance falls with the number of evaluating instances and grows with the number of
+// votes needed.
 func TestErrorProbability(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -197,33 +200,34 @@
 		{"one vote of one instance", 1, Fleet{Instances: 1}, 0.04, 0.042},
 		{"one vote of four", 1, Fleet{Instances: 4}, 0.01, 0.0105},
 		{"one vote of hundreds", 1, Fleet{Instances: 400}, 0.0001, 0.00011},
-		{"many votes of hundreds: the greatest", 43, Fleet{Instances: 540}, maxErrorProbability, maxErrorProbability},
-		{"an evaluator of hundreds: three look", 1, Fleet{Instances: 400, PeerMessages: true}, 0.0133, 0.0137},
+		{"many votes of hundreds: the maximum", 43, Fleet{Instances: 540}, maxErrorProbability, maxErrorProbability},
+		{"an evaluator of hundreds: three evaluate", 1, Fleet{Instances: 400, PeerMessages: true}, 0.0133, 0.0137},
 		{"not an evaluator", 1, Fleet{Instances: 400, PeerMessages: true, Index: EvaluatorCount}, 0.0001, 0.00011},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := errorProbability(c.votes, c.fleet); got < c.low || got > c.top {
-				t.Errorf("got %v, want %v to %v", got, c.low, c.top)
+				t.Errorf("errorProbability(%d, %+v) = %v, want %v to %v", c.votes, c.fleet, got, c.low, c.top)
 			}
 		})
 	}
 }
 
-// The first class with a regression is named, the pooled classes as such; any class may earn a promotion.
+// A regression is attributed to the first class that shows it, or to all classes pooled. Any class can show that the
+// candidate is not inferior.
 func TestCompareClasses(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		failed      [3]bool // classes in which the candidate fails
-		few         [3]bool // classes with too few outcomes to earn anything
+		few         [3]bool // classes with too few outcomes to show anything
 		nonInferior bool
 		want        string
 	}{
-		{"none", [3]bool{}, [3]bool{}, true, ""},
-		{"the first", [3]bool{true}, [3]bool{}, false, "class 0: failures"},
-		{"the last", [3]bool{2: true}, [3]bool{}, false, "class 2: failures"},
-		{"two", [3]bool{1: true, 2: true}, [3]bool{}, false, "class 1: failures"},
-		{"one class has enough", [3]bool{}, [3]bool{0: true, 2: true}, true, ""},
-		{"only all together have enough", [3]bool{}, [3]bool{true, true, true}, true, ""},
+		{"no failures", [3]bool{}, [3]bool{}, true, ""},
+		{"first class fails", [3]bool{true}, [3]bool{}, false, "class 0: failures"},
+		{"last class fails", [3]bool{2: true}, [3]bool{}, false, "class 2: failures"},
+		{"two classes fail", [3]bool{1: true, 2: true}, [3]bool{}, false, "class 1: failures"},
+		{"one class has enough outcomes", [3]bool{}, [3]bool{0: true, 2: true}, true, ""},
+		{"only the pooled classes have enough outcomes", [3]bool{}, [3]bool{true, true, true}, true, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			e := New(Settings{Classes: 3, Stages: []float64{1}, RollbackVotes: 1})
@@ -241,40 +245,42 @@
 				}
 			}
 			got := e.compareClasses(Fleet{Instances: 2})
-			expect(t, "earned", got.NonInferior, c.nonInferior)
+			expect(t, "NonInferior", got.NonInferior, c.nonInferior)
 			if !strings.HasPrefix(got.Regression, c.want) || (got.Regression == "") != (c.want == "") {
-				t.Errorf("regression %q, want %q", got.Regression, c.want)
+				t.Errorf("Regression = %q, want prefix %q", got.Regression, c.want)
 			}
 		})
 	}
 }
 
-// When a stage counts as started: at its share of the places, for good, or after ten seconds.
+// A stage may be evaluated once it has its share of the places, from then on even with fewer backends, and in any
+// case after ten seconds.
 func TestStageStarts(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		backends int // of ten places, in the stage of half of them
+		backends int // running the candidate; five of ten places are wanted
 		after    float64
-		before   bool // it had enough before
+		before   bool // the stage had enough backends earlier
 		want     bool
 	}{
-		{"half", 5, 100, false, true},
-		{"one less", 4, 100, false, false},
-		{"one less, half before", 4, 100, true, true},
-		{"one less, just under ten seconds", 4, 9999, false, false},
-		{"one less, ten seconds", 4, 10000, false, true},
+		{"half of the places", 5, 100, false, true},
+		{"one too few", 4, 100, false, false},
+		{"one too few, enough earlier", 4, 100, true, true},
+		{"one too few, just under ten seconds", 4, 9999, false, false},
+		{"one too few, ten seconds", 4, 10000, false, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			e := rollingOut(1)
 			if c.before {
 				e.mayEvaluateStage(50, Fleet{Places: 10, CandidateBackends: 5})
 			}
-			expect(t, "may be evaluated", e.mayEvaluateStage(c.after, Fleet{Places: 10, CandidateBackends: c.backends}), c.want)
+			expect(t, "mayEvaluateStage", e.mayEvaluateStage(c.after, Fleet{Places: 10, CandidateBackends: c.backends}), c.want)
 		})
 	}
 }
 
-// When a stage may be promoted, in ms after the state's and the last backend's start.
+// TestEarliestPromotion checks from when (ms) a stage may be promoted, given the starts of the stage and of its last
+// backend.
 func TestEarliestPromotion(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -282,19 +288,19 @@
 		nonInferior bool
 		control     RolloutControl
 		fleet       Fleet
-		stage       float64 // since when it is in this state
+		stage       float64 // start of the stage
 		promotes    float64
 	}{
-		{"enough, at once", 20, false, ControlMajority, Fleet{}, 0, 3550},
-		{"enough, the stage is younger", 20, false, ControlMajority, Fleet{LastCandidateStart: 500}, 1000, 4550},
-		{"enough, the backend is younger", 20, false, ControlMajority, Fleet{LastCandidateStart: 2000}, 1000, 5550},
+		{"enough", 20, false, ControlMajority, Fleet{}, 0, 3550},
+		{"enough, stage started last", 20, false, ControlMajority, Fleet{LastCandidateStart: 500}, 1000, 4550},
+		{"enough, backend started last", 20, false, ControlMajority, Fleet{LastCandidateStart: 2000}, 1000, 5550},
 		{"few", 19, false, ControlMajority, Fleet{}, 0, 4000},
-		{"few, earned", 19, true, ControlMajority, Fleet{}, 0, 3550},
+		{"few, not inferior", 19, true, ControlMajority, Fleet{}, 0, 3550},
 		{"few, single vote", 19, false, ControlSingleVote, Fleet{}, 0, 6000},
 		{"enough, single vote", 20, false, ControlSingleVote, Fleet{}, 0, 3550},
-		{"no evaluator", 20, false, ControlMajority, Fleet{PeerMessages: true, Index: 3}, 0, 5550},
-		{"no evaluator, few, single vote", 19, false, ControlSingleVote, Fleet{PeerMessages: true, Index: 3}, 0, 6000},
-		{"the third evaluator", 20, false, ControlMajority, Fleet{PeerMessages: true, Index: 2}, 0, 3550},
+		{"not an evaluator", 20, false, ControlMajority, Fleet{PeerMessages: true, Index: 3}, 0, 5550},
+		{"not an evaluator, few, single vote", 19, false, ControlSingleVote, Fleet{PeerMessages: true, Index: 3}, 0, 6000},
+		{"third evaluator", 20, false, ControlMajority, Fleet{PeerMessages: true, Index: 2}, 0, 3550},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			e := rollingOut(0)
@@ -302,7 +308,7 @@
 			for range c.count {
 				e.evidence.add(Candidate, 0, Outcome{EndedAt: 1, Latency: 1}, true)
 			}
-			expect(t, "from", e.earliestPromotion(c.fleet, c.nonInferior), c.promotes)
+			expect(t, "earliestPromotion", e.earliestPromotion(c.fleet, c.nonInferior), c.promotes)
 		})
 	}
 }
--- a/policy/verdict/evidence.go
+++ b/policy/verdict/evidence.go
@@ -9,42 +9,45 @@
 )
 
 const (
-	// maxOutcomes is how many outcomes are kept for each arm and class at the least; at twice as many the oldest go.
+	// minKeptOutcomes is the number of outcomes kept for each arm and class when old ones are dropped, which happens
+	// once there are more than twice as many.
 	minKeptOutcomes = 400
-	// steadySample is how many of a backend's latest outcomes are compared, half against half, to see whether a backend that
-	// warms up is steady: fewer tell nothing, more would take longer than a warm-up.
+	// steadyStateSample is the number of latest outcomes of a backend whose two halves are compared to detect that a
+	// backend in its warm-up is already steady. A smaller sample shows nothing, and a larger one would take longer to
+	// collect than a warm-up lasts.
 	steadyStateSample = 12
-	// meanWeight is the weight of one answer in a class's mean latency.
+	// meanLatencyWeight is the weight of a new answer in the moving average of a class's latency.
 	meanLatencyWeight = 0.02
 )
 
 // Arm is one side of the comparison.
 type Arm int
 
-// The arms. Unrelated is for outcomes of a release that is neither: not announced yet, or taken off.
+// The arms. Unrelated is for outcomes of a release that belongs to neither: it is not announced yet, or is not
+// evaluated any more.
 const (
 	Unrelated Arm = iota - 1
 	Baseline
 	Candidate
 )
 
-// Outcome is the end of one attempt as evidence on a release.
+// Outcome is the result of one attempt, used as evidence on a release.
 type Outcome struct {
 	EndedAt          float64 // ms
-	Latency          float64 // ms for each unit of work
+	Latency          float64 // ms per unit of work
 	Failed           bool
-	ConnectionBroken bool // it failed as its connection broke
-	Backend          int  // the caller's index of the backend
+	ConnectionBroken bool // it failed because its connection broke
+	Backend          int  // index of the backend, assigned by the caller
 
-	relativeLatency float64 // latency over the mean of its class
-	comparable      bool    // its latency counts in comparisons: it succeeded, at a backend that was warm or steady
+	relativeLatency float64 // latency divided by the mean latency of its class
+	comparable      bool    // the latency is used in comparisons: the attempt succeeded on a warm or steady backend
 }
 
-// evidence is the outcomes of both arms, by class, each class in order of time.
+// evidence holds the outcomes of both arms by class, in order of time.
 type evidence struct {
 	outcomes    [2][][]Outcome // by arm and class
-	meanLatency []float64      // ms for each unit of work, by class
-	recent      [][]float64    // the latest relative latencies of each backend, at most steadySample
+	meanLatency []float64      // ms per unit of work, by class
+	recent      [][]float64    // latest relative latencies of each backend, at most steadyStateSample
 }
 
 func newEvidence(classes int) evidence {
@@ -54,8 +57,8 @@
 	}
 }
 
-// add records an outcome; warm tells that its backend has ended its warm-up. An outcome of an unrelated release teaches what
-// is usual for the class and the backend, and is not kept.
+// add records an outcome. warm is set if its backend has finished its warm-up. An outcome of an unrelated release
+// only updates the usual latencies of the class and the backend and is not stored.
 func (e *evidence) add(arm Arm, class int, outcome Outcome, warm bool) {
 	mean := &e.meanLatency[class]
 	if *mean == 0 {
@@ -70,7 +73,8 @@
 	e.outcomes[arm][class] = insertByTime(e.outcomes[arm][class], outcome)
 }
 
-// insertByTime keeps outcomes in order of time, and their number bounded. Those that other instances send come late.
+// insertByTime inserts an outcome in order of time, as outcomes sent by other instances arrive late, and limits the
+// number of outcomes.
 func insertByTime(outcomes []Outcome, outcome Outcome) []Outcome {
 	at := len(outcomes)
 	for at > 0 && outcomes[at-1].EndedAt > outcome.EndedAt {
@@ -83,8 +87,9 @@
 	return outcomes
 }
 
-// isSteady is the steady-state check of a backend, which takes its latest relative latency: its warm-up has ended, or the two
-// halves of its latest outcomes have means within the equivalence zone.
+// checkSteadyState adds the relative latency to the backend's latest ones and reports whether the backend is in a
+// steady state: its warm-up has ended, or the means of the two halves of its latest outcomes are within the
+// equivalence zone.
 func (e *evidence) checkSteadyState(backend int, relativeLatency float64, warm bool) bool {
 	for len(e.recent) <= backend {
 		e.recent = append(e.recent, nil)
@@ -115,14 +120,14 @@
 	}
 }
 
-// resetBackend forgets what the steady-state check knows of a backend: another process runs under its index.
+// resetBackend clears the steady-state check of a backend, because another process runs under its index.
 func (e *evidence) resetBackend(backend int) {
 	if backend < len(e.recent) {
 		e.recent[backend] = nil
 	}
 }
 
-// forgetBackend drops a backend's outcomes, as its index goes to another one.
+// forgetBackend drops the outcomes of a backend whose index is being reused for another backend.
 func (e *evidence) forgetBackend(backend int) {
 	for arm := range e.outcomes {
 		for class, outcomes := range e.outcomes[arm] {
@@ -131,8 +136,8 @@
 	}
 }
 
-// startCandidate makes room for a new candidate's outcomes. Where the candidate so far was released, its outcomes become the
-// baseline's; otherwise they are dropped and the baseline stays.
+// startCandidate clears the candidate's outcomes for a new candidate. If the previous candidate was released, its
+// outcomes become the baseline's; otherwise they are dropped and the baseline stays the same.
 func (e *evidence) startCandidate(released bool) {
 	if released {
 		e.outcomes[Baseline], e.outcomes[Candidate] = e.outcomes[Candidate], e.outcomes[Baseline]
@@ -140,12 +145,12 @@
 	clear(e.outcomes[Candidate])
 }
 
-// snapshot is the outcomes as they are now; startCandidate does not change it.
+// snapshot returns the current outcomes, unaffected by a later startCandidate.
 func (e *evidence) snapshot() [2][][]Outcome {
 	return [2][][]Outcome{slices.Clone(e.outcomes[Baseline]), slices.Clone(e.outcomes[Candidate])}
 }
 
-// count is the number of an arm's outcomes, in all classes.
+// count returns the number of outcomes of an arm, over all classes.
 func (e *evidence) count(arm Arm) (count int) {
 	for _, outcomes := range e.outcomes[arm] {
 		count += len(outcomes)
@@ -153,7 +158,7 @@
 	return count
 }
 
-// poolClasses joins all classes in order of time, each latency relative to the mean of its class.
+// poolClasses merges all classes in order of time and makes each latency relative to the mean of its class.
 func poolClasses(classes [][]Outcome) []Outcome {
 	pooled := slices.Concat(classes...)
 	slices.SortStableFunc(pooled, func(x, y Outcome) int { return cmp.Compare(x.EndedAt, y.EndedAt) })
@@ -163,7 +168,7 @@
 	return pooled
 }
 
-// outcomesSince leaves out what ended before the first of reference.
+// outcomesSince returns the outcomes that did not end before the first of reference.
 func outcomesSince(outcomes, reference []Outcome) []Outcome {
 	first := 0
 	for first < len(outcomes) && len(reference) > 0 && outcomes[first].EndedAt < reference[0].EndedAt {
@@ -172,7 +177,7 @@
 	return outcomes[first:]
 }
 
-// withoutWorstBackend leaves out the outcomes of the backend with most failures.
+// withoutWorstBackend returns the outcomes without those of the backend with the most failures.
 func withoutWorstBackend(outcomes []Outcome) []Outcome {
 	failures, worst := map[int]int{}, -1
 	for _, outcome := range outcomes {
@@ -204,7 +209,7 @@
 	return count
 }
 
-// backendCount is how many backends the outcomes come from, at least 1.
+// backendCount returns the number of distinct backends among the outcomes, but at least 1.
 func backendCount(outcomes []Outcome) float64 {
 	seen := map[int]bool{}
 	for _, outcome := range outcomes {
@@ -220,7 +225,7 @@
 	return 1 - float64(failureCount(outcomes))/float64(len(outcomes))
 }
 
-// latencies are the comparable ones, in order of time.
+// latencies returns the comparable latencies, in order of time.
 func latencies(outcomes []Outcome) []float64 {
 	var values []float64
 	for _, outcome := range outcomes {
@@ -231,7 +236,7 @@
 	return values
 }
 
-// A figure is one number of an outcome, and whether the outcome has it.
+// metric extracts a number from an outcome, and reports whether the outcome has it.
 type metric func(Outcome) (value float64, present bool)
 
 func comparableLatency(o Outcome) (float64, bool) { return o.Latency, o.comparable }
--- a/policy/verdict/gates.go
+++ b/policy/verdict/gates.go
@@ -9,67 +9,76 @@
 )
 
 const (
-	minSample     = 20 // outcomes of each arm and class, below which only few outcomes are spoken of
-	minPerBackend = 3  // backends, and outcomes of each, that tell how backends of one release differ
-	// fewOutcomes is the least number of latencies of each arm below minSample that may yet show a slower candidate, where
-	// many votes roll back.
+	minSample     = 20 // outcomes of each arm and class; with fewer, only failsMore and smallSampleLatencyGate apply
+	minPerBackend = 3  // backends, and outcomes of each, needed to estimate the variation between backends
+	// minSmallSample is the minimum number of latencies of each arm with which the small-sample gate can show a
+	// slower candidate. The gate only applies if a rollback needs many votes.
 	minSmallSample = 4
-	// manyVotes is the number of rollback votes from which many instances must agree, so that each may speak on little.
+	// manyVotes is the number of rollback votes from which a rollback needs the agreement of many instances, so that
+	// each may vote on little evidence.
 	manyVotes = 4
 
-	// Equivalence zones: differences up to these count as none.
-	latencyZone      = 0.10 // of the baseline's latency quantile
-	successShareZone = 0.05 // of attempts, difference of success shares
-	// Margins beyond latencyZone, as parts of the baseline's latency, for gates that see little.
+	// The equivalence zones: smaller differences count as none.
+	latencyZone      = 0.10 // share of the baseline's latency quantile
+	successShareZone = 0.05 // difference of success shares, as a share of the attempts
+	// Margins in addition to latencyZone, as shares of the baseline's latency, for gates that work with few outcomes.
 	smallSampleMargin = 0.4
 	shiftMargin       = 0.15
 
-	// equivalenceErrors is Student's t at 95% for sliceCount-1 = 4 degrees of freedom: an interval of 90%, in standard errors.
+	// equivalenceStdErrors is half the width, in standard errors, of a 90% confidence interval: the 95% quantile of
+	// Student's t distribution with sliceCount-1 = 4 degrees of freedom.
 	equivalenceStdErrors = 2.13
-	// maxSliceVariation is the greatest variation coefficient of the slices' success shares at which their difference counts.
+	// maxSliceVariation is the maximum coefficient of variation of the success shares of an arm's slices for which
+	// the shares of the arms are compared.
 	maxSliceVariation = 0.15
-	// minSlowerQuantiles of the latencyQuantiles must be wholly slower: one of many that are looked at often is so by chance.
+	// minSlowerQuantiles is the number of latencyQuantiles that must be slower for a regression. One of several
+	// quantiles that are checked often is slower by chance.
 	minSlowerQuantiles = 2
 
-	// latencyErrorParts: each latency gate may be wrong with this part of the probability that the failure gate has.
+	// latencyErrorDivisor divides the error probability of the failure gate to give that of each latency gate.
 	latencyErrorDivisor = 4
 
-	// usualBreakShare is the share of the baseline's attempts whose connection breaks, from which breaks say nothing of a release.
+	// maxBaselineBreakShare is the share of the baseline's attempts with broken connections above which broken
+	// connections do not count against a release.
 	maxBaselineBreakShare = 0.02
-	// minFailuresWithBreaks: among fewer failures of the candidate broken connections do not count, as the network may be the cause.
+	// minFailuresWithBreaks is the number of failures of the candidate below which broken connections do not count,
+	// as the network may be their cause.
 	minFailuresWithBreaks = 3
-	// failuresAndVotes: so many failures less one for each vote that a rollback needs must be seen, and at least one.
+	// minFailuresPlusVotes determines the minimum number of failures for a rollback: this number less one for each
+	// vote that a rollback needs, but at least one.
 	minFailuresPlusVotes = 4
 )
 
-// latencyQuantiles are compared slice by slice.
+// latencyQuantiles are the quantiles that are compared slice by slice.
 var latencyQuantiles = [...]float64{0.5, 0.75, 0.9}
 
-// Comparison is what the gates say of a candidate.
+// Comparison is the result of the gates for a candidate.
 type Comparison struct {
-	// Earned tells that a success share or a latency quantile is shown to be equivalent to the baseline's or better.
+	// NonInferior is set if the success share or a latency quantile was shown to be equivalent to the baseline's or
+	// better.
 	NonInferior bool
-	// Regression says in what the candidate is worse, for the log; empty: it is not shown to be worse.
+	// Regression describes in what way the candidate is worse, for logs. It is empty if no regression was found.
 	Regression string
 }
 
-// criteria say how sure the gates must be, and which may be asked.
+// criteria determine which gates apply and how certain they must be.
 type criteria struct {
-	compareLatency   bool // false where the baseline's backends are idle: their latency says nothing
-	released         bool // the candidate has no baseline backends beside it any more
+	compareLatency   bool // false if the baseline's backends are idle, so that their latency is not meaningful
+	released         bool // the candidate is released, so that no baseline backends run beside it any more
 	errorProbability float64
-	rollbackVotes    int // that roll a release back
+	rollbackVotes    int // votes needed to roll a release back
 }
 
-// comparison is the outcomes of one class on both sides, under the criteria.
+// comparison holds the outcomes of one class in both arms, and the criteria for comparing them.
 type comparison struct {
 	criteria
 	candidate, baseline []Outcome
 }
 
-// compare runs all gates for one class: the failure gate first, as it speaks on few outcomes, then those for latency.
-func compare(candidate, baseline []Outcome, by criteria) Comparison {
-	c := comparison{criteria: by, candidate: candidate, baseline: baseline}
+// compare runs all gates for one class: first the failure gate, which needs the fewest outcomes, then the latency
+// gates.
+func compare(candidate, baseline []Outcome, gateCriteria criteria) Comparison {
+	c := comparison{criteria: gateCriteria, candidate: candidate, baseline: baseline}
 	if c.failsMore() {
 		return Comparison{Regression: fmt.Sprintf("failures: candidate %d of %d, baseline %d of %d",
 			failureCount(candidate), len(candidate), failureCount(baseline), len(baseline))}
@@ -83,25 +92,26 @@
 	return c.sliceGates()
 }
 
-// failsMore is the failure gate: whether the candidate's failure share is higher than the baseline's. It goes by a posterior,
-// which also speaks below the least sample and at no failures.
+// failsMore is the failure gate. It reports whether the candidate's share of failures is higher than the baseline's,
+// based on a posterior distribution that is also meaningful below the minimum sample and without failures.
 func (c comparison) failsMore() bool {
 	candidate, baseline := c.candidate, c.baseline
-	if c.rollbackVotes < manyVotes && backendCount(candidate) >= minPerBackend { // one backend's trouble is not the release's
+	if c.rollbackVotes < manyVotes && backendCount(candidate) >= minPerBackend { // ignores a single faulty backend
 		candidate = withoutWorstBackend(candidate)
 	}
 	failures, baselineFailures := failureCount(candidate), failureCount(baseline)
 	if failures < minFailuresWithBreaks || float64(connectionFailureCount(baseline)) > maxBaselineBreakShare*float64(len(baseline)) {
 		failures, baselineFailures = failures-connectionFailureCount(candidate), baselineFailures-connectionFailureCount(baseline)
 	}
-	usual := (float64(baselineFailures) + 0.1) / (float64(len(baseline)) + 1)
-	bound := min(usual+successShareZone+2*c.failureVariation(candidate)/math.Sqrt(backendCount(candidate)), 1)
-	beyond := 1 - failurePosterior(failures, len(candidate)-failures).CDF(bound)
-	return failures >= max(minFailuresPlusVotes-c.rollbackVotes, 1) && beyond > 1-c.errorProbability
+	baselineShare := (float64(baselineFailures) + 0.1) / (float64(len(baseline)) + 1)
+	bound := min(baselineShare+successShareZone+2*c.failureVariation(candidate)/math.Sqrt(backendCount(candidate)), 1)
+	probability := 1 - failurePosterior(failures, len(candidate)-failures).CDF(bound)
+	return failures >= max(minFailuresPlusVotes-c.rollbackVotes, 1) && probability > 1-c.errorProbability
 }
 
-// failureVariation is how far backends of one release differ in their failure shares. Once released, the candidate has no
-// baseline backends beside it: trouble of a few of its own must not count as the release's.
+// failureVariation returns how much the failure shares of backends of one release vary. Once the candidate is
+// released, no baseline backends run beside it, so its own variation is included: trouble of a few of its backends
+// must not count against the release.
 func (c comparison) failureVariation(candidate []Outcome) float64 {
 	variation := backendVariation(c.baseline, failureIndicator)
 	if c.released {
@@ -110,32 +120,32 @@
 	return variation
 }
 
-// comparesLatency tells that the latencies may be compared and come from enough backends of the candidate.
+// comparesLatency reports whether latencies are to be compared and the candidate has enough backends for it.
 func (c comparison) comparesLatency() bool {
 	return c.compareLatency && backendCount(c.candidate) >= minPerBackend
 }
 
-// baselineLatencies are those since the candidate's first outcome.
+// baselineLatencies returns the baseline's latencies since the candidate's first outcome.
 func (c comparison) baselineLatencies() []float64 {
 	return latencies(outcomesSince(c.baseline, c.candidate))
 }
 
-// smallSampleLatencyGate finds a candidate that is far slower by few outcomes. With hundreds of instances none may ever have
-// the least sample; the many that must agree know enough together.
+// smallSampleLatencyGate detects a much slower candidate with few outcomes. Of hundreds of instances, none may ever
+// reach the minimum sample, but the many that have to agree on a rollback have enough evidence together.
 func (c comparison) smallSampleLatencyGate() string {
 	if c.rollbackVotes < manyVotes || !c.comparesLatency() {
 		return ""
 	}
 	ratio := latencyRatioLowerBound(latencies(c.candidate), c.baselineLatencies(), minSmallSample, 1-c.errorProbability/latencyErrorDivisor)
 	if ratio > 1+latencyZone+smallSampleMargin {
-		return "latency: slower by few outcomes"
+		return "latency: candidate slower in a small sample"
 	}
 	return ""
 }
 
-// latencyShiftGate finds a candidate of which more than half of the outcomes are slower than the baseline's median, by more than
-// backends of one release differ. Quantiles by slices need hundreds of outcomes to see a release twice as slow, and by then the
-// stage is over. One bad slice is not half of the outcomes.
+// latencyShiftGate detects a candidate more than half of whose outcomes are slower than the baseline's median by more
+// than the backends of one release vary. Comparing quantiles by slice takes hundreds of outcomes to detect a release
+// that is twice as slow, and by then the stage is over. A single bad slice is less than half of the outcomes.
 func (c comparison) latencyShiftGate() string {
 	candidate, baseline := latencies(c.candidate), c.baselineLatencies()
 	if !c.comparesLatency() || len(baseline) < minSample {
@@ -151,7 +161,7 @@
 	return ""
 }
 
-// sliceGates compare slices of time of both sides: success shares by the equivalence zone, then latency quantiles.
+// sliceGates compares time slices of both arms: first success shares for equivalence, then latency quantiles.
 func (c comparison) sliceGates() Comparison {
 	candidateSlices := sliceByCount(c.candidate)
 	baselineSlices, paired := sliceByTime(c.baseline, c.candidate)
@@ -165,42 +175,44 @@
 	return latency
 }
 
-// agree is the agreement gate: every slice has enough latencies, and they are alike enough to be taken as one.
+// agreementGate reports whether every slice of an arm has enough latencies and the slices are similar enough to be
+// treated as one sample.
 func agreementGate(latencySlices [][]float64) bool {
 	few := func(latencies []float64) bool { return len(latencies) < minPerSlice }
 	return !slices.ContainsFunc(latencySlices, few) && slicesAgree(latencySlices)
 }
 
-// successShareEarned tells that the success shares are steady over the slices, and the candidate's equivalent or higher.
+// successShareNonInferior reports whether the success shares are steady over the slices, and the candidate's are
+// equivalent or higher.
 func (c comparison) successShareNonInferior(candidateSlices, baselineSlices [][]Outcome) bool {
 	candidate, baseline := mapSlice(candidateSlices, successShare), mapSlice(baselineSlices, successShare)
 	if variationCoefficient(candidate) > maxSliceVariation || variationCoefficient(baseline) > maxSliceVariation {
 		return false
 	}
-	// Slices without a failure have no deviation; the error on so rare a failure is not 0.
+	// Slices without failures have a deviation of zero, but the standard error for rare failures is not zero.
 	minError := math.Sqrt(float64(failureCount(c.candidate)+1) / float64(len(c.candidate)+2) / float64(len(c.candidate)))
 	low, high := interval(differences(candidate, baseline), equivalenceStdErrors, minError)
 	equivalent := low > -successShareZone && high < successShareZone
 	return equivalent || low > successShareZone
 }
 
-// latencyQuantileGate compares quantiles of latency, slice by slice. It finds a regression where enough of them are slower by
-// more than the equivalence zone and than backends of one release differ.
+// latencyQuantileGate compares latency quantiles slice by slice. It reports a regression if enough of them are slower
+// by more than the equivalence zone plus the variation between backends of one release.
 func (c comparison) latencyQuantileGate(candidateSlices, baselineSlices [][]float64) Comparison {
 	var result Comparison
 	slower := 0
 	regressionStdErrors := distuv.StudentsT{Sigma: 1, Nu: sliceCount - 1}.Quantile(1 - c.errorProbability/latencyErrorDivisor)
 	variation := 2 * backendVariation(c.baseline, comparableLatency) / math.Sqrt(backendCount(c.candidate))
 	for _, share := range latencyQuantiles {
-		ofSlice := func(latencies []float64) float64 { return quantile(share, latencies) }
-		more := differences(mapSlice(candidateSlices, ofSlice), mapSlice(baselineSlices, ofSlice))
-		usual := quantile(share, latencies(c.baseline))
-		low, high := interval(more, equivalenceStdErrors, 0)
-		equivalent := low > -latencyZone*usual && high < latencyZone*usual
-		result.NonInferior = result.NonInferior || equivalent || high < -latencyZone*usual
-		if low, _ = interval(more, regressionStdErrors, 0); low > latencyZone*usual+variation {
+		sliceQuantile := func(latencies []float64) float64 { return quantile(share, latencies) }
+		excess := differences(mapSlice(candidateSlices, sliceQuantile), mapSlice(baselineSlices, sliceQuantile))
+		baselineQuantile := quantile(share, latencies(c.baseline))
+		low, high := interval(excess, equivalenceStdErrors, 0)
+		equivalent := low > -latencyZone*baselineQuantile && high < latencyZone*baselineQuantile
+		result.NonInferior = result.NonInferior || equivalent || high < -latencyZone*baselineQuantile
+		if low, _ = interval(excess, regressionStdErrors, 0); low > latencyZone*baselineQuantile+variation {
 			slower++
-			result.Regression = fmt.Sprintf("latency quantile %.2f: at least %.0f%% above the baseline's", share, 100*low/usual)
+			result.Regression = fmt.Sprintf("latency quantile %.2f: at least %.0f%% above the baseline's", share, 100*low/baselineQuantile)
 		}
 	}
 	if slower < minSlowerQuantiles {
--- a/policy/verdict/gates_test.go
+++ b/policy/verdict/gates_test.go
@@ -8,24 +8,25 @@
 	"testing"
 )
 
-// What the gates say of two arms; n outcomes each, latencies 50 to 150 ms times slow, a share bad.
+// TestGates compares arms with n outcomes each, whose latencies are 50 to 150 ms. The candidate's latencies are
+// multiplied by slow and a share bad of its outcomes are failures.
 func TestGates(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		n           int
 		slow, bad   float64
-		jump        float64 // the candidate's third slice so many times slower
+		jump        float64 // latency factor of the candidate's third slice
 		nonInferior bool
 		regression  string
 	}{
-		{"the same", 200, 1, 0, 1, true, ""},
-		{"wholly slower", 200, 2, 0, 1, false, "latency"},
-		{"wholly faster", 200, 0.5, 0, 1, true, ""},
-		{"one slice slower: latency does not agree", 200, 1, 0, 20, true, ""},
+		{"identical arms", 200, 1, 0, 1, true, ""},
+		{"slower in all slices", 200, 2, 0, 1, false, "latency"},
+		{"faster in all slices", 200, 0.5, 0, 1, true, ""},
+		{"one slice slower: slices disagree", 200, 1, 0, 20, true, ""},
 		{"failures", 200, 1, 0.2, 1, false, "failures"},
 		{"failures, few outcomes", 10, 1, 0.4, 1, false, "failures"},
-		{"too few", 15, 2, 0, 1, false, ""},
-		{"one slice far slower, few outcomes", 40, 1, 0, 20, false, ""},
+		{"too few outcomes", 15, 2, 0, 1, false, ""},
+		{"one slice much slower, few outcomes", 40, 1, 0, 20, false, ""},
 		{"two failures are too few", 10, 1, 0.2, 1, false, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -42,28 +43,29 @@
 				}
 				return outcomes
 			}
-			by := criteria{compareLatency: true, errorProbability: 0.01, rollbackVotes: 1}
-			got := compare(arm(c.slow, c.bad, c.jump), arm(1, 0, 1), by)
+			gateCriteria := criteria{compareLatency: true, errorProbability: 0.01, rollbackVotes: 1}
+			got := compare(arm(c.slow, c.bad, c.jump), arm(1, 0, 1), gateCriteria)
 			if got.NonInferior != c.nonInferior || !strings.HasPrefix(got.Regression, c.regression) || (got.Regression != "") != (c.regression != "") {
-				t.Errorf("earned %v, regression %q", got.NonInferior, got.Regression)
+				t.Errorf("NonInferior = %v, Regression = %q, want %v and prefix %q", got.NonInferior, got.Regression, c.nonInferior, c.regression)
 			}
 		})
 	}
 }
 
-// With the few outcomes of a stage, and latencies as uneven as they are, a release twice as slow is seen and one that is not is
-// left alone; so is one of whose few backends some are in trouble that the baseline's know too.
+// With the few outcomes of one stage and latencies as uneven as in practice, a release that is twice as slow is
+// detected and one that is not is left alone. A release is also left alone if some of its few backends are degraded,
+// as some of the baseline's are too.
 func TestSlowCandidate(t *testing.T) {
 	for _, c := range []struct {
 		name               string
 		times              float64
-		backends, degraded int // of the candidate: so many are four times slower, as one of six of the baseline is
-		least, most        int // times of 100 that a regression is found
+		backends, degraded int // of the candidate; degraded: 4 times slower, as one in six of the baseline then is
+		least, most        int // bounds on the regressions found in 100 runs
 	}{
 		{"twice as slow", 2.3, 5, 0, 80, 100},
 		{"as fast", 1, 5, 0, 0, 1},
-		{"hardly slower", 1.15, 5, 0, 0, 2},
-		{"a backend in trouble", 1, 5, 1, 0, 2},
+		{"slightly slower", 1.15, 5, 0, 0, 2},
+		{"one backend degraded", 1, 5, 1, 0, 2},
 		{"two backends only", 2.3, 2, 0, 0, 60},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -72,19 +74,19 @@
 				random := rand.New(rand.NewPCG(seed, 7919))
 				candidate := logNormalArm(random, 50, c.backends, c.times, func(backend int) bool { return backend < c.degraded })
 				baseline := logNormalArm(random, 600, 18, 1, func(backend int) bool { return backend%6 == 0 && c.degraded > 0 })
-				by := criteria{compareLatency: true, errorProbability: 0.0133, rollbackVotes: 1}
-				if compare(candidate, baseline, by).Regression != "" {
+				gateCriteria := criteria{compareLatency: true, errorProbability: 0.0133, rollbackVotes: 1}
+				if compare(candidate, baseline, gateCriteria).Regression != "" {
 					regressions++
 				}
 			}
 			if regressions < c.least || regressions > c.most {
-				t.Errorf("a regression %d times of 100, want %d to %d", regressions, c.least, c.most)
+				t.Errorf("regressions in 100 runs = %d, want %d to %d", regressions, c.least, c.most)
 			}
 		})
 	}
 }
 
-// unevenArm is n outcomes with latencies of a log-normal distribution, four times as long at the ailing backends.
+// logNormalArm returns n outcomes with log-normally distributed latencies, four times higher on degraded backends.
 func logNormalArm(random *rand.Rand, n, backends int, times float64, degraded func(backend int) bool) (outcomes []Outcome) {
 	for k := range n {
 		o := Outcome{EndedAt: float64(k) / float64(n), Latency: 70 * times * math.Exp(0.7*random.NormFloat64()), Backend: k % backends, comparable: true}
@@ -96,26 +98,27 @@
 	return outcomes
 }
 
-// How sure one instance must be goes by how many votes roll a release back and how many instances look.
+// The certainty required of one instance depends on the number of votes that roll a release back and on the number of
+// evaluating instances.
 func TestFailureGateCertainty(t *testing.T) {
 	for _, c := range []struct {
 		name                        string
 		instances, votes            int
-		failed, broken, backends, n int // the failures fall on so many of the backends
+		failed, broken, backends, n int // the failures are spread over this number of backends
 		baseline, baselineBroken    int
 		want                        bool
 	}{
 		{"few instances, one vote", 4, 1, 6, 0, 3, 12, 24, 0, true},
 		{"one backend alone fails", 4, 1, 6, 0, 1, 12, 24, 0, false},
-		{"hundreds look, one vote", 353, 1, 6, 0, 3, 24, 48, 0, false},
-		{"hundreds look, one vote, hardly any doubt", 353, 1, 9, 0, 3, 9, 24, 0, true},
-		{"many must agree: one error is enough", 540, 43, 1, 0, 1, 1, 3, 0, true},
-		{"many must agree: a reset may be the way's", 540, 43, 0, 1, 1, 1, 3, 0, false},
-		{"many must agree: three resets", 540, 43, 0, 3, 3, 3, 9, 0, true},
-		{"few instances: resets of the release's own", 4, 1, 0, 6, 3, 12, 24, 0, true},
-		{"few instances: resets that all have", 4, 1, 0, 6, 3, 12, 100, 10, false},
-		{"few instances: errors among resets that all have", 4, 1, 6, 0, 3, 12, 100, 10, true},
-		{"few instances: one error is not", 4, 1, 1, 0, 1, 1, 24, 0, false},
+		{"hundreds evaluate, one vote", 353, 1, 6, 0, 3, 24, 48, 0, false},
+		{"hundreds evaluate, one vote, almost certain", 353, 1, 9, 0, 3, 9, 24, 0, true},
+		{"many votes: one error is enough", 540, 43, 1, 0, 1, 1, 3, 0, true},
+		{"many votes: one reset may be due to the network", 540, 43, 0, 1, 1, 1, 3, 0, false},
+		{"many votes: three resets", 540, 43, 0, 3, 3, 3, 9, 0, true},
+		{"few instances: resets of the candidate only", 4, 1, 0, 6, 3, 12, 24, 0, true},
+		{"few instances: resets of both arms", 4, 1, 0, 6, 3, 12, 100, 10, false},
+		{"few instances: errors of the candidate, resets of the baseline", 4, 1, 6, 0, 3, 12, 100, 10, true},
+		{"few instances: one error is not enough", 4, 1, 1, 0, 1, 1, 24, 0, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			candidate, baseline := make([]Outcome, c.n), make([]Outcome, c.baseline)
@@ -128,17 +131,18 @@
 			for k := range baseline {
 				baseline[k].Backend, baseline[k].Failed, baseline[k].ConnectionBroken = 3+k%5, k < c.baselineBroken, k < c.baselineBroken
 			}
-			by := criteria{errorProbability: errorProbability(c.votes, Fleet{Instances: c.instances}), rollbackVotes: c.votes}
-			expect(t, "fails more", comparison{criteria: by, candidate: candidate, baseline: baseline}.failsMore(), c.want)
+			gateCriteria := criteria{errorProbability: errorProbability(c.votes, Fleet{Instances: c.instances}), rollbackVotes: c.votes}
+			expect(t, "failsMore", comparison{criteria: gateCriteria, candidate: candidate, baseline: baseline}.failsMore(), c.want)
 		})
 	}
 }
 
-// The equivalence zone for success shares, at its edges: five slices of 200 outcomes each.
+// TestSuccessShareEquivalence checks the bounds of the equivalence zone for success shares, with five slices of 200
+// outcomes each.
 func TestSuccessShareEquivalence(t *testing.T) {
 	for _, c := range []struct {
 		name                string
-		candidate, baseline int // failures of each 200
+		candidate, baseline int // failures in each slice of 200
 		want                bool
 	}{
 		{"no failures", 0, 0, true},
@@ -156,12 +160,12 @@
 				return outcomes
 			}
 			x := comparison{candidate: arm(c.candidate), baseline: arm(c.baseline)}
-			expect(t, "earned", x.successShareNonInferior(sliceByCount(x.candidate), sliceByCount(x.baseline)), c.want)
+			expect(t, "successShareNonInferior", x.successShareNonInferior(sliceByCount(x.candidate), sliceByCount(x.baseline)), c.want)
 		})
 	}
 }
 
-// Each latency gate by itself: what it finds, and what keeps it silent.
+// TestLatencyGates checks for each latency gate what it detects and in which cases it reports nothing.
 func TestLatencyGates(t *testing.T) {
 	arm := func(n, backends int, times float64) (outcomes []Outcome) {
 		for k := range n {
@@ -176,16 +180,16 @@
 		name                string
 		gate                func(comparison) string
 		candidate, baseline []Outcome
-		idle                bool // the baseline's backends
+		idle                bool // the baseline's backends are idle
 		votes               int
 		want                bool
 	}{
 		{"few outcomes, many votes, slower", few, arm(12, 3, 3), arm(12, 3, 1), false, manyVotes, true},
 		{"few outcomes, many votes, as fast", few, arm(12, 3, 1), arm(12, 3, 1), false, manyVotes, false},
-		{"few outcomes, one vote less than many", few, arm(12, 3, 3), arm(12, 3, 1), false, manyVotes - 1, false},
+		{"few outcomes, one vote fewer than many", few, arm(12, 3, 3), arm(12, 3, 1), false, manyVotes - 1, false},
 		{"few outcomes of two backends", few, arm(12, 2, 3), arm(12, 3, 1), false, manyVotes, false},
 		{"few outcomes, baseline idle", few, arm(12, 3, 3), arm(12, 3, 1), true, manyVotes, false},
-		{"fewer than few outcomes", few, arm(minSmallSample-1, 3, 9), arm(12, 3, 1), false, manyVotes, false},
+		{"fewer outcomes than minSmallSample", few, arm(minSmallSample-1, 3, 9), arm(12, 3, 1), false, manyVotes, false},
 		{"shift, slower", shift, arm(40, 4, 2), arm(40, 4, 1), false, 1, true},
 		{"shift, as fast", shift, arm(40, 4, 1), arm(40, 4, 1), false, 1, false},
 		{"shift, two backends", shift, arm(40, 2, 2), arm(40, 4, 1), false, 1, false},
@@ -194,19 +198,19 @@
 		{"quantiles, slower", quantiles, arm(400, 4, 1.5), arm(400, 4, 1), false, 1, true},
 		{"quantiles, within the zone", quantiles, arm(400, 4, 1.05), arm(400, 4, 1), false, 1, false},
 		{"quantiles, baseline idle", quantiles, arm(400, 4, 1.5), arm(400, 4, 1), true, 1, false},
-		{"quantiles, of other times", quantiles, delayOutcomes(arm(400, 4, 1.5), 1000), arm(400, 4, 1), false, 1, false},
+		{"quantiles, outcomes at different times", quantiles, delayOutcomes(arm(400, 4, 1.5), 1000), arm(400, 4, 1), false, 1, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			by := criteria{compareLatency: !c.idle, errorProbability: 0.01, rollbackVotes: c.votes}
-			regression := c.gate(comparison{criteria: by, candidate: c.candidate, baseline: c.baseline})
+			gateCriteria := criteria{compareLatency: !c.idle, errorProbability: 0.01, rollbackVotes: c.votes}
+			regression := c.gate(comparison{criteria: gateCriteria, candidate: c.candidate, baseline: c.baseline})
 			if (regression != "") != c.want {
-				t.Errorf("regression %q, want one: %v", regression, c.want)
+				t.Errorf("regression = %q, want a regression: %v", regression, c.want)
 			}
 		})
 	}
 }
 
-// outcomesLater moves outcomes by a time.
+// delayOutcomes returns the outcomes with their end times moved by the given time.
 func delayOutcomes(outcomes []Outcome, by float64) []Outcome {
 	return mapSlice(outcomes, func(o Outcome) Outcome {
 		o.EndedAt += by
@@ -214,7 +218,7 @@
 	})
 }
 
-// At which number of outcomes of each arm a comparison is no longer one of few: from there on the latency shift is looked for.
+// From minSample outcomes on, an arm is not a small sample any more and the latency shift gate applies.
 func TestMinSample(t *testing.T) {
 	arm := func(n int, latency float64) (outcomes []Outcome) {
 		for k := range n {
@@ -227,14 +231,15 @@
 		want                bool
 	}{{20, 20, true}, {19, 20, false}, {20, 19, false}, {19, 19, false}} {
 		t.Run(fmt.Sprint(c.candidate, " of ", c.baseline), func(t *testing.T) {
-			by := criteria{compareLatency: true, errorProbability: 0.01, rollbackVotes: 1}
-			got := compare(arm(c.candidate, 300), arm(c.baseline, 100), by)
-			expect(t, "regression", got.Regression != "", c.want)
+			gateCriteria := criteria{compareLatency: true, errorProbability: 0.01, rollbackVotes: 1}
+			got := compare(arm(c.candidate, 300), arm(c.baseline, 100), gateCriteria)
+			expect(t, "regression found", got.Regression != "", c.want)
 		})
 	}
 }
 
-// One backend's failures do not count, unless so many must agree that each instance sees little of any backend.
+// Failures of a single backend do not count, unless so many votes are needed that each instance sees little of any
+// one backend.
 func TestOneBackendFails(t *testing.T) {
 	for _, c := range []struct {
 		votes, backends int
@@ -246,16 +251,16 @@
 				candidate[k].Backend = k % c.backends
 				candidate[k].Failed = k%c.backends == 0
 			}
-			by := criteria{errorProbability: 0.01, rollbackVotes: c.votes}
-			expect(t, "fails more", comparison{criteria: by, candidate: candidate, baseline: baseline}.failsMore(), c.want)
+			gateCriteria := criteria{errorProbability: 0.01, rollbackVotes: c.votes}
+			expect(t, "failsMore", comparison{criteria: gateCriteria, candidate: candidate, baseline: baseline}.failsMore(), c.want)
 		})
 	}
 }
 
-// Broken connections count as failures only up to a share of the baseline's attempts that break too, 2 of 100.
+// Broken connections count as failures unless more than 2% of the baseline's attempts break as well.
 func TestBaselineConnectionFailures(t *testing.T) {
 	for _, c := range []struct {
-		broken int // of the baseline's 200
+		broken int // broken connections among the baseline's 200 attempts
 		want   bool
 	}{{0, true}, {4, true}, {5, false}} {
 		t.Run(fmt.Sprint(c.broken), func(t *testing.T) {
@@ -266,13 +271,14 @@
 			for k := range baseline {
 				baseline[k] = Outcome{Backend: 2 + k%5, Failed: k < c.broken, ConnectionBroken: k < c.broken}
 			}
-			by := criteria{errorProbability: 0.01, rollbackVotes: 1}
-			expect(t, "fails more", comparison{criteria: by, candidate: candidate, baseline: baseline}.failsMore(), c.want)
+			gateCriteria := criteria{errorProbability: 0.01, rollbackVotes: 1}
+			expect(t, "failsMore", comparison{criteria: gateCriteria, candidate: candidate, baseline: baseline}.failsMore(), c.want)
 		})
 	}
 }
 
-// uneven makes an arm of 200 outcomes in five slices; each slice has its own failures (of 40) and latency.
+// unevenSlices returns an arm of 200 outcomes in five slices, with a separate number of failures (out of 40) and
+// latency for each slice.
 func unevenSlices(failures [5]int, latencies [5]float64) (outcomes []Outcome) {
 	for k := range 200 {
 		slice := k / 40
@@ -285,7 +291,8 @@
 	return outcomes
 }
 
-// What the slices show: equivalence of success shares, of latencies, of either, and whose unevenness hides it.
+// The slice gates show non-inferiority by equivalent success shares, by latencies, or by either. Variation between
+// the slices of an arm rules out the comparison that it affects.
 func TestSliceGates(t *testing.T) {
 	none, wild := [5]int{}, [5]int{0, 20, 0, 20, 0}
 	same, slower, faster, drifting := [5]float64{100, 100, 100, 100, 100}, [5]float64{160, 160, 160, 160, 160}, [5]float64{60, 60, 60, 60, 60}, [5]float64{100, 200, 300, 400, 500}
@@ -296,33 +303,33 @@
 		nonInferior         bool
 		regression          string
 	}{
-		{"alike in both", unevenSlices(none, same), unevenSlices(none, same), false, true, ""},
-		{"shares alike, baseline idle", unevenSlices(none, same), unevenSlices(none, same), true, true, ""},
-		{"shares alike, candidate's latency drifts", unevenSlices(none, drifting), unevenSlices(none, same), false, true, ""},
-		{"shares alike, baseline's latency drifts", unevenSlices(none, same), unevenSlices(none, drifting), false, true, ""},
-		{"candidate's shares uneven, latency alike", unevenSlices(wild, same), unevenSlices(none, same), false, true, ""},
-		{"baseline's shares uneven, latency alike", unevenSlices(none, same), unevenSlices(wild, same), false, true, ""},
+		{"identical arms", unevenSlices(none, same), unevenSlices(none, same), false, true, ""},
+		{"equal shares, baseline idle", unevenSlices(none, same), unevenSlices(none, same), true, true, ""},
+		{"equal shares, candidate's latency drifts", unevenSlices(none, drifting), unevenSlices(none, same), false, true, ""},
+		{"equal shares, baseline's latency drifts", unevenSlices(none, same), unevenSlices(none, drifting), false, true, ""},
+		{"candidate's shares uneven, equal latency", unevenSlices(wild, same), unevenSlices(none, same), false, true, ""},
+		{"baseline's shares uneven, equal latency", unevenSlices(none, same), unevenSlices(wild, same), false, true, ""},
 		{"candidate's shares uneven, faster", unevenSlices(wild, faster), unevenSlices(none, same), false, true, ""},
 		{"candidate's shares uneven, baseline idle", unevenSlices(wild, same), unevenSlices(none, same), true, false, ""},
 		{"baseline's shares uneven, baseline idle", unevenSlices(none, same), unevenSlices(wild, same), true, false, ""},
 		{"candidate's shares uneven, its latency drifts", unevenSlices(wild, drifting), unevenSlices(none, same), false, false, ""},
 		{"candidate's shares uneven, baseline's latency drifts", unevenSlices(wild, same), unevenSlices(none, drifting), false, false, ""},
-		{"shares alike, slower: not earned", unevenSlices(none, slower), unevenSlices(none, same), false, false, "latency quantile 0.90"},
+		{"equal shares, slower: inferior", unevenSlices(none, slower), unevenSlices(none, same), false, false, "latency quantile 0.90"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			by := criteria{compareLatency: !c.idle, errorProbability: 0.01, rollbackVotes: 1}
-			got := comparison{criteria: by, candidate: c.candidate, baseline: c.baseline}.sliceGates()
-			expect(t, "earned", got.NonInferior, c.nonInferior)
+			gateCriteria := criteria{compareLatency: !c.idle, errorProbability: 0.01, rollbackVotes: 1}
+			got := comparison{criteria: gateCriteria, candidate: c.candidate, baseline: c.baseline}.sliceGates()
+			expect(t, "NonInferior", got.NonInferior, c.nonInferior)
 			if !strings.HasPrefix(got.Regression, c.regression) || (got.Regression == "") != (c.regression == "") {
-				t.Errorf("regression %q, want %q", got.Regression, c.regression)
+				t.Errorf("Regression = %q, want prefix %q", got.Regression, c.regression)
 			}
 		})
 	}
 }
 
-// One quantile that is slower is no regression, two are.
+// A single slower quantile is not a regression, but two are.
 func TestSlowerQuantiles(t *testing.T) {
-	// Of ten latencies of a slice: the candidate's slowest one, or its slowest four, take so many times as long.
+	// Multiplies the slowest of each ten latencies of an arm.
 	arm := func(slowest int, times float64) (outcomes []Outcome) {
 		for k := range 500 {
 			latency := 100 + float64(k%10)
@@ -338,11 +345,11 @@
 		want    string
 	}{{0, ""}, {2, ""}, {4, "latency quantile 0.90"}} {
 		t.Run(fmt.Sprint("slowest ", c.slowest, " of 10"), func(t *testing.T) {
-			by := criteria{compareLatency: true, errorProbability: 0.01, rollbackVotes: 1}
-			x := comparison{criteria: by, candidate: arm(c.slowest, 2), baseline: arm(0, 1)}
+			gateCriteria := criteria{compareLatency: true, errorProbability: 0.01, rollbackVotes: 1}
+			x := comparison{criteria: gateCriteria, candidate: arm(c.slowest, 2), baseline: arm(0, 1)}
 			got := x.latencyQuantileGate(mapSlice(sliceByCount(x.candidate), latencies), mapSlice(sliceByCount(x.baseline), latencies))
 			if !strings.HasPrefix(got.Regression, c.want) || (got.Regression == "") != (c.want == "") {
-				t.Errorf("regression %q, want %q", got.Regression, c.want)
+				t.Errorf("Regression = %q, want prefix %q", got.Regression, c.want)
 			}
 		})
 	}
--- a/policy/verdict/saturation.go
+++ b/policy/verdict/saturation.go
@@ -8,44 +8,47 @@
 )
 
 const (
-	// inflationWindow (ms) is over which the fleet's latency is averaged; twice as long before a rollout.
+	// inflationWindow (ms) is the time over which the fleet's latency is averaged. The baseline before a rollout
+	// covers twice as long.
 	inflationWindow = 3000
-	// saturationLimit (ms) is how long a saturation lasts until it counts against the candidate: longer than most outside trouble.
+	// saturationLimit (ms) is how long the fleet must be saturated before it counts against the candidate. It exceeds
+	// the duration of most trouble that has other causes.
 	saturationLimit = 7000
-	// saturatedFrom and saturatedUntil are how many times slower than before the rollout the fleet is when a saturation begins
-	// and when it ends.
+	// saturationStart and saturationEnd are the latencies, as multiples of the latency before the rollout, at which a
+	// saturation of the fleet starts and ends.
 	saturationStart = 1.6
 	saturationEnd   = 1.35
-	// comparableArrivals is the arrival rate, as times that before the rollout, up to which latencies are compared: a higher one
-	// is itself the cause of any saturation.
+	// maxArrivalRatio is the maximum arrival rate, as a multiple of the rate before the rollout, at which latencies
+	// are compared. A higher rate would itself explain a saturation.
 	maxArrivalRatio = 1.3
-	// releaseSettleTime (ms) after a release all traffic has moved to it; what begins later is not its doing.
+	// releaseSettleTime (ms) after a release, all traffic has moved to it. A saturation that starts later is not
+	// caused by the release.
 	releaseSettleTime = 500
-	// lowQuantile is the quantile that is taken for a low latency: queues touch it least.
+	// lowQuantile is the quantile used as a low latency. Low latencies are the least affected by queueing.
 	lowQuantile = 0.3
-	// manyInstances is the number of instances from which each sees too little of a single backend.
+	// manyInstances is the fleet size from which an instance sees too few outcomes of any one backend.
 	manyInstances = 10
 )
 
-// baseline is the fleet as it was when the rollout began.
+// baseline describes the fleet at the start of the rollout.
 type baseline struct {
-	lowLatency  []float64 // by class, ms for each unit of work; 0: too little was seen
-	typical     float64   // typicalLatency; 0: too little was seen
+	lowLatency  []float64 // by class, ms per unit of work; 0 if there were too few outcomes
+	typical     float64   // typicalLatency; 0 if there were too few outcomes
 	arrivalRate float64
 }
 
-// saturation follows whether the whole fleet, candidate and baseline alike, is slower than before the rollout. It stands in
-// for a comparison where a release slows down what it shares with the others.
+// saturation tracks whether the whole fleet, candidate and baseline alike, is slower than before the rollout. It
+// detects a release that slows down a resource shared by both, which a comparison of the two cannot show.
 type saturation struct {
-	since      float64 // ms; infinite: the fleet is not saturated
-	correction float64 // latency inflation that is not the candidate's doing, at least 1
+	since      float64 // ms, start of the saturation; infinite if the fleet is not saturated
+	correction float64 // latency inflation that the candidate did not cause, at least 1
 }
 
 func newSaturation() saturation { return saturation{since: math.Inf(1), correction: 1} }
 
-// update takes the latency inflation now. What begins from outside the rollout is not the candidate's doing and counts only for
-// what it grows by: a saturation that a candidate makes grows by stage. A saturation blocks promotion, and counts as a
-// regression once it is too long. That may hurt a good release in a long slowness.
+// update processes the current latency inflation. Inflation from external causes only counts against the candidate by
+// how much it grows later: a saturation caused by a candidate grows with each stage. A saturation blocks promotion,
+// and counts as a regression once it lasts too long. During a long period of slowness this may hurt a good release.
 func (s *saturation) update(now, inflation float64, external bool) (saturated, tooLong bool) {
 	switch {
 	case inflation < saturationEnd*s.correction:
@@ -61,15 +64,16 @@
 	return now >= s.since, now >= s.since+saturationLimit
 }
 
-// updateSaturation tells whether the fleet is saturated, and for too long. Outside the rollout is what begins before the
-// candidate had a share worth the name, or after its release.
+// updateSaturation reports whether the fleet is saturated, and whether it has been for too long. A saturation is
+// external if it starts before the candidate has a substantial share of the traffic, or after the candidate's
+// release.
 func (e *Evaluator) updateSaturation(now float64, fleet Fleet) (saturated, tooLong bool) {
 	external := e.stage < 1 || e.phase == release.Released && now > e.stateSince+releaseSettleTime
 	return e.saturation.update(now, e.latencyInflation(now, fleet), external)
 }
 
-// latencyInflation is the fleet's typical latency over what it was before the rollout; 0 where too little is seen, or where more
-// arrives than before.
+// latencyInflation returns the fleet's typical latency as a multiple of that before the rollout, or 0 if there are
+// too few outcomes or the arrival rate exceeds maxArrivalRatio times that before the rollout.
 func (e *Evaluator) latencyInflation(now float64, fleet Fleet) float64 {
 	if e.baseline.typical == 0 || fleet.ArrivalRate > maxArrivalRatio*e.baseline.arrivalRate {
 		return 0
@@ -77,7 +81,7 @@
 	return e.typicalLatency(e.evidence.outcomes, now-inflationWindow, fleet) / e.baseline.typical
 }
 
-// startBaseline measures the fleet as it is when a rollout begins, from the outcomes of both arms until then.
+// startBaseline measures the fleet at the start of a rollout, from the outcomes of both arms until then.
 func (e *Evaluator) startBaseline(now float64, before [2][][]Outcome, fleet Fleet) {
 	e.baseline.arrivalRate = fleet.ArrivalRate
 	since := now - 2*inflationWindow
@@ -98,13 +102,13 @@
 	e.baseline.typical = e.typicalLatency(before, since, fleet)
 }
 
-// typicalLatency is a low latency of a backend among the faster ones, relative to the low latency of each class before the
-// rollout; 0 where too little is seen. It is one of the faster backends, so that trouble of some does not pass for trouble of
-// all.
+// typicalLatency returns a low latency of one of the faster backends, relative to the low latency of each class
+// before the rollout, or 0 if there are too few outcomes. One of the faster backends is used so that trouble of some
+// backends is not mistaken for trouble of all.
 func (e *Evaluator) typicalLatency(outcomes [2][][]Outcome, since float64, fleet Fleet) float64 {
 	byBackend := e.relativeToBaseline(outcomes, since)
 	if fleet.Instances >= manyInstances && !fleet.PeerMessages {
-		// Each instance sees too little of one backend; all backends together may be enough.
+		// An instance sees too few outcomes of any one backend, but all backends together may have enough.
 		if all := slices.Concat(byBackend...); len(all) >= minSample {
 			return quantile(lowQuantile, all)
 		}
@@ -121,7 +125,8 @@
 	return quantile(lowQuantile, lowLatencies)
 }
 
-// relativeToBaseline is the latencies since a time, over the low latency of their class before the rollout, by backend.
+// relativeToBaseline returns the latencies since a given time by backend, each divided by the low latency of its
+// class before the rollout.
 func (e *Evaluator) relativeToBaseline(outcomes [2][][]Outcome, since float64) [][]float64 {
 	var byBackend [][]float64
 	for _, arm := range outcomes {
--- a/policy/verdict/slices.go
+++ b/policy/verdict/slices.go
@@ -3,16 +3,17 @@
 import "slices"
 
 const (
-	// sliceCount is into how many slices in order of time the outcomes of an arm are cut; equivalenceErrors goes by it.
+	// sliceCount is the number of time slices into which the outcomes of an arm are divided. equivalenceStdErrors
+	// depends on it.
 	sliceCount = 5
-	// minPerSlice is the least number of outcomes in a slice.
+	// minPerSlice is the minimum number of outcomes in a slice.
 	minPerSlice = minSample / sliceCount
-	// maxSliceDistance is how many times further apart slices of one arm may be than halves of one slice are: beyond it the
-	// arm has not the same latency all the time, and its quantiles compare nothing.
+	// maxSliceDistance is the maximum distance between slices of an arm, as a multiple of the distance between halves
+	// of a slice. Beyond it, the arm's latency changes over time and its quantiles cannot be compared.
 	maxSliceDistance = 2.0
 )
 
-// sliceByCount cuts outcomes into slices of equal size.
+// sliceByCount divides outcomes into slices of equal size.
 func sliceByCount(outcomes []Outcome) [][]Outcome {
 	parts := make([][]Outcome, 0, sliceCount)
 	for i := range sliceCount {
@@ -21,8 +22,9 @@
 	return parts
 }
 
-// sliceByTime cuts outcomes at the times at which sliceByCount cuts the reference, so that what befalls both arms at one time
-// falls out of the difference. Where a slice would have too few they are cut by count, and are not paired with the reference's.
+// sliceByTime divides outcomes at the times at which sliceByCount divides the reference, so that anything that
+// affects both arms at the same time cancels out in the difference. If a slice would be too small, it divides the
+// outcomes by count instead, and the slices are not paired with those of the reference.
 func sliceByTime(outcomes, reference []Outcome) (parts [][]Outcome, paired bool) {
 	rest := outcomesSince(outcomes, reference)
 	for i := range sliceCount {
@@ -40,8 +42,8 @@
 	return parts, true
 }
 
-// slicesAgree is the agreement gate for latency: slices are hardly further apart than halves of one slice. The latencies of each
-// slice are in order of time; halves of an order by size would be alike by construction.
+// slicesAgree reports whether the distance between slices is hardly larger than that between the halves of a slice.
+// The latencies of each slice must be in order of time: halves of sorted latencies would always be similar.
 func slicesAgree(latencySlices [][]float64) bool {
 	var between, within float64
 	pairs := 0.0
--- a/policy/verdict/statistics.go
+++ b/policy/verdict/statistics.go
@@ -8,29 +8,30 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// The functions here keep the order of their floating-point operations: recorded decisions are compared to the byte.
+// The order of floating-point operations in these functions must not change, because replay tests compare recorded
+// decisions byte for byte.
 
-// quantile is the empirical quantile; it sorts its values.
+// quantile returns the empirical quantile. It sorts values in place.
 func quantile(share float64, values []float64) float64 {
 	slices.Sort(values)
 	return stat.Quantile(share, stat.Empirical, values, nil)
 }
 
-// variationCoefficient is the standard deviation over the mean.
+// variationCoefficient returns the standard deviation divided by the mean.
 func variationCoefficient(values []float64) float64 {
 	mean, deviation := stat.MeanStdDev(values, nil)
 	return deviation / max(mean, 1e-9)
 }
 
-// interval is the confidence interval on the mean, so many standard errors to each side; the standard error counts as
-// minError at the least.
-func interval(values []float64, errors, minError float64) (low, high float64) {
+// interval returns a confidence interval for the mean that extends stdErrors standard errors to each side. minError
+// is a lower limit for the standard error.
+func interval(values []float64, stdErrors, minError float64) (low, high float64) {
 	mean, deviation := stat.MeanStdDev(values, nil)
-	half := errors * max(deviation/math.Sqrt(float64(len(values))), minError)
+	half := stdErrors * max(deviation/math.Sqrt(float64(len(values))), minError)
 	return mean - half, mean + half
 }
 
-// wassersteinDistance is that of two samples, by ten quantiles; it sorts both.
+// wassersteinDistance returns the distance between two samples, computed from ten quantiles. It sorts both in place.
 func wassersteinDistance(x, y []float64) (distance float64) {
 	slices.Sort(x)
 	slices.Sort(y)
@@ -40,8 +41,8 @@
 	return distance
 }
 
-// latencyRatioLowerBound is the lower bound, at a confidence level, on how many times larger x is than y, by the means of the
-// logarithms; 0 where either has fewer than minCount values.
+// latencyRatioLowerBound returns the lower confidence bound on the ratio of x to y, from the means of their
+// logarithms. It returns 0 if either has fewer than minCount values.
 func latencyRatioLowerBound(x, y []float64, minCount int, level float64) float64 {
 	if len(x) < minCount || len(y) < minCount {
 		return 0
@@ -56,12 +57,12 @@
 	return mapSlice(values, func(value float64) float64 { return math.Log(max(value, 1e-6)) })
 }
 
-// countAbove counts the values of x that are more than so many times the median of y, which it sorts.
-func countAbove(x, y []float64, times float64) (count float64) {
+// countAbove returns the number of values in x that exceed ratio times the median of y. It sorts y in place.
+func countAbove(x, y []float64, ratio float64) (count float64) {
 	if len(y) == 0 {
 		return 0
 	}
-	bound := times * quantile(0.5, y)
+	bound := ratio * quantile(0.5, y)
 	for _, value := range x {
 		if value > bound {
 			count++
@@ -70,22 +71,23 @@
 	return count
 }
 
-// failurePosterior is the posterior of a failure share after so many failures and successes: a beta distribution with the
-// prior that also tells something of few attempts and of no failures.
+// failurePosterior returns the posterior distribution of a failure share given the numbers of failures and successes:
+// a beta distribution, with a prior that also gives meaningful results for few attempts and no failures.
 func failurePosterior(failures, successes int) distuv.Beta {
 	return distuv.Beta{Alpha: float64(failures) + 0.5, Beta: float64(successes) + 1}
 }
 
-// backendVariation is how far the backends of one release differ among themselves in a figure, beyond what chance makes of so
-// few outcomes: a standard deviation, 0 where too few backends have enough outcomes. It is a negative control: a difference
-// between releases that backends of one release show as well does not come from the release.
-func backendVariation(outcomes []Outcome, of metric) float64 {
+// backendVariation returns how much a metric varies among the backends of one release, beyond what is due to chance
+// with so few outcomes, as a standard deviation; 0 if too few backends have enough outcomes. It serves as a negative
+// control: a difference between releases that also occurs between backends of one release is not caused by the
+// release.
+func backendVariation(outcomes []Outcome, extract metric) float64 {
 	var byBackend [][]float64
 	for _, outcome := range outcomes {
 		for len(byBackend) <= outcome.Backend {
 			byBackend = append(byBackend, nil)
 		}
-		if value, present := of(outcome); present {
+		if value, present := extract(outcome); present {
 			byBackend[outcome.Backend] = append(byBackend[outcome.Backend], value)
 		}
 	}
@@ -104,7 +106,7 @@
 	return math.Sqrt(max(stat.Variance(means, nil)-chance/float64(len(means)), 0))
 }
 
-// each applies a function to all elements.
+// mapSlice applies a function to each element and returns the results.
 func mapSlice[X, Y any](elements []X, apply func(X) Y) []Y {
 	results := make([]Y, len(elements))
 	for i := range elements {
@@ -113,7 +115,7 @@
 	return results
 }
 
-// differences are x minus y, element by element.
+// differences returns x minus y, element by element.
 func differences(x, y []float64) []float64 {
 	results := make([]float64, len(x))
 	for i := range x {
--- a/policy/verdict/verdict.go
+++ b/policy/verdict/verdict.go
@@ -1,19 +1,20 @@
-// Package verdict decides what an instance votes on the release that is rolling out. It owns the evidence (outcomes of
-// attempts by class, of the candidate, which is the newest release, and of the baseline, which is what ran before it), the
-// gates that compare the two, the saturation of the whole fleet since the candidate came, the desired verdict, and the vote
-// that is out or accepted.
+// Package verdict decides how an instance votes on the release that is being rolled out. It holds the evidence
+// (outcomes of attempts by class, of the candidate, which is the newest release, and of the baseline, which is what
+// ran before it), the gates that compare the two, the saturation of the whole fleet since the rollout began, the
+// desired verdict, and the state of the vote that was last sent.
 //
-// It must never do I/O, read a clock, start a goroutine, or draw random numbers of its own: time and generator come with each
-// call, so that the same calls in the same order give the same votes. It knows no endpoint list, request or wire; a
-// backend is an index that its caller gives out. An Evaluator is for one goroutine. All times are in milliseconds.
+// The package must not do I/O, read a clock, start goroutines, or own a source of random numbers: the time and the
+// generator are passed in with each call, so that the same calls in the same order produce the same votes. It has no
+// notion of an endpoint list, requests or the wire protocol; a backend is an index assigned by the caller. An
+// Evaluator is not safe for concurrent use. All times are in milliseconds.
 package verdict
 
 import "onyxgate/policy/release"
 
-// Verdict is what a vote says of a release.
+// Verdict is what a vote asks the platform to do with a release.
 type Verdict uint8
 
-// The verdicts. Their numbers are those of the platform's wire.
+// The verdicts. Their values are those of the platform's wire protocol.
 const (
 	NoVerdict Verdict = iota
 	Promote
@@ -21,29 +22,29 @@
 	Rollback
 )
 
-// RolloutControl says what moves a rollout to its next stage.
+// RolloutControl is what moves a rollout to its next stage.
 type RolloutControl uint8
 
-// The controls. Their numbers are those of the settings.
+// The controls. Their values are those of the settings.
 const (
-	ControlSingleVote RolloutControl = iota // one instance's vote
+	ControlSingleVote RolloutControl = iota // the vote of one instance
 	ControlMajority                         // the votes of a share of the instances
-	ControlTimed                            // time alone; votes can only hold or roll back
+	ControlTimed                            // time only; votes can only hold or roll back
 )
 
-// VoteResponse is how the platform answered a vote.
+// VoteResponse is the platform's response to a vote.
 type VoteResponse uint8
 
-// The responses. Only VoteCounted makes a vote an accepted one.
+// The responses. Only VoteCounted turns a vote into an accepted one.
 const (
-	NotAVote VoteResponse = iota // a release update that answers no vote
+	NotAVote VoteResponse = iota // a release update that is not a response to a vote
 	VoteCounted
-	VoteRefused    // the platform was overloaded or failed: the vote does not count
-	VoteUnanswered // no response: the vote may count
-	VoteOutdated   // for another release or stage than the present one
+	VoteRefused    // the platform was overloaded or failed, so the vote does not count
+	VoteUnanswered // no response was received, so the vote may count
+	VoteOutdated   // the vote was for a release or stage that is no longer the current one
 )
 
-// String says by what the state of a release was learned.
+// String returns the source of a release's state, for logs.
 func (r VoteResponse) String() string {
 	if r == NotAVote {
 		return "release update"
@@ -51,7 +52,7 @@
 	return "vote response"
 }
 
-// Vote is a verdict on one stage of one release.
+// Vote is a verdict on one stage of a release.
 type Vote struct {
 	Release release.ID
 	Stage   int
--- a/policy/verdict/votes.go
+++ b/policy/verdict/votes.go
@@ -3,66 +3,68 @@
 import "math/rand/v2"
 
 const (
-	// voteRetryPause (ms) goes before a vote that did not count is sent again, and outdatedVotePause before one that did not fit:
-	// the stage has moved on and its release update is late, so that asking at once again teaches nothing. Each is drawn from half
-	// of it to one and a half times it.
+	// voteRetryPause (ms) is the pause before a vote that did not count is sent again. outdatedVotePause applies to
+	// votes that were outdated: the stage has moved on and its release update is late, so an immediate retry would
+	// get the same response. Each pause is randomized between half and one and a half times its value.
 	voteRetryPause    = 300
 	outdatedVotePause = 3000
-	// An accepted vote is renewed after this share of its lifetime, and up to renewalSpread of it later, so that the renewals of
-	// many instances scatter.
+	// An accepted vote is renewed after renewalShare of its lifetime plus a random part of up to renewalSpread, to
+	// spread the renewals of many instances.
 	renewalShare  = 0.7
 	renewalSpread = 0.2
 )
 
-// ballot is the vote that is out, and the one that the platform has counted.
+// voteState holds the vote in flight and the last accepted one.
 type voteState struct {
-	pending   bool // a vote is out and has no response
-	sent      Vote // the latest
+	pending   bool // a vote was sent and has no response yet
+	sent      Vote // most recently sent vote
 	accepted  Verdict
-	stage     int // of the accepted vote
+	stage     int // stage of the accepted vote
 	renewAt   float64
-	notBefore float64 // no vote is sent sooner
+	notBefore float64 // earliest time of the next vote
 }
 
-// VoteDue tells whether the desired verdict is to be sent now: it is another one than the accepted, or that is to be renewed.
+// VoteDue reports whether the desired verdict should be sent now: it differs from the accepted one, or the accepted
+// one has to be renewed.
 func (e *Evaluator) VoteDue(now float64) bool {
-	b := &e.voteState
-	if b.pending || now < b.notBefore || e.desired == NoVerdict {
+	state := &e.voteState
+	if state.pending || now < state.notBefore || e.desired == NoVerdict {
 		return false
 	}
-	// A promotion is for one stage, a rollback for the release.
-	accepted := b.accepted == e.desired && (e.desired == Rollback || b.stage == e.stage)
-	return !accepted || now >= b.renewAt
+	// A vote to promote applies to one stage, a vote to roll back to the whole release.
+	accepted := state.accepted == e.desired && (e.desired == Rollback || state.stage == e.stage)
+	return !accepted || now >= state.renewAt
 }
 
-// BeginVote is the desired verdict, for the caller to send now. No vote is due until OnVoteResponse.
+// BeginVote returns the vote to send now, for the desired verdict. No further vote is due until OnVoteResponse is
+// called.
 func (e *Evaluator) BeginVote() Vote {
 	e.voteState.pending = true
 	e.voteState.sent = Vote{Release: e.release, Stage: e.stage, Verdict: e.desired}
 	return e.voteState.sent
 }
 
-// VotePending tells that a vote is out and has no response yet.
+// VotePending reports whether a vote was sent and has no response yet.
 func (e *Evaluator) VotePending() bool { return e.voteState.pending }
 
-// OnVoteResponse takes the platform's response to the vote that is out; it draws one number from random. Where the vote did not
-// count, retry tells that one may be due again at the time retryAt (ms). A response on an earlier release than the newest says
-// nothing of votes on that one.
+// OnVoteResponse handles the platform's response to the pending vote. If the vote did not count, retry is set and
+// retryAt is the time (ms) from which a vote may be due again. One number is drawn from random, unless the vote was
+// on a release that is no longer the newest: its response does not affect votes on the newest release.
 func (e *Evaluator) OnVoteResponse(now float64, response VoteResponse, random *rand.Rand) (retryAt float64, retry bool) {
-	b := &e.voteState
-	b.pending = false
-	if b.sent.Release != e.release {
+	state := &e.voteState
+	state.pending = false
+	if state.sent.Release != e.release {
 		return 0, false
 	}
 	if response == VoteCounted {
-		b.accepted, b.stage = b.sent.Verdict, b.sent.Stage
-		b.renewAt = now + e.settings.VoteLifetime*(renewalShare+renewalSpread*random.Float64())
+		state.accepted, state.stage = state.sent.Verdict, state.sent.Stage
+		state.renewAt = now + e.settings.VoteLifetime*(renewalShare+renewalSpread*random.Float64())
 		return 0, false
 	}
 	pause := float64(voteRetryPause)
 	if response == VoteOutdated {
 		pause = outdatedVotePause
 	}
-	b.notBefore = now + pause*(0.5+random.Float64())
-	return b.notBefore, true
+	state.notBefore = now + pause*(0.5+random.Float64())
+	return state.notBefore, true
 }
--- a/policy/verdict/votes_test.go
+++ b/policy/verdict/votes_test.go
@@ -8,7 +8,7 @@
 	"onyxgate/policy/release"
 )
 
-// rollingOut is an evaluator with release 2 in a stage.
+// rollingOut returns an Evaluator with release 2 in the given stage.
 func rollingOut(stage int) *Evaluator {
 	e := New(Settings{Classes: 1, Stages: []float64{0.1, 0.5, 1}, Control: ControlMajority, RollbackVotes: 1, VoteLifetime: 4000})
 	e.StartRollout(0, 2, true, Fleet{Instances: 2})
@@ -18,7 +18,7 @@
 
 func seeded() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-// Whether a vote is due, by the desired verdict, what was accepted and the time.
+// Whether a vote is due depends on the desired verdict, the state of the last vote and the time.
 func TestVoteDue(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -26,34 +26,34 @@
 		voteState voteState
 		want      bool
 	}{
-		{"none is desired", NoVerdict, voteState{}, false},
+		{"no verdict desired", NoVerdict, voteState{}, false},
 		{"promote", Promote, voteState{}, true},
 		{"rollback", Rollback, voteState{}, true},
-		{"one is out", Promote, voteState{pending: true}, false},
-		{"not before", Promote, voteState{notBefore: 1001}, false},
-		{"at the time", Promote, voteState{notBefore: 1000}, true},
-		{"accepted", Promote, voteState{accepted: Promote, stage: 1, renewAt: 1001}, false},
-		{"to be renewed", Promote, voteState{accepted: Promote, stage: 1, renewAt: 1000}, true},
-		{"accepted for the stage before", Promote, voteState{accepted: Promote, stage: 0, renewAt: 9000}, true},
-		{"rollback accepted in the stage before", Rollback, voteState{accepted: Rollback, stage: 0, renewAt: 9000}, false},
-		{"another was accepted", Rollback, voteState{accepted: Promote, stage: 1, renewAt: 9000}, true},
+		{"vote pending", Promote, voteState{pending: true}, false},
+		{"before notBefore", Promote, voteState{notBefore: 1001}, false},
+		{"at notBefore", Promote, voteState{notBefore: 1000}, true},
+		{"already accepted", Promote, voteState{accepted: Promote, stage: 1, renewAt: 1001}, false},
+		{"renewal due", Promote, voteState{accepted: Promote, stage: 1, renewAt: 1000}, true},
+		{"accepted for the previous stage", Promote, voteState{accepted: Promote, stage: 0, renewAt: 9000}, true},
+		{"rollback accepted in the previous stage", Rollback, voteState{accepted: Rollback, stage: 0, renewAt: 9000}, false},
+		{"different verdict accepted", Rollback, voteState{accepted: Promote, stage: 1, renewAt: 9000}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			e := rollingOut(1)
 			e.desired, e.voteState = c.desired, c.voteState
-			expect(t, "due", e.VoteDue(1000), c.want)
+			expect(t, "VoteDue(1000)", e.VoteDue(1000), c.want)
 		})
 	}
 }
 
-// What each response does to the vote that was out.
+// TestVoteResponses checks the effect of each response on the pending vote.
 func TestVoteResponses(t *testing.T) {
 	for _, c := range []struct {
-		response      VoteResponse
-		accepted      Verdict
-		from, to      float64 // the next vote on the same verdict is due not before and not after, ms after the response
-		retry         bool
-		stringOfState string
+		response VoteResponse
+		accepted Verdict
+		from, to float64 // ms after the response between which the next vote on the same verdict becomes due
+		retry    bool
+		source   string
 	}{
 		{VoteCounted, Promote, 2800, 3600, false, "vote response"},
 		{VoteRefused, NoVerdict, 150, 450, true, "vote response"},
@@ -64,24 +64,25 @@
 			e, random := rollingOut(1), seeded()
 			for range 100 {
 				e.desired, e.voteState = Promote, voteState{}
-				expect(t, "vote", e.BeginVote(), Vote{Release: 2, Stage: 1, Verdict: Promote})
-				expect(t, "pending", e.VotePending(), true)
-				expect(t, "due while it is out", e.VoteDue(1e9), false)
+				expect(t, "BeginVote", e.BeginVote(), Vote{Release: 2, Stage: 1, Verdict: Promote})
+				expect(t, "VotePending after BeginVote", e.VotePending(), true)
+				expect(t, "VoteDue while the vote is pending", e.VoteDue(1e9), false)
 				retryAt, retry := e.OnVoteResponse(10000, c.response, random)
 				expect(t, "retry", retry, c.retry)
-				expect(t, "retry not before", !retry || retryAt == e.voteState.notBefore, true)
-				expect(t, "accepted", e.voteState.accepted, c.accepted)
-				expect(t, "pending after the response", e.VotePending(), false)
-				expect(t, "due too soon", e.VoteDue(10000+c.from-1), false)
-				expect(t, "due", e.VoteDue(10000+c.to), true)
+				expect(t, "no retry, or retryAt equals notBefore", !retry || retryAt == e.voteState.notBefore, true)
+				expect(t, "accepted verdict", e.voteState.accepted, c.accepted)
+				expect(t, "VotePending after the response", e.VotePending(), false)
+				expect(t, "VoteDue just before the earliest time", e.VoteDue(10000+c.from-1), false)
+				expect(t, "VoteDue at the latest time", e.VoteDue(10000+c.to), true)
 			}
-			expect(t, "learned by", c.response, c.stringOfState)
+			expect(t, "String of the response", c.response, c.source)
 		})
 	}
-	expect(t, "learned by", NotAVote, "release update")
+	expect(t, "String of NotAVote", NotAVote, "release update")
 }
 
-// A response draws one random number, but for one on a release that is no longer the newest: schedules are replayed.
+// Each response draws one random number, except a response to a vote on a release that is no longer the newest.
+// Replay tests depend on the number of draws.
 func TestVoteResponseDraws(t *testing.T) {
 	for _, response := range []VoteResponse{VoteCounted, VoteRefused, VoteUnanswered, VoteOutdated} {
 		for _, newest := range []release.ID{2, 3} {
@@ -95,24 +96,24 @@
 					same.Float64()
 				}
 				e.OnVoteResponse(20, response, random)
-				expect(t, "the next number", random.Uint64(), same.Uint64())
+				expect(t, "next random number", random.Uint64(), same.Uint64())
 			})
 		}
 	}
 }
 
-// A response to a vote on the release before is none to one on the release that has come meanwhile.
+// A response to a vote on the previous release does not affect votes on a release announced in the meantime.
 func TestVoteOnPreviousRelease(t *testing.T) {
 	e := rollingOut(0)
 	e.desired = Promote
-	expect(t, "vote", e.BeginVote().Release, 2)
+	expect(t, "release of the first vote", e.BeginVote().Release, 2)
 	e.StartRollout(7, 3, false, Fleet{Instances: 2})
 	e.SetState(0, release.RollingOut, 7)
 	retryAt, retry := e.OnVoteResponse(8, VoteCounted, seeded())
-	expect(t, "retry", fmt.Sprint(retryAt, retry), "0 false")
-	expect(t, "accepted for release 3", e.voteState.accepted, NoVerdict)
-	expect(t, "newest", e.Release(), 3)
+	expect(t, "retryAt and retry", fmt.Sprint(retryAt, retry), "0 false")
+	expect(t, "accepted verdict for release 3", e.voteState.accepted, NoVerdict)
+	expect(t, "newest release", e.Release(), 3)
 	e.desired = Promote
-	expect(t, "due", e.VoteDue(9), true)
+	expect(t, "VoteDue(9)", e.VoteDue(9), true)
 	expect(t, "vote on release 3", e.BeginVote(), Vote{Release: 3, Stage: 0, Verdict: Promote})
 }
