--- a/internal/simadapter/fleet_actions_test.go
+++ b/internal/simadapter/fleet_actions_test.go
@@ -2,7 +2,7 @@
 
 import "github.com/tidwall/gjson"
 
-// How the fleet carries out the actions of its instances.
+// This file carries out the actions of the fleet's instances.
 
 // applyAction carries out one action of an instance.
 func (f *fleet) applyAction(k int, name string, fields gjson.Result) {
--- a/internal/simadapter/fleet_backends_test.go
+++ b/internal/simadapter/fleet_backends_test.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// The fleet's backends and the discovery service that lists them.
+// This file implements the fleet's backends and the discovery service that lists them.
 
 const (
 	workersPerBackend = 4 // requests that a backend processes in parallel
@@ -14,7 +14,7 @@
 	drainTime         = 2 * second
 	connectTimeout    = 250 * millisecond
 	maxQueueing       = 800 * millisecond
-	warmUpTime        = 5 * second // time after its start during which a backend takes twice as long
+	warmUpTime        = 5 * second // for this long after its start a backend is twice as slow
 )
 
 // Conditions of a backend in the protocol.
--- a/internal/simadapter/fleet_faults_test.go
+++ b/internal/simadapter/fleet_faults_test.go
@@ -2,7 +2,7 @@
 
 import "maps"
 
-// Faults, starts of instances, and periodic updates from the platform.
+// This file injects faults, starts instances and sends the platform's periodic updates.
 
 // injectFault starts one random fault, which ends by itself, and schedules the next one.
 func (f *fleet) injectFault() {
--- a/internal/simadapter/fleet_releases_test.go
+++ b/internal/simadapter/fleet_releases_test.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// The fleet's release platform: it announces releases one after the other, some of them with a defect, and promotes
-// or rolls them back according to the votes of the instances.
+// This file implements the fleet's release platform. It announces releases one after the other, some of them with a
+// defect, and promotes or rolls them back according to the votes of the instances.
 
 const firstRelease = 1
 
--- a/internal/simadapter/fleet_requests_test.go
+++ b/internal/simadapter/fleet_requests_test.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// The fleet's clients: their requests, attempts and retries.
+// This file implements the fleet's clients, with their requests, attempts and retries.
 
 // Outcomes of an attempt or a probe in the protocol.
 const (
--- a/internal/simadapter/fleet_test.go
+++ b/internal/simadapter/fleet_test.go
@@ -25,7 +25,7 @@
 	fleetStart  = 1000 * second   // initial time of the clock
 )
 
-// scenario is a deployment's settings and the load and faults that it is exposed to, the source of one stream of
+// scenario is a deployment's settings with the load and the faults that it is exposed to. It determines one stream of
 // events.
 type scenario struct {
 	name       string
@@ -118,7 +118,7 @@
 	return f
 }
 
-// schedule runs do after a delay of at least 1 microsecond.
+// schedule runs do after the given delay (us), which counts as at least 1 us.
 func (f *fleet) schedule(delay int64, do func()) {
 	f.sequence++
 	heap.Push(&f.queue, fleetEvent{at: f.now + max(delay, 1), sequence: f.sequence, do: do})
--- a/internal/simadapter/scenarios_test.go
+++ b/internal/simadapter/scenarios_test.go
@@ -2,7 +2,7 @@
 
 import "maps"
 
-// The settings of the fleets in the replay test, in the simulator's format.
+// This file defines the settings of the fleets in the replay test, in the simulator's format.
 
 func classSettings(effect, scope string, worth float64, streamed bool) map[string]any {
 	return map[string]any{
--- a/policy/exposure/affinity.go
+++ b/policy/exposure/affinity.go
@@ -77,8 +77,8 @@
 // callers can cache the result.
 func (a *Affinity) Version() uint64 { return a.version }
 
-// AttemptStarted registers an open attempt at a release: the release may answer the key before the instance sees the
-// answer.
+// AttemptStarted registers an open attempt at a release, because the release may answer the key before the answer
+// arrives here.
 func (a *Affinity) AttemptStarted(key Key, release release.ID) {
 	if key == 0 {
 		return
@@ -153,7 +153,7 @@
 	return n
 }
 
-// PendingKeys returns the number of keys with open attempts, counted for each release.
+// PendingKeys returns the number of keys with open attempts. A key counts once for each release.
 func (a *Affinity) PendingKeys() (n int) {
 	for _, keys := range a.pending {
 		n += len(keys)
--- a/policy/verdict/evaluator.go
+++ b/policy/verdict/evaluator.go
@@ -30,11 +30,11 @@
 	// soloEvaluationDelay (ms) is how long the other instances wait for the evaluators to promote a stage.
 	soloEvaluationDelay = 2000
 
-	// fleetErrorProbability is the probability that enough instances for a rollback are wrong about a release at the
-	// same time.
+	// fleetErrorProbability is the probability that as many instances as a rollback needs are wrong about a release
+	// at the same time.
 	fleetErrorProbability = 0.04
 	// maxErrorProbability is the upper limit on the error probability of one instance. The errors of instances are
-	// not independent, because the same trouble affects many of them.
+	// not independent, because the same fault can affect many of them.
 	maxErrorProbability = 0.05
 )
 
@@ -49,14 +49,14 @@
 
 // Fleet describes the fleet at the time of an evaluation, as seen by this instance.
 type Fleet struct {
-	Instances    int  // in the fleet, at least 1
+	Instances    int  // number of instances, at least 1
 	Index        int  // index of this instance, from 0
 	PeerMessages bool // instances send each other their outcomes
 
 	ArrivalRate        float64 // recent rate of new requests, in any unit that stays the same
 	Places             int     // number of running backends when the rollout began
 	CandidateBackends  int     // running backends of the newest release
-	LastCandidateStart float64 // ms, start of the most recently started one
+	LastCandidateStart float64 // ms, latest start of a candidate backend
 	BaselineIdle       bool    // in the last stage only the candidate receives traffic
 }
 
--- a/policy/verdict/evaluator_test.go
+++ b/policy/verdict/evaluator_test.go
@@ -260,7 +260,7 @@
 		name     string
 		backends int // running the candidate; five of ten places are wanted
 		after    float64
-		before   bool // the stage had enough backends earlier
+		before   bool // the stage had the wanted number earlier
 		want     bool
 	}{
 		{"half of the places", 5, 100, false, true},
--- a/policy/verdict/gates.go
+++ b/policy/verdict/gates.go
@@ -110,7 +110,7 @@
 }
 
 // failureVariation returns how much the failure shares of backends of one release vary. Once the candidate is
-// released, no baseline backends run beside it, so its own variation is included: trouble of a few of its backends
+// released, no baseline backends run beside it, so its own variation is included: failures of a few of its backends
 // must not count against the release.
 func (c comparison) failureVariation(candidate []Outcome) float64 {
 	variation := backendVariation(c.baseline, failureIndicator)
--- a/policy/verdict/saturation.go
+++ b/policy/verdict/saturation.go
@@ -11,8 +11,8 @@
 	// inflationWindow (ms) is the time over which the fleet's latency is averaged. The baseline before a rollout
 	// covers twice as long.
 	inflationWindow = 3000
-	// saturationLimit (ms) is how long the fleet must be saturated before it counts against the candidate. It exceeds
-	// the duration of most trouble that has other causes.
+	// saturationLimit (ms) is how long the fleet must be saturated before it counts against the candidate. Most
+	// saturations with other causes are shorter.
 	saturationLimit = 7000
 	// saturationStart and saturationEnd are the latencies, as multiples of the latency before the rollout, at which a
 	// saturation of the fleet starts and ends.
@@ -103,8 +103,8 @@
 }
 
 // typicalLatency returns a low latency of one of the faster backends, relative to the low latency of each class
-// before the rollout, or 0 if there are too few outcomes. One of the faster backends is used so that trouble of some
-// backends is not mistaken for trouble of all.
+// before the rollout, or 0 if there are too few outcomes. One of the faster backends is used so that some slow
+// backends are not mistaken for a slow fleet.
 func (e *Evaluator) typicalLatency(outcomes [2][][]Outcome, since float64, fleet Fleet) float64 {
 	byBackend := e.relativeToBaseline(outcomes, since)
 	if fleet.Instances >= manyInstances && !fleet.PeerMessages {
--- a/policy/verdict/verdict.go
+++ b/policy/verdict/verdict.go
@@ -1,7 +1,8 @@
-// Package verdict decides how an instance votes on the release that is being rolled out. It holds the evidence
-// (outcomes of attempts by class, of the candidate, which is the newest release, and of the baseline, which is what
-// ran before it), the gates that compare the two, the saturation of the whole fleet since the rollout began, the
-// desired verdict, and the state of the vote that was last sent.
+// Package verdict decides how an instance votes on the release that is being rolled out.
+//
+// An Evaluator collects evidence, which is outcomes of attempts by class, on the candidate (the newest release) and
+// on the baseline (what ran before it). Gates compare the two. The Evaluator also tracks the saturation of the whole
+// fleet since the rollout began, the desired verdict, and the pending and the accepted vote.
 //
 // The package must not do I/O, read a clock, start goroutines, or own a source of random numbers: the time and the
 // generator are passed in with each call, so that the same calls in the same order produce the same votes. It has no
@@ -11,7 +12,7 @@
 
 import "onyxgate/policy/release"
 
-// Verdict is what a vote asks the platform to do with a release.
+// Verdict is the action that a vote requests for a release.
 type Verdict uint8
 
 // The verdicts. Their values are those of the platform's wire protocol.
@@ -22,7 +23,7 @@
 	Rollback
 )
 
-// RolloutControl is what moves a rollout to its next stage.
+// RolloutControl determines how a rollout advances to its next stage.
 type RolloutControl uint8
 
 // The controls. Their values are those of the settings.
@@ -44,7 +45,7 @@
 	VoteOutdated   // the vote was for a release or stage that is no longer the current one
 )
 
-// String returns the source of a release's state, for logs.
+// String returns the name of the message that reported the state of a release, for logs.
 func (r VoteResponse) String() string {
 	if r == NotAVote {
 		return "release update"
