--- a/policy/verdict/gates.go
+++ b/policy/verdict/gates.go
@@ -138,7 +138,7 @@
 	}
 	ratio := latencyRatioLowerBound(latencies(c.candidate), c.baselineLatencies(), minSmallSample, 1-c.errorProbability/latencyErrorDivisor)
 	if ratio > 1+latencyZone+smallSampleMargin {
-		return "latency: candidate slower in a small sample"
+		return "latency: slower by few outcomes"
 	}
 	return ""
 }
