--- a/internal/simadapter/fleet_requests_test.go
+++ b/internal/simadapter/fleet_requests_test.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// This file holds the fleet's clients: requests, their attempts and their retries.
+// This file implements the fleet's clients, with their requests, attempts and retries.
 
-// Outcomes of an attempt or a probe on the wire.
+// Outcomes of an attempt or a probe in the protocol.
 const (
 	outcomeServed = iota + 1
 	outcomeErrored
@@ -16,10 +16,10 @@
 	outcomeNotSent
 )
 
-const maxTries = 3 // of a client
+const maxTries = 3 // tries of one client
 
-// patience is how long (us) a client waits at its first, second and third try.
-var patience = [maxTries]int64{4000 * millisecond, 2500 * millisecond, 1200 * millisecond}
+// clientTimeouts are the times (us) after which a client leaves in its first, second and third try.
+var clientTimeouts = [maxTries]int64{4000 * millisecond, 2500 * millisecond, 1200 * millisecond}
 
 type fleetAttempt struct {
 	backend string
@@ -30,38 +30,38 @@
 type fleetRequest struct {
 	id       string
 	instance int
-	seed     uint64 // of the instance's life in which it came
+	seed     uint64 // incarnation of the instance that accepted the request
 	class    int
 	key      string
-	closed   bool // answered, or the client has gone
+	closed   bool // answered, or the client has left
 	attempts []*fleetAttempt
-	try      int // of the client, from 1
+	try      int // number of the client's try, from 1
 }
 
-// nextArrival has a new request come to an instance, and schedules the one after it.
+// nextArrival sends a new request to an instance and schedules the next one.
 func (f *fleet) nextArrival(k int) {
-	f.after(f.randomTime(second/(f.rate*f.arrivalFactor)), func() { f.nextArrival(k) })
+	f.schedule(f.randomTime(second/(f.rate*f.arrivalFactor)), func() { f.nextArrival(k) })
 	key := ""
-	if f.rng.IntN(4) > 0 { // some keys are asked for far more often than others
+	if f.rng.IntN(4) > 0 { // some keys are much more popular than others
 		key = fmt.Sprint("key/", min(f.rng.IntN(400), f.rng.IntN(400), f.rng.IntN(400)))
 	}
 	f.sendRequest(&fleetRequest{instance: k, class: f.rng.IntN(len(f.streamed)), key: key, try: 1})
 }
 
-// sendRequest sends a request under an ID of its own. One client in forty leaves before its time is up.
+// sendRequest sends a request under a new ID. One client in forty leaves before its timeout.
 func (f *fleet) sendRequest(r *fleetRequest) {
 	in := f.instances[r.instance]
-	if !in.live {
+	if !in.running {
 		return
 	}
 	f.lastID++
 	r.id, r.seed = fmt.Sprint("t/", f.lastID), in.seed
 	in.requests[r.id] = r
-	wait := patience[min(r.try, maxTries)-1]
+	wait := clientTimeouts[min(r.try, maxTries)-1]
 	f.send(r.instance, "knock", f.requestFields(r, wait))
-	f.after(wait, func() { f.timeOut(r) })
+	f.schedule(wait, func() { f.timeOut(r) })
 	if f.rng.IntN(40) == 0 {
-		f.after(f.randomTime(300*millisecond), func() { f.clientGone(r) })
+		f.schedule(f.randomTime(300*millisecond), func() { f.clientGone(r) })
 	}
 }
 
@@ -82,7 +82,7 @@
 	return fields
 }
 
-// instanceKilled tells that the instance that accepted a request has been killed.
+// instanceKilled reports whether the instance that accepted a request has been killed since.
 func (f *fleet) instanceKilled(r *fleetRequest) bool { return f.instances[r.instance].seed != r.seed }
 
 func (f *fleet) clientGone(r *fleetRequest) {
@@ -92,27 +92,27 @@
 	}
 }
 
-// timeOut ends a request's attempts at its deadline. The client leaves a little later.
+// timeOut ends the attempts of a request at its deadline. The client leaves shortly afterwards.
 func (f *fleet) timeOut(r *fleetRequest) {
 	for n, attempt := range r.attempts {
 		if attempt.open {
 			f.finishAttempt(r, n, outcomeTimedOut)
 		}
 	}
-	f.after(20*millisecond, func() { f.clientGone(r) })
+	f.schedule(20*millisecond, func() { f.clientGone(r) })
 }
 
-// startAttempt carries out an attempt.
+// startAttempt runs an attempt at a backend.
 func (f *fleet) startAttempt(r *fleetRequest, backend string) {
 	n, attempt := len(r.attempts), &fleetAttempt{backend: backend, sentAt: f.now, open: true}
 	r.attempts = append(r.attempts, attempt)
 	if r.closed {
-		f.after(1, func() { f.finishAttempt(r, n, outcomeNotSent) })
+		f.schedule(1, func() { f.finishAttempt(r, n, outcomeNotSent) })
 		return
 	}
 	outcome, took := f.runAttempt(f.byID[backend], r.class)
 	if outcome == outcomeServed && f.streamed[r.class] {
-		f.after(took/2, func() {
+		f.schedule(took/2, func() {
 			if attempt.open && !r.closed && !f.instanceKilled(r) {
 				f.send(r.instance, "head-received", map[string]any{
 					"request-id": r.id, "copy": n, "appliance": backend, "took-us": f.now - attempt.sentAt,
@@ -120,10 +120,11 @@
 			}
 		})
 	}
-	f.after(took, func() { f.finishAttempt(r, n, outcome) })
+	f.schedule(took, func() { f.finishAttempt(r, n, outcome) })
 }
 
-// finishAttempt tells how an attempt ended, unless it has ended. Of the answers one in 150 turns out wrong later.
+// finishAttempt reports the outcome of an attempt, unless it has already ended. One in 150 answers is later reported
+// as wrong.
 func (f *fleet) finishAttempt(r *fleetRequest, n, outcome int) {
 	attempt := r.attempts[n]
 	if !attempt.open || f.instanceKilled(r) {
@@ -137,7 +138,7 @@
 		"took-us": f.now - attempt.sentAt, "feedback": f.loadReport(f.byID[attempt.backend]),
 	})
 	if served && f.rng.IntN(150) == 0 {
-		f.after(second, func() {
+		f.schedule(second, func() {
 			f.send(r.instance, "reported-wrong", map[string]any{
 				"appliance": attempt.backend, "kind": r.class, "old-us": f.now - attempt.sentAt,
 			})
@@ -145,11 +146,11 @@
 	}
 }
 
-// retry is the client's next try; half of the clients give up instead.
+// retry sends the client's next try. Half of the clients do not retry.
 func (f *fleet) retry(r *fleetRequest, harmless bool) {
 	mayRetry := r.try < maxTries && (harmless || r.class == 0)
 	if mayRetry && f.rng.IntN(2) == 0 {
-		f.after(50*millisecond+f.randomTime(200*millisecond), func() {
+		f.schedule(50*millisecond+f.randomTime(200*millisecond), func() {
 			f.sendRequest(&fleetRequest{instance: r.instance, class: r.class, key: r.key, try: r.try + 1})
 		})
 	}
