--- a/internal/ci/clock_test.go
+++ b/internal/ci/clock_test.go
@@ -15,7 +15,7 @@
 // wallClockUses are the lines that may read it, and why.
 var wallClockUses = map[string]string{
 	"internal/core/clock.go: return time.Now().UnixNano()":          "the epoch of Core.Now, and steps against the monotonic clock",
-	"internal/httpwire/conn.go: canceledDeadline = time.Unix(1, 0)": "a deadline long past, by any clock",
+	"internal/httpwire/conn.go: expiredDeadline = time.Unix(1, 0)":  "a deadline long past, by any clock",
 	"internal/httpwire/writer.go: SetReadDeadline(time.Unix(1, 0))": "the same",
 	"internal/sources/dns/transport.go: time.Unix(1, 0)":            "the same",
 	"internal/record/sqlstore/schema.go: time.Now().UnixMilli()":    "a time that is stored for people",
