--- a/internal/httpwire/front.go
+++ b/internal/httpwire/front.go
@@ -67,7 +67,7 @@
 		longestTimeout = max(longestTimeout, config.Classes[i].Timeout)
 		f.classes[name] = class{index: i, semantics: config.Classes[i].Semantics}
 	}
-	f.killDelay = acceptWindow + fromMilliseconds(min(longestTimeout, maxKillDelayMs))
+	f.killDelay = acceptWindow + fromMilliseconds(min(longestTimeout, maxTimeoutTermMs))
 	return f
 }
 
--- a/internal/httpwire/lists_test.go
+++ b/internal/httpwire/lists_test.go
@@ -18,8 +18,8 @@
 	list := "{\n \"version\": 9,\n \"full\": true,\n \"servers\": [\n  {\"id\": \"u\", \"addr\": \"u:1\", \"state\": \"Ready\",\n" +
 		"   \"version_no\": 1}\n ]\n}\n"
 	for _, c := range []struct {
-		name string
-		ask  func(*Discovery, context.Context)
+		name  string
+		start func(*Discovery, context.Context)
 	}{
 		{"watch", (*Discovery).Run},
 		{"fetch", (*Discovery).fetchSnapshot},
@@ -28,7 +28,7 @@
 			server := newFakeBackend(t)
 			instance := newTestInstance(network{}, NewSockets(0))
 			instance.discovery.dial, instance.discovery.address = dialTCP, server.address()
-			go c.ask(instance.discovery, t.Context()) // ends with the test
+			go c.start(instance.discovery, t.Context()) // ends with the test
 			conn := <-server.conns
 			t.Cleanup(func() { conn.Close() })
 			conn.mustReadRequest(t)
--- a/internal/httpwire/loopback_test.go
+++ b/internal/httpwire/loopback_test.go
@@ -138,8 +138,8 @@
 }
 
 // waitUntil yields the processor until the condition is true.
-func waitUntil(holds func() bool) {
-	for !holds() {
+func waitUntil(condition func() bool) {
+	for !condition() {
 		runtime.Gosched()
 	}
 }
--- a/internal/httpwire/shutdown.go
+++ b/internal/httpwire/shutdown.go
@@ -11,8 +11,8 @@
 	// for up to 0.4 s after it.
 	acceptWindow = 700 * time.Millisecond
 	// The process is not killed before acceptWindow plus the longest request timeout have passed since the signal.
-	// maxKillDelayMs is the upper limit of the second term (ms).
-	maxKillDelayMs = 3000.0
+	// maxTimeoutTermMs is the upper limit of the second term (ms).
+	maxTimeoutTermMs = 3000.0
 	// closeBeforeKill is how long before the kill connections begin to be closed after their request.
 	closeBeforeKill = 1500 * time.Millisecond
 	// answerBeforeKill is how long before the kill every open request must have been answered.
--- a/internal/httpwire/sockets_test.go
+++ b/internal/httpwire/sockets_test.go
@@ -105,13 +105,13 @@
 // pausedReader is a client's socket whose Read is paused after it has taken bytes from the socket and before it returns.
 type pausedReader struct {
 	net.Conn
-	taken, resume chan bool
+	bytesRead, resume chan bool
 }
 
 func (s pausedReader) Read(b []byte) (int, error) {
 	n, err := s.Conn.Read(b)
 	if n > 0 {
-		s.taken <- true
+		s.bytesRead <- true
 		<-s.resume
 	}
 	return n, err
@@ -130,7 +130,7 @@
 func (r pausedRawConn) Read(f func(uintptr) bool) error {
 	err := r.RawConn.Read(f)
 	if err == nil {
-		r.conn.taken <- true
+		r.conn.bytesRead <- true
 		<-r.conn.resume
 	}
 	return err
@@ -165,7 +165,7 @@
 		}
 		read <- n
 	}()
-	<-reader.taken
+	<-reader.bytesRead
 	s.CloseIdleClients()
 	if conn.closed {
 		t.Errorf("connection closed = %v after a byte of the next request was read, want false", conn.closed)
@@ -196,8 +196,8 @@
 	conn := s.track(socket, true)
 	defer conn.Close()
 	s.ConnIdle(conn, false)
-	if taken, isIdle := s.popIdleClient(s.idleConns, 0); taken != conn || !isIdle {
-		t.Fatalf("popIdleClient = %v, %v; want %v, true", taken, isIdle, conn)
+	if popped, isIdle := s.popIdleClient(s.idleConns, 0); popped != conn || !isIdle {
+		t.Fatalf("popIdleClient = %v, %v; want %v, true", popped, isIdle, conn)
 	}
 	send(client, "G")
 	if n, err := conn.Read(make([]byte, 9)); n != 0 || !errors.Is(err, net.ErrClosed) {
--- a/internal/httpwire/streams_test.go
+++ b/internal/httpwire/streams_test.go
@@ -72,8 +72,8 @@
 	if silent := log.at[1].Sub(from); silent < watchIdleTimeout || silent > watchIdleTimeout+time.Second {
 		t.Errorf("silent watch reopened after %v, want %v to %v", silent, watchIdleTimeout, watchIdleTimeout+time.Second)
 	}
-	if lived := log.at[2].Sub(log.at[1]); lived < 10*time.Second || lived > 11*time.Second {
-		t.Errorf("watch with keep-alives replaced after %v, want 10s to 11s", lived)
+	if openFor := log.at[2].Sub(log.at[1]); openFor < 10*time.Second || openFor > 11*time.Second {
+		t.Errorf("watch with keep-alives replaced after %v, want 10s to 11s", openFor)
 	}
 	instance.close()
 }
--- a/internal/httpwire/upstream_crossings_test.go
+++ b/internal/httpwire/upstream_crossings_test.go
@@ -95,12 +95,12 @@
 // A connection is not reused if, during its call, a list replaces the backend at its address.
 func TestVacatedAddressConnNotReused(t *testing.T) {
 	restarted := `{"id":"s","addr":"ADDR","state":"Ready","weight":1,"version_no":2,"started_ms":5}`
-	took := `{"id":"u","addr":"ADDR","state":"Terminating","weight":1,"version_no":2}`
-	left := `{"id":"s","addr":"OTHER","state":"Ready","weight":1,"version_no":1}`
+	successor := `{"id":"u","addr":"ADDR","state":"Terminating","weight":1,"version_no":2}`
+	moved := `{"id":"s","addr":"OTHER","state":"Ready","weight":1,"version_no":1}`
 	for _, c := range []struct{ name, entries string }{
 		{"restarted", restarted},
-		{"address taken by another backend", left + "," + took},
-		{"address taken by another backend, listed first", took + "," + left},
+		{"address taken by another backend", moved + "," + successor},
+		{"address taken by another backend, listed first", successor + "," + moved},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			backend, other := newFakeBackend(t), newFakeBackend(t)
