--- a/internal/httpwire/attempt.go
+++ b/internal/httpwire/attempt.go
@@ -16,7 +16,7 @@
 // Errors of attempts that were not sent.
 var (
 	errNoAddress          = errors.New("backend not in the endpoint list")
-	errBackendMoved       = errors.New("backend left its address during the dial")
+	errBackendMoved       = errors.New("backend left its address before the attempt was sent")
 	errCanceledBeforeSent = errors.New("attempt canceled before it was sent")
 )
 
--- a/internal/httpwire/attempt_test.go
+++ b/internal/httpwire/attempt_test.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// malformedOutcomes are complete but invalid responses.
+// malformedOutcomes are invalid responses after which the backend closes the connection.
 func malformedOutcomes() []outcomeCase {
 	responses := []struct{ name, text string }{
 		{"no response", ""},
@@ -99,7 +99,7 @@
 	return cases
 }
 
-// unfinishedOutcomes are responses that begin and do not end, or are cut off.
+// unfinishedOutcomes are responses that are cut off, exceed a limit, or stop while the connection stays open.
 func unfinishedOutcomes() []outcomeCase {
 	chunks := strings.Repeat("4000\r\n"+strings.Repeat("a", 0x4000)+"\r\n", 9)
 	peers := []struct {
@@ -138,7 +138,8 @@
 	return func(conn net.Conn) { _, _ = conn.Read(make([]byte, bytes)) } // an error ends it too
 }
 
-// Requests and responses are forwarded unchanged, except for hop-by-hop headers.
+// A request is forwarded with its request line, headers and body unchanged, except for hop-by-hop headers. Of the
+// response, the client gets the body and the Content-Type.
 func TestRequestForwarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var got bytes.Buffer
--- a/internal/httpwire/conn.go
+++ b/internal/httpwire/conn.go
@@ -1,7 +1,5 @@
 package httpwire
 
-// A conn is one connection, to a backend or to the platform, on which one request at a time is sent.
-
 import (
 	"bufio"
 	"bytes"
@@ -27,13 +25,13 @@
 // expiredDeadline is a time in the past: setting it as a deadline interrupts a call in progress.
 var expiredDeadline = time.Unix(1, 0)
 
-// conn is one connection to a backend or to the platform. Only one goroutine at a time may use it, but any may call
-// Cancel.
+// conn is one connection to a backend or to the platform, on which one request at a time is sent. Only one goroutine at
+// a time may use it, but any may call Cancel.
 type conn struct {
 	net.Conn
 	in        *bufio.Reader
 	pool      *pool  // nil for a connection to the platform
-	probeBody []byte // body of the last response if the last call was a probe
+	probeBody []byte // body of the last response if it answered a probe with status 200
 	idleSince time.Time
 
 	mu       sync.Mutex // serializes Cancel and setReadTimeout
--- a/internal/httpwire/control.go
+++ b/internal/httpwire/control.go
@@ -1,6 +1,6 @@
 package httpwire
 
-// The streams from discovery and from the platform each use a connection of their own: one GET request, and one
+// Streams and snapshots from discovery and the platform each use a separate connection: one GET request, and one
 // response that is read as it arrives.
 
 import (
--- a/internal/httpwire/discovery.go
+++ b/internal/httpwire/discovery.go
@@ -65,7 +65,7 @@
 
 	refreshes   chan bool     // true: fetch a snapshot; false: open the watch
 	moved       chan bool     // signals that the address has changed
-	firstUpdate chan struct{} // closed once discovery has sent a list
+	firstUpdate chan struct{} // closed once a list from discovery has been passed on
 
 	// applyOrder is a lock held until an accepted list has been passed on, so that lists are passed on in the order in
 	// which they were accepted. It is a channel because a test must detect that a goroutine is blocked on it.
@@ -104,7 +104,7 @@
 }
 
 // OnUpdate sets the function that receives each list instead of the core, for merging with other sources. onDisconnect
-// is called whenever a watch breaks or becomes silent.
+// is called whenever a watch ends, for whatever reason, and whenever one can't be opened.
 func (d *Discovery) OnUpdate(onUpdate func(update policy.EndpointUpdate, addresses []string), onDisconnect func()) {
 	d.onUpdate, d.onDisconnect = onUpdate, onDisconnect
 }
@@ -123,8 +123,8 @@
 	return d.current.version, len(d.directory.addressOf)
 }
 
-// Refresh asks Run to fetch a snapshot, or to open the watch if it is not open. It does not block: if too many requests
-// are queued, the request is dropped.
+// Refresh asks Run to fetch a snapshot, or to open the watch if it is not open. It does not block: if the queue of calls
+// is full, it does nothing.
 func (d *Discovery) Refresh(snapshot bool) {
 	select {
 	case d.refreshes <- snapshot:
@@ -132,12 +132,12 @@
 	}
 }
 
-// FirstUpdate returns a channel that is closed once discovery has sent a list. Until then, only the list from the
-// configuration is known.
+// FirstUpdate returns a channel that is closed once a list from discovery has been passed on. Until then, only the list
+// from the configuration is known.
 func (d *Discovery) FirstUpdate() <-chan struct{} { return d.firstUpdate }
 
-// SetAddress sets a new address of discovery. The watch there is opened at once, and the old one is kept until the new
-// one delivers data.
+// SetAddress sets a new address of discovery. If Run keeps a watch open, it opens the watch at the new address at once.
+// An old watch that has delivered data is kept until the new one does.
 func (d *Discovery) SetAddress(address string) {
 	d.mu.Lock()
 	d.address = address
--- a/internal/httpwire/front.go
+++ b/internal/httpwire/front.go
@@ -26,8 +26,9 @@
 	MaxBodyBytes int64
 }
 
-// Front serves clients and gives each request exactly one response. Invalid requests are rejected by its parser and
-// reach neither the core nor a backend. Its methods are safe for concurrent use.
+// Front serves clients and gives each request exactly one response, unless the client has gone. Invalid requests never
+// reach a backend and, except for those with a duplicate id, do not reach the core either. Its methods are safe for
+// concurrent use.
 type Front struct {
 	core            *core.Core
 	upstream        *Upstream
--- a/internal/httpwire/interceptor_test.go
+++ b/internal/httpwire/interceptor_test.go
@@ -143,8 +143,8 @@
 	}
 }
 
-// The interceptor learns the outcome if a client disconnects before or during its response, if a handler fails, or if a
-// request is rejected because the front's limits are exceeded.
+// The interceptor learns the outcome if a client disconnects before or during its response, if a request fails, or if it
+// is rejected because the front's limits are exceeded.
 func TestInterceptorsFailures(t *testing.T) {
 	for _, c := range []struct {
 		name string
--- a/internal/httpwire/lists_test.go
+++ b/internal/httpwire/lists_test.go
@@ -50,7 +50,7 @@
 		second func(net.Conn)
 	}{
 		{"second stream sends", nil},
-		{"refused", func(net.Conn) {}},
+		{"connection accepted and closed", func(net.Conn) {}},
 		{"connection accepted, no response", holdSilent},
 		{"response head only", answerAndHold(streamHead)},
 		{"incomplete list", answerAndHold(streamHead + chunk(change[:30]))},
--- a/internal/httpwire/pool.go
+++ b/internal/httpwire/pool.go
@@ -36,7 +36,7 @@
 	mu        sync.Mutex
 	byAddress map[string]*pool
 	opened    int // connections opened so far
-	noSocket  int // calls that failed with errNoSocket
+	noSocket  int // calls for which the socket budget had no room
 }
 
 // pool holds the connections to one address. It exists while a connection to the address is idle, in use or being
@@ -254,7 +254,8 @@
 	}
 }
 
-// counts returns the number of connections opened so far, of idle ones, and of calls that failed with errNoSocket.
+// counts returns the number of connections opened so far, of idle ones, and of calls for which the socket budget had no
+// room. It does not count calls whose dial failed because the process was out of sockets.
 func (ps *connPools) counts() (opened, idle, noSocket int) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
--- a/internal/httpwire/requestbody.go
+++ b/internal/httpwire/requestbody.go
@@ -7,8 +7,8 @@
 )
 
 // readBody reads the whole body of a request before the request is passed to the core. The client's timeout, which ends
-// at deadline (ms of the core's clock), runs meanwhile. The error is errIncompleteBody if the body does not arrive in
-// time.
+// at deadline (ms of the core's clock), runs meanwhile. The only error is errIncompleteBody: the body did not arrive
+// completely or in time.
 func (f *Front) readBody(w http.ResponseWriter, r *http.Request, length int64, deadline float64) ([]byte, error) {
 	body := make([]byte, length)
 	if length == 0 {
--- a/internal/httpwire/shutdown.go
+++ b/internal/httpwire/shutdown.go
@@ -10,8 +10,8 @@
 	// acceptWindow is the minimum time for which new connections are accepted after the shutdown signal. They arrive
 	// for up to 0.4 s after it.
 	acceptWindow = 700 * time.Millisecond
-	// The process is not killed before acceptWindow plus the longest request timeout have passed since the signal.
-	// maxTimeoutTermMs is the upper limit of the second term (ms).
+	// maxTimeoutTermMs limits the second term of the kill delay (ms): the process is not killed before acceptWindow plus
+	// the longest request timeout have passed since the signal.
 	maxTimeoutTermMs = 3000.0
 	// closeBeforeKill is how long before the kill connections begin to be closed after their request.
 	closeBeforeKill = 1500 * time.Millisecond
@@ -48,8 +48,8 @@
 	})
 }
 
-// drained reports whether no request is open and no more are expected, at the given time since the signal. From
-// closeBeforeKill on it also closes the connections that carry no request.
+// drained reports whether no request is open and no more are expected, at the given time since the signal. When less than
+// closeBeforeKill is left, it also closes the connections that carry no request.
 func (f *Front) drained(sinceSignal time.Duration) bool {
 	if sinceSignal < acceptWindow {
 		return false
--- a/internal/httpwire/sockets.go
+++ b/internal/httpwire/sockets.go
@@ -16,10 +16,10 @@
 	reservedSockets = 16
 	// minSockets is the smallest budget, however low the descriptor limit is.
 	minSockets = 4
-	// unlimitedSockets is the limit for a process that has none.
+	// unlimitedSockets is the number of descriptors assumed for a process without a limit.
 	unlimitedSockets = 1 << 20
 
-	// clientShare is the share of the budget above which an idle client connection is closed for each new one. Clients
+	// clientShare is the share of the budget at which clients begin to lose an idle connection for each new one. Clients
 	// need about a third of the budget for their requests. Clients that send one request and stay connected would fill
 	// that third and lock out all others, so eviction starts below it.
 	clientShare = 0.25
@@ -32,8 +32,8 @@
 	// with hundreds of them idle, each would be used again before a longer grace period expires.
 	idleGrace = 20 * time.Millisecond
 	// newConnGrace is how long a connection without a request yet is protected from eviction, unless nothing else can be
-	// closed. A slow client takes time to send a request head, and its request is lost if the connection is closed, so a
-	// shorter silence is normal. After that time, the connection may be one of hundreds that never carry a request.
+	// closed. A shorter silence is normal, because a slow client takes time to send a request head, and its request is
+	// lost if the connection is closed. After that time, the connection may be one of hundreds that never carry a request.
 	newConnGrace = time.Second
 
 	// shortageLogInterval is the minimum time between two warnings that the budget is exhausted.
@@ -41,8 +41,12 @@
 )
 
 // Sockets is the budget of open connections that clients and backends share. It counts them and closes idle ones when
-// the budget runs short. It never closes a connection that carries a request, and it does not let silent clients block
-// others: a connection that waits in the listener's backlog may already have sent a request.
+// the budget runs short. It never closes a connection whose request is being handled, nor one that was served before and
+// on which the next request has begun to arrive. A new connection counts as idle until its first request head is
+// complete.
+//
+// Silent clients must not block others: a client whose connection waits in the listener's backlog may already have sent
+// a request.
 //
 // Its methods are safe for concurrent use.
 type Sockets struct {
@@ -51,12 +55,12 @@
 	// before any connection is opened. It is called without mu held, because closing a tracked connection locks mu.
 	closeIdleBackend func() bool
 
-	// mu guards the fields below and the fields of trackedConn that are marked so. Two non-blocking operations on a
-	// client's socket also run with mu held: reading request bytes and checking for unread data. No other callback does.
+	// mu guards the fields below and the fields of trackedConn that are marked so. Only two callbacks run with mu held,
+	// both on a client's socket and without blocking: reading request bytes and checking for unread data.
 	mu               sync.Mutex
 	used             int        // open connections
 	clients          int        // open client connections
-	newConns         *list.List // of *trackedConn: clients that have not sent a request yet, oldest entry first
+	newConns         *list.List // of *trackedConn: clients without a complete request head so far, oldest entry first
 	idleConns        *list.List // of *trackedConn: clients between two requests, oldest entry first
 	shortageLoggedAt time.Time
 }
@@ -111,8 +115,9 @@
 	return o
 }
 
-// makeRoom closes at most one idle connection if room is short for one more connection of a client or to a backend, and
-// reports whether there is room afterwards. It reserves nothing: track counts the connection once it is established.
+// makeRoom prepares for one more connection, of a client or to a backend, and reports whether there is room for it. It
+// closes at most one idle connection: if there is no room, or if the connection is a client's and clients hold at least
+// clientShare. It reserves nothing: track counts the connection once it is established.
 func (s *Sockets) makeRoom(isClient bool) bool {
 	before := s.occupancy(isClient)
 	shouldFree := !before.hasRoom || isClient && before.clientsOverShare
@@ -127,10 +132,16 @@
 	return after.hasRoom
 }
 
-// closeOneIdle closes the idle connection that is least likely to be needed. The first choice is a client connection
-// that has been silent for newConnGrace since it was accepted. The second is a connection between requests: of a client
-// if clients exceed their share, otherwise of a backend if the budget is full, otherwise of a client. The last is a
-// recently accepted connection, whose client may be about to send a request.
+// closeOneIdle closes at most one idle connection, trying the ones that are least likely to be needed first:
+//
+//  1. a client connection without a request that was accepted at least newConnGrace ago
+//  2. a client connection between requests, if clients hold at least clientShare
+//
+// If there is no room for the requested connection, it goes on with:
+//
+//  3. a backend connection, if the budget is full
+//  4. a client connection between requests
+//  5. a client connection that was accepted at least idleGrace ago: its client may be about to send a request
 func (s *Sockets) closeOneIdle(o occupancy) {
 	if s.closeIdleClient(s.newConns, newConnGrace) {
 		return
@@ -165,7 +176,7 @@
 const maxBusySkipped = 8
 
 // closeIdleClient closes the first connection of a list, which is its oldest entry, if it has been listed for at least
-// the grace period, and reports whether it closed one. A connection with unread bytes carries a request: it is removed
+// the grace period, and reports whether it closed one. A connection with unread data may carry a request: it is removed
 // from the list and the next one is tried.
 func (s *Sockets) closeIdleClient(from *list.List, grace time.Duration) (closed bool) {
 	for range maxBusySkipped {
@@ -196,12 +207,13 @@
 		return nil, false
 	}
 	conn.removeFromList()
-	// Read holds the same lock, so it either takes the bytes before this check or sees the mark after it.
+	// Read holds the same lock, so it either reads the bytes before this check or sees the mark after it.
 	conn.evicted = hasNoUnreadData(conn.Conn)
 	return conn, conn.evicted
 }
 
-// CloseIdleClients closes all client connections that carry no request, except those active less than idleGrace ago.
+// CloseIdleClients closes client connections that carry no request, except those active less than idleGrace ago. It may
+// miss some if maxBusySkipped connections in a row turn out not to be idle.
 func (s *Sockets) CloseIdleClients() {
 	for s.closeIdleClient(s.idleConns, idleGrace) || s.closeIdleClient(s.newConns, idleGrace) {
 	}
--- a/internal/httpwire/sockets_test.go
+++ b/internal/httpwire/sockets_test.go
@@ -12,7 +12,8 @@
 	"onyxgate/policy"
 )
 
-// When sockets are short, the connection that has been idle longest is closed. New and active connections are kept.
+// When sockets are short, idle connections are closed in the order that closeOneIdle defines. Connections in use and
+// those active less than idleGrace ago are kept.
 func TestSocketEviction(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := NewSockets(reservedSockets + 10) // 8 for clients; from 3 on, idle ones are closed
@@ -102,7 +103,7 @@
 	})
 }
 
-// pausedReader is a client's socket whose Read is paused after it has taken bytes from the socket and before it returns.
+// pausedReader is a client's socket whose Read is paused between reading bytes and returning them.
 type pausedReader struct {
 	net.Conn
 	bytesRead, resume chan bool
--- a/internal/httpwire/stream.go
+++ b/internal/httpwire/stream.go
@@ -13,7 +13,7 @@
 
 const (
 	reconnectPauseMin = 100.0  // ms, before jitter
-	reconnectPauseMax = 1000.0 // ms, before jitter: changes in discovery count as known 4 to 6 s after they were made
+	reconnectPauseMax = 1000.0 // ms, before jitter; short: changes in discovery count as known after 4 to 6 s
 )
 
 // streamState is the state of the newest stream.
--- a/internal/httpwire/streams_test.go
+++ b/internal/httpwire/streams_test.go
@@ -35,7 +35,7 @@
 	send(conn, streamHead+chunk(text))
 }
 
-// A watch that breaks or becomes silent is reopened from the current version, and so is the stream of notices.
+// A watch that breaks or becomes silent is reopened from the current version. A silent stream of notices is reopened too.
 func TestStreamReconnect(t *testing.T) {
 	t.Run("watch", func(t *testing.T) { synctest.Test(t, testWatchReopened) })
 	t.Run("notices", func(t *testing.T) { synctest.Test(t, testNoticesReopened) })
--- a/internal/httpwire/trace.go
+++ b/internal/httpwire/trace.go
@@ -54,7 +54,7 @@
 	}).Debug("request")
 }
 
-// traceAttempt logs the result of an attempt and the release of its backend. err is nil if the backend responded.
+// traceAttempt logs the result of an attempt and the release of its backend. err is nil if the response was valid.
 func traceAttempt(attempt *core.Attempt, result policy.AttemptStatus, err error) {
 	if !traceEnabled() {
 		return
--- a/internal/httpwire/trackedconn.go
+++ b/internal/httpwire/trackedconn.go
@@ -63,9 +63,9 @@
 	}
 }
 
-// Read marks a client connection as no longer idle. Once a request has begun to arrive, the connection must not be
-// closed to make room: the request could be complete before the close arrives, and would be lost. Therefore bytes are
-// read from a client's socket under the same lock under which the connection is found idle and evicted.
+// Read removes a client connection from idleConns when the next request begins to arrive. From then on the connection
+// must not be closed to make room: the request could be complete before the close arrives, and would be lost. Therefore
+// bytes are read from a client's socket under the same lock under which the connection is found idle and evicted.
 func (c *trackedConn) Read(b []byte) (n int, err error) {
 	if !c.isClient {
 		return c.Conn.Read(b)
--- a/internal/httpwire/upstream.go
+++ b/internal/httpwire/upstream.go
@@ -1,11 +1,11 @@
 package httpwire
 
-// This file holds Upstream's configuration and state. Its parts are pool.go (connection reuse), conn.go (one connection
-// and a round trip on it), upstreamresponse.go (the response parser), attempt.go (attempts and their outcomes),
-// loadprobe.go and loadreport.go.
+// This file holds Upstream's configuration and state. The other files of Upstream are pool.go (connection reuse), conn.go
+// (one connection and a round trip on it), upstreamresponse.go (the response parser), attempt.go (attempts and their
+// outcomes), loadprobe.go and loadreport.go.
 //
-// Upstream must never retry on its own, choose a backend, or abort a call before it is canceled: one call sends one
-// attempt and reports one result.
+// Upstream must never retry on its own or choose a backend: one call sends one attempt and reports one result. Nor must
+// it abort an attempt that is not canceled, except after ConnectTimeout or responseReadTimeout.
 
 import (
 	"context"
@@ -73,5 +73,6 @@
 // in use or being dialed at the end of their call.
 func (u *Upstream) CloseAddress(address string) { u.conns.closeAddress(address) }
 
-// Connections returns the number of connections opened so far, of idle ones, and of calls for which no socket was left.
+// Connections returns the number of connections opened so far, of idle ones, and of calls for which the socket budget had
+// no room.
 func (u *Upstream) Connections() (opened, idle, noSocket int) { return u.conns.counts() }
--- a/internal/httpwire/validate.go
+++ b/internal/httpwire/validate.go
@@ -26,8 +26,8 @@
 	bodyBytes      int64
 }
 
-// validationError describes why a request is invalid, and the response to it. Invalid requests reach neither the core
-// nor a backend.
+// validationError describes why a request is invalid, and the response to it. Only errDuplicateID is detected by the
+// core; all other invalid requests reach neither the core nor a backend.
 type validationError struct {
 	status int
 	text   string // body of the response
@@ -98,8 +98,8 @@
 	return nil
 }
 
-// checkVersion rejects HTTP/1.0, for which net/http silently drops the transfer coding that checkTransferCoding looks
-// for.
+// checkVersion rejects all versions but HTTP/1.1. For HTTP/1.0, net/http silently drops the transfer coding that
+// checkTransferCoding looks for.
 func (p *requestParser) checkVersion() error {
 	if p.request.ProtoMajor != 1 || p.request.ProtoMinor != 1 {
 		return errHTTPVersion
