--- a/internal/httpwire/sockets_test.go
+++ b/internal/httpwire/sockets_test.go
@@ -12,7 +12,8 @@
 	"onyxgate/policy"
 )
 
-// When sockets are short, the connection that has been idle longest is closed. New and active connections are kept.
+// When sockets are short, idle connections are closed in the order that closeOneIdle defines. Connections in use and
+// those active less than idleGrace ago are kept.
 func TestSocketEviction(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := NewSockets(reservedSockets + 10) // 8 for clients; from 3 on, idle ones are closed
@@ -102,16 +103,16 @@
 	})
 }
 
-// pausedReader is a client's socket whose Read is paused after it has taken bytes from the socket and before it returns.
+// pausedReader is a client's socket whose Read is paused between reading bytes and returning them.
 type pausedReader struct {
 	net.Conn
-	taken, resume chan bool
+	bytesRead, resume chan bool
 }
 
 func (s pausedReader) Read(b []byte) (int, error) {
 	n, err := s.Conn.Read(b)
 	if n > 0 {
-		s.taken <- true
+		s.bytesRead <- true
 		<-s.resume
 	}
 	return n, err
@@ -130,7 +131,7 @@
 func (r pausedRawConn) Read(f func(uintptr) bool) error {
 	err := r.RawConn.Read(f)
 	if err == nil {
-		r.conn.taken <- true
+		r.conn.bytesRead <- true
 		<-r.conn.resume
 	}
 	return err
@@ -165,7 +166,7 @@
 		}
 		read <- n
 	}()
-	<-reader.taken
+	<-reader.bytesRead
 	s.CloseIdleClients()
 	if conn.closed {
 		t.Errorf("connection closed = %v after a byte of the next request was read, want false", conn.closed)
@@ -196,8 +197,8 @@
 	conn := s.track(socket, true)
 	defer conn.Close()
 	s.ConnIdle(conn, false)
-	if taken, isIdle := s.popIdleClient(s.idleConns, 0); taken != conn || !isIdle {
-		t.Fatalf("popIdleClient = %v, %v; want %v, true", taken, isIdle, conn)
+	if popped, isIdle := s.popIdleClient(s.idleConns, 0); popped != conn || !isIdle {
+		t.Fatalf("popIdleClient = %v, %v; want %v, true", popped, isIdle, conn)
 	}
 	send(client, "G")
 	if n, err := conn.Read(make([]byte, 9)); n != 0 || !errors.Is(err, net.ErrClosed) {
