--- a/policy/admission.go
+++ b/policy/admission.go
@@ -19,9 +19,9 @@
 	cancellationsPerRequest, maxCancellations = 0.1, 20
 )
 
-// admit sets the latency objective and value of a new request and counts it for the exposure cap and the cancellation
+// prepareRequest sets the latency objective and value of a new request and counts it for the exposure cap and the cancellation
 // budget.
-func (inst *Instance) admit(req *request, incoming Request) {
+func (inst *Instance) prepareRequest(req *request, incoming Request) {
 	req.objectiveDeadline = inst.objectiveDeadline(req, incoming)
 	req.value = inst.classes[req.class].Value
 	if inst.quotas.OverQuota(req.tenant, req.arrivedAt) {
--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -92,12 +92,12 @@
 			inst.requests["t"].objectiveDeadline -= tc.waited
 			inst.requests["t"].attempts[0].lateAt = inst.latencyDeadline(inst.requests["t"])
 			inst.endpoints.At(0).Limit = 1.5
-			was := inst.endpoints.At(0).Limit
+			before := inst.endpoints.At(0).Limit
 			inst.OnTimer(2+tc.elapsed, 0)
 			inst.OnAttemptResult(2+tc.elapsed, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Elapsed: tc.elapsed})
 			port.takeActions()
-			if got := inst.endpoints.At(0).Limit; got < was != tc.lowers || got > was != tc.raises {
-				t.Errorf("concurrency limit changed from %.1f to %.1f; want lowered %v, raised %v", was, got, tc.lowers, tc.raises)
+			if got := inst.endpoints.At(0).Limit; got < before != tc.lowers || got > before != tc.raises {
+				t.Errorf("concurrency limit changed from %.1f to %.1f; want lowered %v, raised %v", before, got, tc.lowers, tc.raises)
 			}
 		})
 	}
--- a/policy/events.go
+++ b/policy/events.go
@@ -87,7 +87,7 @@
 		inst.arrivals.Add(now)
 	}
 	inst.requests[incoming.ID] = req
-	inst.admit(req, incoming)
+	inst.prepareRequest(req, incoming)
 	inst.applyRules()
 }
 
--- a/policy/exposure_test.go
+++ b/policy/exposure_test.go
@@ -30,19 +30,19 @@
 			inst.configureExposure(ExposureConfig{FreeAttempts: 2, Caps: []float64{0.1, 0.5, 1}, GuardedStages: tc.guarded})
 			inst.OnReleaseUpdate(2, ReleaseUpdate{Release: tc.update, Phase: tc.phase, Cap: tc.limit, HasState: true})
 			inst.OnEndpoints(3, EndpointUpdate{Endpoints: []Endpoint{{ID: "x", Release: 2, Weight: 1}, {ID: "y", Release: 2, Weight: 1}, {ID: "z", Release: 2, Weight: 4}}})
-			n := 0
+			attempts := 0
 			for k := range 100 {
 				id, now := fmt.Sprint(k), 10+float64(k)*20
 				inst.OnRequest(now, Request{ID: id, TimeLeft: 4000})
 				for _, action := range port.takeActions() {
 					if strings.ContainsAny(action[len(action)-1:], "xyz") {
-						n++
+						attempts++
 					}
 				}
 				inst.OnAttemptResult(now+10, AttemptResult{RequestID: id, Status: StatusServed, Final: true, Elapsed: 10})
 			}
-			if n > tc.most || n < tc.least {
-				t.Errorf("%d attempts at release 2, want %d to %d", n, tc.least, tc.most)
+			if attempts > tc.most || attempts < tc.least {
+				t.Errorf("%d attempts at release 2, want %d to %d", attempts, tc.least, tc.most)
 			}
 		})
 	}
--- a/policy/replay_test.go
+++ b/policy/replay_test.go
@@ -76,9 +76,9 @@
 	case 1:
 		release, stage, phase, response := ReleaseID(1+s.rng.IntN(5)), s.rng.IntN(3), Phase(s.rng.IntN(4)), VoteResponse(s.rng.IntN(5))
 		limit := []float64{0.5, 0, 1, 0}[phase]
-		known := s.rng.IntN(3) > 0
-		s.inst.OnReleaseUpdate(now, ReleaseUpdate{Release: release, Stage: stage, Phase: phase, Response: response, Cap: limit, Age: s.rng.Float64() * 100, HasState: known})
-		return fmt.Sprint("news ", release, stage, int(phase), int(response), known)
+		hasState := s.rng.IntN(3) > 0
+		s.inst.OnReleaseUpdate(now, ReleaseUpdate{Release: release, Stage: stage, Phase: phase, Response: response, Cap: limit, Age: s.rng.Float64() * 100, HasState: hasState})
+		return fmt.Sprint("news ", release, stage, int(phase), int(response), hasState)
 	case 2, 3, 4, 5, 6, 7:
 		s.ids++
 		id, key := fmt.Sprint("r", s.ids), ""
--- a/policy/routing_test.go
+++ b/policy/routing_test.go
@@ -103,14 +103,14 @@
 func TestQueueFull(t *testing.T) {
 	for _, tc := range []struct {
 		maxOpen  float64
-		taken    int
+		received int
 		rejected int
 	}{{math.Inf(1), 30, 0}, {20, 12, 0}, {20, 30, 18}} {
-		t.Run(fmt.Sprintf("at most %v open requests, %d received", tc.maxOpen, tc.taken), func(t *testing.T) {
+		t.Run(fmt.Sprintf("at most %v open requests, %d received", tc.maxOpen, tc.received), func(t *testing.T) {
 			inst, port := startInstance(RequestClass{}, 1)
 			inst.maxOpenRequests = tc.maxOpen
 			rejected := 0
-			for k := range tc.taken {
+			for k := range tc.received {
 				inst.OnRequest(2+float64(k)/1000, Request{ID: fmt.Sprint(k), TimeLeft: 4000})
 				for _, action := range port.takeActions() {
 					if action == fmt.Sprintf("decline %d", k) {
