--- a/policy/admission.go
+++ b/policy/admission.go
@@ -19,8 +19,8 @@
 	cancellationsPerRequest, maxCancellations = 0.1, 20
 )
 
-// prepareRequest sets the latency objective and value of a new request and counts it for the exposure cap and the cancellation
-// budget.
+// prepareRequest makes a new request pending and schedules its final answer. It sets the request's latency objective and
+// value and counts the request for the exposure cap and the cancellation budget.
 func (inst *Instance) prepareRequest(req *request, incoming Request) {
 	req.objectiveDeadline = inst.objectiveDeadline(req, incoming)
 	req.value = inst.classes[req.class].Value
@@ -34,8 +34,9 @@
 	inst.schedule(req.deadline-finalAnswerMargin, req)
 }
 
-// objectiveDeadline returns the time until which a response has the full value. For a repeat, the objective counts from
-// the client's first try. The time that has passed since then is the timeout of the class minus the time left.
+// objectiveDeadline returns the time until which a response has the full value. For a repeat with less time left than
+// its class's maximum so far, the objective counts from the client's first try, which is estimated from the time left
+// and the timeout of the class.
 func (inst *Instance) objectiveDeadline(req *request, incoming Request) float64 {
 	class, longest := &inst.classes[req.class], &inst.latencies[req.class].longestTimeLeft
 	deadline := req.arrivedAt + class.LatencyObjective + class.ObjectivePerWork*incoming.Work
@@ -75,5 +76,6 @@
 	}
 }
 
-// arrivalRate returns the number of requests that arrive in 3 s, not counting repeats.
+// arrivalRate returns the average number of arrivals in 3 s: the requests of this instance, without repeats, and the
+// outcomes received from other instances.
 func (inst *Instance) arrivalRate() float64 { return inst.arrivals.PerWindow(inst.now) }
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -23,8 +23,8 @@
 	inTime := served && inst.now <= attempt.lateAt
 	inst.updateEjection(attempt, status)
 	if served && inst.now == inst.resumedAt {
-		// The delay may have been this instance's own stall, so it does not count against the backend, the overload
-		// signal or the release.
+		// The delay may have been this instance's own stall, so it is no sign of overload and does not count against the
+		// backend or the release.
 		elapsed, inTime = math.Inf(1), true
 	}
 	inst.signalOverload(req, attempt, status, inTime)
@@ -86,9 +86,9 @@
 	}
 }
 
-// recordOutcome adds the end of an attempt to the health records and, as a sample, to the backend's concurrency limit.
-// It does so once for each attempt. A broken connection is not a sample for the limit, since it says nothing about the
-// load of the backend. An attempt that was canceled or never sent is not counted at all.
+// recordOutcome adds the end of an attempt to the health records and, as a sample, to the backend's concurrency limit,
+// unless handleOverdueAttempt has already counted the attempt. A broken connection is not a sample for the limit, since
+// it says nothing about the load of the backend. The end of an attempt that was canceled or never sent is not counted.
 func (inst *Instance) recordOutcome(attempt *attempt, status AttemptStatus, inTime bool) {
 	if status == StatusCanceled || status == StatusNotSent || attempt.countedLate {
 		return
@@ -117,10 +117,10 @@
 	}
 }
 
-// handleOverdueAttempt counts a late attempt against its backend immediately. It cancels an attempt that is presumed
-// lost, if there is still time to try elsewhere: responses can get lost on any path. Both a concurrent second attempt
-// and many such retries would worsen an overload, so the lost attempt is canceled first and the cancellation budget
-// limits the number of retries.
+// handleOverdueAttempt counts a late attempt against its backend immediately. An attempt that is presumed lost is
+// counted and canceled, if there is still time to try elsewhere: responses can get lost on any path. Both a concurrent second
+// attempt and many such retries would worsen an overload, so the lost attempt is canceled first and the cancellation
+// budget limits the number of retries.
 func (inst *Instance) handleOverdueAttempt(req *request, number int) {
 	attempt := &req.attempts[number]
 	late := inst.now >= attempt.lateAt
@@ -138,7 +138,7 @@
 }
 
 // shouldCancelLost reports whether an attempt has been open longer than nearly all responses take and can be replaced
-// in time.
+// in time, within the limit on attempts and the cancellation budget.
 func (inst *Instance) shouldCancelLost(req *request, attempt *attempt) bool {
 	outlasted := inst.now >= inst.presumedLostAt(req.class, attempt.sentAt)
 	mayReplace := len(req.attempts) < inst.maxAttempts && inst.cancellationBudget >= 1
--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -15,7 +15,7 @@
 			inst, port := startInstance(RequestClass{}, 1)
 			inst.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
 			inst.OnAttemptResult(11, AttemptResult{RequestID: "t", Status: status, Elapsed: 1})
-			expect(t, "actions after a failure", port.takeActions(), "[submit t a]")
+			expect(t, "actions up to the first failure, inclusive", port.takeActions(), "[submit t a]")
 			failing, recovered := attemptsAtFailing(status)
 			if failing > 8 || recovered < 5 {
 				t.Errorf("attempts at the failing backend = %d, want at most 8; after its recovery = %d, want at least 5", failing, recovered)
--- a/policy/config.go
+++ b/policy/config.go
@@ -13,8 +13,8 @@
 	"onyxgate/policy/verdict"
 )
 
-// Config is the configuration of an instance, which does not change after the start. Times are in ms; prices and values
-// share one arbitrary unit. New does not validate it; call Validate first.
+// Config is the configuration of an instance, which does not change after the start. Times are in ms, and the values of
+// all classes are in one arbitrary unit. New does not validate the configuration; call Validate first.
 type Config struct {
 	Seed      uint64 // seed of the instance's random number generator
 	Index     int    // of the instance in the fleet, from 0
@@ -44,7 +44,7 @@
 // DiscoveryConfig configures how the instance gets the endpoint list.
 type DiscoveryConfig struct {
 	SubscriptionRequired bool    // changes are only sent to subscribers
-	RefreshInterval      float64 // ms; without a subscription, the known list is taken to be this old
+	RefreshInterval      float64 // ms; an instance is expected to know changes older than this even without a subscription
 }
 
 // SlowStartConfig describes how much load a backend can take after its start.
@@ -81,7 +81,8 @@
 	ErrInvalidMaxAttempts = errors.New("at least one attempt per request is required")
 )
 
-// Validate reports the first invalid setting. The returned error matches one of the errors above (errors.Is).
+// Validate checks the classes' times and MaxAttempts and returns an error for the first invalid setting. The error
+// matches one of the errors above (errors.Is).
 func (c Config) Validate() error {
 	if len(c.Classes) == 0 {
 		return ErrNoClasses
--- a/policy/discovery.go
+++ b/policy/discovery.go
@@ -18,9 +18,9 @@
 }
 
 const (
-	// firstWatchRetry and maxWatchRetry are the shortest and longest delay before a retry, as shares of the refresh
-	// interval. Both are well below 1, because after a whole interval the instance is taken to know changes that it was
-	// not sent.
+	// firstWatchRetry and maxWatchRetry are the first and the longest delay before a retry, as shares of the refresh
+	// interval and without the jitter, which at most doubles them. Even the longest delay is well below the interval,
+	// after which the instance is expected to know changes that it was not sent.
 	firstWatchRetry, maxWatchRetry = 0.02, 0.3
 )
 
--- a/policy/events.go
+++ b/policy/events.go
@@ -10,12 +10,14 @@
 	"onyxgate/policy/release"
 )
 
-// The On methods handle one event each: they update the state and then apply the rules.
+// The On methods handle one event each: they update the state and then apply the rules. OnWrongAnswer and
+// OnPlatformCounts do not apply the rules.
 
-// stallThreshold (ms) is the delay of a timer from which the instance itself is assumed to have stalled.
+// stallThreshold (ms) is the delay of a timer above which the instance itself is assumed to have stalled.
 const stallThreshold = 60
 
-// beginEvent sets the time of the current event. An overdue timer shows that the instance stalled before it.
+// beginEvent sets the time of the current event. An overdue timer shows that the instance stalled before the event. For
+// one window after the first event, new allowances start empty.
 func (inst *Instance) beginEvent(now float64) {
 	if len(inst.timers.queue) > 0 && now-inst.timers.queue[0].at > stallThreshold {
 		inst.resumedAt = now
@@ -58,7 +60,7 @@
 }
 
 // OnMessage handles outcome summaries from another instance. Malformed summaries and those of unknown backends or
-// classes are ignored.
+// classes are ignored, and so are all summaries before a release has been announced.
 func (inst *Instance) OnMessage(now float64, message []byte) {
 	inst.beginEvent(now)
 	for _, summary := range gossip.Decode(now, message) {
@@ -67,8 +69,8 @@
 	inst.applyRules()
 }
 
-// OnRequest handles a new request. The request ends with the final result of an attempt, or with a call of Reject or
-// Fail.
+// OnRequest handles a new request. The request ends with the final result of an attempt, with OnClientGone, or with a
+// call of Port.Reject or Port.Fail.
 func (inst *Instance) OnRequest(now float64, incoming Request) {
 	inst.beginEvent(now)
 	req := &request{
@@ -91,8 +93,8 @@
 	inst.applyRules()
 }
 
-// OnStreamStarted handles the start of a streamed response to the client. From then on the request has no deadline,
-// whichever of its attempts is streaming. Requests that are not open are ignored.
+// OnStreamStarted handles the start of a streamed response to the client. From then on the request is not ended at its
+// deadline, whichever of its attempts is streaming. Requests that are not open are ignored.
 func (inst *Instance) OnStreamStarted(now float64, id string, _ int) {
 	inst.beginEvent(now)
 	if req := inst.requests[id]; req != nil {
@@ -110,8 +112,9 @@
 	inst.applyRules()
 }
 
-// OnWrongAnswer corrects the recorded outcome of an attempt: the backend's response to a request of the given class,
-// sent age ms ago, was wrong. Unknown backends are ignored.
+// OnWrongAnswer handles a report that a backend's response was wrong. The request was of the given class and was sent
+// age ms ago. The response counts as a failure in the backend's health, and its outcome in the evidence, if there is
+// one, becomes a failure. Unknown backends are ignored.
 func (inst *Instance) OnWrongAnswer(now float64, backendID string, class int, age float64) {
 	inst.beginEvent(now)
 	index, known := inst.endpoints.Find(backendID)
@@ -131,7 +134,7 @@
 	inst.applyRules()
 }
 
-// OnProbeResult handles the end of a load probe.
+// OnProbeResult handles the end of a load probe. Unknown backends are ignored.
 func (inst *Instance) OnProbeResult(now float64, result ProbeResult) {
 	inst.beginEvent(now)
 	if index, known := inst.endpoints.Find(result.Backend); known {
@@ -160,7 +163,8 @@
 	inst.beginEvent(now)
 }
 
-// OnTimer handles a timer that was set through the Port; token identifies it.
+// OnTimer handles a timer that was set through the Port; token identifies it. An unknown or outdated token only causes
+// the rules to be applied.
 func (inst *Instance) OnTimer(now float64, token uint64) {
 	inst.beginEvent(now)
 	if token == inst.timers.token {
@@ -169,8 +173,8 @@
 	inst.applyRules()
 }
 
-// OnShutdown announces that the instance shuts down at shutdownAt (ms). Every open request gets its final answer before
-// that time.
+// OnShutdown announces that the instance shuts down at shutdownAt (ms). Later deadlines of open requests are moved to
+// that time, so that each request gets its final answer before it, unless its response is being streamed.
 func (inst *Instance) OnShutdown(now, shutdownAt float64) {
 	inst.beginEvent(now)
 	for _, id := range slices.Sorted(maps.Keys(inst.requests)) {
--- a/policy/evidence.go
+++ b/policy/evidence.go
@@ -5,7 +5,8 @@
 	"onyxgate/policy/verdict"
 )
 
-// recordEvidence records the end of one of this instance's attempts as evidence and queues it for the evaluators.
+// recordEvidence records the end of one of this instance's attempts as evidence. If instances may send messages, it also
+// queues the outcome for the evaluators.
 func (inst *Instance) recordEvidence(attempt *attempt, req *request, status AttemptStatus, elapsed float64) {
 	outcome := verdict.Outcome{
 		EndedAt:          inst.now,
@@ -20,7 +21,7 @@
 	}
 }
 
-// mergeSummary records an outcome received from another instance like one of this instance. Outcomes of unknown
+// mergeSummary records an outcome received from another instance like those of this instance. Outcomes of unknown
 // backends or classes are ignored, and so are all outcomes before a release has been announced.
 func (inst *Instance) mergeSummary(summary gossip.Summary) {
 	index, known := inst.endpoints.FindHash(summary.BackendHash)
--- a/policy/evidence_test.go
+++ b/policy/evidence_test.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// An outcome is evidence only on the release of its backend: outcomes of releases that are withdrawn or not yet
-// announced count for no other release.
+// An outcome is evidence only on the release that it was recorded for: outcomes of releases that are withdrawn or not
+// yet announced count for no other release.
 func TestEvidenceByRelease(t *testing.T) {
 	for _, tc := range []struct {
 		name                string
--- a/policy/exposure.go
+++ b/policy/exposure.go
@@ -8,12 +8,13 @@
 // The checks below always use the state of the release that an attempt goes to, which is not necessarily the newest
 // release.
 
-// maxCountedKeys bounds the memory used for request counts by key.
+// maxCountedKeys is the number of keys above which request counts are halved and rare keys are dropped, to limit the
+// memory that the counts use.
 const maxCountedKeys = 1 << 14
 
 // SkippedBackends counts the backends that were skipped when requests were routed, by reason.
 type SkippedBackends struct {
-	Closed     int // the release is rolling back or withdrawn, or its stage is guarded and the request is not safe
+	Closed     int // the cap is 0, as of a withdrawn release, or the stage is guarded and the request is not safe
 	CapReached int // the allowance is used up
 	Affinity   int // the request's key has affinity to a later release
 }
@@ -22,11 +23,11 @@
 type ReleaseStatus struct {
 	Newest       release.Record
 	RollingOut   ReleaseID // the newest running release under a cap; 0: none
-	AffinityKeys int       // number of keys with a recorded release
+	AffinityKeys int       // number of remembered keys, summed over the releases that served them
 	Skipped      SkippedBackends
 }
 
-// ReleaseStatus returns the state of releases for logs and metrics. It does not change the instance.
+// ReleaseStatus returns the state of releases for logs and metrics. It has no effect on later decisions.
 func (inst *Instance) ReleaseStatus() ReleaseStatus {
 	newest, _ := inst.releases.Newest()
 	return ReleaseStatus{Newest: newest, RollingOut: inst.fleet.rolloutRelease, AffinityKeys: inst.affinity.Len(), Skipped: inst.skipped}
@@ -47,7 +48,7 @@
 }
 
 // passesExposureChecks reports whether key affinity, the guarded stages and the exposure cap allow an attempt of a
-// request at a backend.
+// request at a backend. If not, the backend is counted as skipped.
 func (inst *Instance) passesExposureChecks(req *request, backend *endpoints.Backend) bool {
 	if inst.releases.OldestIfUnknown(backend.Release) < inst.oldestAllowedRelease(req) {
 		inst.skipped.Affinity++
@@ -95,9 +96,11 @@
 	}
 }
 
-// MaySend reports whether an attempt that was decided earlier may still be sent. Its connection may have been
-// established late, and the endpoint list, a release update or the response to another attempt may have arrived in the
-// meantime. An attempt that may not be sent counts as never sent. MaySend does not change the instance.
+// MaySend reports whether an attempt that was decided earlier may still be sent: its backend is running with the same
+// release, and key affinity and the cap still allow it. The attempt's connection may have been established late, and the
+// endpoint list, a release update or the response to another attempt may have arrived in the meantime. The host must
+// report an attempt that may not be sent with StatusNotSent. MaySend has no effect on later decisions, but like the On
+// methods it must not be called by several goroutines at the same time.
 func (inst *Instance) MaySend(id string, number int) bool {
 	req := inst.requests[id]
 	if req == nil || number < 0 || number >= len(req.attempts) {
@@ -124,8 +127,8 @@
 	}
 }
 
-// decayPopularKeys halves the counts and drops keys that have not been seen for long. Popularity refers to recent
-// requests, and the map must not grow without bound.
+// decayPopularKeys halves the counts and drops keys whose count falls below 1. Popularity refers to recent requests, and
+// the map must not grow without bound.
 func (inst *Instance) decayPopularKeys() {
 	for key, requests := range inst.popularKeys { // each key on its own, so the iteration order does not matter
 		inst.popularKeys[key] = requests / 2
--- a/policy/exposurerule_test.go
+++ b/policy/exposurerule_test.go
@@ -11,12 +11,12 @@
 // exposureModel is a reference model of the exposure rule. It is derived from the protocol documentation and sees only
 // events and actions.
 type exposureModel struct {
-	phase           map[ReleaseID]Phase // the latest phase that was sent
+	phase           map[ReleaseID]Phase // the most advanced phase that was sent
 	limit           map[ReleaseID]float64
 	newest          ReleaseID
 	answered        map[string][]ReleaseID // releases by key
 	requestCount    int
-	sent            map[ReleaseID]int // attempts at a release under a cap since the cap was last lowered
+	sent            map[ReleaseID]int // attempts at a release under a cap since its cap was last lowered or its phase changed
 	requestsAtReset map[ReleaseID]int // value of requestCount at that time
 }
 
@@ -27,7 +27,7 @@
 	}
 }
 
-// closed reports whether a release was sent as rolling back or withdrawn.
+// closed reports whether an update has declared a release as rolling back or withdrawn.
 func (model *exposureModel) closed(release ReleaseID) bool {
 	phase, known := model.phase[release]
 	return known && (phase == RollingBack || phase == Withdrawn)
@@ -87,7 +87,7 @@
 	model.sent[release]++
 	allowed := 2 + limit*float64(model.requestCount-model.requestsAtReset[release])
 	if float64(model.sent[release]) > allowed || limit == 0 {
-		t.Fatalf("release %d: %d attempts, want at most %v at cap %v", release, model.sent[release], allowed, limit)
+		t.Fatalf("release %d: %d attempts at cap %v, want at most %v and none at cap 0", release, model.sent[release], limit, allowed)
 	}
 }
 
--- a/policy/fleet.go
+++ b/policy/fleet.go
@@ -11,17 +11,17 @@
 // cost of a decision would grow with the fleet.
 const aggregatesInterval = 200
 
-// fleetAggregates are sums over the running backends, as of the last refresh. Arrays with two elements hold one value
+// fleetAggregates summarizes the running backends, as of the last refresh. Arrays with two elements hold one value
 // for the stable releases and one for the releases that are rolling out, indexed by stableArm and rolloutArm.
 type fleetAggregates struct {
-	refreshAt        float64  // ms, time of the next refresh
-	candidates       [2][]int // indices of backends
-	capacity         [2]float64
-	concurrencyLimit float64   // sum of the backends' limits
-	warmWeight       float64   // of the warm backends
-	maxCapacity      float64   // highest capacity of one backend, as returned by capacityOf
-	rolloutCap       float64   // highest cap among the capped releases
-	rolloutRelease   ReleaseID // the newest running release under a cap; 0: none
+	refreshAt        float64    // ms, time of the next refresh
+	candidates       [2][]int   // indices of backends
+	capacity         [2]float64 // sum of weights times warm-up progress
+	concurrencyLimit float64    // sum of the backends' limits, also updated between refreshes
+	warmWeight       float64    // of the warm backends
+	maxCapacity      float64    // highest capacity of one backend, as returned by capacityOf
+	rolloutCap       float64    // highest cap among the capped releases
+	rolloutRelease   ReleaseID  // the newest running release under a cap; 0: none
 }
 
 // Indices into the arrays of fleetAggregates.
@@ -95,12 +95,12 @@
 	}
 }
 
-// crossZonePenalty is the factor by which the load of a backend in another zone is multiplied, if crossing zones has a
+// crossZonePenalty is the number by which the capacity of a backend in another zone is divided, if crossing zones has a
 // cost.
 const crossZonePenalty = 1.5
 
-// capacityOf returns the estimated capacity of a backend: its weight, reduced during warm-up, by latency inflation and
-// in another zone.
+// capacityOf returns the estimated capacity of a backend: its weight, corrected for warm-up and latency inflation and,
+// if crossing zones has a cost, for another zone.
 func (inst *Instance) capacityOf(backend *endpoints.Backend) float64 {
 	capacity := backend.Weight * inst.warmUpProgress(backend) / backend.LatencyInflation
 	if inst.crossZoneCharged && backend.Zone != inst.zone {
@@ -109,7 +109,7 @@
 	return capacity
 }
 
-// warmUpProgress returns the lower bound of a backend's current capacity, as a share of its full capacity.
+// warmUpProgress returns a lower bound of a backend's current capacity, as a share of its full capacity.
 func (inst *Instance) warmUpProgress(backend *endpoints.Backend) float64 {
 	return inst.slowStart.Progress(backend.UpSince, inst.now)
 }
--- a/policy/instance.go
+++ b/policy/instance.go
@@ -12,15 +12,15 @@
 	"onyxgate/policy/slowstart"
 )
 
-// manyInstances is the number of instances from which an instance probes backends before it places a request. In such a
-// fleet each instance sends only a small part of the traffic, so its own open attempts are no estimate of a backend's
-// load.
+// manyInstances is the number of instances from which a fleet counts as large. In a large fleet each instance sends only
+// a small part of the traffic, so its own open attempts are no estimate of a backend's load. Requests are therefore
+// placed by load probes, if probes are allowed and worth their price.
 const manyInstances = 10
 
 // Instance makes the decisions of one instance of the front tier. Its host calls an On method for each event, in the
-// order of the events and from one goroutine. Each of these methods is given the time in ms, which never decreases, and
-// returns after it has passed all resulting actions to the Port. MaySend and ReleaseStatus are queries without effect
-// on later decisions.
+// order of the events and not from several goroutines at the same time. Each of these methods is given the time in ms,
+// which must not decrease, and returns after it has passed all resulting actions to the Port. MaySend and ReleaseStatus
+// are queries without effect on later decisions.
 type Instance struct {
 	port Port
 	now  float64 // ms, time of the current event
@@ -58,7 +58,7 @@
 	overQuotaValue    float64
 	meanValue         float64
 	meanWork          float64
-	requestCount      float64 // halved whenever popularKeys is
+	requestCount      float64 // halved together with the counts in popularKeys
 
 	// Backends.
 	endpoints    *endpoints.Table
@@ -84,5 +84,5 @@
 	rolloutConfig RolloutConfig
 	rollout
 	summaries   gossip.Queue
-	broadcastAt float64 // ms
+	broadcastAt float64 // ms, earliest time of the next broadcast
 }
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -11,12 +11,12 @@
 	// is the weight in the means of a single backend, which gets fewer requests.
 	meanSmoothing, backendSmoothing = 0.02, 0.1
 	// maxLatencyInflation bounds the latency of one response, relative to the mean latency, so that a single slow
-	// response cannot exclude its backend.
+	// response cannot exclude its backend. The tail latency starts at this multiple of the first response's latency.
 	maxLatencyInflation = 10
 	// tailQuantile is the quantile that the tail latency estimates. An attempt is presumed lost after tailMultiple
 	// times the tail latency.
 	tailQuantile, tailMultiple = 0.97, 1.5
-	// tailUpdateStep is the step by which one response changes the logarithm of the tail latency.
+	// tailUpdateStep scales the changes of the logarithm of the tail latency by single responses.
 	tailUpdateStep = 0.2
 )
 
@@ -27,7 +27,8 @@
 	longestTimeLeft float64 // longest time left on arrival of any request
 }
 
-// recordLatency updates the latency statistics with one response.
+// recordLatency updates the latency statistics and the throughput with one response. It ignores a response with unknown
+// (infinite) latency.
 func (inst *Instance) recordLatency(backend *endpoints.Backend, req *request, elapsed float64) {
 	if math.IsInf(elapsed, 1) {
 		return
@@ -66,7 +67,7 @@
 	}
 }
 
-// presumedLostAt returns the time from which an attempt sent at sentAt is presumed lost.
+// presumedLostAt returns the time from which an attempt sent at sentAt is presumed lost, or infinity if it never is.
 func (inst *Instance) presumedLostAt(class int, sentAt float64) float64 {
 	return sentAt + tailMultiple*inst.latencies[class].tail
 }
--- a/policy/messages.go
+++ b/policy/messages.go
@@ -84,7 +84,7 @@
 	ID       string  // unique among the open requests
 	Key      string  // affinity key, shared by related requests; empty: none
 	Class    int     // index into Config.Classes
-	Tenant   int     // index into Config.Tenants.Quotas
+	Tenant   int     // index into Config.Tenants.Quotas; beyond its end: no quota
 	Retry    bool    // the client marked it as a repeat of an earlier request
 	TimeLeft float64 // ms until its deadline
 	Work     float64 // client's estimate in an arbitrary unit; 0: no estimate
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -14,7 +14,7 @@
 	capUtilization = 0.9
 	// maxKeyShareOfCap bounds the share of requests with one key, relative to the cap. A key that is more popular is
 	// kept out of the rollout, because once it has affinity to the release it could need more than the allowance. A key
-	// with at most minPopularRequests is never popular.
+	// with at most minPopularRequests recent requests is never popular.
 	maxKeyShareOfCap, minPopularRequests = 0.2, 2
 	// minCapacity avoids a division by zero if no backend is listed.
 	minCapacity = 1e-9
@@ -26,7 +26,7 @@
 )
 
 // rolloutShare returns the share of the requests that should go to the releases that are rolling out: their backends'
-// share of the capacity, bounded by the cap.
+// share of the capacity, bounded by capUtilization of the cap. A cap of 1 is no bound.
 func (inst *Instance) rolloutShare() float64 {
 	limit, total := inst.fleet.rolloutCap*capUtilization, inst.fleet.capacity[stableArm]+inst.fleet.capacity[rolloutArm]
 	if limit >= capUtilization {
@@ -40,14 +40,15 @@
 	return min(inst.fleet.capacity[rolloutArm]/max(total, minCapacity), limit)
 }
 
-// inLastStage reports whether the rollout is in the stage that covers all places. Earlier backends that are still
-// running are idle in this stage, so latencies are not compared.
+// inLastStage reports whether the newest release is in the last stage, which covers all places, and no later release is
+// running yet. Earlier backends that are still running are idle in this stage, so latencies are not compared.
 func (inst *Instance) inLastStage() bool {
 	return inst.evaluator.Stage() == len(inst.rolloutConfig.Stages)-1 && inst.placesWeight > 0 && inst.fleet.rolloutRelease <= inst.evaluator.Release()
 }
 
-// pickBackend draws the arm (stable or rollout) and chooses a backend in it, or in the other arm if there is none. It
-// returns -1 if no backend may get the request.
+// pickBackend draws the arm (stable or rollout) and chooses a backend in it, or in the other arm if there is none. A
+// request with a key that the rollout has not drawn stays in the stable arm. pickBackend returns -1 if it finds no
+// backend.
 func (inst *Instance) pickBackend(req *request) int {
 	failedInRollout := len(req.attempts) > 0 && inst.isCapped(req.attempts[len(req.attempts)-1].release)
 	arm := stableArm
@@ -59,21 +60,21 @@
 		arm = stableArm
 	}
 	index := inst.pickCandidate(req, arm)
-	stayInStable := unassigned && arm == stableArm // the rollout has not drawn this key
+	stayInStable := unassigned && arm == stableArm // else its key would get affinity to a release that has not drawn it
 	if index >= 0 || stayInStable {
 		return index
 	}
 	return inst.pickCandidate(req, otherArm(arm))
 }
 
-// isPopular reports whether a key has a larger share of the requests than a release under a cap can serve.
+// isPopular reports whether a key has too large a share of the requests to get affinity to a release under a cap.
 func (inst *Instance) isPopular(key string) bool {
 	return inst.popularKeys[key] > minPopularRequests+maxKeyShareOfCap*inst.fleet.rolloutCap*inst.requestCount
 }
 
-// rolloutPosition returns a request's position in [0,1). With key affinity it depends on the key only, so a rollout
-// gets the same keys from the first listing of its release on: before the first update, after it and after a restart of
-// the process.
+// rolloutPosition returns a request's position in [0,1). Without an affinity key the position is random. With one it
+// depends only on the key, the instance and the newest release, so a rollout gets the same keys from the first listing
+// of its release on: before the first update, after it and after a restart of the process.
 func (inst *Instance) rolloutPosition(req *request) float64 {
 	if req.affinityKey != 0 {
 		return balance.KeyPosition(req.key, inst.salt^uint64(max(inst.fleet.rolloutRelease, inst.evaluator.Release())))
@@ -81,7 +82,8 @@
 	return inst.rng.Float64()
 }
 
-// pickCandidate chooses a backend in one arm: it samples backends by capacity and takes the least loaded one.
+// pickCandidate chooses a backend in one arm, or returns -1: it samples backends by capacity and health and takes the
+// least loaded one.
 func (inst *Instance) pickCandidate(req *request, arm int) int {
 	eligible := func(index int) bool {
 		return inst.hasCapacity(req, inst.endpoints.At(index)) && inst.maySendTo(req, index)
@@ -109,7 +111,7 @@
 }
 
 // hasCapacity reports whether a backend is not ejected and this instance's open attempts, at the backend and in total,
-// are below the concurrency limits. The last part of the limits is reserved for requests of high value.
+// are below the concurrency limits. The last part of the limits is reserved for requests of at least the mean value.
 func (inst *Instance) hasCapacity(req *request, backend *endpoints.Backend) bool {
 	share := 1.0
 	if req.value < inst.meanValue {
@@ -119,8 +121,8 @@
 	return !backend.Ejection.Active(inst.now) && float64(backend.OpenAttempts) < backendLimit && float64(inst.openAttempts) < totalLimit
 }
 
-// maySendTo reports whether an attempt may be sent to a backend. It checks the limits on attempts, the rule on repeats,
-// the exposure rules and the slow start.
+// maySendTo reports whether an attempt may be sent to a backend. It checks the limits on attempts, the backend's state,
+// the rule on repeats, the exposure checks and the slow start.
 func (inst *Instance) maySendTo(req *request, index int) bool {
 	backend := inst.endpoints.At(index)
 	// A draining backend gets no attempts, although the platform would allow them for a while.
@@ -136,7 +138,7 @@
 	return req.openAttempts == 0 || req.openAttempts == 1 && inst.concurrentAttempts
 }
 
-// mayRepeatAt reports whether another attempt at a backend is free of a second effect. This depends on the first
+// mayRepeatAt reports whether another attempt at a backend cannot have a second effect. This depends on the first
 // attempt that may have run: only the backends in its dedup scope know of it, and only within the dedup window.
 func (inst *Instance) mayRepeatAt(req *request, backend *endpoints.Backend) bool {
 	class := &inst.classes[req.class]
@@ -168,9 +170,9 @@
 	}
 }
 
-// allowsSlowStart reports whether the slow-start budget of a backend that is not warm allows one more request. The
-// budget is a share, given by the warm-up progress, of the observed throughput of warm backends. If there is no
-// observation, a backend is assumed to serve one request at a time, shared by all instances.
+// allowsSlowStart reports whether a backend is warm or its slow-start budget allows one more request. The budget is
+// proportional to the warm-up progress and the observed throughput of warm backends. A warm backend is assumed to
+// serve at least one request at a time, shared by all instances, even if nothing has been observed.
 func (inst *Instance) allowsSlowStart(req *request, backend *endpoints.Backend) bool {
 	progress := inst.warmUpProgress(backend)
 	if progress >= 1 {
--- a/policy/port.go
+++ b/policy/port.go
@@ -4,14 +4,14 @@
 // not call back into the instance. Times are in ms.
 type Port interface {
 	// SendAttempt sends a request to a backend. The result is passed to Instance.OnAttemptResult. The attempts of a
-	// request are numbered from 0 in the order of these calls. timeout limits the duration of the attempt; 0 means the
-	// deadline of the request.
+	// request are numbered from 0 in the order of these calls. timeout limits the duration of the attempt; if it is 0,
+	// only the request's deadline does.
 	SendAttempt(request, backend string, timeout float64)
 	// Reject answers a request that had no effect or may run again. The client may retry after retryAfter.
 	Reject(request string, retryAfter float64)
 	// Fail answers a request that may have run and must not run again.
 	Fail(request string)
-	// CancelAttempt cancels an open attempt.
+	// CancelAttempt cancels an open attempt. Its result is still passed to Instance.OnAttemptResult.
 	CancelAttempt(request string, attempt int)
 	// SendVote votes on a release in a stage. The response is passed to Instance.OnReleaseUpdate.
 	SendVote(release ReleaseID, verdict Verdict, stage int)
--- a/policy/probes.go
+++ b/policy/probes.go
@@ -32,8 +32,8 @@
 }
 
 // probeBeforePlacement probes some backends for a request, which is sent to the first one that answers. In a large
-// fleet, an instance's own open attempts are no estimate of the load. A backend that is stalled, slow or unreachable,
-// or that reports a false load, does not answer first.
+// fleet, an instance's own open attempts are no estimate of the load. A backend that is stalled, slow or unreachable
+// does not answer first, and a false load report does not attract requests.
 func (inst *Instance) probeBeforePlacement(req *request) {
 	req.probeRounds++
 	for range probesPerRound {
@@ -61,7 +61,8 @@
 	}
 }
 
-// placeAfterProbe sends the first request that is waiting for the probe of a backend to that backend.
+// placeAfterProbe sends the first request that is waiting for the probe of a backend to that backend, if it may be sent
+// there and still has its objective ahead.
 func (inst *Instance) placeAfterProbe(index int) {
 	req := inst.probedRequest(index)
 	if req != nil && inst.now < req.objectiveDeadline && inst.maySendTo(req, index) {
--- a/policy/request.go
+++ b/policy/request.go
@@ -22,18 +22,18 @@
 	openAttempts int
 	ended        bool
 	queued       bool // in the retry queue
-	streaming    bool // the response is being streamed to the client, so no deadline applies
-	probeRounds  int  // rounds of load probes since the request last had no open attempt
-	unprobed     bool // placed without waiting for a probe
+	streaming    bool // the response is being streamed to the client, so the request is not ended at its deadline
+	probeRounds  int  // rounds of load probes since the request arrived or its last attempt ended
+	unprobed     bool // routed without an answered probe
 }
 
 // attempt is an attempt of a request at a backend.
 type attempt struct {
 	backend         int // index of the backend
 	release         ReleaseID
-	affinityRelease ReleaseID // the release to which the response may assign the key
+	affinityRelease ReleaseID // the release to which the key may get affinity
 	sentAt          float64   // ms
-	lateAt          float64   // ms, time after which the attempt counts against its backend
+	lateAt          float64   // ms, time after which the attempt counts as late against its backend
 	open            bool      // not ended
 	notRun          bool      // the backend has certainly not run it
 	countedLate     bool      // the result is no longer counted in the health record and the concurrency limit
@@ -48,7 +48,7 @@
 // awaitsPlacement reports whether the request still needs a backend.
 func (req *request) awaitsPlacement() bool { return !req.ended && req.openAttempts == 0 }
 
-// hasTried reports whether an attempt of the request went to a backend.
+// hasTried reports whether an attempt of the request went to the backend with the given index.
 func (req *request) hasTried(index int) bool {
 	for k := range req.attempts {
 		if req.attempts[k].backend == index {
--- a/policy/rollout.go
+++ b/policy/rollout.go
@@ -8,7 +8,7 @@
 // rollout is the state of the newest release's rollout.
 type rollout struct {
 	evaluator    *verdict.Evaluator
-	evaluateAt   float64
+	evaluateAt   float64 // ms, time of the next evaluation
 	places       int     // backends that the newest release will replace, counted when it was announced
 	placesWeight float64 // sum of the weights of these backends
 }
@@ -36,7 +36,7 @@
 }
 
 // newestReleaseBackends counts the running backends of the newest release and returns the time (ms) at which the last
-// of them started; 0 means that all started long ago.
+// of them started; 0 means that all started long ago or that there are none.
 func (inst *Instance) newestReleaseBackends() (count int, lastStart float64) {
 	newest := inst.evaluator.Release()
 	for index := range inst.endpoints.Len() {
@@ -60,7 +60,7 @@
 
 // countPlaces counts the backends that the release will replace: all running ones of earlier releases, and those of the
 // prevailing release that are already draining because new backends take their place. Other draining backends were
-// replaced by the previous release or by its withdrawal and are not counted.
+// replaced by the previous release, or drain because it is rolled back, and are not counted.
 func (inst *Instance) countPlaces(newest ReleaseID) {
 	inst.places, inst.placesWeight = 0, 0
 	prevailing := inst.prevailingRelease(newest)
--- a/policy/rollout_test.go
+++ b/policy/rollout_test.go
@@ -7,7 +7,7 @@
 
 // The places of a new release are the backends that it will replace. Backends replaced by the previous release, or
 // drained because the previous release is rolling back, are not places. A backend that is draining because the new
-// release takes its place is one.
+// release takes its place counts as a place.
 func TestPlaces(t *testing.T) {
 	for _, tc := range []struct {
 		name                  string
--- a/policy/routing.go
+++ b/policy/routing.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// immediateRejectShare is the share of the maximum number of open requests above which a request that cannot be
+	// immediateRejectShare is the share of the maximum number of open requests above which a new request that cannot be
 	// placed is rejected immediately. Queueing more requests would use up the last connections, and the instance could
 	// then not even reject.
 	immediateRejectShare = 0.6
-	// maxQueueMisses is the number of queued requests in a row that may fail to be placed before the retry of the queue
-	// stops.
+	// maxQueueMisses is the number of queued requests that may fail to be placed in one retry of the queue before the
+	// retry stops.
 	maxQueueMisses = 4
 	// queueRetryInterval (ms) is the time between two retries of the queue.
 	queueRetryInterval = 25
@@ -23,7 +23,7 @@
 	// response within this time does not count as late against the backend.
 	minAttemptShare = 0.25
 	// minRetryAfterShare is the shortest time after which a rejected client may retry, as a share of the longest that
-	// clients accept. Retries are spread over a further share of retryAfterSpread.
+	// clients accept. A random share of up to retryAfterSpread is added, to spread the retries.
 	minRetryAfterShare, retryAfterSpread = 0.25, 0.5
 )
 
@@ -52,14 +52,16 @@
 	}
 }
 
-// usesProbing reports whether a request is placed by probes, as in a large fleet. A request from the queue is placed by
-// open attempts instead: it has waited for room at a backend, and there is room now.
+// usesProbing reports whether a request is placed by probes, as in a large fleet. A queued request is placed by open
+// attempts instead, because it has waited for room at a backend. retryQueuedRequests takes a request out of the queue
+// before it is routed, so this concerns only queued requests whose timer has expired.
 func (inst *Instance) usesProbing(req *request) bool {
 	return inst.instances >= manyInstances && !req.queued
 }
 
-// decideProbing reports whether to send probes for a request, and marks the request as unprobed otherwise. If probes
-// fail while requests are served, some requests skip the probes; their share grows with the share of failed probes.
+// decideProbing reports whether to send probes for a request. If the request would be placed by probes but none are
+// sent, it is marked as unprobed. If more than half of the probes fail while requests are served, some requests skip the
+// probes; their share grows with the share of failed probes.
 func (inst *Instance) decideProbing(req *request) bool {
 	if !inst.usesProbing(req) {
 		return false
@@ -71,8 +73,9 @@
 	return probing
 }
 
-// isWorthSending reports whether a request has an attempt left that can end in time. A request that was never sent and
-// has reached its queue deadline is not worth sending: it is answered while its client can still go elsewhere.
+// isWorthSending reports whether a request has an attempt left that can end in time or, if it was sent before, whose
+// late response would still have a value. A request that was never sent and has reached its queue deadline is not worth
+// sending: it is answered while its client can still go elsewhere.
 func (inst *Instance) isWorthSending(req *request) bool {
 	if len(req.attempts) >= inst.maxAttempts {
 		return false
@@ -83,8 +86,9 @@
 	return (inTime || hasLateValue) && !waitedTooLong
 }
 
-// passesThrottles draws whether the throttles admit a request. The throttle for all requests applies when a request is
-// first routed, the one for unprobed requests each time.
+// passesThrottles draws whether the throttles admit a request. The throttle for all requests applies unless probes
+// were sent since the request arrived or its last attempt ended. The throttle for unprobed requests applies each time an
+// unprobed request is routed. Neither applies in a small fleet or to a queued request.
 func (inst *Instance) passesThrottles(req *request) bool {
 	first := inst.usesProbing(req) && req.probeRounds == 0
 	if first && !inst.admission.Admits(req.value, inst.meanValue, inst.now, inst.rng) {
@@ -106,9 +110,9 @@
 	return inst.now >= inst.queueRetryAt && len(inst.retryQueue) > 0
 }
 
-// retryQueuedRequests routes queued requests, oldest first. It runs when the end of an attempt, a change of the
-// endpoint list or a short wait may have made room. If newer requests went first, older ones would wait past their
-// objective.
+// retryQueuedRequests routes queued requests, oldest first. It runs after the end of an attempt, which may have made
+// room, and every queueRetryInterval, because a change of the endpoint list or the passing of time may have made room
+// too. If newer requests went first, older ones would wait past their objective.
 func (inst *Instance) retryQueuedRequests() {
 	inst.queueRetryAt = math.Inf(1)
 	waiting, misses := inst.retryQueue, 0
@@ -165,9 +169,10 @@
 	inst.port.SendAttempt(req.id, backend.ID, 0)
 }
 
-// latencyDeadline returns the time after which a response counts as late against its backend. The time that the request
-// waited in this instance does not count. If only a few backends may serve a key, all requests with it arrive there
-// shortly before their objective, and the concurrency limits of these backends would fall until they get no requests.
+// latencyDeadline returns the time after which a response counts as late against its backend. However long the request
+// has waited in this instance, the backend has minAttemptShare of the latency objective. Otherwise, if only a few
+// backends may serve a key and all requests with it arrive there shortly before their objective, the concurrency limits
+// of these backends would fall until they get no requests.
 func (inst *Instance) latencyDeadline(req *request) float64 {
 	return max(req.objectiveDeadline, inst.now+minAttemptShare*inst.classes[req.class].LatencyObjective)
 }
@@ -189,7 +194,8 @@
 	inst.cancelOpenAttempts(req)
 }
 
-// cancelOpenAttempts ends a request and cancels its open attempts. The request is deleted if it has none.
+// cancelOpenAttempts ends a request and cancels its open attempts, if canceling is allowed. The request is deleted if it
+// has no open attempt.
 func (inst *Instance) cancelOpenAttempts(req *request) {
 	req.ended = true
 	if req.openAttempts == 0 {
--- a/policy/routing_test.go
+++ b/policy/routing_test.go
@@ -186,7 +186,7 @@
 		name        string
 		semantics   Semantics
 		lost        int // number of requests in 100 whose first attempt gets no response
-		least, most int // number of these 100 requests that are served in time
+		least, most int // number of these 100 requests that are served
 	}{
 		{"some responses lost", Safe, 8, 100, 100},
 		{"idempotent", Idempotent, 8, 100, 100},
--- a/policy/timers.go
+++ b/policy/timers.go
@@ -42,7 +42,7 @@
 	return last
 }
 
-// schedule makes a request pending again at the given time (ms).
+// schedule makes a request pending again at the given time (ms). If req is nil, the rules are only applied.
 func (inst *Instance) schedule(at float64, req *request) {
 	heap.Push(&inst.timers.queue, timer{at, req})
 }
