--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -33,7 +33,7 @@
 		inst.recordLatency(inst.endpoints.At(attempt.backend), req, elapsed)
 	}
 	// A backend that has run the attempt may have handled the key, even if its response was truncated or nobody read
-	// it.
+	// it. An error response gives the key no affinity.
 	if status != StatusErrored && !attempt.notRun {
 		inst.recordKeyAffinity(req, attempt)
 	}
@@ -87,8 +87,9 @@
 }
 
 // recordOutcome adds the end of an attempt to the health records and, as a sample, to the backend's concurrency limit,
-// unless handleOverdueAttempt has already counted the attempt. A broken connection is not a sample for the limit, since
-// it says nothing about the load of the backend. The end of an attempt that was canceled or never sent is not counted.
+// unless handleOverdueAttempt has already counted the attempt. Broken connections and error responses are not samples
+// for the limit, since they say nothing about the load of the backend. The end of an attempt that was canceled or never
+// sent is not counted.
 func (inst *Instance) recordOutcome(attempt *attempt, status AttemptStatus, inTime bool) {
 	if status == StatusCanceled || status == StatusNotSent || attempt.countedLate {
 		return
@@ -118,9 +119,9 @@
 }
 
 // handleOverdueAttempt counts a late attempt against its backend immediately. An attempt that is presumed lost is
-// counted and canceled, if there is still time to try elsewhere: responses can get lost on any path. Both a concurrent second
-// attempt and many such retries would worsen an overload, so the lost attempt is canceled first and the cancellation
-// budget limits the number of retries.
+// counted and canceled, if there is still time to try elsewhere: responses can get lost on any path. Both a concurrent
+// second attempt and many such retries would worsen an overload, so the lost attempt is canceled first and the
+// cancellation budget limits the number of retries.
 func (inst *Instance) handleOverdueAttempt(req *request, number int) {
 	attempt := &req.attempts[number]
 	late := inst.now >= attempt.lateAt
--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -53,7 +53,7 @@
 	return failing, recovered
 }
 
-// Broken connections do not lower a backend's concurrency limit; timeouts and rejections do.
+// Broken connections and error responses do not lower a backend's concurrency limit; timeouts and rejections do.
 func TestConcurrencyLimitByStatus(t *testing.T) {
 	for _, tc := range []struct {
 		status AttemptStatus
--- a/policy/messages.go
+++ b/policy/messages.go
@@ -65,11 +65,11 @@
 // Results of an attempt. The comments state whether the backend ran the attempt.
 const (
 	StatusServed        AttemptStatus = iota + 1 // ran
-	StatusErrored                                // may have run
+	StatusErrored                                // may have run; the backend answered with an error
 	StatusRejected                               // never ran
 	StatusTimedOut                               // may still run
 	StatusConnectFailed                          // never ran
-	StatusReset                                  // may have run
+	StatusReset                                  // may have run; the connection broke
 	StatusCanceled                               // may have run
 	StatusNotSent                                // never sent
 )
