--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -15,7 +15,7 @@
 			inst, port := startInstance(RequestClass{}, 1)
 			inst.OnRequest(10, Request{ID: "t", TimeLeft: 4000})
 			inst.OnAttemptResult(11, AttemptResult{RequestID: "t", Status: status, Elapsed: 1})
-			expect(t, "actions after a failure", port.takeActions(), "[submit t a]")
+			expect(t, "actions up to the first failure, inclusive", port.takeActions(), "[submit t a]")
 			failing, recovered := attemptsAtFailing(status)
 			if failing > 8 || recovered < 5 {
 				t.Errorf("attempts at the failing backend = %d, want at most 8; after its recovery = %d, want at least 5", failing, recovered)
@@ -53,7 +53,7 @@
 	return failing, recovered
 }
 
-// Broken connections do not lower a backend's concurrency limit; timeouts and rejections do.
+// Broken connections and error responses do not lower a backend's concurrency limit; timeouts and rejections do.
 func TestConcurrencyLimitByStatus(t *testing.T) {
 	for _, tc := range []struct {
 		status AttemptStatus
@@ -92,12 +92,12 @@
 			inst.requests["t"].objectiveDeadline -= tc.waited
 			inst.requests["t"].attempts[0].lateAt = inst.latencyDeadline(inst.requests["t"])
 			inst.endpoints.At(0).Limit = 1.5
-			was := inst.endpoints.At(0).Limit
+			before := inst.endpoints.At(0).Limit
 			inst.OnTimer(2+tc.elapsed, 0)
 			inst.OnAttemptResult(2+tc.elapsed, AttemptResult{RequestID: "t", Status: StatusServed, Final: true, Elapsed: tc.elapsed})
 			port.takeActions()
-			if got := inst.endpoints.At(0).Limit; got < was != tc.lowers || got > was != tc.raises {
-				t.Errorf("concurrency limit changed from %.1f to %.1f; want lowered %v, raised %v", was, got, tc.lowers, tc.raises)
+			if got := inst.endpoints.At(0).Limit; got < before != tc.lowers || got > before != tc.raises {
+				t.Errorf("concurrency limit changed from %.1f to %.1f; want lowered %v, raised %v", before, got, tc.lowers, tc.raises)
 			}
 		})
 	}
--- a/policy/messages.go
+++ b/policy/messages.go
@@ -65,11 +65,11 @@
 // Results of an attempt. The comments state whether the backend ran the attempt.
 const (
 	StatusServed        AttemptStatus = iota + 1 // ran
-	StatusErrored                                // may have run
+	StatusErrored                                // may have run; the backend answered with an error
 	StatusRejected                               // never ran
 	StatusTimedOut                               // may still run
 	StatusConnectFailed                          // never ran
-	StatusReset                                  // may have run
+	StatusReset                                  // may have run; the connection broke
 	StatusCanceled                               // may have run
 	StatusNotSent                                // never sent
 )
@@ -84,7 +84,7 @@
 	ID       string  // unique among the open requests
 	Key      string  // affinity key, shared by related requests; empty: none
 	Class    int     // index into Config.Classes
-	Tenant   int     // index into Config.Tenants.Quotas
+	Tenant   int     // index into Config.Tenants.Quotas; beyond its end: no quota
 	Retry    bool    // the client marked it as a repeat of an earlier request
 	TimeLeft float64 // ms until its deadline
 	Work     float64 // client's estimate in an arbitrary unit; 0: no estimate
