--- a/cmd/onyxgate/record.go
+++ b/cmd/onyxgate/record.go
@@ -19,7 +19,7 @@
 	"onyxgate/internal/record/sqlstore"
 )
 
-type recordLine struct {
+type recordCommands struct {
 	Settings string       `env:"ONYXGATE_SETTINGS" type:"path" required:"" help:"Our settings, TOML: [record] says where spools and store are."`
 	Status   recordStatus `cmd:"" help:"What spools and store hold."`
 	List     recordList   `cmd:"" help:"List entries of the store, the newest of them last."`
@@ -30,8 +30,8 @@
 	Adopt    recordAdopt  `cmd:"" help:"Take over a spool directory that was moved here on purpose."`
 }
 
-// table is [record] of the settings, which must be on.
-func (l recordLine) table() (recorder.Config, error) {
+// recordConfig is [record] of the settings, which must be on.
+func (l recordCommands) recordConfig() (recorder.Config, error) {
 	tables, err := config.Read(l.Settings)
 	if err == nil && !tables.Record.Enabled() {
 		err = fmt.Errorf("%s: record.mode is off", l.Settings)
@@ -39,9 +39,9 @@
 	return tables.Record, err
 }
 
-// store opens the one that the settings name. Errors wrap recorder.ErrNoStore.
-func (l recordLine) store() (*sqlstore.Store, error) {
-	table, err := l.table()
+// openStore opens the one that the settings name. Errors wrap recorder.ErrNoStore.
+func (l recordCommands) openStore() (*sqlstore.Store, error) {
+	table, err := l.recordConfig()
 	if err != nil {
 		return nil, err
 	}
@@ -52,8 +52,8 @@
 	return store, err
 }
 
-// interrupted is a context that ends when the operator, or whoever started the command, wants it to.
-func interrupted() (context.Context, context.CancelFunc) {
+// signalContext is a context that ends when the operator, or whoever started the command, wants it to.
+func signalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 }
 
@@ -88,19 +88,19 @@
 	filter = sqlstore.Filter{
 		Instance: s.Instance, Class: s.Class, Outcome: s.Outcome, State: s.State, RequestID: s.Request, Limit: limit,
 	}
-	if filter.From, err = moment("--from", s.From); err == nil {
-		filter.To, err = moment("--to", s.To)
+	if filter.From, err = parseTime("--from", s.From); err == nil {
+		filter.To, err = parseTime("--to", s.To)
 	}
 	return filter, err
 }
 
-// moment is a time (Unix ms) that a flag says, or 0 where it says nothing.
-func moment(flag, text string) (float64, error) {
+// parseTime is a time (Unix ms) that a flag says, or 0 where it says nothing.
+func parseTime(flag, text string) (float64, error) {
 	if text == "" {
 		return 0, nil
 	}
 	if span, err := time.ParseDuration(text); err == nil {
-		return ago(span), nil
+		return unixMsAgo(span), nil
 	}
 	at, err := time.Parse(time.RFC3339, text)
 	if err != nil {
@@ -109,5 +109,5 @@
 	return float64(at.UnixNano()) / float64(time.Millisecond), nil
 }
 
-// ago is the time (Unix ms) that is a span back from now.
-func ago(span time.Duration) float64 { return float64(time.Now().Add(-span).UnixMilli()) }
+// unixMsAgo is the time (Unix ms) that is a span back from now.
+func unixMsAgo(span time.Duration) float64 { return float64(time.Now().Add(-span).UnixMilli()) }
--- a/cmd/onyxgate/record_adopt.go
+++ b/cmd/onyxgate/record_adopt.go
@@ -11,8 +11,8 @@
 }
 
 // Run takes a directory over and prints its incarnations.
-func (c recordAdopt) Run(line *recordLine) error {
-	settings, err := line.table()
+func (c recordAdopt) Run(line *recordCommands) error {
+	settings, err := line.recordConfig()
 	if err != nil {
 		return err
 	}
--- a/cmd/onyxgate/record_export.go
+++ b/cmd/onyxgate/record_export.go
@@ -12,14 +12,14 @@
 }
 
 // Run writes entries to a file that is not there yet, or to standard output.
-func (c recordExport) Run(line *recordLine) (err error) {
+func (c recordExport) Run(line *recordCommands) (err error) {
 	if c.Out == "" {
-		return write(line, c.selection, 0, c.Format, os.Stdout)
+		return writeEntries(line, c.selection, 0, c.Format, os.Stdout)
 	}
 	file, err := os.OpenFile(c.Out, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, file.Close()) }()
-	return write(line, c.selection, 0, c.Format, file)
+	return writeEntries(line, c.selection, 0, c.Format, file)
 }
--- a/cmd/onyxgate/record_list.go
+++ b/cmd/onyxgate/record_list.go
@@ -9,6 +9,6 @@
 }
 
 // Run writes entries to standard output.
-func (c recordList) Run(line *recordLine) error {
-	return write(line, c.selection, c.Limit, c.Format, os.Stdout)
+func (c recordList) Run(line *recordCommands) error {
+	return writeEntries(line, c.selection, c.Limit, c.Format, os.Stdout)
 }
--- a/cmd/onyxgate/record_prune.go
+++ b/cmd/onyxgate/record_prune.go
@@ -11,20 +11,20 @@
 }
 
 // Run removes old entries and says how many, also where it ends early.
-func (c recordPrune) Run(line *recordLine) error {
+func (c recordPrune) Run(line *recordCommands) error {
 	if c.OlderThan <= 0 || c.Batch < 1 {
 		return fmt.Errorf("--older-than %v, --batch %d: both must be above zero", c.OlderThan, c.Batch)
 	}
-	store, err := line.store()
+	store, err := line.openStore()
 	if err != nil {
 		return err
 	}
 	defer store.Close()
-	ctx, stop := interrupted()
+	ctx, stop := signalContext()
 	defer stop()
 	shown, removed := newProgress("removed"), int64(0)
 	defer func() { fmt.Println(removed, "entries removed") }()
-	before := ago(c.OlderThan)
+	before := unixMsAgo(c.OlderThan)
 	for {
 		n, err := store.Prune(ctx, before, c.Batch)
 		if err != nil || n == 0 {
--- a/cmd/onyxgate/record_ship.go
+++ b/cmd/onyxgate/record_ship.go
@@ -11,12 +11,12 @@
 }
 
 // Run sends what is left in a spool and says how much went, also where it could not all go.
-func (c recordShip) Run(line *recordLine) error {
-	settings, err := line.table()
+func (c recordShip) Run(line *recordCommands) error {
+	settings, err := line.recordConfig()
 	if err != nil {
 		return err
 	}
-	ctx, stop := interrupted()
+	ctx, stop := signalContext()
 	defer stop()
 	shown := newProgress("shipped")
 	var exported, inDoubt uint64
--- a/cmd/onyxgate/record_status.go
+++ b/cmd/onyxgate/record_status.go
@@ -16,12 +16,12 @@
 type recordStatus struct{}
 
 // Run shows what spools and store hold.
-func (recordStatus) Run(line *recordLine) error {
-	settings, err := line.table()
+func (recordStatus) Run(line *recordCommands) error {
+	settings, err := line.recordConfig()
 	if err != nil {
 		return err
 	}
-	ctx, stop := interrupted()
+	ctx, stop := signalContext()
 	defer stop()
 	if err := showSpools(settings.Directory); err != nil {
 		return err
--- a/cmd/onyxgate/record_test.go
+++ b/cmd/onyxgate/record_test.go
@@ -16,7 +16,7 @@
 
 // nineEntries makes settings and a store with entries 1 to 9, answered a second after each other from 1970 on, three of each
 // outcome.
-func nineEntries(t *testing.T) *recordLine {
+func nineEntries(t *testing.T) *recordCommands {
 	t.Helper()
 	dir := t.TempDir()
 	file, db := filepath.Join(dir, "o.toml"), filepath.Join(dir, "r.db")
@@ -45,7 +45,7 @@
 	if _, err := store.Put(t.Context(), batch); err != nil {
 		t.Fatal(err)
 	}
-	return &recordLine{Settings: file}
+	return &recordCommands{Settings: file}
 }
 
 // Each form holds each entry once, and a filter holds.
@@ -67,7 +67,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var out bytes.Buffer
-			if err := write(line, c.selected, c.limit, c.format, &out); err != nil {
+			if err := writeEntries(line, c.selected, c.limit, c.format, &out); err != nil {
 				t.Fatal(err)
 			}
 			entries, lines := strings.Count(out.String(), "t/"), strings.Count(out.String(), "\n")
@@ -78,7 +78,7 @@
 	}
 	for _, bad := range []string{"yesterday", "12", "2026-13-01T00:00:00Z"} {
 		t.Run("a time that is none: "+bad, func(t *testing.T) {
-			err := write(line, selection{To: bad}, 0, "csv", &bytes.Buffer{})
+			err := writeEntries(line, selection{To: bad}, 0, "csv", &bytes.Buffer{})
 			if err == nil || !strings.Contains(err.Error(), bad) {
 				t.Errorf("%q: %v", bad, err)
 			}
@@ -96,7 +96,7 @@
 		t.Error(err)
 	}
 	var out bytes.Buffer
-	if err := write(line, selection{}, 0, "ndjson", &out); err != nil {
+	if err := writeEntries(line, selection{}, 0, "ndjson", &out); err != nil {
 		t.Error(err)
 	}
 	if out.Len() > 0 {
--- a/cmd/onyxgate/record_verify.go
+++ b/cmd/onyxgate/record_verify.go
@@ -16,12 +16,12 @@
 }
 
 // Run prints what the audit finds. Where there are defects it ends with an error.
-func (c recordVerify) Run(line *recordLine) error {
-	settings, err := line.table()
+func (c recordVerify) Run(line *recordCommands) error {
+	settings, err := line.recordConfig()
 	if err != nil {
 		return err
 	}
-	ctx, stop := interrupted()
+	ctx, stop := signalContext()
 	defer stop()
 	shown, defects := newProgress("entries read"), 0
 	var findings []recorder.Finding
@@ -36,7 +36,7 @@
 		return err
 	}
 	slices.SortStableFunc(findings, func(a, b recorder.Finding) int { // what is wrong stands last, above the prompt
-		return cmp.Compare(rank(a), rank(b))
+		return cmp.Compare(severity(a), severity(b))
 	})
 	for _, finding := range findings {
 		if err := c.print(finding); err != nil {
@@ -49,7 +49,7 @@
 	return nil
 }
 
-func rank(finding recorder.Finding) int {
+func severity(finding recorder.Finding) int {
 	if finding.Defect {
 		return 1
 	}
--- a/cmd/onyxgate/record_write.go
+++ b/cmd/onyxgate/record_write.go
@@ -14,22 +14,22 @@
 	"onyxgate/internal/record/sqlstore"
 )
 
-// rows calls each with the entries that were asked for, one at a time.
-type rows func(each func(sqlstore.Row) error) error
+// rowSource calls each with the entries that were asked for, one at a time.
+type rowSource func(each func(sqlstore.Row) error) error
 
-// write writes entries in a format: ndjson, csv or table. One is in memory at a time but for the table, which is bounded by
+// writeEntries writes entries in a format: ndjson, csv or table. One is in memory at a time but for the table, which is bounded by
 // its limit.
-func write(line *recordLine, asked selection, limit int, format string, out io.Writer) error {
+func writeEntries(line *recordCommands, asked selection, limit int, format string, out io.Writer) error {
 	filter, err := asked.filter(limit)
 	if err != nil {
 		return err
 	}
-	store, err := line.store()
+	store, err := line.openStore()
 	if err != nil {
 		return err
 	}
 	defer store.Close()
-	ctx, stop := interrupted()
+	ctx, stop := signalContext()
 	defer stop()
 	shown := newProgress("entries")
 	defer shown.finish()
@@ -49,12 +49,12 @@
 	return writeTable(selected, out)
 }
 
-func writeNDJSON(selected rows, out io.Writer) error {
+func writeNDJSON(selected rowSource, out io.Writer) error {
 	encoder := json.NewEncoder(out)
 	return selected(func(row sqlstore.Row) error { return encoder.Encode(row) })
 }
 
-func writeCSV(selected rows, out io.Writer) error {
+func writeCSV(selected rowSource, out io.Writer) error {
 	writer := csv.NewWriter(out)
 	if err := writer.Write(csvHeader); err != nil {
 		return err
@@ -80,7 +80,7 @@
 	}
 }
 
-func writeTable(selected rows, out io.Writer) error {
+func writeTable(selected rowSource, out io.Writer) error {
 	writer := table.NewWriter()
 	writer.SetOutputMirror(out)
 	writer.AppendHeader(table.Row{
--- a/cmd/onyxgate/sources_test.go
+++ b/cmd/onyxgate/sources_test.go
@@ -9,8 +9,8 @@
 	"onyxgate/internal/sources/host"
 )
 
-// state is what an instance with two backends writes down.
-func state() host.State {
+// testState is what an instance with two backends writes down.
+func testState() host.State {
 	return host.State{
 		WrittenAt: 10_000,
 		Doubt:     [2]string{"silent", ""},
@@ -43,7 +43,7 @@
 +-----------------+-------------+---------+-------+--------+--------+-----------+---------------------------------------------+-------+
 `
 	var out bytes.Buffer
-	if writeFleet(&out, state(), 12_000); out.String() != want {
+	if writeFleet(&out, testState(), 12_000); out.String() != want {
 		t.Errorf("got\n%s\nwant\n%s", out.String(), want)
 	}
 }
@@ -59,7 +59,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var out bytes.Buffer
-			err := sourcesExplain{ID: c.id}.write(&out, state())
+			err := sourcesExplain{ID: c.id}.write(&out, testState())
 			if out.String() != c.want || (err == nil) != (c.err == "") || err != nil && !strings.Contains(err.Error(), c.err) {
 				t.Errorf("got %q, %v; want %q, %q", out.String(), err, c.want, c.err)
 			}
--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -40,7 +40,7 @@
 // Server is one instance that is put together: New, then Run.
 type Server struct {
 	options   Options
-	site      site
+	config      effectiveConfig
 	listener  net.Listener
 	sockets   *httpwire.Sockets
 	core      *core.Core
@@ -76,22 +76,22 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{options: o, site: newSite(o, configuration)}
-	s.site.limitProcess()
+	s := &Server{options: o, config: newEffectiveConfig(o, configuration)}
+	s.config.limitProcess()
 	s.core = core.New(transport{s})
 	if err := s.openRecorder(); err != nil {
 		return nil, err
 	}
-	if s.listener, err = listen(s.site.listen); err != nil {
+	if s.listener, err = listen(s.config.listen); err != nil {
 		return nil, err
 	}
-	s.sockets = httpwire.NewSockets(s.site.sockets)
-	s.makeStreams()
+	s.sockets = httpwire.NewSockets(s.config.sockets)
+	s.makeControlClients()
 	s.makeUpstream()
 	s.makeFront()
 	s.logStart()
 	s.startCore()
-	if err := s.applyKnown(); err != nil {
+	if err := s.applyInitialState(); err != nil {
 		return nil, err
 	}
 	return s, nil
@@ -104,7 +104,7 @@
 		return nil
 	}
 	s.recorder, err = recorder.New(recorder.Options{
-		Settings: table, Instance: s.site.name, Classes: s.site.classNames, Now: s.core.Now, Seed: s.site.seed + recorderSeed,
+		Settings: table, Instance: s.config.name, Classes: s.config.classNames, Now: s.core.Now, Seed: s.config.seed + recorderSeed,
 	})
 	if err != nil {
 		return err
@@ -118,25 +118,25 @@
 	return (&net.Dialer{KeepAlive: -1}).DialContext(ctx, "tcp", address)
 }
 
-// makeStreams makes the clients of discovery and the platform.
-func (s *Server) makeStreams() {
-	settings := s.site.settings
+// makeControlClients makes the clients of discovery and the platform.
+func (s *Server) makeControlClients() {
+	settings := s.config.settings
 	zones, hardware := siteconfig.ZonesAndHardware(settings)
 	s.discovery = httpwire.NewDiscovery(httpwire.DiscoveryConfig{
 		Core:            s.core,
 		Dial:            dial,
-		Address:         s.site.discovery,
+		Address:         s.config.discovery,
 		Zones:           zones,
 		HardwareClasses: hardware,
 		OnDemand:        siteconfig.OnDemandDiscovery(settings),
-		Seed:            s.site.seed + discoverySeed,
+		Seed:            s.config.seed + discoverySeed,
 	})
 	s.platform = httpwire.NewPlatform(httpwire.PlatformConfig{
 		Core:        s.core,
 		Dial:        dial,
-		Address:     s.site.platform(),
+		Address:     s.config.platform(),
 		VoteTimeout: milliseconds(siteconfig.VoteTimeout(settings)),
-		Seed:        s.site.seed + platformSeed,
+		Seed:        s.config.seed + platformSeed,
 	})
 }
 
@@ -146,8 +146,8 @@
 	if s.options.Settings.Sources.Enabled() {
 		address = func(id string) string { return s.sources.Address(id) } // s.sources is made after the upstream
 	}
-	connect, idle := siteconfig.ConnectionTimes(s.site.settings)
-	onAnswers, onProbes := siteconfig.LoadReports(s.site.settings)
+	connect, idle := siteconfig.ConnectionTimes(s.config.settings)
+	onAnswers, onProbes := siteconfig.LoadReports(s.config.settings)
 	s.upstream = httpwire.NewUpstream(httpwire.UpstreamConfig{
 		Core:               s.core,
 		Dial:               dial,
@@ -169,44 +169,44 @@
 		Core:            s.core,
 		Upstream:        s.upstream,
 		Sockets:         s.sockets,
-		ClassNames:      s.site.classNames,
-		Classes:         s.site.classes,
-		CancelAllowed:   siteconfig.CancelAllowed(s.site.settings),
-		MaxOpenRequests: siteconfig.MaxOpenRequests(s.site.settings),
-		MaxBodyBytes:    s.site.bodyBytes(),
+		ClassNames:      s.config.classNames,
+		Classes:         s.config.classes,
+		CancelAllowed:   siteconfig.CancelAllowed(s.config.settings),
+		MaxOpenRequests: siteconfig.MaxOpenRequests(s.config.settings),
+		MaxBodyBytes:    s.config.bodyBytes(),
 	})
 }
 
 func (s *Server) logStart() {
 	logrus.WithFields(logrus.Fields{
-		"version": s.options.Version, "instance": s.site.name, "listen": s.listener.Addr().String(),
-		"cpus": runtime.NumCPU(), "cores": runtime.GOMAXPROCS(0), "sockets": s.site.sockets, "memory_mb": s.site.memoryMB,
-		"instances": s.site.instances(), "classes": len(s.site.classNames), "backends": s.site.knownBackends(),
+		"version": s.options.Version, "instance": s.config.name, "listen": s.listener.Addr().String(),
+		"cpus": runtime.NumCPU(), "cores": runtime.GOMAXPROCS(0), "sockets": s.config.sockets, "memory_mb": s.config.memoryMB,
+		"instances": s.config.instances(), "classes": len(s.config.classNames), "backends": s.config.knownBackends(),
 	}).Info("start")
 }
 
 // startCore starts the decisions, and the merge of the sources after them: what it restores goes to them at once.
 func (s *Server) startCore() {
 	s.core.Start(func(p policy.Port) *policy.Instance {
-		return policy.New(p, siteconfig.InstanceConfig(s.site.settings, s.site.seed, s.sockets.ClientLimit()))
+		return policy.New(p, siteconfig.InstanceConfig(s.config.settings, s.config.seed, s.sockets.ClientLimit()))
 	})
 	if !s.options.Settings.Sources.Enabled() {
 		return
 	}
 	s.sources = host.New(host.Options{
-		Config: s.options.Settings.Sources, Fleet: s.core, OnAddressReleased: s.upstream.CloseAddress, Seed: s.site.seed + sourcesSeed,
-		Instance: int(s.site.settings.Get("me").Int()), Instances: s.site.instances(),
+		Config: s.options.Settings.Sources, Fleet: s.core, OnAddressReleased: s.upstream.CloseAddress, Seed: s.config.seed + sourcesSeed,
+		Instance: int(s.config.settings.Get("me").Int()), Instances: s.config.instances(),
 	})
 	s.discovery.OnUpdate(s.sources.OnDiscoveryUpdate, s.sources.OnDiscoveryDisconnected)
 }
 
-// applyKnown gives the decisions the endpoints and the release that the configuration holds.
-func (s *Server) applyKnown() error {
-	known := []byte(s.site.configuration.Get("known").Raw)
+// applyInitialState gives the decisions the endpoints and the release that the configuration holds.
+func (s *Server) applyInitialState() error {
+	known := []byte(s.config.configuration.Get("known").Raw)
 	if err := s.discovery.Apply(known, httpwire.FromConfiguration, func() {}); err != nil {
 		return fmt.Errorf("known: %w", err)
 	}
-	release := s.site.configuration.Get("pipeline.news")
+	release := s.config.configuration.Get("pipeline.news")
 	field := func(name string) string { return release.Get(name).String() }
 	if err := s.platform.Apply(httpwire.ReadReleaseFields(field)); err != nil {
 		return fmt.Errorf("pipeline.news: %w", err)
--- a/internal/assembly/configuration.go
+++ b/internal/assembly/configuration.go
@@ -36,8 +36,8 @@
 	return configuration, nil
 }
 
-// site is what holds for this process: the configuration, and the options that replace some of it.
-type site struct {
+// effectiveConfig is what holds for this process: the configuration, and the options that replace some of it.
+type effectiveConfig struct {
 	configuration, settings gjson.Result
 	name, listen, discovery string
 	seed                    uint64
@@ -46,9 +46,9 @@
 	classes                 []policy.RequestClass
 }
 
-func newSite(o Options, configuration gjson.Result) site {
+func newEffectiveConfig(o Options, configuration gjson.Result) effectiveConfig {
 	settings := configuration.Get("settings")
-	s := site{
+	s := effectiveConfig{
 		configuration: configuration,
 		settings:      settings,
 		name:          cmp.Or(o.Name, configuration.Get("name").Str),
@@ -61,11 +61,11 @@
 	return s
 }
 
-func (s site) platform() string { return s.configuration.Get("pipeline.address").Str }
+func (s effectiveConfig) platform() string { return s.configuration.Get("pipeline.address").Str }
 
-func (s site) instances() int { return int(s.settings.Get("balancers").Int()) }
+func (s effectiveConfig) instances() int { return int(s.settings.Get("balancers").Int()) }
 
-func (s site) knownBackends() int { return len(s.configuration.Get("known.servers").Array()) }
+func (s effectiveConfig) knownBackends() int { return len(s.configuration.Get("known.servers").Array()) }
 
 const (
 	bytesPerMB = 1 << 20
@@ -77,7 +77,7 @@
 )
 
 // bodyBytes is how much requests' bodies may take: a quarter of the memory.
-func (s site) bodyBytes() int64 {
+func (s effectiveConfig) bodyBytes() int64 {
 	if s.memoryMB > 0 {
 		return int64(s.memoryMB) * bytesPerMB / 4
 	}
@@ -85,7 +85,7 @@
 }
 
 // limitProcess holds the process to the cores and the memory that the configuration allows it.
-func (s site) limitProcess() {
+func (s effectiveConfig) limitProcess() {
 	if cores := siteconfig.Cores(s.configuration); cores > 0 { // more threads at once than that only take turns on it
 		runtime.GOMAXPROCS(cores)
 	}
--- a/internal/assembly/harness_test.go
+++ b/internal/assembly/harness_test.go
@@ -20,22 +20,22 @@
 
 // Whole instances in one process, over loopback.
 
-// world is a platform, a discovery and a backend in one server.
-type world struct {
+// testEnv is a platform, a discovery and a backend in one server.
+type testEnv struct {
 	net.Listener
 	mu      sync.Mutex
-	ran     []string    // paths that the backend ran, with the time that it was given
-	watched chan string // after which version a stream asked
+	backendRequests     []string    // paths that the backend ran, with the time that it was given
+	watches chan string // after which version a stream asked
 	updates chan string // what the stream gets
-	drop    chan bool   // ends everything
+	closed    chan bool   // ends everything
 }
 
-func newWorld(t *testing.T) *world {
+func newTestEnv(t *testing.T) *testEnv {
 	t.Helper()
-	w := &world{Listener: listenLoopback(t), watched: make(chan string, 9), updates: make(chan string, 9), drop: make(chan bool)}
+	w := &testEnv{Listener: listenLoopback(t), watches: make(chan string, 9), updates: make(chan string, 9), closed: make(chan bool)}
 	server := &http.Server{Handler: w}
 	go func() { _ = server.Serve(w.Listener) }() // ends with the cleanup
-	t.Cleanup(func() { close(w.drop); server.Close() })
+	t.Cleanup(func() { close(w.closed); server.Close() })
 	return w
 }
 
@@ -50,9 +50,9 @@
 	return l
 }
 
-func (w *world) address() string { return w.Addr().String() }
+func (w *testEnv) address() string { return w.Addr().String() }
 
-func (w *world) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
+func (w *testEnv) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case "/discovery/hosts":
 		w.serveDiscovery(rw, r)
@@ -64,15 +64,15 @@
 }
 
 // serveDiscovery sends a stream the test's updates, until the world or the stream ends.
-func (w *world) serveDiscovery(rw http.ResponseWriter, r *http.Request) {
-	w.watched <- r.URL.Query().Get("after")
+func (w *testEnv) serveDiscovery(rw http.ResponseWriter, r *http.Request) {
+	w.watches <- r.URL.Query().Get("after")
 	rw.(http.Flusher).Flush()
 	for {
 		select {
 		case text := <-w.updates:
 			_, _ = io.WriteString(rw, text+"\n") // a stream that has ended is seen below
 			rw.(http.Flusher).Flush()
-		case <-w.drop:
+		case <-w.closed:
 			return
 		case <-r.Context().Done():
 			return
@@ -81,38 +81,38 @@
 }
 
 // servePlatform keeps a stream open without an update.
-func (w *world) servePlatform(rw http.ResponseWriter, r *http.Request) {
+func (w *testEnv) servePlatform(rw http.ResponseWriter, r *http.Request) {
 	rw.(http.Flusher).Flush()
 	select {
-	case <-w.drop:
+	case <-w.closed:
 	case <-r.Context().Done():
 	}
 }
 
 // serveBackend runs a request and keeps its path with the time that it was given.
-func (w *world) serveBackend(rw http.ResponseWriter, r *http.Request) {
+func (w *testEnv) serveBackend(rw http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body) // a client that left gets no answer either
 	w.mu.Lock()
-	w.ran = append(w.ran, r.URL.Path+" "+r.Header.Get("Req-Deadline"))
+	w.backendRequests = append(w.backendRequests, r.URL.Path+" "+r.Header.Get("Req-Deadline"))
 	w.mu.Unlock()
 	_, _ = io.WriteString(rw, "made for "+r.Header.Get("Req-Id"))
 }
 
-// runs are the paths that the backend ran so far.
-func (w *world) runs() []string {
+// requestsRun are the paths that the backend ran so far.
+func (w *testEnv) requestsRun() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return append([]string(nil), w.ran...)
+	return append([]string(nil), w.backendRequests...)
 }
 
-// list names a running backend at this world's address.
-func (w *world) list(version int) string {
+// endpointList names a running backend at this world's address.
+func (w *testEnv) endpointList(version int) string {
 	return fmt.Sprintf(`{"version":%d,"full":true,"servers":[{"id":"s%s","addr":%q,"state":"Ready","weight":1,"version_no":1}]}`,
 		version, w.address(), w.address())
 }
 
-// configuration is an instance's with its list, by its own discovery and platform.
-func configuration(discovery string, known, grades, limits string) string {
+// configJSON is an instance's with its list, by its own discovery and platform.
+func configJSON(discovery string, known, grades, limits string) string {
 	return fmt.Sprintf(`{"name":"n","listen":"127.0.0.1:0","discovery":%q,"seed":"7","pipeline":{"address":%q,"news":{"release":1,
 		"tranche":1,"mode":"stable","exposure":1,"old_ms":0}},"known":%s,"settings":{"balancers":1,"grades":[%s],
 		"limits":{%s,"connect-timeout-us":900000,"idle-close-us":30000000},"discovery":"push","family-info":{
@@ -121,22 +121,22 @@
 }
 
 const (
-	short = `{"name":"glance","effect":"repeatable","aim-us":300000,"deadline-us":900000,"worth":1}`
-	long  = `{"name":"audit","effect":"once","aim-us":9000000,"deadline-us":20000000,"worth":5},
+	safeClass = `{"name":"glance","effect":"repeatable","aim-us":300000,"deadline-us":900000,"worth":1}`
+	unsafeClasses  = `{"name":"audit","effect":"once","aim-us":9000000,"deadline-us":20000000,"worth":5},
 		{"name":"merge","effect":"by_key","key-scope":"all","key-ttl-us":60000000,"aim-us":8000000,"deadline-us":19000000,"worth":9}`
-	few, many = `"max-attempts":1,"cancel":true`, `"max-attempts":4,"cancel":false`
+	singleAttempt, fourAttempts = `"max-attempts":1,"cancel":true`, `"max-attempts":4,"cancel":false`
 )
 
-// running is an instance under way.
-type running struct {
+// testInstance is an instance under way.
+type testInstance struct {
 	*Server
 	file    string
 	signals chan os.Signal
-	end     chan error
+	runResult     chan error
 }
 
 // start starts an instance with this configuration.
-func start(t *testing.T, text string) *running {
+func start(t *testing.T, text string) *testInstance {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -150,17 +150,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &running{s, file, make(chan os.Signal, 4), make(chan error, 1)}
-	go func() { r.end <- r.Run(r.signals) }()
+	r := &testInstance{s, file, make(chan os.Signal, 4), make(chan error, 1)}
+	go func() { r.runResult <- r.Run(r.signals) }()
 	return r
 }
 
 // stop ends an instance by two signals, the second at once.
-func (r *running) stop(t *testing.T) {
+func (r *testInstance) stop(t *testing.T) {
 	t.Helper()
 	r.signals <- syscall.SIGTERM
 	r.signals <- syscall.SIGTERM
-	if err := <-r.end; err != nil && !errors.Is(err, errKilled) { // none where all was answered in between
+	if err := <-r.runResult; err != nil && !errors.Is(err, errSecondSignal) { // none where all was answered in between
 		t.Errorf("ended with %v", err)
 	}
 }
@@ -168,10 +168,10 @@
 // client is a connection of a client.
 type client struct {
 	net.Conn
-	in *bufio.Reader
+	reader *bufio.Reader
 }
 
-func (r *running) connect(t *testing.T) client {
+func (r *testInstance) connect(t *testing.T) client {
 	t.Helper()
 	conn, err := dial(t.Context(), r.listener.Addr().String())
 	if err != nil {
@@ -190,10 +190,10 @@
 	_, _ = fmt.Fprintf(c, "%s %s HTTP/1.1\r\nHost: h\r\nReq-Id: %s\r\nReq-Deadline: 5000m\r\n%s\r\n", method, path, id, key)
 }
 
-// answer reads one answer: its status and body.
-func (c client) answer(t *testing.T) (int, string) {
+// readResponse reads one readResponse: its status and body.
+func (c client) readResponse(t *testing.T) (int, string) {
 	t.Helper()
-	r, err := http.ReadResponse(c.in, nil)
+	r, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		t.Error(err)
 		return 0, ""
@@ -203,7 +203,7 @@
 	return r.StatusCode, string(b)
 }
 
-func until(holds func() bool) {
+func waitUntil(holds func() bool) {
 	for !holds() {
 		runtime.Gosched()
 	}
--- a/internal/assembly/metrics.go
+++ b/internal/assembly/metrics.go
@@ -50,8 +50,8 @@
 	{"onyxgate_sources_negative_answers_total", "answers that the service does not exist", func(n host.Counts) float64 { return float64(n.NegativeAnswers) }},
 	{"onyxgate_sources_changes_total", "changes of the fleet that the core took", func(n host.Counts) float64 { return float64(n.Changes) }},
 	{"onyxgate_sources_backends_running", "backends running, by all sources", func(n host.Counts) float64 { return float64(n.Running) }},
-	{`onyxgate_sources_doubted{source="discovery"}`, "1 while discovery is doubted, else 0", doubtOf(sources.Discovery)},
-	{`onyxgate_sources_doubted{source="srv"}`, "1 while SRV is doubted, else 0", doubtOf(sources.SRV)},
+	{`onyxgate_sources_doubted{source="discovery"}`, "1 while discovery is doubted, else 0", doubtGauge(sources.Discovery)},
+	{`onyxgate_sources_doubted{source="srv"}`, "1 while SRV is doubted, else 0", doubtGauge(sources.SRV)},
 }
 
 // ruleMetric is the name of the changes by the rule that decided them; it is followed by one label for each of
@@ -72,8 +72,8 @@
 	{"onyxgate_record_oldest_unexported_seconds", "age of the oldest entry that the store does not have", func(s recorder.Status) float64 { return s.OldestWaiting / 1000 }},
 }
 
-// doubtOf is 1 while a source is doubted.
-func doubtOf(source sources.Source) func(host.Counts) float64 {
+// doubtGauge is 1 while a source is doubted.
+func doubtGauge(source sources.Source) func(host.Counts) float64 {
 	return func(n host.Counts) float64 {
 		if n.Doubt[source] != "" {
 			return 1
--- a/internal/assembly/reload.go
+++ b/internal/assembly/reload.go
@@ -11,7 +11,7 @@
 
 const (
 	// A configuration that is being written is whole a moment later.
-	reloadPause    = 100 * time.Millisecond
+	reloadRetryDelay    = 100 * time.Millisecond
 	maxReloadTries = 10
 )
 
@@ -22,13 +22,13 @@
 // configuration that can't be used changes nothing.
 type reloader struct {
 	path      string
-	running   gjson.Result             // the configuration that was taken last
+	current   gjson.Result             // the configuration that was taken last
 	parts     map[string]addressSetter // by the key that holds their address
 	triesLeft int
 }
 
 func (s *Server) newReloader() *reloader {
-	return &reloader{path: s.options.ConfigPath, running: s.site.configuration, parts: map[string]addressSetter{
+	return &reloader{path: s.options.ConfigPath, current: s.config.configuration, parts: map[string]addressSetter{
 		"discovery": s.discovery, "pipeline.address": s.platform,
 	}}
 }
@@ -45,7 +45,7 @@
 	if err := r.load(); err == nil || r.triesLeft <= 0 {
 		return nil
 	}
-	return time.After(reloadPause)
+	return time.After(reloadRetryDelay)
 }
 
 // load reads the configuration once and moves the parts whose addresses have changed in it.
@@ -58,12 +58,12 @@
 	moved := logrus.Fields{}
 	for key, part := range r.parts {
 		// Against the file as it was: an address given in its place at the start holds until the file names another.
-		if address := configuration.Get(key).Str; address != r.running.Get(key).Str {
+		if address := configuration.Get(key).Str; address != r.current.Get(key).Str {
 			part.SetAddress(address)
 			moved[key] = address
 		}
 	}
-	r.running = configuration
+	r.current = configuration
 	logrus.WithFields(moved).Info("configuration reloaded")
 	return nil
 }
--- a/internal/assembly/reload_test.go
+++ b/internal/assembly/reload_test.go
@@ -11,10 +11,10 @@
 
 // What crosses a reload.
 
-// movedPart keeps the addresses to which it moved.
-type movedPart struct{ to []string }
+// fakeAddressSetter keeps the addresses to which it moved.
+type fakeAddressSetter struct{ addresses []string }
 
-func (p *movedPart) SetAddress(address string) { p.to = append(p.to, address) }
+func (p *fakeAddressSetter) SetAddress(address string) { p.addresses = append(p.addresses, address) }
 
 // A configuration that can be used moves what it names anew; one that can't changes nothing, then or later.
 func TestReload(t *testing.T) {
@@ -33,8 +33,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	discovery, platform := &movedPart{}, &movedPart{}
-	reloader := &reloader{path: file, running: configuration, parts: map[string]addressSetter{
+	discovery, platform := &fakeAddressSetter{}, &fakeAddressSetter{}
+	reloader := &reloader{path: file, current: configuration, parts: map[string]addressSetter{
 		"discovery": discovery, "pipeline.address": platform,
 	}}
 	for _, c := range []struct{ name, text, discovery, platform string }{
@@ -55,8 +55,8 @@
 				}
 			}
 			_ = reloader.load() // its error is logged; what it did is what is looked at
-			if fmt.Sprint(discovery.to) != c.discovery || fmt.Sprint(platform.to) != c.platform {
-				t.Errorf("after %.80q: %v, %v", c.text, discovery.to, platform.to)
+			if fmt.Sprint(discovery.addresses) != c.discovery || fmt.Sprint(platform.addresses) != c.platform {
+				t.Errorf("after %.80q: %v, %v", c.text, discovery.addresses, platform.addresses)
 			}
 		})
 	}
@@ -64,10 +64,10 @@
 
 // A configuration read half written is read again; one that stays so changes nothing and is given up.
 func TestTorn(t *testing.T) {
-	d, e := newWorld(t), newWorld(t)
-	text := configuration(e.address(), d.list(1), short, few)
-	r := start(t, configuration(d.address(), d.list(1), short, few))
-	<-d.watched
+	d, e := newTestEnv(t), newTestEnv(t)
+	text := configJSON(e.address(), d.endpointList(1), safeClass, singleAttempt)
+	r := start(t, configJSON(d.address(), d.endpointList(1), safeClass, singleAttempt))
+	<-d.watches
 	if err := os.WriteFile(r.file, []byte(text[:len(text)/2]), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -81,7 +81,7 @@
 	if reloader.retry() != nil {
 		t.Error("a whole one is read again")
 	}
-	<-e.watched // moved
+	<-e.watches // moved
 	if err := os.WriteFile(r.file, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -96,22 +96,22 @@
 // SIGHUP while the first list is awaited: the new address is asked at once, and its list makes the instance ready. A second
 // one before that stream is connected moves it once more.
 func TestMovedBeforeFirst(t *testing.T) {
-	d, e, f := newWorld(t), newWorld(t), newWorld(t)
-	r := start(t, configuration(d.address(), d.list(1), short, few))
-	<-d.watched // and it says nothing
-	for _, w := range []*world{e, f} {
-		if err := os.WriteFile(r.file, []byte(configuration(w.address(), d.list(1), short, few)), 0o600); err != nil {
+	d, e, f := newTestEnv(t), newTestEnv(t), newTestEnv(t)
+	r := start(t, configJSON(d.address(), d.endpointList(1), safeClass, singleAttempt))
+	<-d.watches // and it says nothing
+	for _, w := range []*testEnv{e, f} {
+		if err := os.WriteFile(r.file, []byte(configJSON(w.address(), d.endpointList(1), safeClass, singleAttempt)), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		r.signals <- syscall.SIGHUP
-		<-w.watched
+		<-w.watches
 	}
-	f.updates <- f.list(7)
-	until(func() bool { v, _ := r.discovery.Version(); return v == 7 })
+	f.updates <- f.endpointList(7)
+	waitUntil(func() bool { v, _ := r.discovery.Version(); return v == 7 })
 	c := r.connect(t)
 	c.send(http.MethodGet, "/glance/1", "r1")
-	if status, _ := c.answer(t); status != 200 || len(f.runs()) != 1 {
-		t.Errorf("answered %d, ran %v", status, f.runs())
+	if status, _ := c.readResponse(t); status != 200 || len(f.requestsRun()) != 1 {
+		t.Errorf("answered %d, ran %v", status, f.requestsRun())
 	}
 	r.stop(t)
 }
--- a/internal/assembly/report.go
+++ b/internal/assembly/report.go
@@ -14,8 +14,8 @@
 	"onyxgate/policy"
 )
 
-// report logs the decisions' own lines and, every so often, the counts.
-func (s *Server) report(ctx context.Context) {
+// reportLoop logs the decisions' own lines and, every so often, the counts.
+func (s *Server) reportLoop(ctx context.Context) {
 	tick := time.NewTicker(s.options.ReportInterval)
 	defer tick.Stop()
 	for {
--- a/internal/assembly/run.go
+++ b/internal/assembly/run.go
@@ -18,8 +18,8 @@
 // the listener's backlog for it, but no longer than this, for discovery may be down.
 const firstListWait = time.Second
 
-// errKilled ends a run on a second SIGTERM or SIGINT.
-var errKilled = errors.New("told twice to end")
+// errSecondSignal ends a run on a second SIGTERM or SIGINT.
+var errSecondSignal = errors.New("told twice to end")
 
 // run is one run of a server, from the start of its parts to the shutdown.
 type run struct {
@@ -62,7 +62,7 @@
 	go s.platform.WatchReleases(ctx)
 	go s.platform.SendVotes(ctx)
 	go s.upstream.Sweep(ctx)
-	go s.report(ctx)
+	go s.reportLoop(ctx)
 	if s.sources != nil {
 		go s.sources.Run(ctx)
 	}
@@ -129,7 +129,7 @@
 	case sig == syscall.SIGHUP:
 		r.reloadAgain = r.reloader.start()
 	case r.isShuttingDown():
-		return errKilled
+		return errSecondSignal
 	default:
 		r.startShutdown()
 	}
--- a/internal/assembly/settings_test.go
+++ b/internal/assembly/settings_test.go
@@ -12,36 +12,36 @@
 func TestTwoSettings(t *testing.T) {
 	glance, merge := "GET /glance/7", "POST /merge/7"
 	t.Run("side by side", func(t *testing.T) {
-		x, y := newWorld(t), newWorld(t)
-		a, b := startIn(t, x, short, few), startIn(t, y, long, many)
+		x, y := newTestEnv(t), newTestEnv(t)
+		a, b := startDeployment(t, x, safeClass, singleAttempt), startDeployment(t, y, unsafeClasses, fourAttempts)
 		for k := range 3 {
 			a.serves(t, fmt.Sprint("a", k), glance, merge)
 			b.serves(t, fmt.Sprint("b", k), merge, glance)
 		}
 		a.checkCounts(t, 3)
 		b.checkCounts(t, 3)
-		if len(x.runs()) != 3 || len(y.runs()) != 3 {
-			t.Errorf("ran %v and %v", x.runs(), y.runs())
+		if len(x.requestsRun()) != 3 || len(y.requestsRun()) != 3 {
+			t.Errorf("ran %v and %v", x.requestsRun(), y.requestsRun())
 		}
 		a.stop(t)
 		b.stop(t)
 	})
 	t.Run("one after the other", func(t *testing.T) {
-		x, y := newWorld(t), newWorld(t)
-		a := startIn(t, x, short, few)
+		x, y := newTestEnv(t), newTestEnv(t)
+		a := startDeployment(t, x, safeClass, singleAttempt)
 		a.serves(t, "a", glance, merge)
 		a.stop(t)
-		b := startIn(t, y, long, many)
+		b := startDeployment(t, y, unsafeClasses, fourAttempts)
 		b.serves(t, "b", merge, glance)
 		b.checkCounts(t, 1)
 		b.stop(t)
 	})
 	t.Run("the other way round", func(t *testing.T) {
-		x, y := newWorld(t), newWorld(t)
-		b := startIn(t, y, long, many)
+		x, y := newTestEnv(t), newTestEnv(t)
+		b := startDeployment(t, y, unsafeClasses, fourAttempts)
 		b.serves(t, "b", merge, glance)
 		b.stop(t)
-		a := startIn(t, x, short, few)
+		a := startDeployment(t, x, safeClass, singleAttempt)
 		a.serves(t, "a", glance, merge)
 		a.checkCounts(t, 1)
 		a.stop(t)
@@ -50,16 +50,16 @@
 
 // deployment is an instance with its own settings, in a world of its own.
 type deployment struct {
-	*running
-	world *world
+	*testInstance
+	env *testEnv
 }
 
-// startIn starts an instance of these settings, and lets discovery report the world's backend.
-func startIn(t *testing.T, w *world, grades, limits string) deployment {
+// startDeployment starts an instance of these settings, and lets discovery report the world's backend.
+func startDeployment(t *testing.T, w *testEnv, grades, limits string) deployment {
 	t.Helper()
-	r := start(t, configuration(w.address(), w.list(1), grades, limits))
-	<-w.watched
-	w.updates <- w.list(2)
+	r := start(t, configJSON(w.address(), w.endpointList(1), grades, limits))
+	<-w.watches
+	w.updates <- w.endpointList(2)
 	return deployment{r, w}
 }
 
@@ -73,11 +73,11 @@
 	}{{own, 200}, {others, 404}} {
 		method, path, _ := strings.Cut(call.path, " ")
 		c.send(method, path, fmt.Sprint(id, k))
-		if status, _ := c.answer(t); status != call.status {
+		if status, _ := c.readResponse(t); status != call.status {
 			t.Errorf("%s: %d", call.path, status)
 		}
 	}
-	ran := d.world.runs()
+	ran := d.env.requestsRun()
 	if last := ran[len(ran)-1]; !strings.HasPrefix(last, strings.Fields(own)[1]+" ") {
 		t.Errorf("ran %q", last)
 	}
--- a/internal/assembly/start_test.go
+++ b/internal/assembly/start_test.go
@@ -17,17 +17,17 @@
 // What discovery already has holds from a process's first request on: one that lies in the backlog when the instance starts
 // goes by that, not by the list of the configuration.
 func TestFirstRequest(t *testing.T) {
-	old, now := newWorld(t), newWorld(t)
-	r := start(t, configuration(now.address(), old.list(1), short, few))
+	old, now := newTestEnv(t), newTestEnv(t)
+	r := start(t, configJSON(now.address(), old.endpointList(1), safeClass, singleAttempt))
 	c := r.connect(t)
 	c.send(http.MethodGet, "/glance/1", "r1")
-	<-now.watched
-	now.updates <- now.list(2)
-	if status, body := c.answer(t); status != 200 || body != "made for r1" {
+	<-now.watches
+	now.updates <- now.endpointList(2)
+	if status, body := c.readResponse(t); status != 200 || body != "made for r1" {
 		t.Errorf("answered %d %q", status, body)
 	}
-	if len(old.runs()) != 0 || len(now.runs()) != 1 {
-		t.Errorf("ran %v at what had left, %v at what runs", old.runs(), now.runs())
+	if len(old.requestsRun()) != 0 || len(now.requestsRun()) != 1 {
+		t.Errorf("ran %v at what had left, %v at what runs", old.requestsRun(), now.requestsRun())
 	}
 	r.stop(t)
 }
@@ -84,17 +84,17 @@
 
 // SIGTERM just before ready: what lies in the backlog is served, then the instance ends by itself.
 func TestEndsBeforeReady(t *testing.T) {
-	d := newWorld(t)
-	r := start(t, configuration(d.address(), d.list(1), short, few))
-	<-d.watched
+	d := newTestEnv(t)
+	r := start(t, configJSON(d.address(), d.endpointList(1), safeClass, singleAttempt))
+	<-d.watches
 	c := r.connect(t)
 	c.send(http.MethodGet, "/glance/1", "r1")
 	r.signals <- syscall.SIGTERM
-	if status, body := c.answer(t); status != 200 || body != "made for r1" {
+	if status, body := c.readResponse(t); status != 200 || body != "made for r1" {
 		t.Errorf("answered %d %q", status, body)
 	}
 	c.Close()
-	if err := <-r.end; err != nil {
+	if err := <-r.runResult; err != nil {
 		t.Errorf("ended with %v", err)
 	}
 }
--- a/internal/ci/clock_test.go
+++ b/internal/ci/clock_test.go
@@ -9,11 +9,11 @@
 	"testing"
 )
 
-// wallClock finds readings of the wall clock as a number, from which no span may be made: it can be stepped.
-var wallClock = regexp.MustCompile(`\.Unix(Nano|Milli|Micro)?\(\)|time\.Unix(Milli|Micro)?\(`)
+// wallClockCall finds readings of the wall clock as a number, from which no span may be made: it can be stepped.
+var wallClockCall = regexp.MustCompile(`\.Unix(Nano|Milli|Micro)?\(\)|time\.Unix(Milli|Micro)?\(`)
 
-// wallClockUses are the lines that may read it, and why.
-var wallClockUses = map[string]string{
+// allowedWallClockUses are the lines that may read it, and why.
+var allowedWallClockUses = map[string]string{
 	"internal/core/clock.go: return time.Now().UnixNano()":          "the epoch of Core.Now, and steps against the monotonic clock",
 	"internal/httpwire/conn.go: canceledDeadline = time.Unix(1, 0)": "a deadline long past, by any clock",
 	"internal/httpwire/writer.go: SetReadDeadline(time.Unix(1, 0))": "the same",
@@ -45,7 +45,7 @@
 			t.Fatal(err)
 		}
 	}
-	for use := range wallClockUses {
+	for use := range allowedWallClockUses {
 		if !used[use] {
 			t.Errorf("no longer there: %s", use)
 		}
@@ -56,11 +56,11 @@
 func checkWallClock(t *testing.T, name, text string, used map[string]bool) {
 	t.Helper()
 	for n, line := range strings.Split(text, "\n") {
-		if !wallClock.MatchString(line) {
+		if !wallClockCall.MatchString(line) {
 			continue
 		}
 		allowed := false
-		for use := range wallClockUses {
+		for use := range allowedWallClockUses {
 			file, part, _ := strings.Cut(use, ": ")
 			if file == name && strings.Contains(line, part) {
 				allowed, used[use] = true, true
--- a/internal/ci/logcalls_test.go
+++ b/internal/ci/logcalls_test.go
@@ -41,7 +41,7 @@
 // logCalls is what the source holds.
 type logCalls struct {
 	lines         map[string]*logLine // by level and message
-	notConstant   []string            // places of calls whose message is no constant
+	nonConstant   []string            // places of calls whose message is no constant
 	decisionLines map[string]string   // formats of the decisions' own lines, each verb as …; with a place
 }
 
@@ -119,7 +119,7 @@
 	if !ok {
 		return
 	}
-	if fields := r.chain(assignment.Rhs[0]); fields != nil {
+	if fields := r.entryFieldsOf(assignment.Rhs[0]); fields != nil {
 		if earlier := r.entries[variable.Name]; earlier != nil {
 			fields.merge(earlier) // one of several ways to the call adds a field: the page lists it
 		}
@@ -130,9 +130,9 @@
 	}
 }
 
-// chain returns the fields of an expression that is logrus, an entry in a variable, or one of these with fields added; nil:
+// entryFieldsOf returns the fields of an expression that is logrus, an entry in a variable, or one of these with fields added; nil:
 // it is none of them.
-func (r *functionReader) chain(expression ast.Expr) *entryFields {
+func (r *functionReader) entryFieldsOf(expression ast.Expr) *entryFields {
 	switch expression := expression.(type) {
 	case *ast.Ident:
 		if expression.Name == "logrus" {
@@ -144,7 +144,7 @@
 		if !ok {
 			return nil
 		}
-		inner := r.chain(method.X)
+		inner := r.entryFieldsOf(method.X)
 		if inner == nil || !strings.HasPrefix(method.Sel.Name, "With") {
 			return nil
 		}
@@ -198,14 +198,14 @@
 	return "", false
 }
 
-// levels are logrus's methods that log one message, and as what operators see it.
-var levels = map[string]string{
+// levelNames are logrus's methods that log one message, and as what operators see it.
+var levelNames = map[string]string{
 	"Trace": "trace", "Debug": "debug", "Info": "info", "Print": "info", "Warn": "warning", "Warning": "warning", "Error": "error",
 	"Fatal": "fatal", "Panic": "panic",
 }
 
-// formatted finds the methods that would make a message of a format, or of several parts.
-var formatted = regexp.MustCompile(`^(Trace|Debug|Info|Print|Warn|Warning|Error|Fatal|Panic|Log)(f|ln)$`)
+// formattingMethod finds the methods that would make a message of a format, or of several parts.
+var formattingMethod = regexp.MustCompile(`^(Trace|Debug|Info|Print|Warn|Warning|Error|Fatal|Panic|Log)(f|ln)$`)
 
 func (r *functionReader) readCall(call *ast.CallExpr) {
 	method, ok := call.Fun.(*ast.SelectorExpr)
@@ -216,11 +216,11 @@
 		r.readDecisionLine(call)
 		return
 	}
-	level, logs := levels[method.Sel.Name]
-	if !logs && !formatted.MatchString(method.Sel.Name) {
+	level, logs := levelNames[method.Sel.Name]
+	if !logs && !formattingMethod.MatchString(method.Sel.Name) {
 		return
 	}
-	fields := r.chain(method.X)
+	fields := r.entryFieldsOf(method.X)
 	if fields == nil {
 		return
 	}
@@ -229,7 +229,7 @@
 		message, constant = constantText(call.Args[0])
 	}
 	if !constant {
-		r.calls.notConstant = append(r.calls.notConstant, r.place(call))
+		r.calls.nonConstant = append(r.calls.nonConstant, r.place(call))
 		return
 	}
 	r.calls.add(level, message, fields, r.place(call))
@@ -274,8 +274,8 @@
 	return verb.ReplaceAllString(text, "…"), ok
 }
 
-// usesOf returns the program files that import a package.
-func usesOf(t *testing.T, importPath string) (uses []string) {
+// importersOf returns the program files that import a package.
+func importersOf(t *testing.T, importPath string) (uses []string) {
 	t.Helper()
 	for _, folder := range []string{"policy", "internal", "cmd/onyxgate"} {
 		err := filepath.WalkDir(filepath.Join(root, folder), func(path string, entry fs.DirEntry, err error) error {
--- a/internal/ci/oncall_test.go
+++ b/internal/ci/oncall_test.go
@@ -132,8 +132,8 @@
 	readSection(t, "### Lines of the decisions").checkRows(t, calls.decisionLines, add)
 }
 
-// notConstantLines are the files that may log a message which is no constant, and why.
-var notConstantLines = map[string]string{
+// nonConstantMessages are the files that may log a message which is no constant, and why.
+var nonConstantMessages = map[string]string{
 	"internal/assembly/report.go": "the lines of the decisions, which have a table of their own",
 	"internal/httpwire/server.go": "what net/http's server complains of, at level debug",
 }
@@ -141,14 +141,14 @@
 // A message is a constant, so that it can be searched for; what differs from one line to the next is in fields.
 func TestLogMessagesConstant(t *testing.T) {
 	used := map[string]bool{}
-	for _, place := range readLogCalls(t).notConstant {
+	for _, place := range readLogCalls(t).nonConstant {
 		file, _, _ := strings.Cut(place, ":")
-		if _, allowed := notConstantLines[file]; !allowed || used[file] {
+		if _, allowed := nonConstantMessages[file]; !allowed || used[file] {
 			t.Errorf("%s logs a message that is no constant: write a constant message, and fields", place)
 		}
 		used[file] = true
 	}
-	for file := range notConstantLines {
+	for file := range nonConstantMessages {
 		if !used[file] {
 			t.Errorf("%s logs no such message any more: take it out of notConstantLines", file)
 		}
@@ -158,8 +158,8 @@
 // metricName is a whole name, with a label and its value where it has some.
 var metricName = regexp.MustCompile(`^onyxgate_[a-z_]+(\{[a-z]+="[a-z_]+"\})?$`)
 
-// sourceMetrics reads the metrics of the file that owns them: name to help.
-func sourceMetrics(t *testing.T) map[string]string {
+// metricsInSource reads the metrics of the file that owns them: name to help.
+func metricsInSource(t *testing.T) map[string]string {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), filepath.Join(root, metricsFile), nil, parser.SkipObjectResolution)
 	if err != nil {
@@ -194,7 +194,7 @@
 // Every metric has its row with its meaning, and every row its metric.
 func TestMetricsListed(t *testing.T) {
 	page := readSection(t, "## Metrics")
-	metrics := sourceMetrics(t)
+	metrics := metricsInSource(t)
 	places, add := map[string]string{}, map[string]string{}
 	for name, help := range metrics {
 		places[name] = metricsFile
@@ -211,7 +211,7 @@
 
 // Metrics are registered nowhere but in the file that the page is compared with.
 func TestMetricsInOnePlace(t *testing.T) {
-	for _, use := range usesOf(t, "onyxgate/internal/metrics") {
+	for _, use := range importersOf(t, "onyxgate/internal/metrics") {
 		if use != "internal/assembly/metrics.go" && use != "internal/config/config.go" { // the latter: its table of settings
 			t.Errorf("%s uses internal/metrics: a metric there would be missing in %s", use, oncallPage)
 		}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -46,9 +46,9 @@
 	decoder := toml.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&settings); err != nil {
-		return settings, explain(path, text, err)
+		return settings, explainDecodeError(path, text, err)
 	}
-	found := scan(text)
+	found := indexKeys(text)
 	if err := missingUnits(path, found); err != nil {
 		return settings, err
 	}
@@ -56,13 +56,13 @@
 }
 
 // missingUnits finds the bare numbers where a unit is needed: the decoder takes them for nanoseconds or bytes.
-func missingUnits(path string, found document) error {
+func missingUnits(path string, found keyIndex) error {
 	var problems []error
 	for _, key := range keysWithUnits(reflect.TypeFor[Settings](), "") {
 		if value, ok := found.bareNumbers[key]; ok {
 			problems = append(problems, &Problem{
 				Path: path, Line: found.lines[key],
-				Text: fmt.Sprintf("%s = %s: no unit; write %s = %q or %q", key, value, lastPart(key), "250ms", "64MiB"),
+				Text: fmt.Sprintf("%s = %s: no unit; write %s = %q or %q", key, value, leafKey(key), "250ms", "64MiB"),
 			})
 		}
 	}
@@ -70,12 +70,12 @@
 }
 
 // validate asks each part what can't be.
-func (s Settings) validate(path string, found document) error {
+func (s Settings) validate(path string, found keyIndex) error {
 	var problems []error
 	report := func(key string, value any, what, right string) {
 		problems = append(problems, &Problem{
 			Path: path, Line: found.lines[key],
-			Text: fmt.Sprintf("%s = %q: %s; write %s = %s", key, fmt.Sprint(value), what, lastPart(key), right),
+			Text: fmt.Sprintf("%s = %q: %s; write %s = %s", key, fmt.Sprint(value), what, leafKey(key), right),
 		})
 	}
 	s.Record.Validate(report)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -10,7 +10,7 @@
 )
 
 // Whatever is wrong is reported with file, line, key, value and a right example.
-func TestWrong(t *testing.T) {
+func TestParseErrors(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
 		{"an unknown key", "[record]\n\nmode = \"off\"\ndirektory = \"x\"\n", "f.toml:4: record.direktory: no such key; write one of mode, directory"},
 		{"an unknown table", "[metric]\nlisten = \"x\"\n", "f.toml:1: metric: no such key; write one of [record]"},
@@ -47,7 +47,7 @@
 }
 
 // A problem can be taken from the error with its place.
-func TestProblem(t *testing.T) {
+func TestProblemPosition(t *testing.T) {
 	_, err := Parse("f.toml", []byte("[record]\n\npatience = \"soon\"\n"))
 	var problem *Problem
 	if !errors.As(err, &problem) || problem.Path != "f.toml" || problem.Line != 3 || problem.Column != 12 {
@@ -56,7 +56,7 @@
 }
 
 // What is shown is what holds, and reads back as the same.
-func TestShow(t *testing.T) {
+func TestFormatRoundTrip(t *testing.T) {
 	for _, c := range []struct{ name, text string }{
 		{"defaults", ""},
 		{"some settings", "[record]\nmode = \"spool\"\ndirectory = \"d\"\nbudget = \"64MiB\"\npatience = \"1.5s\"\n"},
@@ -93,7 +93,7 @@
 }
 
 // The file that is delivered holds every key, with what holds anyway.
-func TestDelivered(t *testing.T) {
+func TestDeployedSettings(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/onyxgate.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -103,7 +103,7 @@
 		t.Errorf("%+v, %v", settings, err)
 	}
 	for _, key := range allKeys() {
-		if last := lastPart(key); !strings.Contains(string(text), last+" = ") {
+		if last := leafKey(key); !strings.Contains(string(text), last+" = ") {
 			t.Errorf("%s is missing", key)
 		}
 	}
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -11,8 +11,8 @@
 	"onyxgate/internal/units"
 )
 
-// lastPart is a key without its tables.
-func lastPart(key string) string { return key[strings.LastIndexByte(key, '.')+1:] }
+// leafKey is a key without its tables.
+func leafKey(key string) string { return key[strings.LastIndexByte(key, '.')+1:] }
 
 // keysWithUnits are the keys whose values have a unit, below a table's prefix.
 func keysWithUnits(table reflect.Type, prefix string) (keys []string) {
@@ -47,15 +47,15 @@
 	return keys
 }
 
-// document is what a file holds, by whole keys.
-type document struct {
+// keyIndex is what a file holds, by whole keys.
+type keyIndex struct {
 	lines       map[string]int    // of each key
 	bareNumbers map[string]string // the values that are numbers without a unit
 }
 
-// scan reads a file for its keys alone; it goes as far as the file is well formed.
-func scan(text []byte) document {
-	found := document{lines: map[string]int{}, bareNumbers: map[string]string{}}
+// indexKeys reads a file for its keys alone; it goes as far as the file is well formed.
+func indexKeys(text []byte) keyIndex {
+	found := keyIndex{lines: map[string]int{}, bareNumbers: map[string]string{}}
 	var p unstable.Parser
 	p.Reset(text)
 	table := ""
--- a/internal/config/problem.go
+++ b/internal/config/problem.go
@@ -28,8 +28,8 @@
 	return fmt.Sprintf("%s:%d:%d: %s", p.Path, p.Line, p.Column, p.Text)
 }
 
-// explain turns the decoder's errors into problems.
-func explain(path string, text []byte, err error) error {
+// explainDecodeError turns the decoder's errors into problems.
+func explainDecodeError(path string, text []byte, err error) error {
 	var unknown *toml.StrictMissingError
 	if errors.As(err, &unknown) {
 		return explainUnknownKeys(path, unknown)
@@ -50,7 +50,7 @@
 		line, _ := e.Position()
 		key := strings.Join(e.Key(), ".")
 		problems = append(problems, &Problem{
-			Path: path, Line: line, Text: fmt.Sprintf("%s: no such key; write one of %s", key, siblings(key, known)),
+			Path: path, Line: line, Text: fmt.Sprintf("%s: no such key; write one of %s", key, validKeys(key, known)),
 		})
 	}
 	return errors.Join(problems...)
@@ -65,8 +65,8 @@
 	return strings.TrimSpace(lines[line-1])
 }
 
-// siblings are the keys of the same table, or the tables.
-func siblings(key string, known []string) string {
+// validKeys are the keys of the same table, or the tables.
+func validKeys(key string, known []string) string {
 	var names []string
 	table := key[:strings.LastIndexByte(key, '.')+1]
 	for _, k := range known {
--- a/internal/jobs/queue.go
+++ b/internal/jobs/queue.go
@@ -20,28 +20,28 @@
 // budget is what is left to a job of what it may use.
 type budget struct {
 	perSecond float64 // 0: any
-	left      float64 // below zero after a run that used more than there was
+	remaining      float64 // below zero after a run that used more than there was
 }
 
 func newBudget(perSecond float64) budget { return budget{perSecond, perSecond * burstMs / 1000} }
 
 // refill adds what a time (ms) brings, up to the burst.
 func (b *budget) refill(passed float64) {
-	b.left = min(b.left+passed*b.perSecond/1000, b.perSecond*burstMs/1000)
+	b.remaining = min(b.remaining+passed*b.perSecond/1000, b.perSecond*burstMs/1000)
 }
 
 // wait returns how long (ms) it takes until nothing is owed.
 func (b *budget) wait() float64 {
-	if b.perSecond <= 0 || b.left >= 0 {
+	if b.perSecond <= 0 || b.remaining >= 0 {
 		return 0
 	}
-	return -b.left / b.perSecond * 1000
+	return -b.remaining / b.perSecond * 1000
 }
 
 // job is one job with its state. Times are in ms of the callers' clock.
 type job struct {
 	Options
-	work, bytes budget
+	workBudget, byteBudget budget
 	refilledAt  float64 // 0: never
 	dueAt       float64
 	running     bool
@@ -55,9 +55,9 @@
 		passed = max(now-j.refilledAt, 0)
 	}
 	j.refilledAt = now
-	j.work.refill(passed)
-	j.bytes.refill(passed)
-	return now + max(j.work.wait(), j.bytes.wait())
+	j.workBudget.refill(passed)
+	j.byteBudget.refill(passed)
+	return now + max(j.workBudget.wait(), j.byteBudget.wait())
 }
 
 // Queue holds the jobs, each under the index that Add returned. It is used by one goroutine at a time; the zero value is
@@ -66,7 +66,7 @@
 
 // Add makes a job, due at once.
 func (q *Queue) Add(o Options) (index int) {
-	q.jobs = append(q.jobs, job{Options: o, work: newBudget(o.MaxMsPerSecond), bytes: newBudget(o.MaxBytesPerSecond)})
+	q.jobs = append(q.jobs, job{Options: o, workBudget: newBudget(o.MaxMsPerSecond), byteBudget: newBudget(o.MaxBytesPerSecond)})
 	return len(q.jobs) - 1
 }
 
@@ -112,7 +112,7 @@
 	j := &q.jobs[index]
 	j.running = false
 	j.runs++
-	j.work.left -= used.Ms
-	j.bytes.left -= used.Bytes
+	j.workBudget.remaining -= used.Ms
+	j.byteBudget.remaining -= used.Bytes
 	j.dueAt = now + again
 }
--- a/internal/jobs/queue_test.go
+++ b/internal/jobs/queue_test.go
@@ -5,11 +5,11 @@
 // queueTest is what three jobs use, and how often each of them runs in ten seconds.
 type queueTest struct {
 	name     string
-	took     [3]float64 // ms of each job's run
-	msRate   [3]float64
-	byteRate [3]float64
-	bytes    float64
-	low, top [3]int
+	runMs     [3]float64 // ms of each job's run
+	maxMsPerSecond   [3]float64
+	maxBytesPerSecond [3]float64
+	bytesPerRun    float64
+	minRuns, maxRuns [3]int
 }
 
 // Priorities hold, budgets bind, and nothing waits for ever.
@@ -22,13 +22,13 @@
 	} {
 		t.Run(c.name, c.run)
 	}
-	t.Run("one job", testOneJob)
+	t.Run("one job", testSingleJob)
 }
 
 func (c queueTest) run(t *testing.T) {
 	var q Queue
 	for i := range 3 {
-		q.Add(Options{string(rune('a' + i)), i, c.msRate[i], c.byteRate[i]})
+		q.Add(Options{string(rune('a' + i)), i, c.maxMsPerSecond[i], c.maxBytesPerSecond[i]})
 	}
 	for now := 1.0; now < 10_000; {
 		index, wait := q.Next(now)
@@ -39,21 +39,21 @@
 			now += wait
 			continue
 		}
-		now += c.took[index]
+		now += c.runMs[index]
 		again := 9.0
-		if c.took[index] > again { // it wants to run on
+		if c.runMs[index] > again { // it wants to run on
 			again = 0
 		}
-		q.Completed(now, index, Usage{c.took[index], c.bytes}, again)
+		q.Completed(now, index, Usage{c.runMs[index], c.bytesPerRun}, again)
 	}
 	for i := range 3 {
-		if n := int(q.Runs(i)); n < c.low[i] || n > c.top[i] {
-			t.Errorf("%s ran %d times, not %d to %d", q.Name(i), n, c.low[i], c.top[i])
+		if n := int(q.Runs(i)); n < c.minRuns[i] || n > c.maxRuns[i] {
+			t.Errorf("%s ran %d times, not %d to %d", q.Name(i), n, c.minRuns[i], c.maxRuns[i])
 		}
 	}
 }
 
-func testOneJob(t *testing.T) {
+func testSingleJob(t *testing.T) {
 	var q Queue
 	index := q.Add(Options{Name: "x"})
 	if got, _ := q.Next(1); got != index {
--- a/internal/jobs/runner/runner.go
+++ b/internal/jobs/runner/runner.go
@@ -15,7 +15,7 @@
 
 // Runner runs jobs until it is stopped. Its methods may be called by any goroutine, but Add before Run only.
 type Runner struct {
-	start  time.Time
+	startedAt  time.Time
 	wakeup chan struct{} // makes one waiting worker look at the queue again
 	jobs   []Job         // by index in the queue
 
@@ -24,7 +24,7 @@
 }
 
 // New returns a runner without jobs.
-func New() *Runner { return &Runner{start: time.Now(), wakeup: make(chan struct{}, 1)} }
+func New() *Runner { return &Runner{startedAt: time.Now(), wakeup: make(chan struct{}, 1)} }
 
 // Add adds a job. The function returned asks for it to run at once.
 func (r *Runner) Add(o jobs.Options, job Job) (ask func()) {
@@ -39,7 +39,7 @@
 }
 
 // now is never 0, which the queue takes for never.
-func (r *Runner) now() float64 { return milliseconds(time.Since(r.start)) + 1 }
+func (r *Runner) now() float64 { return milliseconds(time.Since(r.startedAt)) + 1 }
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
--- a/internal/siteconfig/siteconfig_test.go
+++ b/internal/siteconfig/siteconfig_test.go
@@ -11,7 +11,7 @@
 	"onyxgate/policy"
 )
 
-const usable = `{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f30d27a5be964",
+const validConfig = `{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"pipeline":{"address":"127.0.0.1:3","news":{}},
 "known":{"version":1,"full":true,"servers":[]},"settings":{"grades":[{"name":"p","effect":"repeatable","aim-us":1,
 "deadline-us":2}],"limits":{"max-attempts":5,"connect-timeout-us":250000,"idle-close-us":30000000},
@@ -49,7 +49,7 @@
 			if c.want != "" {
 				want = []string{c.want}
 			}
-			if lines := Problems(gjson.Parse(strings.Replace(usable, c.from, c.to, 1))); !slices.Equal(lines, want) {
+			if lines := Problems(gjson.Parse(strings.Replace(validConfig, c.from, c.to, 1))); !slices.Equal(lines, want) {
 				t.Errorf("got %q, want %q", lines, want)
 			}
 		})
@@ -57,7 +57,7 @@
 }
 
 // An empty configuration lacks all that has to be there, in this order.
-func TestProblemsOfNothing(t *testing.T) {
+func TestProblemsOfEmptyConfiguration(t *testing.T) {
 	want := []string{
 		`listen is not an address: ""`,
 		`discovery is not an address: ""`,
@@ -78,7 +78,7 @@
 }
 
 func TestSeed(t *testing.T) {
-	if seed, err := Seed(gjson.Parse(usable)); err != nil || seed != 0x8c1f30d27a5be964 {
+	if seed, err := Seed(gjson.Parse(validConfig)); err != nil || seed != 0x8c1f30d27a5be964 {
 		t.Errorf("seed %x, %v", seed, err)
 	}
 }
