--- a/cmd/onyxgate/main.go
+++ b/cmd/onyxgate/main.go
@@ -13,7 +13,7 @@
 	var commands struct {
 		Serve   serveCommand    `cmd:"" help:"Serve clients until SIGTERM."`
 		Check   checkCommand    `cmd:"" help:"Read a configuration, or our settings, and say what is wrong with them."`
-		Record  recordCommands      `cmd:"" help:"Look after the store of record."`
+		Record  recordCommands  `cmd:"" help:"Look after the store of record."`
 		Sources sourcesCommands `cmd:"" help:"Look at the sources of the fleet."`
 		Version versionCommand  `cmd:"" help:"Print the version."`
 	}
--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -1,12 +1,17 @@
-// Package assembly puts one instance together from its parts and takes it apart again. It owns the order in which they start
-// and end, and what an instance may go on without; it holds no decision, and no setting that no part has.
+// Package assembly wires the components of one instance together, starts them in order and shuts them down again. It also
+// defines which dependencies an instance can run without. It makes no routing decisions and adds no settings of its own.
 //
-// The parts start so: the configuration and our settings are read and checked; the record takes its spool, without which an
-// instance that is to keep one does not start; the listener is opened; the decisions run, with the endpoint list and the
-// release updates that the configuration holds; streams, writers and reports begin; the front says that it is ready. They end
-// the other way round: the front shuts down once its requests are answered, then the record writes what it holds, and all else
-// is dropped. An instance goes on without discovery, the platform, the store of record, the metrics' listener and, by
-// setting, the spool.
+// Startup order:
+//   - Read and validate the configuration and the operator's settings.
+//   - Lock and open the record's spool. If a record is enabled and the spool is unavailable, the instance does not start.
+//   - Open the listener.
+//   - Start the decision core with the endpoint list and the release update from the configuration.
+//   - Start the streams, the writers and the periodic reports.
+//   - Report ready.
+//
+// Shutdown runs in reverse: the front stops once all accepted requests are answered, then the recorder flushes its pending
+// entries, and everything else is abandoned. An instance keeps running without discovery, the platform, the record's store,
+// the metrics listener and, depending on the settings, the spool.
 package assembly
 
 import (
@@ -27,20 +32,20 @@
 	"onyxgate/policy"
 )
 
-// Options are what an instance is started with beside its configuration.
+// Options holds the start-up parameters that are not part of the configuration file.
 type Options struct {
 	Version    string
-	ConfigPath string // of the configuration
-	// These replace the configuration's where they are not empty.
+	ConfigPath string // JSON configuration file
+	// Non-empty values override the configuration.
 	Name, Listen, Discovery string
 	Settings                config.Settings
-	ReportInterval          time.Duration // between two log lines of counts
+	ReportInterval          time.Duration // between log lines with counters
 }
 
-// Server is one instance that is put together: New, then Run.
+// Server is one fully wired instance. Create it with New, then call Run.
 type Server struct {
 	options   Options
-	config      effectiveConfig
+	config    effectiveConfig
 	listener  net.Listener
 	sockets   *httpwire.Sockets
 	core      *core.Core
@@ -48,11 +53,11 @@
 	platform  *httpwire.Platform
 	upstream  *httpwire.Upstream
 	front     *httpwire.Front
-	recorder  *recorder.Recorder // nil: nothing is recorded
-	sources   *host.Host         // nil: discovery alone
+	recorder  *recorder.Recorder // nil if recording is off
+	sources   *host.Host         // nil if discovery is the only source
 }
 
-// transport carries out what the core wants beside its requests.
+// transport performs the I/O that the core asks for outside of client requests.
 type transport struct{ *Server }
 
 func (t transport) SendVote(release policy.ReleaseID, verdict policy.Verdict, stage int) {
@@ -62,7 +67,7 @@
 func (t transport) WatchEndpoints()          { t.discovery.Refresh(false) }
 func (t transport) FetchEndpoints()          { t.discovery.Refresh(true) }
 
-// Seeds of the parts that draw by chance are the configuration's with these added: each draws its own numbers.
+// Offsets added to the configured seed, so that each component gets its own random sequence.
 const (
 	discoverySeed = iota
 	platformSeed
@@ -70,7 +75,8 @@
 	sourcesSeed
 )
 
-// New makes the parts; nothing runs yet but the listener's backlog. An error names the file or the address at fault.
+// New builds all components. Only the listener and the core are active when it returns: connections wait in the listener's
+// backlog until Run. Errors name the file or address that caused them.
 func New(o Options) (*Server, error) {
 	configuration, err := Read(o.ConfigPath)
 	if err != nil {
@@ -97,14 +103,14 @@
 	return s, nil
 }
 
-// openRecorder takes the spool, if a record is kept.
+// openRecorder opens the spool if recording is enabled.
 func (s *Server) openRecorder() (err error) {
-	table := s.options.Settings.Record
-	if !table.Enabled() {
+	settings := s.options.Settings.Record
+	if !settings.Enabled() {
 		return nil
 	}
 	s.recorder, err = recorder.New(recorder.Options{
-		Settings: table, Instance: s.config.name, Classes: s.config.classNames, Now: s.core.Now, Seed: s.config.seed + recorderSeed,
+		Settings: settings, Instance: s.config.name, Classes: s.config.classNames, Now: s.core.Now, Seed: s.config.seed + recorderSeed,
 	})
 	if err != nil {
 		return err
@@ -113,12 +119,12 @@
 	return nil
 }
 
-// dial opens a TCP connection; the parts see to keep-alives and timeouts themselves.
+// dial opens a TCP connection without TCP keep-alives; callers handle keep-alives and timeouts themselves.
 func dial(ctx context.Context, address string) (net.Conn, error) {
 	return (&net.Dialer{KeepAlive: -1}).DialContext(ctx, "tcp", address)
 }
 
-// makeControlClients makes the clients of discovery and the platform.
+// makeControlClients creates the clients of discovery and the platform.
 func (s *Server) makeControlClients() {
 	settings := s.config.settings
 	zones, hardware := siteconfig.ZonesAndHardware(settings)
@@ -140,14 +146,15 @@
 	})
 }
 
-// makeUpstream makes the client of the backends, whose addresses come from the sources where there are several.
+// makeUpstream creates the backend client. Backend addresses come from the merged sources if these are enabled, and from
+// discovery otherwise.
 func (s *Server) makeUpstream() {
 	address := s.discovery.BackendAddress
 	if s.options.Settings.Sources.Enabled() {
-		address = func(id string) string { return s.sources.Address(id) } // s.sources is made after the upstream
+		address = func(id string) string { return s.sources.Address(id) } // s.sources is set later, by startCore
 	}
 	connect, idle := siteconfig.ConnectionTimes(s.config.settings)
-	onAnswers, onProbes := siteconfig.LoadReports(s.config.settings)
+	onResponses, onProbes := siteconfig.LoadReports(s.config.settings)
 	s.upstream = httpwire.NewUpstream(httpwire.UpstreamConfig{
 		Core:               s.core,
 		Dial:               dial,
@@ -155,13 +162,13 @@
 		BackendAddress:     address,
 		ConnectTimeout:     milliseconds(connect),
 		BackendIdleTimeout: milliseconds(idle),
-		LoadOnResponses:    onAnswers,
+		LoadOnResponses:    onResponses,
 		LoadOnProbes:       onProbes,
 	})
 	s.discovery.OnAddressVacated(s.upstream.CloseAddress)
 }
 
-// milliseconds is a duration that the configuration's settings give in ms.
+// milliseconds converts a number of milliseconds to a time.Duration.
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
 func (s *Server) makeFront() {
@@ -185,7 +192,8 @@
 	}).Info("start")
 }
 
-// startCore starts the decisions, and the merge of the sources after them: what it restores goes to them at once.
+// startCore starts the decision core and then, if enabled, the source merger. The core has to run first, because the merger
+// passes its restored state to it immediately.
 func (s *Server) startCore() {
 	s.core.Start(func(p policy.Port) *policy.Instance {
 		return policy.New(p, siteconfig.InstanceConfig(s.config.settings, s.config.seed, s.sockets.ClientLimit()))
@@ -200,7 +208,7 @@
 	s.discovery.OnUpdate(s.sources.OnDiscoveryUpdate, s.sources.OnDiscoveryDisconnected)
 }
 
-// applyInitialState gives the decisions the endpoints and the release that the configuration holds.
+// applyInitialState applies the endpoint list and the release update from the configuration.
 func (s *Server) applyInitialState() error {
 	known := []byte(s.config.configuration.Get("known").Raw)
 	if err := s.discovery.Apply(known, httpwire.FromConfiguration, func() {}); err != nil {
--- a/internal/assembly/configuration.go
+++ b/internal/assembly/configuration.go
@@ -1,7 +1,5 @@
 package assembly
 
-// This file owns how the configuration is read, and what holds of it for one process.
-
 import (
 	"cmp"
 	"errors"
@@ -16,14 +14,14 @@
 	"onyxgate/policy"
 )
 
-// Read reads a configuration. Its error says all that is wrong with it, a line each.
+// Read reads and validates a configuration file. The error lists every problem found, one per line.
 func Read(path string) (gjson.Result, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return gjson.Result{}, err
 	}
 	if !gjson.ValidBytes(text) {
-		return gjson.Result{}, fmt.Errorf("%s is not JSON", path)
+		return gjson.Result{}, fmt.Errorf("%s: not valid JSON", path)
 	}
 	configuration := gjson.ParseBytes(text)
 	var problems []error
@@ -31,17 +29,17 @@
 		problems = append(problems, errors.New(line))
 	}
 	if len(problems) > 0 {
-		return configuration, fmt.Errorf("%s can't be used: %w", path, errors.Join(problems...))
+		return configuration, fmt.Errorf("%s: invalid configuration: %w", path, errors.Join(problems...))
 	}
 	return configuration, nil
 }
 
-// effectiveConfig is what holds for this process: the configuration, and the options that replace some of it.
+// effectiveConfig is the configuration of this process after the overrides in Options have been applied.
 type effectiveConfig struct {
 	configuration, settings gjson.Result
 	name, listen, discovery string
 	seed                    uint64
-	sockets, memoryMB       int // limits; 0: none
+	sockets, memoryMB       int // limits; 0 means unlimited
 	classNames              []string
 	classes                 []policy.RequestClass
 }
@@ -55,7 +53,7 @@
 		listen:        cmp.Or(o.Listen, configuration.Get("listen").Str),
 		discovery:     cmp.Or(o.Discovery, configuration.Get("discovery").Str),
 	}
-	s.seed, _ = siteconfig.Seed(configuration) // Read has seen that it is one
+	s.seed, _ = siteconfig.Seed(configuration) // Read has validated the seed
 	s.sockets, s.memoryMB = siteconfig.Limits(configuration)
 	s.classNames, s.classes = siteconfig.Classes(settings)
 	return s
@@ -65,18 +63,20 @@
 
 func (s effectiveConfig) instances() int { return int(s.settings.Get("balancers").Int()) }
 
-func (s effectiveConfig) knownBackends() int { return len(s.configuration.Get("known.servers").Array()) }
+func (s effectiveConfig) knownBackends() int {
+	return len(s.configuration.Get("known.servers").Array())
+}
 
 const (
 	bytesPerMB = 1 << 20
-	// defaultBodyBytes may be taken by requests' bodies where no limit of memory is set.
+	// defaultBodyBytes limits the memory for request bodies if the configuration sets no memory limit.
 	defaultBodyBytes = 1 << 30
-	// gcPercent: little is live at some hundreds of requests a second, and the collector cheap; at more, peaks would pass for
-	// growth.
+	// gcPercent is above Go's default of 100: the live heap is small at some hundreds of requests per second, so collection
+	// stays cheap. With a higher value, peaks of the heap would look like a growing heap.
 	gcPercent = 150
 )
 
-// bodyBytes is how much requests' bodies may take: a quarter of the memory.
+// bodyBytes returns the limit on memory for request bodies: a quarter of the memory limit.
 func (s effectiveConfig) bodyBytes() int64 {
 	if s.memoryMB > 0 {
 		return int64(s.memoryMB) * bytesPerMB / 4
@@ -84,13 +84,13 @@
 	return defaultBodyBytes
 }
 
-// limitProcess holds the process to the cores and the memory that the configuration allows it.
+// limitProcess applies the configured core and memory limits to the Go runtime.
 func (s effectiveConfig) limitProcess() {
-	if cores := siteconfig.Cores(s.configuration); cores > 0 { // more threads at once than that only take turns on it
+	if cores := siteconfig.Cores(s.configuration); cores > 0 { // more threads would only compete for the same cores
 		runtime.GOMAXPROCS(cores)
 	}
 	if s.memoryMB > 0 {
-		// The rest is for stacks, the program itself and what the collector is late with.
+		// The other 40% cover stacks, the program itself and garbage that is not collected yet.
 		debug.SetMemoryLimit(int64(s.memoryMB) * bytesPerMB * 6 / 10)
 		debug.SetGCPercent(gcPercent)
 	}
--- a/internal/assembly/harness_test.go
+++ b/internal/assembly/harness_test.go
@@ -18,25 +18,25 @@
 	"onyxgate/internal/config"
 )
 
-// Whole instances in one process, over loopback.
+// Helpers that run complete instances in the test process, over loopback.
 
-// testEnv is a platform, a discovery and a backend in one server.
+// testEnv is a fake platform, discovery service and backend in one HTTP server.
 type testEnv struct {
 	net.Listener
-	mu      sync.Mutex
-	backendRequests     []string    // paths that the backend ran, with the time that it was given
-	watches chan string // after which version a stream asked
-	updates chan string // what the stream gets
-	closed    chan bool   // ends everything
+	mu              sync.Mutex
+	backendRequests []string    // "PATH REQ-DEADLINE" of each request that the backend received
+	watches         chan string // the "after" parameter of each discovery stream opened
+	updates         chan string // lines to send on the discovery stream
+	closed          chan bool   // closed at the end of the test; ends all streams
 }
 
 func newTestEnv(t *testing.T) *testEnv {
 	t.Helper()
-	w := &testEnv{Listener: listenLoopback(t), watches: make(chan string, 9), updates: make(chan string, 9), closed: make(chan bool)}
-	server := &http.Server{Handler: w}
-	go func() { _ = server.Serve(w.Listener) }() // ends with the cleanup
-	t.Cleanup(func() { close(w.closed); server.Close() })
-	return w
+	e := &testEnv{Listener: listenLoopback(t), watches: make(chan string, 9), updates: make(chan string, 9), closed: make(chan bool)}
+	server := &http.Server{Handler: e}
+	go func() { _ = server.Serve(e.Listener) }() // returns when the cleanup closes the server
+	t.Cleanup(func() { close(e.closed); server.Close() })
+	return e
 }
 
 // listenLoopback opens a listener on a port that the kernel chooses.
@@ -50,29 +50,29 @@
 	return l
 }
 
-func (w *testEnv) address() string { return w.Addr().String() }
+func (e *testEnv) address() string { return e.Addr().String() }
 
-func (w *testEnv) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
+func (e *testEnv) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case "/discovery/hosts":
-		w.serveDiscovery(rw, r)
+		e.serveDiscovery(rw, r)
 	case "/notices":
-		w.servePlatform(rw, r)
+		e.servePlatform(rw, r)
 	default:
-		w.serveBackend(rw, r)
+		e.serveBackend(rw, r)
 	}
 }
 
-// serveDiscovery sends a stream the test's updates, until the world or the stream ends.
-func (w *testEnv) serveDiscovery(rw http.ResponseWriter, r *http.Request) {
-	w.watches <- r.URL.Query().Get("after")
+// serveDiscovery streams the test's updates until the environment is closed or the client disconnects.
+func (e *testEnv) serveDiscovery(rw http.ResponseWriter, r *http.Request) {
+	e.watches <- r.URL.Query().Get("after")
 	rw.(http.Flusher).Flush()
 	for {
 		select {
-		case text := <-w.updates:
-			_, _ = io.WriteString(rw, text+"\n") // a stream that has ended is seen below
+		case text := <-e.updates:
+			_, _ = io.WriteString(rw, text+"\n") // a disconnected client is detected by its context below
 			rw.(http.Flusher).Flush()
-		case <-w.closed:
+		case <-e.closed:
 			return
 		case <-r.Context().Done():
 			return
@@ -80,38 +80,38 @@
 	}
 }
 
-// servePlatform keeps a stream open without an update.
-func (w *testEnv) servePlatform(rw http.ResponseWriter, r *http.Request) {
+// servePlatform keeps a release stream open without sending updates.
+func (e *testEnv) servePlatform(rw http.ResponseWriter, r *http.Request) {
 	rw.(http.Flusher).Flush()
 	select {
-	case <-w.closed:
+	case <-e.closed:
 	case <-r.Context().Done():
 	}
 }
 
-// serveBackend runs a request and keeps its path with the time that it was given.
-func (w *testEnv) serveBackend(rw http.ResponseWriter, r *http.Request) {
-	_, _ = io.Copy(io.Discard, r.Body) // a client that left gets no answer either
-	w.mu.Lock()
-	w.backendRequests = append(w.backendRequests, r.URL.Path+" "+r.Header.Get("Req-Deadline"))
-	w.mu.Unlock()
+// serveBackend answers a request and records its path and Req-Deadline header.
+func (e *testEnv) serveBackend(rw http.ResponseWriter, r *http.Request) {
+	_, _ = io.Copy(io.Discard, r.Body) // a read error means that the client has disconnected
+	e.mu.Lock()
+	e.backendRequests = append(e.backendRequests, r.URL.Path+" "+r.Header.Get("Req-Deadline"))
+	e.mu.Unlock()
 	_, _ = io.WriteString(rw, "made for "+r.Header.Get("Req-Id"))
 }
 
-// requestsRun are the paths that the backend ran so far.
-func (w *testEnv) requestsRun() []string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return append([]string(nil), w.backendRequests...)
+// receivedRequests returns the requests that the backend has received so far.
+func (e *testEnv) receivedRequests() []string {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return append([]string(nil), e.backendRequests...)
 }
 
-// endpointList names a running backend at this world's address.
-func (w *testEnv) endpointList(version int) string {
+// endpointList returns a full endpoint list with one running backend at this environment's address.
+func (e *testEnv) endpointList(version int) string {
 	return fmt.Sprintf(`{"version":%d,"full":true,"servers":[{"id":"s%s","addr":%q,"state":"Ready","weight":1,"version_no":1}]}`,
-		version, w.address(), w.address())
+		version, e.address(), e.address())
 }
 
-// configJSON is an instance's with its list, by its own discovery and platform.
+// configJSON returns an instance's configuration. The discovery address also serves as the platform's.
 func configJSON(discovery string, known, grades, limits string) string {
 	return fmt.Sprintf(`{"name":"n","listen":"127.0.0.1:0","discovery":%q,"seed":"7","pipeline":{"address":%q,"news":{"release":1,
 		"tranche":1,"mode":"stable","exposure":1,"old_ms":0}},"known":%s,"settings":{"balancers":1,"grades":[%s],
@@ -121,32 +121,32 @@
 }
 
 const (
-	safeClass = `{"name":"glance","effect":"repeatable","aim-us":300000,"deadline-us":900000,"worth":1}`
-	unsafeClasses  = `{"name":"audit","effect":"once","aim-us":9000000,"deadline-us":20000000,"worth":5},
+	safeClass     = `{"name":"glance","effect":"repeatable","aim-us":300000,"deadline-us":900000,"worth":1}`
+	unsafeClasses = `{"name":"audit","effect":"once","aim-us":9000000,"deadline-us":20000000,"worth":5},
 		{"name":"merge","effect":"by_key","key-scope":"all","key-ttl-us":60000000,"aim-us":8000000,"deadline-us":19000000,"worth":9}`
 	singleAttempt, fourAttempts = `"max-attempts":1,"cancel":true`, `"max-attempts":4,"cancel":false`
 )
 
-// testInstance is an instance under way.
+// testInstance is a running instance.
 type testInstance struct {
 	*Server
-	file    string
-	signals chan os.Signal
-	runResult     chan error
+	file      string
+	signals   chan os.Signal
+	runResult chan error
 }
 
-// start starts an instance with this configuration.
+// start starts an instance with the given configuration text.
 func start(t *testing.T, text string) *testInstance {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	tables, err := config.Read("")
+	settings, err := config.Read("")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := New(Options{ConfigPath: file, ReportInterval: time.Hour, Settings: tables})
+	s, err := New(Options{ConfigPath: file, ReportInterval: time.Hour, Settings: settings})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -155,17 +155,17 @@
 	return r
 }
 
-// stop ends an instance by two signals, the second at once.
+// stop ends the instance with two SIGTERMs, the second of which aborts the graceful shutdown.
 func (r *testInstance) stop(t *testing.T) {
 	t.Helper()
 	r.signals <- syscall.SIGTERM
 	r.signals <- syscall.SIGTERM
-	if err := <-r.runResult; err != nil && !errors.Is(err, errSecondSignal) { // none where all was answered in between
-		t.Errorf("ended with %v", err)
+	if err := <-r.runResult; err != nil && !errors.Is(err, errSecondSignal) { // nil if the shutdown was complete before the second signal
+		t.Errorf("Run returned %v, want nil or %v", err, errSecondSignal)
 	}
 }
 
-// client is a connection of a client.
+// client is a client connection to the instance.
 type client struct {
 	net.Conn
 	reader *bufio.Reader
@@ -181,7 +181,7 @@
 	return client{conn, bufio.NewReader(conn)}
 }
 
-// send sends a request; what goes wrong is seen where its answer is read.
+// send writes a request. A write error is not reported here: reading the response fails then.
 func (c client) send(method, path, id string) {
 	key := ""
 	if method == http.MethodPost {
@@ -190,21 +190,21 @@
 	_, _ = fmt.Fprintf(c, "%s %s HTTP/1.1\r\nHost: h\r\nReq-Id: %s\r\nReq-Deadline: 5000m\r\n%s\r\n", method, path, id, key)
 }
 
-// readResponse reads one readResponse: its status and body.
+// readResponse reads one response and returns its status and body.
 func (c client) readResponse(t *testing.T) (int, string) {
 	t.Helper()
-	r, err := http.ReadResponse(c.reader, nil)
+	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
-		t.Error(err)
+		t.Errorf("reading the response: %v", err)
 		return 0, ""
 	}
-	defer r.Body.Close()
-	b, _ := io.ReadAll(r.Body) // a body cut short is not the one that is wanted
-	return r.StatusCode, string(b)
+	defer response.Body.Close()
+	body, _ := io.ReadAll(response.Body) // a truncated body differs from the one that the test expects
+	return response.StatusCode, string(body)
 }
 
-func waitUntil(holds func() bool) {
-	for !holds() {
+func waitUntil(condition func() bool) {
+	for !condition() {
 		runtime.Gosched()
 	}
 }
--- a/internal/assembly/listen.go
+++ b/internal/assembly/listen.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// maxListenWait: the process before this one may hold the address for a moment more.
-	maxListenWait = 10 * time.Second
-	listenRetryDelay   = 50 * time.Millisecond
+	// maxListenWait gives a previous process that is still shutting down time to release the address.
+	maxListenWait    = 10 * time.Second
+	listenRetryDelay = 50 * time.Millisecond
 )
 
-// listen opens the listener as soon as no other process has its address, or fails after maxListenWait.
+// listen opens a TCP listener. While the address is in use it retries for up to maxListenWait.
 func listen(address string) (net.Listener, error) {
 	var config net.ListenConfig
-	for from := time.Now(); ; time.Sleep(listenRetryDelay) {
+	for start := time.Now(); ; time.Sleep(listenRetryDelay) {
 		l, err := config.Listen(context.Background(), "tcp", address)
-		if !errors.Is(err, syscall.EADDRINUSE) || time.Since(from) > maxListenWait {
+		if !errors.Is(err, syscall.EADDRINUSE) || time.Since(start) > maxListenWait {
 			return l, err
 		}
 	}
--- a/internal/assembly/metrics.go
+++ b/internal/assembly/metrics.go
@@ -1,6 +1,6 @@
 package assembly
 
-// This file owns the metrics: one table for each part. The table in docs/oncall.md is checked against it.
+// The metrics of an instance, one table per component. Tests in internal/ci compare them with the table in docs/oncall.md.
 
 import (
 	"context"
@@ -14,9 +14,9 @@
 	"onyxgate/internal/sources/host"
 )
 
-// metric is one time series over what a part counts.
+// metric is one time series whose value is computed from a component's counters.
 type metric[Counts any] struct {
-	name  string // with its labels; _total: it only grows
+	name  string // including labels; the suffix _total marks a counter
 	help  string
 	value func(Counts) float64
 }
@@ -54,7 +54,7 @@
 	{`onyxgate_sources_doubted{source="srv"}`, "1 while SRV is doubted, else 0", doubtGauge(sources.SRV)},
 }
 
-// ruleMetric is the name of the changes by the rule that decided them; it is followed by one label for each of
+// ruleMetric counts changes by the rule that decided them. It has one time series, labeled with the rule, for each entry of
 // sources.Rules.
 const ruleMetric = "onyxgate_sources_changes_by_rule_total"
 
@@ -72,7 +72,7 @@
 	{"onyxgate_record_oldest_unexported_seconds", "age of the oldest entry that the store does not have", func(s recorder.Status) float64 { return s.OldestWaiting / 1000 }},
 }
 
-// doubtGauge is 1 while a source is doubted.
+// doubtGauge returns the value function of a gauge that is 1 while the source is doubted and 0 otherwise.
 func doubtGauge(source sources.Source) func(host.Counts) float64 {
 	return func(n host.Counts) float64 {
 		if n.Doubt[source] != "" {
@@ -82,7 +82,7 @@
 	}
 }
 
-// rulesMetrics are the changes by rule.
+// rulesMetrics returns a counter of changes for each rule.
 func rulesMetrics() (all []metric[host.Counts]) {
 	for i, rule := range sources.Rules() {
 		all = append(all, metric[host.Counts]{
@@ -93,7 +93,7 @@
 	return all
 }
 
-// serveMetrics offers the metrics to a scraper, where the settings name a listener.
+// serveMetrics starts the metrics endpoint if the settings name a listen address.
 func (s *Server) serveMetrics(ctx context.Context) {
 	table := s.options.Settings.Metrics
 	if table.Listen == "" {
@@ -112,7 +112,7 @@
 	go meter.Serve(ctx, table)
 }
 
-// register adds metrics whose values are taken from fresh counts at each scrape.
+// register adds the metrics of a table. Each scrape reads the counters anew.
 func register[Counts any](meter *metrics.Meter, table []metric[Counts], counts func() Counts) {
 	for _, m := range table {
 		meter.Gauge(m.name, func() float64 { return m.value(counts()) })
--- a/internal/assembly/metrics_test.go
+++ b/internal/assembly/metrics_test.go
@@ -11,7 +11,7 @@
 	"onyxgate/policy"
 )
 
-// valueOf is the value of a metric over some counts.
+// valueOf returns the value of the named metric for the given counters.
 func valueOf[Counts any](t *testing.T, table []metric[Counts], name string, counts Counts) float64 {
 	t.Helper()
 	for _, m := range table {
@@ -19,11 +19,11 @@
 			return m.value(counts)
 		}
 	}
-	t.Fatalf("no metric %s", name)
+	t.Fatalf("no metric %q in the table", name)
 	return 0
 }
 
-// All tables can be registered beside each other: a name that stands twice would panic.
+// Registering a duplicate name panics, so registering all tables in one meter checks that the names are unique.
 func TestMetricNames(t *testing.T) {
 	meter := metrics.New()
 	register(meter, requestMetrics, func() core.Counts { return core.Counts{} })
@@ -32,11 +32,11 @@
 	register(meter, rulesMetrics(), func() host.Counts { return host.Counts{} })
 	register(meter, recordMetrics, func() recorder.Status { return recorder.Status{} })
 	if got, want := len(rulesMetrics()), len(sources.Rules()); got != want {
-		t.Errorf("%d rules are counted, not %d", got, want)
+		t.Errorf("len(rulesMetrics()) = %d, want %d", got, want)
 	}
 }
 
-// Each metric shows the count of its name.
+// Each metric returns the counter that its name refers to.
 func TestMetricValues(t *testing.T) {
 	counts := core.Counts{
 		Accepted: 1, Served: 2, Rejected: 3, Failed: 4, ClientGone: 5, OpenRequests: 6, OpenAttempts: 7, AttemptsWithheld: 8,
@@ -53,23 +53,23 @@
 		"onyxgate_attempts_withheld_total":                     8,
 	} {
 		if got := valueOf(t, requestMetrics, name, counts); got != want {
-			t.Errorf("%s is %v, not %v", name, got, want)
+			t.Errorf("%s = %v, want %v", name, got, want)
 		}
 	}
 	if got := valueOf(t, releaseMetrics, "onyxgate_release_rolling_out", counts); got != 9 {
-		t.Errorf("rolling out: %v", got)
+		t.Errorf("onyxgate_release_rolling_out = %v, want 9", got)
 	}
 	if got := valueOf(t, releaseMetrics, "onyxgate_affinity_keys", counts); got != 10 {
-		t.Errorf("affinity keys: %v", got)
+		t.Errorf("onyxgate_affinity_keys = %v, want 10", got)
 	}
 	doubted := host.Counts{Doubt: [2]string{"", "silent"}, FailedLookups: 3}
 	if got := valueOf(t, sourceMetrics, `onyxgate_sources_doubted{source="srv"}`, doubted); got != 1 {
-		t.Errorf("SRV doubted: %v", got)
+		t.Errorf("SRV doubted = %v, want 1", got)
 	}
 	if got := valueOf(t, sourceMetrics, `onyxgate_sources_doubted{source="discovery"}`, doubted); got != 0 {
-		t.Errorf("discovery doubted: %v", got)
+		t.Errorf("discovery doubted = %v, want 0", got)
 	}
 	if got := valueOf(t, recordMetrics, "onyxgate_record_oldest_unexported_seconds", recorder.Status{OldestWaiting: 1500}); got != 1.5 {
-		t.Errorf("oldest: %v s", got)
+		t.Errorf("onyxgate_record_oldest_unexported_seconds = %v, want 1.5", got)
 	}
 }
--- a/internal/assembly/reload.go
+++ b/internal/assembly/reload.go
@@ -1,6 +1,6 @@
 package assembly
 
-// This file owns what SIGHUP does.
+// Reloading of the configuration on SIGHUP.
 
 import (
 	"time"
@@ -10,37 +10,38 @@
 )
 
 const (
-	// A configuration that is being written is whole a moment later.
-	reloadRetryDelay    = 100 * time.Millisecond
-	maxReloadTries = 10
+	// The file may be read while it is still being written, so an invalid configuration is read again after this delay.
+	reloadRetryDelay = 100 * time.Millisecond
+	maxReloadTries   = 10
 )
 
-// addressSetter is a part that can move to another address.
+// addressSetter is a client whose server address can be changed at run time.
 type addressSetter interface{ SetAddress(address string) }
 
-// reloader reads the configuration anew. Only the addresses of some parts can change while the instance runs; a
-// configuration that can't be used changes nothing.
+// reloader re-reads the configuration file. Only the addresses of discovery and the platform can change while the instance
+// runs. An invalid configuration is rejected as a whole.
 type reloader struct {
 	path      string
-	current   gjson.Result             // the configuration that was taken last
-	parts     map[string]addressSetter // by the key that holds their address
+	current   gjson.Result             // the configuration applied last
+	clients   map[string]addressSetter // by the configuration key of their address
 	triesLeft int
 }
 
 func (s *Server) newReloader() *reloader {
-	return &reloader{path: s.options.ConfigPath, current: s.config.configuration, parts: map[string]addressSetter{
+	return &reloader{path: s.options.ConfigPath, current: s.config.configuration, clients: map[string]addressSetter{
 		"discovery": s.discovery, "pipeline.address": s.platform,
 	}}
 }
 
-// start reads the configuration, and again until it can be used or the tries are used up: see retry.
-func (r *reloader) start() (again <-chan time.Time) {
+// start begins a reload with a first attempt. See retry for the result.
+func (r *reloader) start() (retryAt <-chan time.Time) {
 	r.triesLeft = maxReloadTries
 	return r.retry()
 }
 
-// retry reads the configuration and returns when to call it again, nil: not at all.
-func (r *reloader) retry() (again <-chan time.Time) {
+// retry reads the configuration once. If that failed and attempts remain, it returns a channel that fires when retry has to
+// be called again, otherwise nil.
+func (r *reloader) retry() (retryAt <-chan time.Time) {
 	r.triesLeft--
 	if err := r.load(); err == nil || r.triesLeft <= 0 {
 		return nil
@@ -48,22 +49,23 @@
 	return time.After(reloadRetryDelay)
 }
 
-// load reads the configuration once and moves the parts whose addresses have changed in it.
+// load reads the configuration and updates the clients whose addresses have changed.
 func (r *reloader) load() error {
 	configuration, err := Read(r.path)
 	if err != nil {
 		logrus.WithError(err).Error("configuration rejected, the running one stays")
 		return err
 	}
-	moved := logrus.Fields{}
-	for key, part := range r.parts {
-		// Against the file as it was: an address given in its place at the start holds until the file names another.
+	changed := logrus.Fields{}
+	for key, client := range r.clients {
+		// Compare with the previous file rather than the address in use: an address given on the command line stays in
+		// effect until the address in the file changes.
 		if address := configuration.Get(key).Str; address != r.current.Get(key).Str {
-			part.SetAddress(address)
-			moved[key] = address
+			client.SetAddress(address)
+			changed[key] = address
 		}
 	}
 	r.current = configuration
-	logrus.WithFields(moved).Info("configuration reloaded")
+	logrus.WithFields(changed).Info("configuration reloaded")
 	return nil
 }
--- a/internal/assembly/reload_test.go
+++ b/internal/assembly/reload_test.go
@@ -9,14 +9,13 @@
 	"testing"
 )
 
-// What crosses a reload.
-
-// fakeAddressSetter keeps the addresses to which it moved.
+// fakeAddressSetter records the addresses that were set.
 type fakeAddressSetter struct{ addresses []string }
 
 func (p *fakeAddressSetter) SetAddress(address string) { p.addresses = append(p.addresses, address) }
 
-// A configuration that can be used moves what it names anew; one that can't changes nothing, then or later.
+// A valid configuration updates the clients whose addresses it changes. An invalid one changes nothing, and does not affect
+// later reloads.
 func TestReload(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	text := func(discovery, platform string) string {
@@ -34,14 +33,14 @@
 		t.Fatal(err)
 	}
 	discovery, platform := &fakeAddressSetter{}, &fakeAddressSetter{}
-	reloader := &reloader{path: file, current: configuration, parts: map[string]addressSetter{
+	reloader := &reloader{path: file, current: configuration, clients: map[string]addressSetter{
 		"discovery": discovery, "pipeline.address": platform,
 	}}
 	for _, c := range []struct{ name, text, discovery, platform string }{
-		{"nothing new: the address given at the start holds", text("d:1", "p:1"), "[]", "[]"},
+		{"unchanged: the address given at the start stays", text("d:1", "p:1"), "[]", "[]"},
 		{"discovery moves", text("d:2", "p:1"), "[d:2]", "[]"},
-		{"half a file", text("d:2", "p:1")[:200], "[d:2]", "[]"},
-		{"no address", text("d", "p:3"), "[d:2]", "[]"},
+		{"truncated file", text("d:2", "p:1")[:200], "[d:2]", "[]"},
+		{"invalid address", text("d", "p:3"), "[d:2]", "[]"},
 		{"no file", "", "[d:2]", "[]"},
 		{"both move", text("d:3", "p:2"), "[d:2 d:3]", "[p:2]"},
 	} {
@@ -54,64 +53,65 @@
 					t.Fatal(err)
 				}
 			}
-			_ = reloader.load() // its error is logged; what it did is what is looked at
+			_ = reloader.load() // invalid configurations return an error; only the effect on the addresses is checked
 			if fmt.Sprint(discovery.addresses) != c.discovery || fmt.Sprint(platform.addresses) != c.platform {
-				t.Errorf("after %.80q: %v, %v", c.text, discovery.addresses, platform.addresses)
+				t.Errorf("after reading %.80q: discovery addresses %v, want %s; platform addresses %v, want %s",
+					c.text, discovery.addresses, c.discovery, platform.addresses, c.platform)
 			}
 		})
 	}
 }
 
-// A configuration read half written is read again; one that stays so changes nothing and is given up.
+// A configuration that was read half written is read again. If it stays invalid, it changes nothing and the retries end.
 func TestTorn(t *testing.T) {
-	d, e := newTestEnv(t), newTestEnv(t)
-	text := configJSON(e.address(), d.endpointList(1), safeClass, singleAttempt)
-	r := start(t, configJSON(d.address(), d.endpointList(1), safeClass, singleAttempt))
-	<-d.watches
+	before, after := newTestEnv(t), newTestEnv(t)
+	text := configJSON(after.address(), before.endpointList(1), safeClass, singleAttempt)
+	r := start(t, configJSON(before.address(), before.endpointList(1), safeClass, singleAttempt))
+	<-before.watches
 	if err := os.WriteFile(r.file, []byte(text[:len(text)/2]), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	reloader := r.newReloader() // beside that of the run, which gets no signal
+	reloader := r.newReloader() // independent of the run's own reloader, which receives no SIGHUP
 	if reloader.start() == nil {
-		t.Fatal("half a configuration is not read again")
+		t.Fatal("reloader.start() = nil after a truncated configuration, want a retry")
 	}
 	if err := os.WriteFile(r.file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if reloader.retry() != nil {
-		t.Error("a whole one is read again")
+		t.Error("reloader.retry() asks for another retry after a valid configuration, want nil")
 	}
-	<-e.watches // moved
+	<-after.watches // discovery's client has moved to the new address
 	if err := os.WriteFile(r.file, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for n := 0; reloader.retry() != nil; n++ {
 		if n > maxReloadTries {
-			t.Fatal("read for ever")
+			t.Fatalf("still retrying after %d attempts, want at most %d", n, maxReloadTries)
 		}
 	}
 	r.stop(t)
 }
 
-// SIGHUP while the first list is awaited: the new address is asked at once, and its list makes the instance ready. A second
-// one before that stream is connected moves it once more.
+// On SIGHUP while the first endpoint list is awaited, discovery's new address is watched immediately and its list makes the
+// instance ready. A second SIGHUP before that stream is connected moves the client once more.
 func TestMovedBeforeFirst(t *testing.T) {
-	d, e, f := newTestEnv(t), newTestEnv(t), newTestEnv(t)
-	r := start(t, configJSON(d.address(), d.endpointList(1), safeClass, singleAttempt))
-	<-d.watches // and it says nothing
-	for _, w := range []*testEnv{e, f} {
-		if err := os.WriteFile(r.file, []byte(configJSON(w.address(), d.endpointList(1), safeClass, singleAttempt)), 0o600); err != nil {
+	first, second, third := newTestEnv(t), newTestEnv(t), newTestEnv(t)
+	r := start(t, configJSON(first.address(), first.endpointList(1), safeClass, singleAttempt))
+	<-first.watches // the stream is open, but no list is sent
+	for _, env := range []*testEnv{second, third} {
+		if err := os.WriteFile(r.file, []byte(configJSON(env.address(), first.endpointList(1), safeClass, singleAttempt)), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		r.signals <- syscall.SIGHUP
-		<-w.watches
+		<-env.watches
 	}
-	f.updates <- f.endpointList(7)
+	third.updates <- third.endpointList(7)
 	waitUntil(func() bool { v, _ := r.discovery.Version(); return v == 7 })
 	c := r.connect(t)
 	c.send(http.MethodGet, "/glance/1", "r1")
-	if status, _ := c.readResponse(t); status != 200 || len(f.requestsRun()) != 1 {
-		t.Errorf("answered %d, ran %v", status, f.requestsRun())
+	if status, _ := c.readResponse(t); status != 200 || len(third.receivedRequests()) != 1 {
+		t.Errorf("status %d, want 200; the third backend received %v, want 1 request", status, third.receivedRequests())
 	}
 	r.stop(t)
 }
--- a/internal/assembly/report.go
+++ b/internal/assembly/report.go
@@ -1,6 +1,6 @@
 package assembly
 
-// This file owns the log lines of counts. The table of them is in docs/oncall.md.
+// The periodic log lines with counters. docs/oncall.md lists their fields.
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"onyxgate/policy"
 )
 
-// reportLoop logs the decisions' own lines and, every so often, the counts.
+// reportLoop logs the lines written by the decision core and, every ReportInterval, the counters.
 func (s *Server) reportLoop(ctx context.Context) {
 	tick := time.NewTicker(s.options.ReportInterval)
 	defer tick.Stop()
@@ -25,13 +25,13 @@
 		case line := <-s.core.LogLines():
 			logrus.Info(line)
 		case <-tick.C:
-			s.core.CheckClock() // about once a second, as its comment asks: options with a longer interval see a step later
+			s.core.CheckClock() // should run about once a second; with a longer ReportInterval, clock steps are detected later
 			s.logCounts()
 		}
 	}
 }
 
-// logCounts logs one line for each part that counts.
+// logCounts logs one line of counters per component.
 func (s *Server) logCounts() {
 	s.logTraffic()
 	s.logReleases()
@@ -45,26 +45,26 @@
 
 func (s *Server) logTraffic() {
 	n := s.core.Counts()
-	opened, idle, unsent := s.upstream.Connections()
-	all, clients, idleClients := s.sockets.Used()
+	opened, idle, withoutSocket := s.upstream.Connections()
+	sockets, clients, idleClients := s.sockets.Used()
 	version, listed := s.discovery.Version()
 	logrus.WithFields(logrus.Fields{
 		"cpu_ms":   cpuMs(),
 		"accepted": n.Accepted, "served": n.Served, "rejected": n.Rejected, "failed": n.Failed, "client_gone": n.ClientGone,
 		"invalid_requests": s.front.InvalidRequests(), "requests_open": n.OpenRequests,
 		"attempts_open": n.OpenAttempts, "attempts_ended": fmt.Sprint(n.AttemptsByStatus[policy.StatusServed:]), "attempts_withheld": n.AttemptsWithheld,
-		"sockets": all, "client_connections": clients, "client_connections_idle": idleClients,
-		"backend_connections_opened": opened, "backend_connections_idle": idle, "attempts_without_socket": unsent,
+		"sockets": sockets, "client_connections": clients, "client_connections_idle": idleClients,
+		"backend_connections_opened": opened, "backend_connections_idle": idle, "attempts_without_socket": withoutSocket,
 		"list_version": version, "backends": listed,
 		"timers": n.Timers, "invariant_violations": invariant.Violations(),
 	}).Info("counts")
 }
 
-// cpuMs is the processor time that the process has used, in ms.
+// cpuMs returns the CPU time used by the process so far, in ms.
 func cpuMs() int64 {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
-		return 0 // it never fails for the own process, and a report is not worth a crash
+		return 0 // getrusage does not fail for the calling process, and a report is not worth a crash
 	}
 	return (usage.Utime.Nano() / 1e6) + (usage.Stime.Nano() / 1e6)
 }
--- a/internal/assembly/run.go
+++ b/internal/assembly/run.go
@@ -1,6 +1,6 @@
 package assembly
 
-// This file owns the run of an instance: what starts with it, what signals do, and how it ends.
+// The life cycle of a running instance: background work, signals and shutdown.
 
 import (
 	"context"
@@ -14,27 +14,28 @@
 	"onyxgate/internal/httpwire"
 )
 
-// firstListWait: what discovery already has when a process starts holds for it from its first request on. Requests wait in
-// the listener's backlog for it, but no longer than this, for discovery may be down.
+// firstListWait limits how long an instance waits at startup for discovery's endpoint list. Already the first request should
+// be routed by that list, so requests wait in the listener's backlog meanwhile. The wait is bounded because discovery may be
+// down.
 const firstListWait = time.Second
 
-// errSecondSignal ends a run on a second SIGTERM or SIGINT.
+// errSecondSignal aborts the shutdown on a second SIGTERM or SIGINT.
 var errSecondSignal = errors.New("told twice to end")
 
-// run is one run of a server, from the start of its parts to the shutdown.
+// run is the state of one call of Run, from the start of the background work to the end of the shutdown.
 type run struct {
 	*Server
-	ctx          context.Context // of all that is dropped at the end
-	stopRecorder func()          // lets the recorder write what it holds, and waits for it
+	ctx          context.Context // canceled when Run returns; ends the background work
+	stopRecorder func()          // makes the recorder flush and waits until it has finished
 	reloader     *reloader
-	reloadAgain  <-chan time.Time // nil: no configuration is being read again
+	reloadAgain  <-chan time.Time // fires when the reload has to be retried; nil if no retry is pending
 	serveEnded   chan error
-	shuttingDown chan bool // closed with the first signal to end
-	shutDown     chan bool // closed once everything is answered
+	shuttingDown chan bool // closed on the first SIGTERM or SIGINT
+	shutDown     chan bool // closed when all accepted requests are answered
 }
 
-// Run serves until it has shut down: SIGTERM and SIGINT start the shutdown, a second one ends it at once, and SIGHUP
-// reads the configuration anew. It may be called once.
+// Run serves clients until the instance has shut down. The first SIGTERM or SIGINT starts a graceful shutdown, a second one
+// aborts it, and SIGHUP reloads the configuration. Run must be called only once.
 func (s *Server) Run(signals <-chan os.Signal) error {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -56,7 +57,7 @@
 	return r.loop(signals)
 }
 
-// startBackground starts what runs until the context ends.
+// startBackground starts the goroutines that run until the context is canceled.
 func (s *Server) startBackground(ctx context.Context) {
 	go s.discovery.Run(ctx)
 	go s.platform.WatchReleases(ctx)
@@ -68,7 +69,7 @@
 	}
 }
 
-// startRecorder starts the recorder, if there is one; the channel is closed once it has written what it holds.
+// startRecorder starts the recorder if there is one. The returned channel is closed when the recorder has flushed and stopped.
 func (s *Server) startRecorder(ctx context.Context) (ended <-chan bool) {
 	done := make(chan bool)
 	go func() {
@@ -80,13 +81,14 @@
 	return done
 }
 
-// serve takes clients' connections once the instance is ready.
+// serve accepts client connections once the instance is ready.
 func (r *run) serve() {
 	r.awaitReady(r.shuttingDown)
 	r.serveEnded <- r.front.Server().Serve(httpwire.Listener{Listener: r.listener, Sockets: r.sockets})
 }
 
-// awaitReady waits until the instance may serve: discovery's list is there, has not come in time, or it is to shut down.
+// awaitReady marks the instance ready when discovery's first endpoint list has arrived, when firstListWait has passed
+// without one, or when the shutdown has started.
 func (s *Server) awaitReady(shuttingDown <-chan bool) {
 	wait := time.NewTimer(firstListWait)
 	defer wait.Stop()
@@ -100,12 +102,12 @@
 	logrus.Info("ready")
 }
 
-// loop waits for what happens to the run, and returns once it has ended.
+// loop handles signals, reloads and the end of serving until the run is over.
 func (r *run) loop(signals <-chan os.Signal) error {
 	for {
 		select {
 		case err := <-r.serveEnded:
-			if !r.isShuttingDown() { // else the listener was closed by the shutdown
+			if !r.isShuttingDown() { // otherwise the shutdown has closed the listener
 				return err
 			}
 		case <-r.shutDown:
@@ -123,7 +125,7 @@
 	}
 }
 
-// onSignal does what a signal asks for; its error ends the run at once.
+// onSignal handles one signal. An error ends the run immediately.
 func (r *run) onSignal(sig os.Signal) error {
 	switch {
 	case sig == syscall.SIGHUP:
@@ -145,7 +147,7 @@
 	}
 }
 
-// startShutdown stops taking connections, and closes shutDown once everything taken is answered.
+// startShutdown stops accepting connections, and closes shutDown when all accepted requests are answered.
 func (r *run) startShutdown() {
 	logrus.Info("shutting down")
 	close(r.shuttingDown)
--- a/internal/assembly/settings_test.go
+++ b/internal/assembly/settings_test.go
@@ -6,9 +6,8 @@
 	"testing"
 )
 
-// Two settings side by side.
-
-// Two deployments in one process, side by side and one after the other, each by its own settings alone.
+// Two deployments with different settings run in one process, at the same time and in sequence. Each must follow only its own
+// settings.
 func TestTwoSettings(t *testing.T) {
 	glance, merge := "GET /glance/7", "POST /merge/7"
 	t.Run("side by side", func(t *testing.T) {
@@ -20,8 +19,8 @@
 		}
 		a.checkCounts(t, 3)
 		b.checkCounts(t, 3)
-		if len(x.requestsRun()) != 3 || len(y.requestsRun()) != 3 {
-			t.Errorf("ran %v and %v", x.requestsRun(), y.requestsRun())
+		if len(x.receivedRequests()) != 3 || len(y.receivedRequests()) != 3 {
+			t.Errorf("backends received %v and %v, want three requests each", x.receivedRequests(), y.receivedRequests())
 		}
 		a.stop(t)
 		b.stop(t)
@@ -36,7 +35,7 @@
 		b.checkCounts(t, 1)
 		b.stop(t)
 	})
-	t.Run("the other way round", func(t *testing.T) {
+	t.Run("one after the other, reversed", func(t *testing.T) {
 		x, y := newTestEnv(t), newTestEnv(t)
 		b := startDeployment(t, y, unsafeClasses, fourAttempts)
 		b.serves(t, "b", merge, glance)
@@ -48,49 +47,51 @@
 	})
 }
 
-// deployment is an instance with its own settings, in a world of its own.
+// deployment is an instance with its own settings and its own environment.
 type deployment struct {
 	*testInstance
 	env *testEnv
 }
 
-// startDeployment starts an instance of these settings, and lets discovery report the world's backend.
-func startDeployment(t *testing.T, w *testEnv, grades, limits string) deployment {
+// startDeployment starts an instance with these settings, and lets discovery report the environment's backend.
+func startDeployment(t *testing.T, env *testEnv, grades, limits string) deployment {
 	t.Helper()
-	r := start(t, configJSON(w.address(), w.endpointList(1), grades, limits))
-	<-w.watches
-	w.updates <- w.endpointList(2)
-	return deployment{r, w}
+	r := start(t, configJSON(env.address(), env.endpointList(1), grades, limits))
+	<-env.watches
+	env.updates <- env.endpointList(2)
+	return deployment{r, env}
 }
 
-// serves asks for a class of the deployment's own, which its backend runs, and for one of another's, which it does not know.
-func (d deployment) serves(t *testing.T, id, own, others string) {
+// checkServesOwnClass sends one request of the deployment's own class, which its backend has to receive, and one of the other
+// deployment's class, which has to be refused with 404.
+func (d deployment) serves(t *testing.T, id, own, other string) {
 	t.Helper()
 	c := d.connect(t)
 	for k, call := range []struct {
 		path   string
 		status int
-	}{{own, 200}, {others, 404}} {
+	}{{own, 200}, {other, 404}} {
 		method, path, _ := strings.Cut(call.path, " ")
 		c.send(method, path, fmt.Sprint(id, k))
 		if status, _ := c.readResponse(t); status != call.status {
-			t.Errorf("%s: %d", call.path, status)
+			t.Errorf("%s: status %d, want %d", call.path, status, call.status)
 		}
 	}
-	ran := d.env.requestsRun()
-	if last := ran[len(ran)-1]; !strings.HasPrefix(last, strings.Fields(own)[1]+" ") {
-		t.Errorf("ran %q", last)
+	received := d.env.receivedRequests()
+	if last := received[len(received)-1]; !strings.HasPrefix(last, strings.Fields(own)[1]+" ") {
+		t.Errorf("the backend's last request is %q, want path %s", last, strings.Fields(own)[1])
 	}
 }
 
-// checkCounts looks for so many requests of its own, as many of the other's, and one backend.
+// checkCounts checks that the given number of requests was accepted and served, that as many requests of the other
+// deployment's class were refused, and that one backend is listed.
 func (d deployment) checkCounts(t *testing.T, requests int) {
 	t.Helper()
-	n, refused := d.core.Counts(), d.front.InvalidRequests()
-	if n.Accepted != requests || n.Served != requests || refused != int64(requests) {
-		t.Errorf("%d accepted, %d served, %d refused; %d wanted of each", n.Accepted, n.Served, refused, requests)
+	counts, refused := d.core.Counts(), d.front.InvalidRequests()
+	if counts.Accepted != requests || counts.Served != requests || refused != int64(requests) {
+		t.Errorf("%d accepted, %d served, %d refused; want %d each", counts.Accepted, counts.Served, refused, requests)
 	}
 	if _, listed := d.discovery.Version(); listed != 1 {
-		t.Errorf("%d backends listed", listed)
+		t.Errorf("%d backends listed, want 1", listed)
 	}
 }
--- a/internal/assembly/start_test.go
+++ b/internal/assembly/start_test.go
@@ -12,38 +12,40 @@
 	"onyxgate/policy"
 )
 
-// What crosses a start and a shutdown.
+// Events that coincide with the start or the shutdown of an instance.
 
-// What discovery already has holds from a process's first request on: one that lies in the backlog when the instance starts
-// goes by that, not by the list of the configuration.
+// A request that waits in the listener's backlog while the instance starts must be routed by discovery's endpoint list, not by
+// the possibly outdated list in the configuration.
 func TestFirstRequest(t *testing.T) {
-	old, now := newTestEnv(t), newTestEnv(t)
-	r := start(t, configJSON(now.address(), old.endpointList(1), safeClass, singleAttempt))
+	outdated, current := newTestEnv(t), newTestEnv(t)
+	r := start(t, configJSON(current.address(), outdated.endpointList(1), safeClass, singleAttempt))
 	c := r.connect(t)
 	c.send(http.MethodGet, "/glance/1", "r1")
-	<-now.watches
-	now.updates <- now.endpointList(2)
+	<-current.watches
+	current.updates <- current.endpointList(2)
 	if status, body := c.readResponse(t); status != 200 || body != "made for r1" {
-		t.Errorf("answered %d %q", status, body)
+		t.Errorf("got status %d, body %q, want 200 %q", status, body, "made for r1")
 	}
-	if len(old.requestsRun()) != 0 || len(now.requestsRun()) != 1 {
-		t.Errorf("ran %v at what had left, %v at what runs", old.requestsRun(), now.requestsRun())
+	if len(outdated.receivedRequests()) != 0 || len(current.receivedRequests()) != 1 {
+		t.Errorf("requests: %v at the outdated backend, want none; %v at the current one, want 1",
+			outdated.receivedRequests(), current.receivedRequests())
 	}
 	r.stop(t)
 }
 
-// Ready: once discovery has sent its list, after a while where it sends none, and at once where the instance is to shut down.
+// An instance becomes ready when discovery has sent its first list, after firstListWait if discovery stays silent, and
+// immediately when it is asked to shut down.
 func TestReady(t *testing.T) {
 	for _, c := range []readyTest{
 		{"list sent", true, false, 0},
-		{"silent", false, false, firstListWait},
-		{"shuts down", false, true, 0},
+		{"discovery silent", false, false, firstListWait},
+		{"shutdown requested", false, true, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) { synctest.Test(t, c.run) })
 	}
 }
 
-// readyTest is what happens to an instance that has started, and when it is ready.
+// readyTest describes what happens after the start of an instance, and after how long it has to be ready.
 type readyTest struct {
 	name              string
 	listed, shutsDown bool
@@ -60,13 +62,13 @@
 			t.Fatal(err)
 		}
 	}
-	shuttingDown, ready, from := make(chan bool), make(chan bool), time.Now()
+	shuttingDown, ready, startedAt := make(chan bool), make(chan bool), time.Now()
 	go func() { s.awaitReady(shuttingDown); close(ready) }()
 	apply(`{"version":1,"full":true,"servers":[]}`, httpwire.FromConfiguration)
 	synctest.Wait()
 	select {
 	case <-ready:
-		t.Errorf("%s: ready by the configuration alone", c.name)
+		t.Errorf("%s: ready after the configuration's list, want not ready before discovery's", c.name)
 	default:
 	}
 	if c.listed {
@@ -76,13 +78,13 @@
 		close(shuttingDown)
 	}
 	<-ready
-	if took := time.Since(from); took != c.after {
-		t.Errorf("%s: ready after %v", c.name, took)
+	if elapsed := time.Since(startedAt); elapsed != c.after {
+		t.Errorf("%s: ready after %v, want %v", c.name, elapsed, c.after)
 	}
-	time.Sleep(time.Hour) // the core's own timer
+	time.Sleep(time.Hour) // lets the core's timer expire
 }
 
-// SIGTERM just before ready: what lies in the backlog is served, then the instance ends by itself.
+// On SIGTERM just before the instance is ready, requests in the listener's backlog are served before the instance exits.
 func TestEndsBeforeReady(t *testing.T) {
 	d := newTestEnv(t)
 	r := start(t, configJSON(d.address(), d.endpointList(1), safeClass, singleAttempt))
@@ -91,18 +93,18 @@
 	c.send(http.MethodGet, "/glance/1", "r1")
 	r.signals <- syscall.SIGTERM
 	if status, body := c.readResponse(t); status != 200 || body != "made for r1" {
-		t.Errorf("answered %d %q", status, body)
+		t.Errorf("got status %d, body %q, want 200 %q", status, body, "made for r1")
 	}
 	c.Close()
 	if err := <-r.runResult; err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("Run returned %v, want nil", err)
 	}
 }
 
-// An instance that starts while the one before it still holds its address waits for it.
+// An instance that starts while the previous process still listens on its address waits until the address is free.
 func TestAddressHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		before := listenLoopback(t)
+		previous := listenLoopback(t)
 		got := make(chan error, 1)
 		try := func(address string) {
 			l, err := listen(address)
@@ -111,14 +113,14 @@
 			}
 			got <- err
 		}
-		go try(before.Addr().String())
-		synctest.Wait() // it has tried
-		before.Close()
+		go try(previous.Addr().String())
+		synctest.Wait() // the first attempt has failed
+		previous.Close()
 		if err := <-got; err != nil {
-			t.Error(err)
+			t.Errorf("listen on an address that became free: %v", err)
 		}
 		if try("no address"); <-got == nil {
-			t.Error("no address, and it listens")
+			t.Errorf("listen(%q) succeeded, want an error", "no address")
 		}
 	})
 }
--- a/internal/jobs/queue.go
+++ b/internal/jobs/queue.go
@@ -20,7 +20,7 @@
 // budget is what is left to a job of what it may use.
 type budget struct {
 	perSecond float64 // 0: any
-	remaining      float64 // below zero after a run that used more than there was
+	remaining float64 // below zero after a run that used more than there was
 }
 
 func newBudget(perSecond float64) budget { return budget{perSecond, perSecond * burstMs / 1000} }
@@ -42,10 +42,10 @@
 type job struct {
 	Options
 	workBudget, byteBudget budget
-	refilledAt  float64 // 0: never
-	dueAt       float64
-	running     bool
-	runs        uint64
+	refilledAt             float64 // 0: never
+	dueAt                  float64
+	running                bool
+	runs                   uint64
 }
 
 // allowedAt refills the budgets and returns when they allow the job to run.
--- a/internal/jobs/queue_test.go
+++ b/internal/jobs/queue_test.go
@@ -4,12 +4,12 @@
 
 // queueTest is what three jobs use, and how often each of them runs in ten seconds.
 type queueTest struct {
-	name     string
-	runMs     [3]float64 // ms of each job's run
-	maxMsPerSecond   [3]float64
+	name              string
+	runMs             [3]float64 // ms of each job's run
+	maxMsPerSecond    [3]float64
 	maxBytesPerSecond [3]float64
-	bytesPerRun    float64
-	minRuns, maxRuns [3]int
+	bytesPerRun       float64
+	minRuns, maxRuns  [3]int
 }
 
 // Priorities hold, budgets bind, and nothing waits for ever.
--- a/internal/jobs/runner/runner.go
+++ b/internal/jobs/runner/runner.go
@@ -15,9 +15,9 @@
 
 // Runner runs jobs until it is stopped. Its methods may be called by any goroutine, but Add before Run only.
 type Runner struct {
-	startedAt  time.Time
-	wakeup chan struct{} // makes one waiting worker look at the queue again
-	jobs   []Job         // by index in the queue
+	startedAt time.Time
+	wakeup    chan struct{} // makes one waiting worker look at the queue again
+	jobs      []Job         // by index in the queue
 
 	mu    sync.Mutex
 	queue jobs.Queue // times in ms since just before start
