--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,6 @@
-// Package config reads our own settings, TOML in deploy/, one table for each part that has some, and says what is wrong
-// with file, line, key, value and a right example. It holds no part's decision, nor a value that a part does not have.
+// Package config reads the operator's settings, a TOML file such as deploy/onyxgate.toml with one table per component. Each
+// problem in the file is reported with file, line, key, value and an example of a valid value. The types, defaults and checks
+// of the settings belong to the components.
 package config
 
 import (
@@ -16,19 +17,19 @@
 	"onyxgate/internal/sources/host"
 )
 
-// Settings are all tables that there are.
+// Settings holds all tables of the file.
 type Settings struct {
 	Record  recorder.Config `toml:"record"`
 	Sources host.Config     `toml:"sources"`
 	Metrics metrics.Config  `toml:"metrics"`
 }
 
-// Default returns what holds without a file.
+// Default returns the settings used without a file.
 func Default() Settings {
 	return Settings{Record: recorder.DefaultConfig(), Sources: host.DefaultConfig(), Metrics: metrics.DefaultConfig()}
 }
 
-// Read reads a file; an empty name means what holds without one. Its error is the file's, or Parse's.
+// Read reads a settings file. It returns the defaults if path is empty. The error comes from os.ReadFile or Parse.
 func Read(path string) (Settings, error) {
 	if path == "" {
 		return Default(), nil
@@ -40,7 +41,8 @@
 	return Parse(path, text)
 }
 
-// Parse reads the text of a file of that name. Its error joins a *Problem for each thing that is wrong.
+// Parse parses and validates the text of a settings file; path is used in errors only. The error joins one *Problem for each
+// problem found.
 func Parse(path string, text []byte) (Settings, error) {
 	settings := Default()
 	decoder := toml.NewDecoder(bytes.NewReader(text))
@@ -48,20 +50,20 @@
 	if err := decoder.Decode(&settings); err != nil {
 		return settings, explainDecodeError(path, text, err)
 	}
-	found := indexKeys(text)
-	if err := missingUnits(path, found); err != nil {
+	index := indexKeys(text)
+	if err := missingUnits(path, index); err != nil {
 		return settings, err
 	}
-	return settings, settings.validate(path, found)
+	return settings, settings.validate(path, index)
 }
 
-// missingUnits finds the bare numbers where a unit is needed: the decoder takes them for nanoseconds or bytes.
-func missingUnits(path string, found keyIndex) error {
+// missingUnits reports durations and sizes that are given as bare numbers. The decoder accepts these as nanoseconds or bytes.
+func missingUnits(path string, index keyIndex) error {
 	var problems []error
 	for _, key := range keysWithUnits(reflect.TypeFor[Settings](), "") {
-		if value, ok := found.bareNumbers[key]; ok {
+		if value, ok := index.bareNumbers[key]; ok {
 			problems = append(problems, &Problem{
-				Path: path, Line: found.lines[key],
+				Path: path, Line: index.lines[key],
 				Text: fmt.Sprintf("%s = %s: no unit; write %s = %q or %q", key, value, leafKey(key), "250ms", "64MiB"),
 			})
 		}
@@ -69,13 +71,13 @@
 	return errors.Join(problems...)
 }
 
-// validate asks each part what can't be.
-func (s Settings) validate(path string, found keyIndex) error {
+// validate runs each component's checks on its table.
+func (s Settings) validate(path string, index keyIndex) error {
 	var problems []error
-	report := func(key string, value any, what, right string) {
+	report := func(key string, value any, reason, example string) {
 		problems = append(problems, &Problem{
-			Path: path, Line: found.lines[key],
-			Text: fmt.Sprintf("%s = %q: %s; write %s = %s", key, fmt.Sprint(value), what, leafKey(key), right),
+			Path: path, Line: index.lines[key],
+			Text: fmt.Sprintf("%s = %q: %s; write %s = %s", key, fmt.Sprint(value), reason, leafKey(key), example),
 		})
 	}
 	s.Record.Validate(report)
@@ -84,8 +86,8 @@
 	return errors.Join(problems...)
 }
 
-// Format writes all that holds, defaults included. There is nothing to hide in it: a secret has a file of its own, of which only the
-// name is here.
+// Format returns the settings as TOML, defaults included. The result contains no secrets: the password is stored in a separate
+// file, and the settings hold only its path.
 func Format(s Settings) (string, error) {
 	var b bytes.Buffer
 	encoder := toml.NewEncoder(&b)
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -1,7 +1,5 @@
 package config
 
-// This file owns the keys: which there are, and their lines in a file.
-
 import (
 	"reflect"
 	"strings"
@@ -11,10 +9,10 @@
 	"onyxgate/internal/units"
 )
 
-// leafKey is a key without its tables.
+// leafKey returns the last part of a dotted key.
 func leafKey(key string) string { return key[strings.LastIndexByte(key, '.')+1:] }
 
-// keysWithUnits are the keys whose values have a unit, below a table's prefix.
+// keysWithUnits returns the keys of a table, prefixed with prefix, whose values need a unit.
 func keysWithUnits(table reflect.Type, prefix string) (keys []string) {
 	for i := range table.NumField() {
 		field := table.Field(i)
@@ -29,11 +27,11 @@
 	return keys
 }
 
-// allKeys are all that there are, in the order of the tables.
+// allKeys returns all valid keys, in the order of the tables.
 func allKeys() (keys []string) {
 	text, err := Format(Default())
 	if err != nil {
-		return nil // then no key can be named to users; the tests format the defaults
+		return nil // errors then suggest no keys; the tests check that the defaults can be formatted
 	}
 	table := ""
 	for line := range strings.SplitSeq(text, "\n") {
@@ -47,15 +45,15 @@
 	return keys
 }
 
-// keyIndex is what a file holds, by whole keys.
+// keyIndex holds the positions of keys in a file. Keys are dotted and include their tables.
 type keyIndex struct {
-	lines       map[string]int    // of each key
-	bareNumbers map[string]string // the values that are numbers without a unit
+	lines       map[string]int    // line number of each key
+	bareNumbers map[string]string // values that are TOML numbers, and so have no unit
 }
 
-// indexKeys reads a file for its keys alone; it goes as far as the file is well formed.
+// indexKeys scans a file for its keys. It stops at the first syntax error.
 func indexKeys(text []byte) keyIndex {
-	found := keyIndex{lines: map[string]int{}, bareNumbers: map[string]string{}}
+	index := keyIndex{lines: map[string]int{}, bareNumbers: map[string]string{}}
 	var p unstable.Parser
 	p.Reset(text)
 	table := ""
@@ -64,19 +62,19 @@
 		switch expression.Kind {
 		case unstable.Table, unstable.ArrayTable:
 			name, line := dottedKey(&p, expression.Key())
-			table, found.lines[name] = name+".", line
+			table, index.lines[name] = name+".", line
 		case unstable.KeyValue:
 			name, line := dottedKey(&p, expression.Key())
-			found.lines[table+name] = line
+			index.lines[table+name] = line
 			if value := expression.Value(); value.Kind == unstable.Integer || value.Kind == unstable.Float {
-				found.bareNumbers[table+name] = string(value.Data)
+				index.bareNumbers[table+name] = string(value.Data)
 			}
 		}
 	}
-	return found
+	return index
 }
 
-// dottedKey reads a key of several parts, and the line on which it ends.
+// dottedKey joins the parts of a key with dots, and returns the line of its last part.
 func dottedKey(p *unstable.Parser, parts unstable.Iterator) (name string, line int) {
 	for parts.Next() {
 		if name != "" {
--- a/internal/config/problem.go
+++ b/internal/config/problem.go
@@ -1,7 +1,5 @@
 package config
 
-// This file owns the messages about a file that can't be used.
-
 import (
 	"errors"
 	"fmt"
@@ -10,11 +8,11 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Problem is one thing that is wrong with a settings file.
+// Problem is one error in a settings file.
 type Problem struct {
 	Path   string
-	Line   int // from 1; 0: no line has it, as a key that is missing
-	Column int // from 1; 0: the whole line
+	Line   int // starts at 1; 0 if the problem has no line, such as a missing key
+	Column int // starts at 1; 0 if the problem concerns the whole line
 	Text   string
 }
 
@@ -28,7 +26,7 @@
 	return fmt.Sprintf("%s:%d:%d: %s", p.Path, p.Line, p.Column, p.Text)
 }
 
-// explainDecodeError turns the decoder's errors into problems.
+// explainDecodeError converts an error of the TOML decoder to problems.
 func explainDecodeError(path string, text []byte, err error) error {
 	var unknown *toml.StrictMissingError
 	if errors.As(err, &unknown) {
@@ -56,7 +54,7 @@
 	return errors.Join(problems...)
 }
 
-// lineAt returns a line of a text, from 1, without the space around it; empty: there is none.
+// lineAt returns a line of the text, counted from 1, without surrounding space. It returns "" if there is no such line.
 func lineAt(text []byte, line int) string {
 	lines := strings.Split(string(text), "\n")
 	if line < 1 || line > len(lines) {
@@ -65,7 +63,7 @@
 	return strings.TrimSpace(lines[line-1])
 }
 
-// validKeys are the keys of the same table, or the tables.
+// validKeys lists the known keys of the table that the key is in, or the tables if that table is unknown.
 func validKeys(key string, known []string) string {
 	var names []string
 	table := key[:strings.LastIndexByte(key, '.')+1]
--- a/internal/failpoint/defect.go
+++ b/internal/failpoint/defect.go
@@ -16,31 +16,31 @@
 )
 
 var (
-	killAt, killAtPassing = parseKillAt(os.Getenv(killAtVariable))
-	defect                = os.Getenv(defectVariable)
-	passings              atomic.Int64 // of killAt
+	killAt, killAtHit = parseKillAt(os.Getenv(killAtVariable))
+	defect            = os.Getenv(defectVariable)
+	hits              atomic.Int64 // number of times that the failpoint killAt was reached
 )
 
-// parseKillAt reads NAME:N. Without a number no passing kills.
-func parseKillAt(text string) (name string, passing int64) {
+// parseKillAt parses NAME:N. If N is missing or invalid it returns 0, and the process is never killed.
+func parseKillAt(text string) (name string, hit int64) {
 	name, count, _ := strings.Cut(text, ":")
-	passing, err := strconv.ParseInt(count, 10, 64)
+	hit, err := strconv.ParseInt(count, 10, 64)
 	if err != nil {
 		return name, 0
 	}
-	return name, passing
+	return name, hit
 }
 
-// At marks a failpoint. It does not return where this passing of it was told to kill the process. It may be called by anyone
-// at any time.
+// At marks a failpoint. If the process was configured to be killed at this hit of the failpoint, At kills it and does not
+// return. It is safe for concurrent use.
 func At(name string) {
-	if killAt == "" || name != killAt || passings.Add(1) != killAtPassing {
+	if killAt == "" || name != killAt || hits.Add(1) != killAtHit {
 		return
 	}
-	// A process may always signal itself; were it refused, waiting here would show as an instance that hangs.
+	// A process may always signal itself. If the signal were refused, the block below would show as a hanging instance.
 	_ = syscall.Kill(os.Getpid(), syscall.SIGKILL)
-	select {} // the signal is on its way: nothing more may happen
+	select {} // nothing more may be executed until the signal arrives
 }
 
-// Defect tells whether a protection is switched off.
+// Defect reports whether the named protection is switched off.
 func Defect(name string) bool { return defect == name }
--- a/internal/failpoint/failpoint.go
+++ b/internal/failpoint/failpoint.go
@@ -1,9 +1,10 @@
-// Package failpoint holds the places at which an end-to-end test makes the program fail.
+// Package failpoint injects faults into the program for end-to-end tests.
 //
-// A failpoint is a named moment, such as the one between a write and its sync, at which the process kills itself with SIGKILL
-// if it was told so: ONYXGATE_KILL_AT=NAME:N at its start names the failpoint and says that the Nth passing kills. A defect is a
-// protection that can be switched off, by ONYXGATE_DEFECT=NAME, so that a test shows that it would notice its absence.
+// A failpoint is a named point in the program, for example between a write and its sync. With ONYXGATE_KILL_AT=NAME:N in the
+// environment, the process kills itself with SIGKILL when it reaches the failpoint NAME for the Nth time. A defect is a
+// protection that can be switched off with ONYXGATE_DEFECT=NAME, so that a test can show that it would detect the lack of that
+// protection.
 //
-// Both exist only in programs built with the tag "defect". In a release build the functions are empty and read no environment:
-// it holds no failpoint, and no variable can switch a protection off.
+// Both exist only in programs built with the tag "defect". In release builds the functions do nothing and read no environment
+// variables, so nothing in the environment can kill the process or switch off a protection.
 package failpoint
--- a/internal/failpoint/release.go
+++ b/internal/failpoint/release.go
@@ -2,8 +2,8 @@
 
 package failpoint
 
-// At marks a failpoint. In a release build it does nothing.
+// At marks a failpoint. In release builds it does nothing.
 func At(string) {}
 
-// Defect tells whether a protection is switched off. In a release build none ever is.
+// Defect reports whether the named protection is switched off. In release builds it always returns false.
 func Defect(string) bool { return false }
--- a/internal/invariant/debug.go
+++ b/internal/invariant/debug.go
@@ -2,5 +2,5 @@
 
 package invariant
 
-// stop ends a debug build at the first violation.
-func stop(name string) { panic("invariant violated: " + name) }
+// panicInDebug panics with the name of the violated invariant.
+func panicInDebug(name string) { panic("invariant violated: " + name) }
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,6 +1,5 @@
-// Package invariant checks what has to hold whatever the network does. A process built with the debug tag panics at the first
-// violation, so that tests and staging show where it is; any other counts and logs it and goes on. The package never decides
-// anything.
+// Package invariant checks conditions that must hold whatever the network does. Programs built with the debug tag panic at the
+// first violation, so that tests and staging show where it occurred. Other builds count and log violations and continue.
 package invariant
 
 import (
@@ -11,16 +10,16 @@
 
 var violations atomic.Int64
 
-// Check returns ok. Where ok is false it counts a violation of the named invariant and logs it with the detail, and a debug build
-// panics. It may be called from any goroutine and under any lock.
+// Check returns ok. If ok is false, it counts a violation of the named invariant and logs it with the details; debug builds
+// panic. It may be called from any goroutine and with any lock held.
 func Check(ok bool, name string, detail ...any) bool {
 	if !ok {
 		violations.Add(1)
 		logrus.WithFields(logrus.Fields{"invariant": name, "detail": detail}).Error("invariant violated")
-		stop(name)
+		panicInDebug(name)
 	}
 	return ok
 }
 
-// Violations counts the violations since the start of the process.
+// Violations returns the number of violations since the process started.
 func Violations() int64 { return violations.Load() }
--- a/internal/invariant/release.go
+++ b/internal/invariant/release.go
@@ -2,5 +2,5 @@
 
 package invariant
 
-// stop does nothing: in production a request must not end for a violation.
-func stop(string) {}
+// panicInDebug does nothing: in production, a violation must not abort a request.
+func panicInDebug(string) {}
--- a/internal/jobs/queue.go
+++ b/internal/jobs/queue.go
@@ -1,36 +1,37 @@
-// Package jobs decides which background job runs next: by priority, within each job's budget of time and bytes, and so
-// that none waits for ever. It runs nothing, reads no clock and holds no goroutine; internal/jobs/runner does.
+// Package jobs schedules background jobs. It picks the next job by priority, within each job's budget of time and bytes, and
+// ages waiting jobs so that none starves. The package starts no goroutines and reads no clock; internal/jobs/runner runs the
+// jobs.
 package jobs
 
 const (
-	// ageingMs: a job that has been due for so long goes ahead of those one priority above it.
+	// ageingMs is the waiting time that raises a due job's priority by one level.
 	ageingMs = 1000.0
-	// burstMs: what a job has not used of its budget is kept for so long.
+	// burstMs limits how much unused budget a job accumulates: the budget of this many milliseconds.
 	burstMs = 1000.0
 )
 
-// Options say how a job may run.
+// Options are the priority and the limits of a job.
 type Options struct {
 	Name              string
-	Priority          int     // lower goes first
-	MaxMsPerSecond    float64 // ms of work in each second; 0: any
-	MaxBytesPerSecond float64 // 0: any
+	Priority          int     // lower values run first
+	MaxMsPerSecond    float64 // running time in ms per second; 0 means no limit
+	MaxBytesPerSecond float64 // 0 means no limit
 }
 
-// budget is what is left to a job of what it may use.
+// budget is a token bucket for one of a job's limits.
 type budget struct {
-	perSecond float64 // 0: any
-	remaining float64 // below zero after a run that used more than there was
+	perSecond float64 // 0 means no limit
+	remaining float64 // negative after a run that used more than was available
 }
 
 func newBudget(perSecond float64) budget { return budget{perSecond, perSecond * burstMs / 1000} }
 
-// refill adds what a time (ms) brings, up to the burst.
-func (b *budget) refill(passed float64) {
-	b.remaining = min(b.remaining+passed*b.perSecond/1000, b.perSecond*burstMs/1000)
+// refill adds the budget of the elapsed time (ms), up to the burst limit.
+func (b *budget) refill(elapsed float64) {
+	b.remaining = min(b.remaining+elapsed*b.perSecond/1000, b.perSecond*burstMs/1000)
 }
 
-// wait returns how long (ms) it takes until nothing is owed.
+// wait returns the time (ms) until the budget is no longer negative.
 func (b *budget) wait() float64 {
 	if b.perSecond <= 0 || b.remaining >= 0 {
 		return 0
@@ -38,33 +39,33 @@
 	return -b.remaining / b.perSecond * 1000
 }
 
-// job is one job with its state. Times are in ms of the callers' clock.
+// job is one job with its state. Times are in ms of the caller's clock.
 type job struct {
 	Options
 	workBudget, byteBudget budget
-	refilledAt             float64 // 0: never
+	refilledAt             float64 // 0 if never
 	dueAt                  float64
 	running                bool
 	runs                   uint64
 }
 
-// allowedAt refills the budgets and returns when they allow the job to run.
+// allowedAt refills the budgets and returns the time at which they allow the job to run.
 func (j *job) allowedAt(now float64) float64 {
-	passed := 0.0
+	elapsed := 0.0
 	if j.refilledAt != 0 {
-		passed = max(now-j.refilledAt, 0)
+		elapsed = max(now-j.refilledAt, 0)
 	}
 	j.refilledAt = now
-	j.workBudget.refill(passed)
-	j.byteBudget.refill(passed)
+	j.workBudget.refill(elapsed)
+	j.byteBudget.refill(elapsed)
 	return now + max(j.workBudget.wait(), j.byteBudget.wait())
 }
 
-// Queue holds the jobs, each under the index that Add returned. It is used by one goroutine at a time; the zero value is
-// empty.
+// Queue holds the jobs. A job is identified by the index that Add returned. The zero value is an empty queue. A Queue is not
+// safe for concurrent use.
 type Queue struct{ jobs []job }
 
-// Add makes a job, due at once.
+// Add adds a job that is due immediately.
 func (q *Queue) Add(o Options) (index int) {
 	q.jobs = append(q.jobs, job{Options: o, workBudget: newBudget(o.MaxMsPerSecond), byteBudget: newBudget(o.MaxBytesPerSecond)})
 	return len(q.jobs) - 1
@@ -73,13 +74,14 @@
 // Name returns a job's name.
 func (q *Queue) Name(index int) string { return q.jobs[index].Name }
 
-// Runs returns how often a job has ended.
+// Runs returns the number of completed runs of a job.
 func (q *Queue) Runs(index int) uint64 { return q.jobs[index].runs }
 
-// Schedule makes a job due at a time (ms), if it would not be sooner.
+// Schedule makes a job due at the given time (ms) unless it is due earlier already.
 func (q *Queue) Schedule(index int, at float64) { q.jobs[index].dueAt = min(q.jobs[index].dueAt, at) }
 
-// Next returns the job to run now, which then counts as running; -1: none before wait (ms) is over.
+// Next returns the job to run now and marks it as running. If no job can run, it returns -1 and the time (ms) after which to
+// call Next again.
 func (q *Queue) Next(now float64) (index int, wait float64) {
 	index, wait = -1, burstMs
 	bestRank := 0.0
@@ -104,15 +106,15 @@
 	return index, 0
 }
 
-// Usage is what a run used.
+// Usage is the running time and the bytes that one run used.
 type Usage struct{ Ms, Bytes float64 }
 
-// Completed notes that a job's run ended: what it used, and in how long (ms) it wants to run again.
-func (q *Queue) Completed(now float64, index int, used Usage, again float64) {
+// Completed records the end of a job's run. The job is due again after the given delay (ms).
+func (q *Queue) Completed(now float64, index int, used Usage, delay float64) {
 	j := &q.jobs[index]
 	j.running = false
 	j.runs++
 	j.workBudget.remaining -= used.Ms
 	j.byteBudget.remaining -= used.Bytes
-	j.dueAt = now + again
+	j.dueAt = now + delay
 }
--- a/internal/jobs/runner/runner.go
+++ b/internal/jobs/runner/runner.go
@@ -1,4 +1,4 @@
-// Package runner carries out what the queue of jobs decides, on a fixed number of goroutines. It chooses no job itself.
+// Package runner executes background jobs on a fixed number of goroutines, in the order chosen by package jobs.
 package runner
 
 import (
@@ -9,14 +9,14 @@
 	"onyxgate/internal/jobs"
 )
 
-// Job does a bounded piece of work; it returns the bytes that it moved and in how long it wants to run again. It should end
-// soon after its context does.
-type Job func(ctx context.Context) (bytes int64, again time.Duration)
+// Job does a bounded piece of work. It returns the number of bytes that it transferred and the delay until its next run. It
+// should return soon after its context is canceled.
+type Job func(ctx context.Context) (bytes int64, delay time.Duration)
 
-// Runner runs jobs until it is stopped. Its methods may be called by any goroutine, but Add before Run only.
+// Runner runs jobs until its context is canceled. It is safe for concurrent use, except that Add must not be called after Run.
 type Runner struct {
 	startedAt time.Time
-	wakeup    chan struct{} // makes one waiting worker look at the queue again
+	wakeup    chan struct{} // makes one waiting worker check the queue again
 	jobs      []Job         // by index in the queue
 
 	mu    sync.Mutex
@@ -26,8 +26,8 @@
 // New returns a runner without jobs.
 func New() *Runner { return &Runner{startedAt: time.Now(), wakeup: make(chan struct{}, 1)} }
 
-// Add adds a job. The function returned asks for it to run at once.
-func (r *Runner) Add(o jobs.Options, job Job) (ask func()) {
+// Add adds a job. The returned function makes the job due immediately.
+func (r *Runner) Add(o jobs.Options, job Job) (runNow func()) {
 	index := r.queue.Add(o)
 	r.jobs = append(r.jobs, job)
 	return func() {
@@ -38,7 +38,7 @@
 	}
 }
 
-// now is never 0, which the queue takes for never.
+// now returns the queue's time. It is never 0, because the queue uses 0 for "never".
 func (r *Runner) now() float64 { return milliseconds(time.Since(r.startedAt)) + 1 }
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
@@ -46,20 +46,20 @@
 func (r *Runner) wake() {
 	select {
 	case r.wakeup <- struct{}{}:
-	default: // one is under way already
+	default: // a wakeup is pending already
 	}
 }
 
-// Run works with so many goroutines until the context ends, and returns once no job runs.
+// Run runs the jobs on the given number of goroutines until the context is canceled. It returns when no job is running.
 func (r *Runner) Run(ctx context.Context, workers int) {
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for range workers {
-		all.Go(func() { r.work(ctx) })
+		wg.Go(func() { r.work(ctx) })
 	}
-	all.Wait()
+	wg.Wait()
 }
 
-// work runs what the queue says, one job after the other, until the context ends.
+// work runs the jobs that the queue returns, one at a time, until the context is canceled.
 func (r *Runner) work(ctx context.Context) {
 	for ctx.Err() == nil {
 		r.mu.Lock()
@@ -73,7 +73,7 @@
 	}
 }
 
-// wait returns after some time, or sooner: when the context ends or a job was asked for.
+// wait returns after the given time, or earlier if the context is canceled or the queue has changed.
 func (r *Runner) wait(ctx context.Context, ms float64) {
 	timer := time.NewTimer(time.Duration(ms * float64(time.Millisecond)))
 	defer timer.Stop()
@@ -85,11 +85,11 @@
 }
 
 func (r *Runner) runJob(ctx context.Context, index int) {
-	from := time.Now()
-	bytes, again := r.jobs[index](ctx)
-	used := jobs.Usage{Ms: milliseconds(time.Since(from)), Bytes: float64(bytes)}
+	start := time.Now()
+	bytes, delay := r.jobs[index](ctx)
+	used := jobs.Usage{Ms: milliseconds(time.Since(start)), Bytes: float64(bytes)}
 	r.mu.Lock()
-	r.queue.Completed(r.now(), index, used, milliseconds(again))
+	r.queue.Completed(r.now(), index, used, milliseconds(delay))
 	r.mu.Unlock()
 	r.wake()
 }
--- a/internal/jobs/runner/runner_test.go
+++ b/internal/jobs/runner/runner_test.go
@@ -10,7 +10,7 @@
 	"onyxgate/internal/jobs"
 )
 
-// start runs a runner of two workers; the function returned ends it and waits for it.
+// start runs r with two workers. The returned function stops it and waits until Run has returned.
 func start(t *testing.T, r *Runner) (stop func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan bool)
@@ -18,14 +18,14 @@
 	return func() { cancel(); <-ended }
 }
 
-// A job runs again when it said, or at once when it is asked for; it never runs beside itself.
+// A job runs again after the delay that it returned, or immediately when requested. Runs of one job never overlap.
 func TestRunner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := New()
 		var runs, running atomic.Int32
-		ask := r.Add(jobs.Options{Name: "a"}, func(context.Context) (int64, time.Duration) {
+		runNow := r.Add(jobs.Options{Name: "a"}, func(context.Context) (int64, time.Duration) {
 			if running.Add(1) > 1 {
-				t.Error("it runs beside itself")
+				t.Errorf("%d runs of the job overlap, want 1 at a time", running.Load())
 			}
 			time.Sleep(10 * time.Millisecond)
 			running.Add(-1)
@@ -35,22 +35,22 @@
 		stop := start(t, r)
 		time.Sleep(time.Second)
 		if n := runs.Load(); n != 1 {
-			t.Errorf("%d runs in the first second", n)
+			t.Errorf("%d runs in the first second, want 1", n)
 		}
-		ask()
+		runNow()
 		time.Sleep(time.Second)
 		if n := runs.Load(); n != 2 {
-			t.Errorf("%d runs after it was asked for", n)
+			t.Errorf("%d runs after runNow, want 2", n)
 		}
 		time.Sleep(time.Hour)
 		if n := runs.Load(); n != 3 {
-			t.Errorf("%d runs after the time that it said", n)
+			t.Errorf("%d runs after the returned delay, want 3", n)
 		}
 		stop()
 	})
 }
 
-// A job that moves more bytes than it may is kept waiting; another one is not.
+// A job that exceeds its byte budget is delayed; a job without a limit is not.
 func TestBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := New()
@@ -67,12 +67,12 @@
 		time.Sleep(10 * time.Second)
 		stop()
 		if limited.Load() < 9 || limited.Load() > 12 || free.Load() < 90 {
-			t.Errorf("%d runs at 1,000 bytes a second, %d without a limit", limited.Load(), free.Load())
+			t.Errorf("%d runs at 1,000 bytes per second, want 9 to 12; %d without a limit, want at least 90", limited.Load(), free.Load())
 		}
 	})
 }
 
-// Run returns once no job runs, and no job starts after its context has ended.
+// Run returns only after a running job has finished.
 func TestStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := New()
@@ -86,7 +86,7 @@
 		stop := start(t, r)
 		synctest.Wait()
 		if stop(); !ended.Load() {
-			t.Error("it returned while a job ran")
+			t.Error("Run returned before the running job had finished")
 		}
 	})
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics offers an instance's counters and gauges to a scraper, by a metrics library. It never labels by
-// request, key or client, and decides nothing.
+// Package metrics serves an instance's counters and gauges in the Prometheus text format. Labels never contain request IDs,
+// keys or clients.
 package metrics
 
 import (
@@ -13,16 +13,16 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Config is the table [metrics] of our settings.
+// Config is the table [metrics] of the settings.
 type Config struct {
 	Listen string `toml:"listen" comment:"where they are scraped, at /metrics; empty: nowhere"`
 }
 
-// DefaultConfig returns what holds without settings: no listener.
+// DefaultConfig returns the defaults: no listener.
 func DefaultConfig() Config { return Config{} }
 
-// Validate reports an address that can't be: its key, what is wrong and a right example.
-func (c Config) Validate(report func(key string, value any, what, right string)) {
+// Validate calls report with an invalid listen address: the key, the value, the reason and a valid example.
+func (c Config) Validate(report func(key string, value any, reason, example string)) {
 	if c.Listen == "" {
 		return
 	}
@@ -31,14 +31,14 @@
 	}
 }
 
-// Meter holds an instance's metrics.
+// Meter is the set of an instance's metrics.
 type Meter struct{ set *metrics.Set }
 
-// New returns a meter without metrics.
+// New returns an empty Meter.
 func New() *Meter { return &Meter{metrics.NewSet()} }
 
-// Gauge adds a metric, its name with its labels, whose value is asked for at each scrape, by any goroutine. The name of what
-// only grows ends in _total. A name that is there already panics.
+// Gauge registers a metric. The name includes the labels; names of counters end in _total. Each scrape calls value, possibly
+// from several goroutines at once. Gauge panics if the name is registered already.
 func (m *Meter) Gauge(name string, value func() float64) { m.set.NewGauge(name, value) }
 
 const (
@@ -46,8 +46,8 @@
 	idleTimeout   = 30 * time.Second
 )
 
-// Serve offers the metrics until the context ends; it returns at once where no listener is configured. A listener that can't be
-// had is logged: no instance fails for want of being seen.
+// Serve serves the metrics until the context is canceled. It returns immediately if no listen address is configured. A failing
+// listener is only logged, because an instance must not fail for lack of monitoring.
 func (m *Meter) Serve(ctx context.Context, c Config) {
 	if c.Listen == "" {
 		return
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Values are asked for at each scrape, and nothing but /metrics is served.
+// Values are read anew at each scrape, and only GET /metrics is served.
 func TestHandle(t *testing.T) {
 	m, value := New(), 1.0
 	m.Gauge(`onyxgate_x_total{reason="a"}`, func() float64 { return value })
@@ -19,7 +19,7 @@
 	}{
 		{"a scrape", http.MethodGet, "/metrics", 1, http.StatusOK, "onyxgate_x_total{reason=\"a\"} 1\n"},
 		{"the next one", http.MethodGet, "/metrics", 2.5, http.StatusOK, "onyxgate_x_total{reason=\"a\"} 2.5\n"},
-		{"the process's own", http.MethodGet, "/metrics", 1, http.StatusOK, "process_cpu_seconds_total"},
+		{"process metrics", http.MethodGet, "/metrics", 1, http.StatusOK, "process_cpu_seconds_total"},
 		{"another path", http.MethodGet, "/", 1, http.StatusNotFound, ""},
 		{"another method", http.MethodPost, "/metrics", 1, http.StatusNotFound, ""},
 	} {
@@ -28,7 +28,7 @@
 			response := httptest.NewRecorder()
 			m.handle(response, httptest.NewRequestWithContext(t.Context(), c.method, c.path, http.NoBody))
 			if response.Code != c.status || !strings.Contains(response.Body.String(), c.want) {
-				t.Errorf("%d:\n%s", response.Code, response.Body)
+				t.Errorf("status %d, want %d; body, which should contain %q:\n%s", response.Code, c.status, c.want, response.Body)
 			}
 		})
 	}
@@ -37,17 +37,17 @@
 func TestValidate(t *testing.T) {
 	for _, c := range []struct {
 		listen string
-		wrong  int
+		errors int
 	}{{"", 0}, {"127.0.0.1:9464", 0}, {":0", 0}, {"here", 1}} {
 		t.Run(c.listen, func(t *testing.T) {
-			wrong := 0
+			reported := 0
 			Config{Listen: c.listen}.Validate(func(key string, _ any, _, _ string) {
-				if wrong++; key != "metrics.listen" {
-					t.Errorf("of %s", key)
+				if reported++; key != "metrics.listen" {
+					t.Errorf("error reported for key %q, want metrics.listen", key)
 				}
 			})
-			if wrong != c.wrong {
-				t.Errorf("%d things are wrong", wrong)
+			if reported != c.errors {
+				t.Errorf("%d errors reported for %q, want %d", reported, c.listen, c.errors)
 			}
 		})
 	}
--- a/internal/siteconfig/instance.go
+++ b/internal/siteconfig/instance.go
@@ -6,8 +6,8 @@
 	"onyxgate/policy"
 )
 
-// InstanceConfig is the settings in the terms of the decisions. The process can hold maxOpenRequests (0: any number); where the
-// settings set a lower limit, that one holds.
+// InstanceConfig converts the settings to a policy.Config. maxOpenRequests is the process's own limit on open requests (0 means
+// no limit); the lower of it and the settings' limit applies.
 func InstanceConfig(settings gjson.Result, seed uint64, maxOpenRequests int) policy.Config {
 	limits, tariffs := settings.Get("limits"), settings.Get("tariffs")
 	_, classes := Classes(settings)
@@ -28,7 +28,7 @@
 	}
 }
 
-// lowerLimit is the lower of the process's limit and the settings', of which 0 or less is none.
+// lowerLimit returns the lower of the process's and the settings' limit. Values of 0 or less mean no limit.
 func lowerLimit(ofProcess, ofSettings int) int {
 	if ofSettings > 0 && (ofProcess <= 0 || ofSettings < ofProcess) {
 		return ofSettings
@@ -36,7 +36,7 @@
 	return ofProcess
 }
 
-// maxRetryAfter is the longest time (ms) that a rejection may name; 0: rejections name none.
+// maxRetryAfter returns the longest Retry-After (ms) that a rejection may carry; 0 means that rejections carry none.
 func maxRetryAfter(limits gjson.Result) float64 {
 	if !limits.Get("retry-after").Bool() {
 		return 0
@@ -66,7 +66,7 @@
 	}
 }
 
-// tenantConfig reads the tenants' quotas, which the settings give a second and the decisions take a millisecond.
+// tenantConfig reads the tenants' quotas, which are per second in the settings and per millisecond in package policy.
 func tenantConfig(settings gjson.Result) policy.TenantConfig {
 	quotas := []float64{}
 	settings.Get("customers").ForEach(func(_, tenant gjson.Result) bool {
--- a/internal/siteconfig/problems.go
+++ b/internal/siteconfig/problems.go
@@ -9,13 +9,13 @@
 	"onyxgate/policy"
 )
 
-// The least limits that leave room for work.
+// The lowest limits with which an instance can do useful work.
 const (
 	minSockets  = 24
 	minMemoryMB = 24
 )
 
-// problems collects what keeps a configuration from being used. Users read the lines, so their texts stay as they are.
+// problems collects the errors of a configuration. The texts are read by users and must not change.
 type problems []string
 
 func (p *problems) addIf(bad bool, format string, args ...any) {
@@ -29,12 +29,13 @@
 	p.addIf(err != nil, "%s is not an address: %q", key, value)
 }
 
-func (p *problems) checkLimit(key string, limit, least int) {
-	tooLow := limit > 0 && limit < least
+func (p *problems) checkLimit(key string, limit, minimum int) {
+	tooLow := limit > 0 && limit < minimum
 	p.addIf(limit < 0 || tooLow, "%s leaves no room for work: %d", key, limit)
 }
 
-// Problems returns what keeps a configuration from being used, one line each and none where it can be. Each line names the key.
+// Problems validates a configuration. It returns one line per problem, which names the key, and none if the configuration is
+// valid.
 func Problems(config gjson.Result) (lines []string) {
 	var p problems
 	p.checkAddress("listen", config.Get("listen").Str)
--- a/internal/siteconfig/siteconfig.go
+++ b/internal/siteconfig/siteconfig.go
@@ -1,13 +1,13 @@
-// Package siteconfig reads what the users' JSON says of a site and of one instance in it: it turns the settings into the terms of
-// the decisions, the same for the simulator's adapter and for a live process, and says what keeps a configuration from being used.
-// It holds no decision, no tuned value and no state.
+// Package siteconfig reads the users' JSON configuration of a site and of one instance in it. It converts the settings to the
+// types of package policy, in the same way for the simulator's adapter and for a running instance, and validates
+// configurations. It makes no decisions, and has no tuned values and no state.
 //
-// There are two objects. The configuration is the whole file of a live instance; the settings are the part of it under the key
-// "settings", and all that the simulator gives. A function's parameter says which one it reads. A key that is missing reads as the
-// zero value: Problems names those that must not be missing. Times in the JSON are microseconds, those that are returned
-// milliseconds.
+// There are two JSON objects. The configuration is the complete file of an instance. The settings are its value under the key
+// "settings"; the simulator supplies only these. The name of a function's parameter tells which of the two it reads. A missing
+// key reads as the zero value; Problems reports the keys that are required. Times are in microseconds in the JSON, and in
+// milliseconds in return values.
 //
-// siteconfig.go reads single values, instance.go makes the decisions' configuration, problems.go checks.
+// siteconfig.go reads single values, instance.go builds the policy.Config, and problems.go validates.
 package siteconfig
 
 import (
@@ -19,7 +19,7 @@
 	"onyxgate/policy"
 )
 
-// The words of the settings in the terms of the decisions.
+// Enum values of the settings and their counterparts in package policy.
 var (
 	semantics = map[string]policy.Semantics{
 		"repeatable": policy.Safe, "by_key": policy.Idempotent, "once": policy.NonIdempotent,
@@ -32,7 +32,7 @@
 	}
 )
 
-// Classes returns the names of the request classes and the classes, under one index, in the settings' order.
+// Classes returns the request classes and their names in the order of the settings. Both slices use the same index.
 func Classes(settings gjson.Result) (names []string, classes []policy.RequestClass) {
 	settings.Get("grades").ForEach(func(_, grade gjson.Result) bool {
 		names = append(names, grade.Get("name").Str)
@@ -53,52 +53,52 @@
 	}
 }
 
-// OnDemandDiscovery tells that the endpoint list comes only to those who ask for it.
+// OnDemandDiscovery reports whether discovery sends the endpoint list only to instances that subscribe.
 func OnDemandDiscovery(settings gjson.Result) bool {
 	return settings.Get("discovery").Str == "subscribe"
 }
 
-// LoadReports tells whether responses, and probes, may carry load reports.
+// LoadReports reports whether responses and probe results may carry load reports.
 func LoadReports(settings gjson.Result) (inResponses, inProbes bool) {
 	source := settings.Get("report.source").Str
 	return source == "answers", source == "answers" || source == "probe"
 }
 
-// ConnectionTimes returns how long (ms) a connection may take to come up, and how long one may stay idle.
+// ConnectionTimes returns the connect timeout and the idle timeout of backend connections, in ms.
 func ConnectionTimes(settings gjson.Result) (connect, idle float64) {
 	return Milliseconds(settings.Get("limits.connect-timeout-us")), Milliseconds(settings.Get("limits.idle-close-us"))
 }
 
-// VoteTimeout is how long (ms) the response to a vote is waited for.
+// VoteTimeout returns the timeout for the response to a vote, in ms.
 func VoteTimeout(settings gjson.Result) float64 {
 	return Milliseconds(settings.Get("family-info.call-timeout-us"))
 }
 
-// ZonesAndHardware returns the names of the zones and of the hardware classes. The decisions know both by their index here.
+// ZonesAndHardware returns the names of the zones and of the hardware classes. Package policy refers to both by their index.
 func ZonesAndHardware(settings gjson.Result) (zones, hardwareClasses []string) {
 	return stringList(settings.Get("dcs")), stringList(settings.Get("skus"))
 }
 
-// MaxOpenRequests is how many requests may be open at once; 0: the settings set no limit.
+// MaxOpenRequests returns the limit on concurrently open requests; 0 means no limit.
 func MaxOpenRequests(settings gjson.Result) int { return int(settings.Get("limits.max-open").Int()) }
 
-// CancelAllowed tells that an attempt that was sent may be canceled.
+// CancelAllowed reports whether an attempt that has been sent may be canceled.
 func CancelAllowed(settings gjson.Result) bool { return settings.Get("limits.cancel").Bool() }
 
-// Limits returns the limits on sockets and on memory (MiB); 0: none.
+// Limits returns the limits on sockets and on memory (MiB); 0 means no limit.
 func Limits(config gjson.Result) (sockets, memoryMB int) {
 	return int(config.Get("limits.sockets").Int()), int(config.Get("limits.memory_mb").Int())
 }
 
-// Cores is how many threads may work at once; 0: the configuration sets no limit.
+// Cores returns the limit on concurrently running threads, rounded up; 0 means no limit.
 func Cores(config gjson.Result) int { return int(math.Ceil(config.Get("limits.cores").Num)) }
 
-// Seed is the seed of the random numbers. The error is that of strconv.ParseUint.
+// Seed returns the seed for random numbers. The error is that of strconv.ParseUint.
 func Seed(config gjson.Result) (uint64, error) {
 	return strconv.ParseUint(config.Get("seed").Str, 16, 64)
 }
 
-// Milliseconds reads a number of microseconds.
+// Milliseconds converts a JSON number of microseconds to milliseconds.
 func Milliseconds(value gjson.Result) float64 { return float64(value.Int()) / 1000 }
 
 func numberList(list gjson.Result) (numbers []float64) {
--- a/internal/siteconfig/siteconfig_test.go
+++ b/internal/siteconfig/siteconfig_test.go
@@ -17,13 +17,13 @@
 "deadline-us":2}],"limits":{"max-attempts":5,"connect-timeout-us":250000,"idle-close-us":30000000},
 "family-info":{"call-timeout-us":800000,"decided-by":"majority"}}}`
 
-// What can't be used is named, in the words that users know, and nothing else.
+// Each invalid value is reported by its key in the JSON, and nothing else is reported.
 func TestProblems(t *testing.T) {
 	for _, c := range []struct {
 		name, from, to string
-		want           string // the one line; empty: none
+		want           string // the only line expected; "" if none is
 	}{
-		{"usable", "", "", ""},
+		{"valid", "", "", ""},
 		{"listen", "127.0.0.1:1", "nowhere", `listen is not an address: "nowhere"`},
 		{"discovery", `"discovery":"127.0.0.1:2"`, `"discovery":null`, `discovery is not an address: ""`},
 		{"platform", "127.0.0.1:3", "", `pipeline.address is not an address: ""`},
@@ -33,7 +33,7 @@
 		{"few sockets", `"sockets":1024`, `"sockets":9`, "limits.sockets leaves no room for work: 9"},
 		{"negative sockets", `"sockets":1024`, `"sockets":-1`, "limits.sockets leaves no room for work: -1"},
 		{"no limit on sockets", `"sockets":1024`, `"sockets":0`, ""},
-		{"least sockets", `"sockets":1024`, `"sockets":24`, ""},
+		{"minimum of sockets", `"sockets":1024`, `"sockets":24`, ""},
 		{"little memory", `"memory_mb":192`, `"memory_mb":1`, "limits.memory_mb leaves no room for work: 1"},
 		{"no classes", `"grades":[`, `"other":[`, "settings.grades names no product"},
 		{"class without a name", `"name":"p",`, ``, "settings.grades.0 has no name"},
@@ -56,7 +56,7 @@
 	}
 }
 
-// An empty configuration lacks all that has to be there, in this order.
+// An empty configuration lacks every required key. The problems are reported in this order.
 func TestProblemsOfEmptyConfiguration(t *testing.T) {
 	want := []string{
 		`listen is not an address: ""`,
@@ -79,11 +79,11 @@
 
 func TestSeed(t *testing.T) {
 	if seed, err := Seed(gjson.Parse(validConfig)); err != nil || seed != 0x8c1f30d27a5be964 {
-		t.Errorf("seed %x, %v", seed, err)
+		t.Errorf("Seed() = %x, %v, want 8c1f30d27a5be964", seed, err)
 	}
 }
 
-// Of the limits of the process and of the settings the lower one holds, and 0 is none.
+// The lower of the process's and the settings' limit applies; 0 means no limit.
 func TestMaxOpenRequests(t *testing.T) {
 	for _, c := range []struct {
 		name           string
@@ -104,7 +104,7 @@
 	}
 }
 
-// Every key of the settings arrives in the decisions' configuration, in their units.
+// Every key of the settings is converted to its field of policy.Config, in the units of package policy.
 func TestInstanceConfig(t *testing.T) {
 	settings := `{"me":2,"balancers":9,"zone":1,"discovery":"subscribe","tariffs":{"probe":0.5,"cross-zone":0.1},
 "limits":{"max-attempts":5,"parallel-tries":true,"cancel":true,"retry-after":true,"max-retry-after-us":2000,"peers":true,"probes":true},
--- a/internal/units/units.go
+++ b/internal/units/units.go
@@ -1,5 +1,5 @@
-// Package units reads the durations and sizes of our settings, always with their unit: a bare number says nothing of
-// what it counts, and no unit is guessed.
+// Package units parses durations and sizes in the settings. A unit is required: a bare number is ambiguous, and the package
+// does not guess.
 package units
 
 import (
@@ -9,13 +9,13 @@
 	"github.com/dustin/go-humanize"
 )
 
-// Span is a duration written as 250ms, 2s or 1m30s; never negative.
+// Span is a non-negative duration, written as 250ms, 2s or 1m30s.
 type Span time.Duration
 
-// UnmarshalText reads a span. Its error quotes the text and says what to write.
+// UnmarshalText parses a duration. The error quotes the text and shows a valid example.
 func (s *Span) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
-	hasNoUnit := string(text) == "0" // time.ParseDuration takes it
+	hasNoUnit := string(text) == "0" // time.ParseDuration accepts a bare 0
 	if err != nil || d < 0 || hasNoUnit {
 		return fmt.Errorf("%q is not a duration; write 250ms", text)
 	}
@@ -25,19 +25,19 @@
 
 func (s Span) String() string { return time.Duration(s).String() }
 
-// MarshalText writes a span.
+// MarshalText returns the duration in the form that UnmarshalText parses.
 func (s Span) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// Ms returns the span in milliseconds.
+// Ms returns the duration in milliseconds.
 func (s Span) Ms() float64 { return float64(s) / float64(time.Millisecond) }
 
-// Size is a number of bytes written as 64MiB or 512KiB.
+// Size is a number of bytes, written as 64MiB or 512KiB.
 type Size int64
 
-// maxSize is more than any disk, and far from what overflows.
+// maxSize is larger than any disk, and small enough that calculations with sizes do not overflow.
 const maxSize = 1 << 50
 
-// UnmarshalText reads a size. Its error quotes the text and says what to write.
+// UnmarshalText parses a size. The error quotes the text and shows a valid example.
 func (s *Size) UnmarshalText(text []byte) error {
 	n, err := humanize.ParseBytes(string(text))
 	if err != nil || n > maxSize || endsInDigit(text) {
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// endsInDigit reports whether a text has no unit.
+// endsInDigit reports whether the text is empty or ends in a digit, and so has no unit.
 func endsInDigit(text []byte) bool {
 	last := len(text) - 1
 	return last < 0 || text[last] >= '0' && text[last] <= '9'
@@ -55,5 +55,5 @@
 
 func (s Size) String() string { return humanize.IBytes(uint64(s)) }
 
-// MarshalText writes a size.
+// MarshalText returns the size in the form that UnmarshalText parses.
 func (s Size) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
--- a/internal/units/units_test.go
+++ b/internal/units/units_test.go
@@ -9,7 +9,7 @@
 func TestSpan(t *testing.T) {
 	for _, c := range []struct {
 		text string
-		want time.Duration // below zero: refused
+		want time.Duration // -1: an error
 	}{
 		{"250ms", 250 * time.Millisecond},
 		{"1m30s", 90 * time.Second},
@@ -24,22 +24,22 @@
 			var s Span
 			err := s.UnmarshalText([]byte(c.text))
 			if (err == nil) != (c.want >= 0) || err == nil && time.Duration(s) != c.want {
-				t.Errorf("%v, %v", s, err)
+				t.Errorf("UnmarshalText(%q) = %v, %v; want %d ns (-1: an error)", c.text, s, err, c.want)
 			}
 			if err != nil && !strings.Contains(err.Error(), "write 250ms") {
-				t.Errorf("%v says not what to write", err)
+				t.Errorf("error %q does not contain %q", err, "write 250ms")
 			}
 		})
 	}
 	if ms := Span(1500 * time.Microsecond).Ms(); ms != 1.5 {
-		t.Errorf("%v ms", ms)
+		t.Errorf("Ms() of 1500µs = %v, want 1.5", ms)
 	}
 }
 
 func TestSize(t *testing.T) {
 	for _, c := range []struct {
 		text string
-		want Size // below zero: refused
+		want Size // -1: an error
 	}{
 		{"64MiB", 64 << 20},
 		{"512 KiB", 512 << 10},
@@ -55,25 +55,25 @@
 			var s Size
 			err := s.UnmarshalText([]byte(c.text))
 			if (err == nil) != (c.want >= 0) || err == nil && s != c.want {
-				t.Errorf("%v, %v", s, err)
+				t.Errorf("UnmarshalText(%q) = %d, %v; want %d (-1: an error)", c.text, int64(s), err, int64(c.want))
 			}
 			if err != nil && !strings.Contains(err.Error(), "write 64MiB") {
-				t.Errorf("%v says not what to write", err)
+				t.Errorf("error %q does not contain %q", err, "write 64MiB")
 			}
 		})
 	}
 }
 
-// What is written reads back as the same.
+// Marshaled values parse back to the same values.
 func TestMarshal(t *testing.T) {
 	text, err := Span(90 * time.Second).MarshalText()
 	var span Span
 	if readErr := span.UnmarshalText(text); err != nil || readErr != nil || span != Span(90*time.Second) {
-		t.Errorf("%s: %v, %v, %v", text, span, err, readErr)
+		t.Errorf("marshaled to %q (error %v), parsed as %v (error %v), want %v", text, err, span, readErr, Span(90*time.Second))
 	}
 	text, err = Size(64 << 20).MarshalText()
 	var size Size
 	if readErr := size.UnmarshalText(text); err != nil || readErr != nil || size != 64<<20 {
-		t.Errorf("%s: %v, %v, %v", text, size, err, readErr)
+		t.Errorf("marshaled to %q (error %v), parsed as %v (error %v), want %v", text, err, size, readErr, Size(64<<20))
 	}
 }
