--- a/cmd/onyxgate/check.go
+++ b/cmd/onyxgate/check.go
@@ -9,15 +9,15 @@
 	"onyxgate/internal/siteconfig"
 )
 
-// checkCommand reads a configuration or our settings, as serve would.
+// checkCommand validates a configuration or a settings file in the same way as serve.
 type checkCommand struct {
-	Configuration string `name:"config" env:"NODE_CONFIG" type:"path" help:"The configuration to read."`
-	Settings      string `env:"ONYXGATE_SETTINGS" type:"path" help:"Our settings to read; prints what holds, defaults included."`
+	Configuration string `name:"config" env:"NODE_CONFIG" type:"path" help:"The configuration to check."`
+	Settings      string `env:"ONYXGATE_SETTINGS" type:"path" help:"The settings to check; prints the effective settings, defaults included."`
 }
 
 func (c checkCommand) Run() error {
 	if c.Configuration == "" && c.Settings == "" {
-		return errors.New("nothing to check: name --config or --settings")
+		return errors.New("nothing to check: use --config or --settings")
 	}
 	if c.Settings != "" {
 		if err := showSettings(c.Settings); err != nil {
--- a/cmd/onyxgate/main.go
+++ b/cmd/onyxgate/main.go
@@ -1,5 +1,5 @@
-// Command onyxgate is one instance of the front tier, and what operators need beside it. Each subcommand has a file of its
-// own; this one parses the command line.
+// Command onyxgate runs one instance of the front tier, and contains the operators' tools for the configuration, the record and
+// the sources. This file parses the command line; each subcommand has its own file.
 package main
 
 import (
@@ -12,13 +12,13 @@
 func main() {
 	var commands struct {
 		Serve   serveCommand    `cmd:"" help:"Serve clients until SIGTERM."`
-		Check   checkCommand    `cmd:"" help:"Read a configuration, or our settings, and say what is wrong with them."`
-		Record  recordCommands  `cmd:"" help:"Look after the store of record."`
-		Sources sourcesCommands `cmd:"" help:"Look at the sources of the fleet."`
+		Check   checkCommand    `cmd:"" help:"Check a configuration or settings file and report its errors."`
+		Record  recordCommands  `cmd:"" help:"Inspect and maintain the record."`
+		Sources sourcesCommands `cmd:"" help:"Inspect the sources of the fleet."`
 		Version versionCommand  `cmd:"" help:"Print the version."`
 	}
 	chosen := kong.Parse(&commands, kong.Name("onyxgate"), kong.UsageOnError(),
-		kong.Description("A front tier that watches over software updates."))
+		kong.Description("A load-balancing front tier that supervises staged releases."))
 	if err := chosen.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "onyxgate:", err)
 		os.Exit(1)
--- a/cmd/onyxgate/record.go
+++ b/cmd/onyxgate/record.go
@@ -1,7 +1,7 @@
 package main
 
-// This file owns what the operators' commands for the store of record share. They read spools and the store by the same
-// settings as the instances; none of them must change what an instance that runs is writing.
+// Code shared by the "record" commands. They use the same settings as the instances to find the spools and the store. None of
+// them may modify files that a running instance is writing.
 
 import (
 	"context"
@@ -20,61 +20,61 @@
 )
 
 type recordCommands struct {
-	Settings string       `env:"ONYXGATE_SETTINGS" type:"path" required:"" help:"Our settings, TOML: [record] says where spools and store are."`
-	Status   recordStatus `cmd:"" help:"What spools and store hold."`
-	List     recordList   `cmd:"" help:"List entries of the store, the newest of them last."`
-	Export   recordExport `cmd:"" help:"Write entries of the store as NDJSON or CSV."`
-	Verify   recordVerify `cmd:"" help:"Look for gaps, repeats, broken chains and entries in doubt; exits 1 on a defect."`
-	Ship     recordShip   `cmd:"" help:"Send what an instance that does not run left in its spool."`
+	Settings string       `env:"ONYXGATE_SETTINGS" type:"path" required:"" help:"Settings file, TOML: its table [record] locates the spools and the store."`
+	Status   recordStatus `cmd:"" help:"Show the contents of the spools and the store."`
+	List     recordList   `cmd:"" help:"List entries of the store, the newest last."`
+	Export   recordExport `cmd:"" help:"Export entries of the store as NDJSON or CSV."`
+	Verify   recordVerify `cmd:"" help:"Check for gaps, duplicates, broken chains and entries in doubt; exits with 1 if it finds a defect."`
+	Ship     recordShip   `cmd:"" help:"Send the entries that a stopped instance left in its spool to the store."`
 	Prune    recordPrune  `cmd:"" help:"Remove old entries from the store."`
-	Adopt    recordAdopt  `cmd:"" help:"Take over a spool directory that was moved here on purpose."`
+	Adopt    recordAdopt  `cmd:"" help:"Accept a spool directory that was moved here on purpose."`
 }
 
-// recordConfig is [record] of the settings, which must be on.
-func (l recordCommands) recordConfig() (recorder.Config, error) {
-	tables, err := config.Read(l.Settings)
-	if err == nil && !tables.Record.Enabled() {
-		err = fmt.Errorf("%s: record.mode is off", l.Settings)
+// recordConfig reads the table [record] of the settings. It returns an error if recording is off.
+func (c recordCommands) recordConfig() (recorder.Config, error) {
+	settings, err := config.Read(c.Settings)
+	if err == nil && !settings.Record.Enabled() {
+		err = fmt.Errorf("%s: record.mode is off", c.Settings)
 	}
-	return tables.Record, err
+	return settings.Record, err
 }
 
-// openStore opens the one that the settings name. Errors wrap recorder.ErrNoStore.
-func (l recordCommands) openStore() (*sqlstore.Store, error) {
-	table, err := l.recordConfig()
+// openStore opens the store that the settings name. If they name none, the error wraps recorder.ErrNoStore.
+func (c recordCommands) openStore() (*sqlstore.Store, error) {
+	settings, err := c.recordConfig()
 	if err != nil {
 		return nil, err
 	}
-	store, err := table.Store.Open()
+	store, err := settings.Store.Open()
 	if err == nil && store == nil {
-		err = fmt.Errorf("%s: %w", l.Settings, recorder.ErrNoStore)
+		err = fmt.Errorf("%s: %w", c.Settings, recorder.ErrNoStore)
 	}
 	return store, err
 }
 
-// signalContext is a context that ends when the operator, or whoever started the command, wants it to.
+// signalContext returns a context that is canceled on SIGINT or SIGTERM.
 func signalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 }
 
-// progress shows on a terminal how far a command is, and nothing elsewhere. It is for the eye alone: errors of showing it
-// are left out.
+// progress shows a command's progress if standard error is a terminal. Display errors are ignored, because nothing depends on
+// the display.
 type progress struct{ bar *progressbar.ProgressBar }
 
-func newProgress(what string) progress {
+func newProgress(description string) progress {
 	if !isatty.IsTerminal(os.Stderr.Fd()) {
 		return progress{progressbar.DefaultSilent(-1)}
 	}
-	return progress{progressbar.Default(-1, what)}
+	return progress{progressbar.Default(-1, description)}
 }
 
 func (p progress) add(n int64) { _ = p.bar.Add64(n) }
 func (p progress) set(n int64) { _ = p.bar.Set64(n) }
 func (p progress) finish()     { _ = p.bar.Finish() }
 
-// selection is what entries are asked for by.
+// selection holds the flags that select entries.
 type selection struct {
-	From     string `help:"Answered at this time or later: 2026-11-30T08:00:00Z, or a span back from now: 12h."`
+	From     string `help:"Answered at this time or later: 2026-11-30T08:00:00Z, or a duration before now: 12h."`
 	To       string `help:"Answered before this time."`
 	Instance string `name:"agent"`
 	Class    string `name:"product"`
@@ -83,7 +83,7 @@
 	Request  string `name:"txn"`
 }
 
-// filter is the selection for the store; a limit of 0 is none.
+// filter converts the selection to a filter of the store. A limit of 0 means no limit.
 func (s selection) filter(limit int) (filter sqlstore.Filter, err error) {
 	filter = sqlstore.Filter{
 		Instance: s.Instance, Class: s.Class, Outcome: s.Outcome, State: s.State, RequestID: s.Request, Limit: limit,
@@ -94,7 +94,7 @@
 	return filter, err
 }
 
-// parseTime is a time (Unix ms) that a flag says, or 0 where it says nothing.
+// parseTime parses the value of a time flag. It returns Unix ms, or 0 if the value is empty.
 func parseTime(flag, text string) (float64, error) {
 	if text == "" {
 		return 0, nil
@@ -104,10 +104,10 @@
 	}
 	at, err := time.Parse(time.RFC3339, text)
 	if err != nil {
-		return 0, fmt.Errorf("%s %q: neither a time nor a span; write 2026-11-30T08:00:00Z or 12h", flag, text)
+		return 0, fmt.Errorf("%s %q: not a time or duration; write 2026-11-30T08:00:00Z or 12h", flag, text)
 	}
 	return float64(at.UnixNano()) / float64(time.Millisecond), nil
 }
 
-// unixMsAgo is the time (Unix ms) that is a span back from now.
+// unixMsAgo returns the time (Unix ms) that lies span before now.
 func unixMsAgo(span time.Duration) float64 { return float64(time.Now().Add(-span).UnixMilli()) }
--- a/cmd/onyxgate/record_adopt.go
+++ b/cmd/onyxgate/record_adopt.go
@@ -7,12 +7,12 @@
 )
 
 type recordAdopt struct {
-	Instance string `name:"agent" required:"" help:"Whose directory was moved."`
+	Instance string `name:"agent" required:"" help:"The instance whose spool directory was moved."`
 }
 
-// Run takes a directory over and prints its incarnations.
-func (c recordAdopt) Run(line *recordCommands) error {
-	settings, err := line.recordConfig()
+// Run adopts the directory and prints its incarnations.
+func (c recordAdopt) Run(commands *recordCommands) error {
+	settings, err := commands.recordConfig()
 	if err != nil {
 		return err
 	}
--- a/cmd/onyxgate/record_list.go
+++ b/cmd/onyxgate/record_list.go
@@ -5,10 +5,10 @@
 type recordList struct {
 	selection
 	Format string `enum:"table,ndjson,csv" default:"table" help:"table, ndjson or csv."`
-	Limit  int    `default:"100" help:"Entries at most."`
+	Limit  int    `default:"100" help:"Maximum number of entries."`
 }
 
 // Run writes entries to standard output.
-func (c recordList) Run(line *recordCommands) error {
-	return writeEntries(line, c.selection, c.Limit, c.Format, os.Stdout)
+func (c recordList) Run(commands *recordCommands) error {
+	return writeEntries(commands, c.selection, c.Limit, c.Format, os.Stdout)
 }
--- a/cmd/onyxgate/record_prune.go
+++ b/cmd/onyxgate/record_prune.go
@@ -6,23 +6,23 @@
 )
 
 type recordPrune struct {
-	OlderThan time.Duration `required:"" help:"Remove what was answered longer ago than this: 2160h."`
-	Batch     int           `default:"1000" help:"Entries removed in one transaction."`
+	OlderThan time.Duration `required:"" help:"Remove entries answered longer ago than this: 2160h."`
+	Batch     int           `default:"1000" help:"Number of entries removed per transaction."`
 }
 
-// Run removes old entries and says how many, also where it ends early.
-func (c recordPrune) Run(line *recordCommands) error {
+// Run removes old entries and prints how many, even if it stops early.
+func (c recordPrune) Run(commands *recordCommands) error {
 	if c.OlderThan <= 0 || c.Batch < 1 {
-		return fmt.Errorf("--older-than %v, --batch %d: both must be above zero", c.OlderThan, c.Batch)
+		return fmt.Errorf("--older-than %v, --batch %d: both must be positive", c.OlderThan, c.Batch)
 	}
-	store, err := line.openStore()
+	store, err := commands.openStore()
 	if err != nil {
 		return err
 	}
 	defer store.Close()
 	ctx, stop := signalContext()
 	defer stop()
-	shown, removed := newProgress("removed"), int64(0)
+	bar, removed := newProgress("removed"), int64(0)
 	defer func() { fmt.Println(removed, "entries removed") }()
 	before := unixMsAgo(c.OlderThan)
 	for {
@@ -31,6 +31,6 @@
 			return err
 		}
 		removed += n
-		shown.add(n)
+		bar.add(n)
 	}
 }
--- a/cmd/onyxgate/record_ship.go
+++ b/cmd/onyxgate/record_ship.go
@@ -7,24 +7,24 @@
 )
 
 type recordShip struct {
-	Instance string `name:"agent" required:"" help:"Whose spool."`
+	Instance string `name:"agent" required:"" help:"The instance whose spool is sent."`
 }
 
-// Run sends what is left in a spool and says how much went, also where it could not all go.
-func (c recordShip) Run(line *recordCommands) error {
-	settings, err := line.recordConfig()
+// Run sends the entries left in a spool to the store and prints how many were sent, even if it fails partway.
+func (c recordShip) Run(commands *recordCommands) error {
+	settings, err := commands.recordConfig()
 	if err != nil {
 		return err
 	}
 	ctx, stop := signalContext()
 	defer stop()
-	shown := newProgress("shipped")
+	bar := newProgress("shipped")
 	var exported, inDoubt uint64
 	err = recorder.Ship(ctx, settings, c.Instance, func(exportedSoFar, inDoubtSoFar uint64) {
 		exported, inDoubt = exportedSoFar, inDoubtSoFar
-		shown.set(int64(exported))
+		bar.set(int64(exported))
 	})
-	shown.finish()
+	bar.finish()
 	fmt.Printf("%d rows shipped, %d of them in doubt\n", exported, inDoubt)
 	return err
 }
--- a/cmd/onyxgate/record_status.go
+++ b/cmd/onyxgate/record_status.go
@@ -15,9 +15,9 @@
 
 type recordStatus struct{}
 
-// Run shows what spools and store hold.
-func (recordStatus) Run(line *recordCommands) error {
-	settings, err := line.recordConfig()
+// Run prints a summary of the spools and the store.
+func (recordStatus) Run(commands *recordCommands) error {
+	settings, err := commands.recordConfig()
 	if err != nil {
 		return err
 	}
@@ -37,25 +37,25 @@
 	writer := newTable("agent", "incarnations", "spool", "runs")
 	for _, instance := range instances {
 		opened, err := spool.Open(spool.Disk{}, directory, instance)
-		runs := "no"
+		running := "no"
 		switch {
 		case errors.Is(err, spool.ErrLocked):
-			runs = "yes"
+			running = "yes"
 		case err != nil:
-			runs = err.Error()
+			running = err.Error()
 		}
 		if err != nil {
 			opened = spool.OpenReadOnly(spool.Disk{}, directory, instance)
 		}
 		bytes := humanize.IBytes(uint64(opened.Bytes()))
-		writer.AppendRow(table.Row{instance, len(opened.Incarnations()), bytes, runs})
+		writer.AppendRow(table.Row{instance, len(opened.Incarnations()), bytes, running})
 		opened.Close()
 	}
 	writer.Render()
 	return nil
 }
 
-// showStore shows nothing where there is no store.
+// showStore prints the numbers of entries in the store, or nothing if no store is configured.
 func showStore(ctx context.Context, settings recorder.StoreConfig) error {
 	store, err := settings.Open()
 	if err != nil || store == nil {
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// newTable is one on standard output.
+// newTable returns a table that is rendered to standard output.
 func newTable(header ...any) table.Writer {
 	writer := table.NewWriter()
 	writer.SetOutputMirror(os.Stdout)
--- a/cmd/onyxgate/record_test.go
+++ b/cmd/onyxgate/record_test.go
@@ -14,8 +14,8 @@
 	"onyxgate/internal/record/sqlstore"
 )
 
-// nineEntries makes settings and a store with entries 1 to 9, answered a second after each other from 1970 on, three of each
-// outcome.
+// nineEntries creates a settings file and a store with entries 1 to 9. Entry n was answered at Unix second n; there are three
+// entries of each outcome.
 func nineEntries(t *testing.T) *recordCommands {
 	t.Helper()
 	dir := t.TempDir()
@@ -48,9 +48,9 @@
 	return &recordCommands{Settings: file}
 }
 
-// Each form holds each entry once, and a filter holds.
+// Each format contains every selected entry once, and filters are applied.
 func TestWrite(t *testing.T) {
-	line := nineEntries(t)
+	commands := nineEntries(t)
 	for _, c := range []struct {
 		name     string
 		format   string
@@ -67,7 +67,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var out bytes.Buffer
-			if err := writeEntries(line, c.selected, c.limit, c.format, &out); err != nil {
+			if err := writeEntries(commands, c.selected, c.limit, c.format, &out); err != nil {
 				t.Fatal(err)
 			}
 			entries, lines := strings.Count(out.String(), "t/"), strings.Count(out.String(), "\n")
@@ -77,35 +77,35 @@
 		})
 	}
 	for _, bad := range []string{"yesterday", "12", "2026-13-01T00:00:00Z"} {
-		t.Run("a time that is none: "+bad, func(t *testing.T) {
-			err := writeEntries(line, selection{To: bad}, 0, "csv", &bytes.Buffer{})
+		t.Run("invalid time "+bad, func(t *testing.T) {
+			err := writeEntries(commands, selection{To: bad}, 0, "csv", &bytes.Buffer{})
 			if err == nil || !strings.Contains(err.Error(), bad) {
-				t.Errorf("%q: %v", bad, err)
+				t.Errorf("writeEntries with --to %q: error %v, want one that names the value", bad, err)
 			}
 		})
 	}
 }
 
-// Old entries go, and what is left can still be looked at.
+// Pruning removes old entries, and the record can still be verified and shown afterwards.
 func TestRecordPrune(t *testing.T) {
-	line := nineEntries(t)
-	if err := (recordPrune{OlderThan: -1, Batch: 1}).Run(line); err == nil {
-		t.Error("the future is pruned")
+	commands := nineEntries(t)
+	if err := (recordPrune{OlderThan: -1, Batch: 1}).Run(commands); err == nil {
+		t.Error("pruning with a negative age succeeded, want an error")
 	}
-	if err := (recordPrune{OlderThan: time.Hour, Batch: 2}).Run(line); err != nil {
-		t.Error(err)
+	if err := (recordPrune{OlderThan: time.Hour, Batch: 2}).Run(commands); err != nil {
+		t.Errorf("prune: %v", err)
 	}
 	var out bytes.Buffer
-	if err := writeEntries(line, selection{}, 0, "ndjson", &out); err != nil {
-		t.Error(err)
+	if err := writeEntries(commands, selection{}, 0, "ndjson", &out); err != nil {
+		t.Errorf("list after pruning: %v", err)
 	}
 	if out.Len() > 0 {
-		t.Errorf("left after pruning: %s", out.String())
+		t.Errorf("entries after pruning: %s, want none", out.String())
 	}
-	if err := (recordVerify{}).Run(line); err != nil {
-		t.Error(err)
+	if err := (recordVerify{}).Run(commands); err != nil {
+		t.Errorf("verify after pruning: %v", err)
 	}
-	if err := (recordStatus{}).Run(line); err != nil {
-		t.Error(err)
+	if err := (recordStatus{}).Run(commands); err != nil {
+		t.Errorf("status after pruning: %v", err)
 	}
 }
--- a/cmd/onyxgate/record_verify.go
+++ b/cmd/onyxgate/record_verify.go
@@ -11,31 +11,31 @@
 )
 
 type recordVerify struct {
-	Instance string `name:"agent" help:"One instance's spool; all without it."`
-	JSON     bool   `help:"One JSON object a finding."`
+	Instance string `name:"agent" help:"Check this instance's spool only; the default is all."`
+	JSON     bool   `help:"Print one JSON object per finding."`
 }
 
-// Run prints what the audit finds. Where there are defects it ends with an error.
-func (c recordVerify) Run(line *recordCommands) error {
-	settings, err := line.recordConfig()
+// Run prints the findings of the audit. It returns an error if there are defects.
+func (c recordVerify) Run(commands *recordCommands) error {
+	settings, err := commands.recordConfig()
 	if err != nil {
 		return err
 	}
 	ctx, stop := signalContext()
 	defer stop()
-	shown, defects := newProgress("entries read"), 0
+	bar, defects := newProgress("entries read"), 0
 	var findings []recorder.Finding
 	err = recorder.Audit(ctx, settings, c.Instance, func(finding recorder.Finding) {
 		findings = append(findings, finding)
 		if finding.Defect {
 			defects++
 		}
-	}, func(rows int) { shown.set(int64(rows)) })
-	shown.finish()
+	}, func(rows int) { bar.set(int64(rows)) })
+	bar.finish()
 	if err != nil {
 		return err
 	}
-	slices.SortStableFunc(findings, func(a, b recorder.Finding) int { // what is wrong stands last, above the prompt
+	slices.SortStableFunc(findings, func(a, b recorder.Finding) int { // defects last, so that they end up just above the shell prompt
 		return cmp.Compare(severity(a), severity(b))
 	})
 	for _, finding := range findings {
@@ -44,7 +44,7 @@
 		}
 	}
 	if defects > 0 {
-		return fmt.Errorf("%d defects", defects)
+		return fmt.Errorf("%d defects found", defects)
 	}
 	return nil
 }
@@ -60,10 +60,10 @@
 	if c.JSON {
 		return json.NewEncoder(os.Stdout).Encode(finding)
 	}
-	word := "ok    "
+	label := "ok    "
 	if finding.Defect {
-		word = "DEFECT"
+		label = "DEFECT"
 	}
-	_, err := fmt.Println(word, finding.Where+":", finding.What)
+	_, err := fmt.Println(label, finding.Where+":", finding.What)
 	return err
 }
--- a/cmd/onyxgate/record_write.go
+++ b/cmd/onyxgate/record_write.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns the forms in which entries are written.
+// Output formats for entries: NDJSON, CSV and a text table.
 
 import (
 	"encoding/csv"
@@ -14,52 +14,52 @@
 	"onyxgate/internal/record/sqlstore"
 )
 
-// rowSource calls each with the entries that were asked for, one at a time.
+// rowSource calls each with every selected entry, one at a time.
 type rowSource func(each func(sqlstore.Row) error) error
 
-// writeEntries writes entries in a format: ndjson, csv or table. One is in memory at a time but for the table, which is bounded by
-// its limit.
-func writeEntries(line *recordCommands, asked selection, limit int, format string, out io.Writer) error {
-	filter, err := asked.filter(limit)
+// writeEntries writes the selected entries as ndjson, csv or table. The first two hold one entry in memory at a time; the table
+// holds all of them, so limit bounds its memory.
+func writeEntries(commands *recordCommands, selected selection, limit int, format string, out io.Writer) error {
+	filter, err := selected.filter(limit)
 	if err != nil {
 		return err
 	}
-	store, err := line.openStore()
+	store, err := commands.openStore()
 	if err != nil {
 		return err
 	}
 	defer store.Close()
 	ctx, stop := signalContext()
 	defer stop()
-	shown := newProgress("entries")
-	defer shown.finish()
-	selected := func(each func(sqlstore.Row) error) error { return store.Select(ctx, filter, each) }
-	counted := func(each func(sqlstore.Row) error) error {
-		return selected(func(row sqlstore.Row) error {
-			shown.add(1)
+	bar := newProgress("entries")
+	defer bar.finish()
+	rows := func(each func(sqlstore.Row) error) error { return store.Select(ctx, filter, each) }
+	rowsWithProgress := func(each func(sqlstore.Row) error) error {
+		return rows(func(row sqlstore.Row) error {
+			bar.add(1)
 			return each(row)
 		})
 	}
 	switch format {
 	case "ndjson":
-		return writeNDJSON(counted, out)
+		return writeNDJSON(rowsWithProgress, out)
 	case "csv":
-		return writeCSV(counted, out)
+		return writeCSV(rowsWithProgress, out)
 	}
-	return writeTable(selected, out)
+	return writeTable(rows, out)
 }
 
-func writeNDJSON(selected rowSource, out io.Writer) error {
+func writeNDJSON(rows rowSource, out io.Writer) error {
 	encoder := json.NewEncoder(out)
-	return selected(func(row sqlstore.Row) error { return encoder.Encode(row) })
+	return rows(func(row sqlstore.Row) error { return encoder.Encode(row) })
 }
 
-func writeCSV(selected rowSource, out io.Writer) error {
+func writeCSV(rows rowSource, out io.Writer) error {
 	writer := csv.NewWriter(out)
 	if err := writer.Write(csvHeader); err != nil {
 		return err
 	}
-	if err := selected(func(row sqlstore.Row) error { return writer.Write(csvCells(row)) }); err != nil {
+	if err := rows(func(row sqlstore.Row) error { return writer.Write(csvCells(row)) }); err != nil {
 		return err
 	}
 	writer.Flush()
@@ -80,13 +80,13 @@
 	}
 }
 
-func writeTable(selected rowSource, out io.Writer) error {
+func writeTable(rows rowSource, out io.Writer) error {
 	writer := table.NewWriter()
 	writer.SetOutputMirror(out)
 	writer.AppendHeader(table.Row{
 		"answered", "agent", "txn", "product", "outcome", "state", "reason", "build", "appliance", "submissions", "ms",
 	})
-	if err := selected(func(row sqlstore.Row) error {
+	if err := rows(func(row sqlstore.Row) error {
 		answered := time.UnixMilli(int64(row.AnsweredAt)).UTC().Format("2006-01-02 15:04:05.000")
 		writer.AppendRow(table.Row{
 			answered, row.Instance, row.RequestID, row.Class, row.Outcome, row.State, row.Reason, row.Release, row.Backend,
--- a/cmd/onyxgate/serve.go
+++ b/cmd/onyxgate/serve.go
@@ -15,19 +15,20 @@
 // serveCommand runs an instance.
 type serveCommand struct {
 	Configuration string        `name:"config" env:"NODE_CONFIG" type:"path" required:"" help:"The instance's configuration, JSON."`
-	Settings      string        `env:"ONYXGATE_SETTINGS" type:"path" help:"Our own settings, TOML; without it nothing of theirs is on."`
-	Name          string        `env:"NODE_NAME" help:"The instance's name, in place of the configuration's."`
-	Listen        string        `env:"NODE_LISTEN" help:"Where clients connect, in place of the configuration's."`
-	Discovery     string        `env:"NODE_DISCOVERY" help:"Discovery's address, in place of the configuration's."`
-	Level         string        `env:"ONYXGATE_LOG" default:"info" enum:"debug,info,warn,error" help:"Least level that is logged."`
-	Every         time.Duration `default:"1s" help:"Time between two lines of counts."`
+	Settings      string        `env:"ONYXGATE_SETTINGS" type:"path" help:"Settings file, TOML; without it, optional features stay off."`
+	Name          string        `env:"NODE_NAME" help:"Name of the instance; overrides the configuration."`
+	Listen        string        `env:"NODE_LISTEN" help:"Address for client connections; overrides the configuration."`
+	Discovery     string        `env:"NODE_DISCOVERY" help:"Address of discovery; overrides the configuration."`
+	Level         string        `env:"ONYXGATE_LOG" default:"info" enum:"debug,info,warn,error" help:"Lowest level that is logged."`
+	Every         time.Duration `default:"1s" help:"Time between two log lines with counters."`
 }
 
-// signalBuffer is more than anyone sends before Run takes them: a signal that finds no room is lost.
+// signalBuffer is larger than the number of signals that can be expected before Run receives them. A signal that does not fit
+// into the buffer is lost.
 const signalBuffer = 16
 
 func (c serveCommand) Run() error {
-	signals := make(chan os.Signal, signalBuffer) // first of all: SIGHUP would else end a program that is not listening yet
+	signals := make(chan os.Signal, signalBuffer) // must come first: SIGHUP ends a process that has not called Notify
 	signal.Notify(signals, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT)
 	if err := setUpLog(c.Level); err != nil {
 		return err
@@ -49,9 +50,9 @@
 	return server.Run(signals)
 }
 
-// setUpLog logs from this level on, as text on standard error.
-func setUpLog(name string) error {
-	level, err := logrus.ParseLevel(name)
+// setUpLog configures logging: text on standard error, from the named level up.
+func setUpLog(levelName string) error {
+	level, err := logrus.ParseLevel(levelName)
 	if err != nil {
 		return err
 	}
--- a/cmd/onyxgate/sources.go
+++ b/cmd/onyxgate/sources.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns what the operators' commands for the sources of the fleet share.
+// Code shared by the "sources" commands.
 
 import (
 	"fmt"
@@ -11,10 +11,10 @@
 )
 
 type sourcesCommands struct {
-	Settings string         `env:"ONYXGATE_SETTINGS" type:"path" required:"" help:"Our settings, TOML: [sources] says where the state file is."`
-	Show     sourcesShow    `cmd:"" help:"Each backend with what each source says, how old it is and which rule decided."`
-	Explain  sourcesExplain `cmd:"" help:"All that is known of one backend, by id or address."`
-	Resolve  sourcesResolve `cmd:"" help:"One look-up with every step and time."`
+	Settings string         `env:"ONYXGATE_SETTINGS" type:"path" required:"" help:"Settings file, TOML: its table [sources] names the state file."`
+	Show     sourcesShow    `cmd:"" help:"Show each backend with the reports of each source, their ages and the rule that decided."`
+	Explain  sourcesExplain `cmd:"" help:"Show all information about one backend, by id or address."`
+	Resolve  sourcesResolve `cmd:"" help:"Run one DNS look-up and print every step with its time."`
 }
 
 // state reads the state file that the settings name.
@@ -24,12 +24,12 @@
 		return host.State{}, err
 	}
 	if settings.Sources.StateFile == "" {
-		return host.State{}, fmt.Errorf("%s: sources.state names no file, so agents write none", c.Settings)
+		return host.State{}, fmt.Errorf("%s: sources.state is empty, so instances write no state file", c.Settings)
 	}
 	return host.ReadState(settings.Sources.StateFile)
 }
 
-// age is the time from one moment to another, both in Unix ms.
+// age returns the time from at to now, both in Unix ms.
 func age(at, now float64) time.Duration {
 	return time.Duration((now - at) * float64(time.Millisecond)).Round(time.Millisecond)
 }
--- a/cmd/onyxgate/sources_explain.go
+++ b/cmd/onyxgate/sources_explain.go
@@ -8,9 +8,9 @@
 	"onyxgate/internal/sources/host"
 )
 
-// sourcesExplain prints what is known of one backend.
+// sourcesExplain prints all information about one backend.
 type sourcesExplain struct {
-	ID string `arg:"" help:"Its id, or its address."`
+	ID string `arg:"" help:"The backend's id or address."`
 }
 
 func (e sourcesExplain) Run(c *sourcesCommands) error {
@@ -32,7 +32,7 @@
 			e.ID, age(at, s.WrittenAt))
 		return err
 	}
-	return fmt.Errorf("no source told of %s", e.ID)
+	return fmt.Errorf("no source reports a backend with id or address %s", e.ID)
 }
 
 func writeBackend(out io.Writer, b host.BackendState, writtenAt float64) error {
--- a/cmd/onyxgate/sources_resolve.go
+++ b/cmd/onyxgate/sources_resolve.go
@@ -12,10 +12,10 @@
 	"onyxgate/internal/sources/dns"
 )
 
-// sourcesResolve makes one look-up and prints its steps.
+// sourcesResolve performs one DNS look-up and prints its steps.
 type sourcesResolve struct {
-	Name   string `arg:"" optional:"" help:"In place of the settings' name."`
-	Server string `help:"In place of the settings' servers."`
+	Name   string `arg:"" optional:"" help:"Service name; overrides the settings."`
+	Server string `help:"DNS server; overrides the servers of the settings."`
 }
 
 func (r sourcesResolve) Run(c *sourcesCommands) error {
@@ -33,8 +33,8 @@
 	random := rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), 1))
 	resolver := dns.New((&net.Dialer{}).DialContext, random, time.Duration(target.Timeout))
 	resolver.Trace = func(step string) { fmt.Println(" ", step) }
-	failure := errors.New("no server is named")
-	for _, server := range target.Servers { // the first that answers
+	failure := errors.New("no DNS server configured: set sources.dns.servers or use --server")
+	for _, server := range target.Servers { // until one answers
 		fmt.Println(target.Name, "at", server)
 		var answer dns.Answer
 		if answer, failure = resolver.Lookup(context.Background(), server, target.Name); failure == nil {
--- a/cmd/onyxgate/sources_show.go
+++ b/cmd/onyxgate/sources_show.go
@@ -24,18 +24,19 @@
 	return nil
 }
 
-// writeFleet writes a row for each statement, the backend before the first of them. Ages are as of when the file was written.
+// writeFleet writes one row per statement; only the first row of a backend shows the backend's own columns. The ages are
+// relative to the time at which the file was written.
 func writeFleet(out io.Writer, s host.State, now float64) {
-	_, _ = fmt.Fprintf(out, "written %v ago; doubts of discovery: %q, of SRV: %q\n", // as the table: standard output, or a test's buffer
+	_, _ = fmt.Fprintf(out, "written %v ago; doubts of discovery: %q, of SRV: %q\n", // errors are ignored, as the table ignores them
 		age(s.WrittenAt, now), s.Doubt[sources.Discovery], s.Doubt[sources.SRV])
 	w := table.NewWriter()
 	w.SetOutputMirror(out)
 	w.AppendHeader(table.Row{"id", "address", "state", "build", "rating", "rule", "source", "says", "age"})
 	for _, b := range s.Backends {
-		backend := table.Row{b.ID, b.Address, b.State, b.Release, fmt.Sprintf("%.2f", b.Weight), b.Rule}
+		backendCells := table.Row{b.ID, b.Address, b.State, b.Release, fmt.Sprintf("%.2f", b.Weight), b.Rule}
 		for _, statement := range b.Statements {
-			w.AppendRow(append(backend, statement.Source, statement.Detail, age(statement.ReportedAt, s.WrittenAt)))
-			backend = table.Row{"", "", "", "", "", ""}
+			w.AppendRow(append(backendCells, statement.Source, statement.Detail, age(statement.ReportedAt, s.WrittenAt)))
+			backendCells = table.Row{"", "", "", "", "", ""}
 		}
 	}
 	w.Render()
--- a/cmd/onyxgate/sources_test.go
+++ b/cmd/onyxgate/sources_test.go
@@ -9,7 +9,7 @@
 	"onyxgate/internal/sources/host"
 )
 
-// testState is what an instance with two backends writes down.
+// testState is the state of an instance with two backends and one retired address.
 func testState() host.State {
 	return host.State{
 		WrittenAt: 10_000,
@@ -31,7 +31,7 @@
 	}
 }
 
-// What operators read of the fleet is the same to the byte: scripts may read it too.
+// The table must stay the same byte for byte, because operators' scripts may parse it.
 func TestSourcesShow(t *testing.T) {
 	const want = `written 2s ago; doubts of discovery: "silent", of SRV: ""
 +-----------------+-------------+---------+-------+--------+--------+-----------+---------------------------------------------+-------+
@@ -54,8 +54,8 @@
 	for _, c := range []struct{ name, id, want, err string }{
 		{"by id", "a1", first, ""},
 		{"by address", "10.0.0.1:80", first, ""},
-		{"an address that ended", "10.0.0.3:80", "nobody in the fleet at 10.0.0.3:80: who was there drained or went 6s ago by discovery's word, and SRV can't undo that\n", ""},
-		{"nobody", "a9", "", "no source told of a9"},
+		{"a retired address", "10.0.0.3:80", "nobody in the fleet at 10.0.0.3:80: who was there drained or went 6s ago by discovery's word, and SRV can't undo that\n", ""},
+		{"an unknown backend", "a9", "", "no source reports a backend with id or address a9"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var out bytes.Buffer
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,6 @@
-// Command simadapter runs the decisions on the simulator's wire, from standard input to standard output. It exits with 1, and says
-// why on standard error, where it can't read or answer a line.
+// Command simadapter connects the decision core to the simulator: it reads the simulator's messages from standard input and
+// writes replies to standard output. If it can't read or answer a line, it prints an error on standard error and exits with
+// status 1.
 package main
 
 import (
