--- a/internal/ci/clock_test.go
+++ b/internal/ci/clock_test.go
@@ -9,25 +9,27 @@
 	"testing"
 )
 
-// wallClockCall finds readings of the wall clock as a number, from which no span may be made: it can be stepped.
+// wallClockCall matches code that converts between the wall clock and a number. Durations must not be computed from such
+// numbers, because the wall clock can be stepped.
 var wallClockCall = regexp.MustCompile(`\.Unix(Nano|Milli|Micro)?\(\)|time\.Unix(Milli|Micro)?\(`)
 
-// allowedWallClockUses are the lines that may read it, and why.
+// allowedWallClockUses lists the permitted uses, as "FILE: part of the line", with the reason.
 var allowedWallClockUses = map[string]string{
-	"internal/core/clock.go: return time.Now().UnixNano()":          "the epoch of Core.Now, and steps against the monotonic clock",
-	"internal/httpwire/conn.go: canceledDeadline = time.Unix(1, 0)": "a deadline long past, by any clock",
+	"internal/core/clock.go: return time.Now().UnixNano()":          "the epoch of Core.Now, and the detection of steps against the monotonic clock",
+	"internal/httpwire/conn.go: canceledDeadline = time.Unix(1, 0)": "a deadline far in the past by any clock",
 	"internal/httpwire/writer.go: SetReadDeadline(time.Unix(1, 0))": "the same",
 	"internal/sources/dns/transport.go: time.Unix(1, 0)":            "the same",
-	"internal/record/sqlstore/schema.go: time.Now().UnixMilli()":    "a time that is stored for people",
+	"internal/record/sqlstore/schema.go: time.Now().UnixMilli()":    "a stored time that only people read",
 	"internal/record/recorder/ship.go: uint64(from.UnixNano())":     "a seed",
-	"cmd/onyxgate/record.go: Add(-span).UnixMilli()":                "times that operators give and read",
+	"cmd/onyxgate/record.go: Add(-span).UnixMilli()":                "times entered and read by operators",
 	"cmd/onyxgate/record.go: at.UnixNano()":                         "the same",
 	"cmd/onyxgate/record_write.go: time.UnixMilli(":                 "the same",
-	"cmd/onyxgate/sources_show.go: UnixMilli":                       "a time that operators read",
+	"cmd/onyxgate/sources_show.go: UnixMilli":                       "a time read by operators",
 	"cmd/onyxgate/sources_resolve.go: UnixNano":                     "a seed",
 }
 
-// Spans are of monotonic time: no program code takes the wall clock as a number but where it is an epoch, a seed or for people.
+// Durations are measured with the monotonic clock: program code may read the wall clock as a number only for the uses in
+// allowedWallClockUses.
 func TestNoSpansOfWallTime(t *testing.T) {
 	used := map[string]bool{}
 	for _, folder := range []string{"policy", "internal", "cmd/onyxgate"} {
@@ -47,12 +49,12 @@
 	}
 	for use := range allowedWallClockUses {
 		if !used[use] {
-			t.Errorf("no longer there: %s", use)
+			t.Errorf("no line matches %q any more: remove it from allowedWallClockUses", use)
 		}
 	}
 }
 
-// checkWallClock looks through one file, and notes which of the allowed uses it holds.
+// checkWallClock checks one file, and marks the allowed uses that it contains in used.
 func checkWallClock(t *testing.T, name, text string, used map[string]bool) {
 	t.Helper()
 	for n, line := range strings.Split(text, "\n") {
@@ -67,7 +69,7 @@
 			}
 		}
 		if !allowed {
-			t.Errorf("%s:%d reads the wall clock: %s", name, n+1, strings.TrimSpace(line))
+			t.Errorf("%s:%d reads the wall clock, which allowedWallClockUses does not list: %s", name, n+1, strings.TrimSpace(line))
 		}
 	}
 }
--- a/internal/ci/logcalls_test.go
+++ b/internal/ci/logcalls_test.go
@@ -1,7 +1,7 @@
 package ci
 
-// This file reads the program's source for what it logs: constant messages with level and fields, and the lines of the
-// decisions.
+// A parser that extracts from the program's source the log messages with their levels and fields, and the formats of the lines
+// logged by the decision core.
 
 import (
 	"fmt"
@@ -18,18 +18,18 @@
 	"testing"
 )
 
-// root is the module's, from this package's folder.
+// root is the module's root, relative to this package's folder.
 const root = "../.."
 
-// logLine is one message of the program at one level.
+// logLine is one log message at one level.
 type logLine struct {
 	level, message string
 	fields         map[string]bool
-	openFields     bool // some of its fields are no constants
+	openFields     bool // some field names are not constant
 	places         []string
 }
 
-// fieldList is the fields in the form in which the page lists them.
+// fieldList returns the fields in the format of the table in docs/oncall.md.
 func (l *logLine) fieldList() string {
 	var names []string
 	for _, field := range slices.Sorted(maps.Keys(l.fields)) {
@@ -38,17 +38,17 @@
 	return strings.Join(names, ", ")
 }
 
-// logCalls is what the source holds.
+// logCalls holds the log calls found in the source.
 type logCalls struct {
 	lines         map[string]*logLine // by level and message
-	nonConstant   []string            // places of calls whose message is no constant
-	decisionLines map[string]string   // formats of the decisions' own lines, each verb as …; with a place
+	nonConstant   []string            // places of calls whose message is not constant
+	decisionLines map[string]string   // place of each line of the decision core, by its format with … in place of each verb
 }
 
-// entryFields is what is known of the fields of a chain logrus.WithField(...).WithError(...).
+// entryFields holds the fields of a call chain such as logrus.WithField(...).WithError(...).
 type entryFields struct {
 	names map[string]bool
-	open  bool
+	open  bool // some field names are not constant
 }
 
 func (f *entryFields) merge(other *entryFields) {
@@ -56,7 +56,7 @@
 	f.open = f.open || other.open
 }
 
-// readLogCalls reads the program packages; the fakes of outside systems are no part of it.
+// readLogCalls parses the packages of the program. The fakes of external systems are excluded.
 func readLogCalls(t *testing.T) *logCalls {
 	t.Helper()
 	calls := &logCalls{lines: map[string]*logLine{}, decisionLines: map[string]string{}}
@@ -82,7 +82,7 @@
 	return calls
 }
 
-// functionReader reads one function: variables that hold entries or lines are known within it.
+// functionReader parses one top-level declaration and tracks its variables that hold log entries or formats.
 type functionReader struct {
 	calls   *logCalls
 	file    string
@@ -110,7 +110,7 @@
 	return fmt.Sprintf("%s:%d", r.file, r.files.Position(node.Pos()).Line)
 }
 
-// readAssignment keeps entries and lines that are built before they are logged.
+// readAssignment records log entries and lines that are assigned to a variable before they are logged.
 func (r *functionReader) readAssignment(assignment *ast.AssignStmt) {
 	if len(assignment.Lhs) != 1 || len(assignment.Rhs) != 1 {
 		return
@@ -121,7 +121,7 @@
 	}
 	if fields := r.entryFieldsOf(assignment.Rhs[0]); fields != nil {
 		if earlier := r.entries[variable.Name]; earlier != nil {
-			fields.merge(earlier) // one of several ways to the call adds a field: the page lists it
+			fields.merge(earlier) // fields added on only some of the paths to the log call count as well
 		}
 		r.entries[variable.Name] = fields
 	}
@@ -130,8 +130,8 @@
 	}
 }
 
-// entryFieldsOf returns the fields of an expression that is logrus, an entry in a variable, or one of these with fields added; nil:
-// it is none of them.
+// entryFieldsOf returns the fields of a log entry: the package logrus, a variable that holds an entry, or one of these with
+// fields added. It returns nil for any other expression.
 func (r *functionReader) entryFieldsOf(expression ast.Expr) *entryFields {
 	switch expression := expression.(type) {
 	case *ast.Ident:
@@ -184,7 +184,7 @@
 	}
 }
 
-// constantText is the value of a string literal, or of several that are added.
+// constantText returns the value of a string literal or of a concatenation of string literals.
 func constantText(expression ast.Expr) (string, bool) {
 	switch expression := expression.(type) {
 	case *ast.BasicLit:
@@ -198,13 +198,13 @@
 	return "", false
 }
 
-// levelNames are logrus's methods that log one message, and as what operators see it.
+// levelNames maps logrus's methods that log one message to the name of the level in the log.
 var levelNames = map[string]string{
 	"Trace": "trace", "Debug": "debug", "Info": "info", "Print": "info", "Warn": "warning", "Warning": "warning", "Error": "error",
 	"Fatal": "fatal", "Panic": "panic",
 }
 
-// formattingMethod finds the methods that would make a message of a format, or of several parts.
+// formattingMethod matches the methods that build the message from a format or from several parts.
 var formattingMethod = regexp.MustCompile(`^(Trace|Debug|Info|Print|Warn|Warning|Error|Fatal|Panic|Log)(f|ln)$`)
 
 func (r *functionReader) readCall(call *ast.CallExpr) {
@@ -216,8 +216,8 @@
 		r.readDecisionLine(call)
 		return
 	}
-	level, logs := levelNames[method.Sel.Name]
-	if !logs && !formattingMethod.MatchString(method.Sel.Name) {
+	level, isLogMethod := levelNames[method.Sel.Name]
+	if !isLogMethod && !formattingMethod.MatchString(method.Sel.Name) {
 		return
 	}
 	fields := r.entryFieldsOf(method.X)
@@ -225,7 +225,7 @@
 		return
 	}
 	message, constant := "", false
-	if logs && len(call.Args) == 1 {
+	if isLogMethod && len(call.Args) == 1 {
 		message, constant = constantText(call.Args[0])
 	}
 	if !constant {
@@ -247,8 +247,8 @@
 	line.places = append(line.places, place)
 }
 
-// readDecisionLine keeps the format of a line that the decisions, or the core for them, hand to the host's log. Where the
-// argument can't be read it is the line of somebody else, handed on.
+// readDecisionLine records the format of a line that the decision core passes to the host's log. If the argument has no known
+// format, the call only forwards a line from elsewhere and is ignored.
 func (r *functionReader) readDecisionLine(call *ast.CallExpr) {
 	format, ok := r.lineFormat(call.Args[0])
 	if variable, isVariable := call.Args[0].(*ast.Ident); isVariable && !ok {
@@ -261,7 +261,7 @@
 
 var verb = regexp.MustCompile(`%[-+# 0]*[0-9.]*[a-zA-Z]`)
 
-// lineFormat is the format of fmt.Sprintf, each verb as …, or a constant line.
+// lineFormat returns the format string of a Sprintf call, with … in place of each verb, or a constant line.
 func (r *functionReader) lineFormat(expression ast.Expr) (string, bool) {
 	if call, ok := expression.(*ast.CallExpr); ok && len(call.Args) > 0 {
 		function, isMethod := call.Fun.(*ast.SelectorExpr)
@@ -274,8 +274,8 @@
 	return verb.ReplaceAllString(text, "…"), ok
 }
 
-// importersOf returns the program files that import a package.
-func importersOf(t *testing.T, importPath string) (uses []string) {
+// importersOf returns the non-test files of the program that import a package.
+func importersOf(t *testing.T, importPath string) (files []string) {
 	t.Helper()
 	for _, folder := range []string{"policy", "internal", "cmd/onyxgate"} {
 		err := filepath.WalkDir(filepath.Join(root, folder), func(path string, entry fs.DirEntry, err error) error {
@@ -288,7 +288,7 @@
 			}
 			for _, imported := range file.Imports {
 				if imported.Path.Value == strconv.Quote(importPath) {
-					uses = append(uses, filepath.ToSlash(strings.TrimPrefix(path, root+"/")))
+					files = append(files, filepath.ToSlash(strings.TrimPrefix(path, root+"/")))
 				}
 			}
 			return nil
@@ -297,5 +297,5 @@
 			t.Fatal(err)
 		}
 	}
-	return uses
+	return files
 }
--- a/internal/ci/oncall_test.go
+++ b/internal/ci/oncall_test.go
@@ -1,6 +1,6 @@
 package ci
 
-// This file compares what the program logs and measures with the tables of docs/oncall.md.
+// Tests that compare the program's log messages and metrics with the tables in docs/oncall.md.
 
 import (
 	"go/ast"
@@ -17,7 +17,7 @@
 
 const oncallPage = "docs/oncall.md"
 
-// pageTable is the rows of a section's table by their first cell, which is in backticks.
+// pageTable holds the rows of a section's table by the text of their first cell, which is in backticks.
 type pageTable struct {
 	section string
 	rows    map[string][]string
@@ -45,7 +45,7 @@
 			cells[i] = strings.TrimSpace(cells[i])
 		}
 		key := strings.Trim(cells[0], "`")
-		if _, twice := table.rows[key]; twice {
+		if _, duplicate := table.rows[key]; duplicate {
 			t.Errorf("%s, %q has two rows for %q", oncallPage, heading, key)
 		}
 		table.rows[key] = cells
@@ -56,34 +56,35 @@
 	return table
 }
 
-// checkRows looks for what only one side has. add is the row that would mend the page.
-func (p pageTable) checkRows(t *testing.T, places, add map[string]string) {
+// checkRows reports keys that are only in the source or only on the page. places holds the place of each key in the source;
+// newRows holds the row to add to the page if it lacks the key.
+func (p pageTable) checkRows(t *testing.T, places, newRows map[string]string) {
 	t.Helper()
 	for _, key := range slices.Sorted(maps.Keys(places)) {
 		if _, ok := p.rows[key]; !ok {
-			t.Errorf("%s, %q lacks %q of %s; add:\n%s", oncallPage, p.section, key, places[key], add[key])
+			t.Errorf("%s, section %q lacks %q of %s; add:\n%s", oncallPage, p.section, key, places[key], newRows[key])
 		}
 	}
 	for _, key := range slices.Sorted(maps.Keys(p.rows)) {
 		if _, ok := places[key]; !ok {
-			t.Errorf("%s, %q lists %q, which the source does not have (any more): take the row out", oncallPage, p.section, key)
+			t.Errorf("%s, section %q lists %q, which is not in the source: remove the row", oncallPage, p.section, key)
 		}
 	}
 }
 
-// Every message that the program logs has its row, with its level and fields, and every row its message.
+// Every log message has a row with its level and fields, and every row has a log message.
 func TestLogLinesListed(t *testing.T) {
 	calls := readLogCalls(t)
 	page := readSection(t, "## Log lines")
-	places, add := map[string]string{}, map[string]string{}
+	places, newRows := map[string]string{}, map[string]string{}
 	for _, line := range calls.lines {
 		if places[line.message] != "" {
-			t.Errorf("%q stands at two levels: %s and %s", line.message, places[line.message], line.places)
+			t.Errorf("%q is logged at two levels: %s and %s", line.message, places[line.message], line.places)
 		}
 		places[line.message] = strings.Join(line.places, ", ")
-		add[line.message] = "| `" + line.message + "` | " + line.level + " | " + line.fieldList() + " | MEANING | WHAT TO DO |"
+		newRows[line.message] = "| `" + line.message + "` | " + line.level + " | " + line.fieldList() + " | MEANING | WHAT TO DO |"
 	}
-	page.checkRows(t, places, add)
+	page.checkRows(t, places, newRows)
 	for _, line := range calls.lines {
 		if cells, ok := page.rows[line.message]; ok {
 			checkLogRow(t, line, cells)
@@ -97,11 +98,11 @@
 func checkLogRow(t *testing.T, line *logLine, cells []string) {
 	t.Helper()
 	if len(cells) != 5 {
-		t.Errorf("%s: the row of %q has %d cells, not 5: line, level, fields, meaning, what to do", oncallPage, line.message, len(cells))
+		t.Errorf("%s: the row of %q has %d cells, want 5: line, level, fields, meaning, what to do", oncallPage, line.message, len(cells))
 		return
 	}
 	if cells[1] != line.level {
-		t.Errorf("%s: %q is of level %q, the source (%s) says %q", oncallPage, line.message, cells[1], line.places, line.level)
+		t.Errorf("%s: %q has level %q, but the source (%s) logs it at level %q", oncallPage, line.message, cells[1], line.places, line.level)
 	}
 	listed := map[string]bool{}
 	for _, field := range backticked.FindAllString(cells[2], -1) {
@@ -114,51 +115,51 @@
 	}
 	for _, field := range slices.Sorted(maps.Keys(listed)) {
 		if !line.fields[field] && !line.openFields {
-			t.Errorf("%s: the row of %q lists the field `%s`, which %s does not have", oncallPage, line.message, field, line.places)
+			t.Errorf("%s: the row of %q lists the field `%s`, which is not logged at %s", oncallPage, line.message, field, line.places)
 		}
 	}
 	if cells[3] == "" || cells[4] == "" {
-		t.Errorf("%s: the row of %q says nothing of its meaning or of what to do", oncallPage, line.message)
+		t.Errorf("%s: the row of %q has an empty cell for the meaning or for what to do", oncallPage, line.message)
 	}
 }
 
-// The lines that the decisions write themselves have their rows, and every row its line.
+// Every line logged by the decision core has a row, and every row has such a line.
 func TestDecisionLinesListed(t *testing.T) {
 	calls := readLogCalls(t)
-	add := map[string]string{}
+	newRows := map[string]string{}
 	for format := range calls.decisionLines {
-		add[format] = "| `" + format + "` | MEANING | WHAT TO DO |"
+		newRows[format] = "| `" + format + "` | MEANING | WHAT TO DO |"
 	}
-	readSection(t, "### Lines of the decisions").checkRows(t, calls.decisionLines, add)
+	readSection(t, "### Lines of the decisions").checkRows(t, calls.decisionLines, newRows)
 }
 
-// nonConstantMessages are the files that may log a message which is no constant, and why.
+// nonConstantMessages lists the files that may contain one log call with a non-constant message, with the reason.
 var nonConstantMessages = map[string]string{
-	"internal/assembly/report.go": "the lines of the decisions, which have a table of their own",
-	"internal/httpwire/server.go": "what net/http's server complains of, at level debug",
+	"internal/assembly/report.go": "the lines of the decision core, which have their own table",
+	"internal/httpwire/server.go": "errors reported by net/http's server, at level debug",
 }
 
-// A message is a constant, so that it can be searched for; what differs from one line to the next is in fields.
+// Log messages are constants, so that they can be searched for. Variable parts belong in fields.
 func TestLogMessagesConstant(t *testing.T) {
 	used := map[string]bool{}
 	for _, place := range readLogCalls(t).nonConstant {
 		file, _, _ := strings.Cut(place, ":")
 		if _, allowed := nonConstantMessages[file]; !allowed || used[file] {
-			t.Errorf("%s logs a message that is no constant: write a constant message, and fields", place)
+			t.Errorf("%s logs a message that is not constant: use a constant message and fields", place)
 		}
 		used[file] = true
 	}
 	for file := range nonConstantMessages {
 		if !used[file] {
-			t.Errorf("%s logs no such message any more: take it out of notConstantLines", file)
+			t.Errorf("%s no longer logs a non-constant message: remove it from nonConstantMessages", file)
 		}
 	}
 }
 
-// metricName is a whole name, with a label and its value where it has some.
+// metricName matches a complete metric name, with at most one label.
 var metricName = regexp.MustCompile(`^onyxgate_[a-z_]+(\{[a-z]+="[a-z_]+"\})?$`)
 
-// metricsInSource reads the metrics of the file that owns them: name to help.
+// metricsInSource parses metricsFile and returns the help text of each metric by its name.
 func metricsInSource(t *testing.T) map[string]string {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), filepath.Join(root, metricsFile), nil, parser.SkipObjectResolution)
@@ -177,7 +178,7 @@
 			if isName && isHelp && metricName.MatchString(name) {
 				found[name] = help
 			}
-		case *ast.BasicLit: // a name that stands by itself, followed by labels that are no constants
+		case *ast.BasicLit: // a name without a help text, to which the program adds variable labels
 			if name, isText := constantText(node); isText && metricName.MatchString(name) {
 				if _, known := found[name]; !known {
 					found[name] = ""
@@ -191,29 +192,29 @@
 
 const metricsFile = "internal/assembly/metrics.go"
 
-// Every metric has its row with its meaning, and every row its metric.
+// Every metric has a row with its help text, and every row has a metric.
 func TestMetricsListed(t *testing.T) {
 	page := readSection(t, "## Metrics")
 	metrics := metricsInSource(t)
-	places, add := map[string]string{}, map[string]string{}
+	places, newRows := map[string]string{}, map[string]string{}
 	for name, help := range metrics {
 		places[name] = metricsFile
-		add[name] = "| `" + name + "` | " + help + " |"
+		newRows[name] = "| `" + name + "` | " + help + " |"
 	}
-	page.checkRows(t, places, add)
+	page.checkRows(t, places, newRows)
 	for name, help := range metrics {
 		cells := page.rows[name]
 		if help != "" && len(cells) > 1 && cells[1] != help {
-			t.Errorf("%s: %q means %q, %s says %q", oncallPage, name, cells[1], metricsFile, help)
+			t.Errorf("%s: the row of %q says %q, but the help text in %s is %q", oncallPage, name, cells[1], metricsFile, help)
 		}
 	}
 }
 
-// Metrics are registered nowhere but in the file that the page is compared with.
+// Metrics are registered only in metricsFile, because the page is compared with that file alone.
 func TestMetricsInOnePlace(t *testing.T) {
-	for _, use := range importersOf(t, "onyxgate/internal/metrics") {
-		if use != "internal/assembly/metrics.go" && use != "internal/config/config.go" { // the latter: its table of settings
-			t.Errorf("%s uses internal/metrics: a metric there would be missing in %s", use, oncallPage)
+	for _, file := range importersOf(t, "onyxgate/internal/metrics") {
+		if file != "internal/assembly/metrics.go" && file != "internal/config/config.go" { // the latter uses only metrics.Config
+			t.Errorf("%s imports internal/metrics: a metric registered there would be missing in %s", file, oncallPage)
 		}
 	}
 }
--- a/internal/ci/tests_test.go
+++ b/internal/ci/tests_test.go
@@ -1,4 +1,5 @@
-// Package ci holds tests of the rules that CI keeps: which tests may fail, and what the source may not do.
+// Package ci tests the rules enforced in CI: which tests may fail, which constructs the source must not use, and that the
+// on-call page matches the source.
 package ci
 
 import (
@@ -9,7 +10,8 @@
 	"testing"
 )
 
-// Only a test that is listed, by its package and name, may fail; the list is short, and each line says what it has to.
+// Only tests listed in KNOWN-RED.txt by package and name may fail. The list has at most three lines, each with a cause and an
+// issue.
 func TestKnownRed(t *testing.T) {
 	script, err := filepath.Abs("../../.ci/tests")
 	if err != nil {
@@ -22,10 +24,10 @@
 	two := good + "\nfunc TestBad(t *testing.T) { t.Error(\"red\") }\n"
 	for _, c := range []struct {
 		name   string
-		red    string // KNOWN-RED.txt; "-": there is none
-		a, b   string // the packages' tests
+		red    string // content of KNOWN-RED.txt; "-" for no file
+		a, b   string // test files of the packages a and b
 		passes bool
-		says   string
+		output string // has to be part of the script's output
 	}{
 		{"all pass, no list", "-", good, good, true, ""},
 		{"all pass, an empty list", "\n", good, good, true, ""},
@@ -33,9 +35,9 @@
 		{"an unlisted failure, an empty list", "", two, good, false, "TestBad"},
 		{"a listed failure", "a.TestBad; it is red; issue 24\n", two, good, true, "KNOWN RED: a.TestBad; it is red; issue 24"},
 		{"the same, run apart", "a.TestBad; it is red; issue 24\n", two, good, true, "failed as listed"},
-		{"listed, and it passes", "a.TestGood; it was red; issue 24", good, good, true, "all of them passed"},
+		{"a listed test that passes", "a.TestGood; it was red; issue 24", good, good, true, "all of them passed"},
 		{"the same name in another package", "a.TestBad; it is red; issue 24\n", two, bad, false, "TestBad"},
-		{"another one in its package", "a.TestGood; it is red; issue 24\n", two, good, false, "TestBad"},
+		{"another test in the same package", "a.TestGood; it is red; issue 24\n", two, good, false, "TestBad"},
 		{"no cause", "a.TestBad; issue 24\n", two, good, false, "not PACKAGE.TEST"},
 		{"no issue", "a.TestBad; it is red\n", two, good, false, "not PACKAGE.TEST"},
 		{"a pattern", "a.Test.*; it is red; issue 24\n", two, good, false, "not PACKAGE.TEST"},
@@ -61,8 +63,8 @@
 			run := exec.CommandContext(t.Context(), "bash", script)
 			run.Dir = dir
 			out, err := run.CombinedOutput()
-			if (err == nil) != c.passes || !strings.Contains(string(out), c.says) {
-				t.Errorf("passes %v, want %v and %q:\n%s", err == nil, c.passes, c.says, out)
+			if (err == nil) != c.passes || !strings.Contains(string(out), c.output) {
+				t.Errorf("passes: %v, want %v; output, which should contain %q:\n%s", err == nil, c.passes, c.output, out)
 			}
 		})
 	}
