--- a/cmd/onyxgate/main.go
+++ b/cmd/onyxgate/main.go
@@ -1,5 +1,5 @@
-// Command onyxgate runs one instance of the front tier, and contains the operators' tools for the configuration, the record and
-// the sources. This file parses the command line; each subcommand has its own file.
+// Command onyxgate runs one instance of the front tier, and contains the operators' tools for the configuration, the
+// record and the sources. This file parses the command line; each subcommand has its own file.
 package main
 
 import (
--- a/cmd/onyxgate/record.go
+++ b/cmd/onyxgate/record.go
@@ -1,7 +1,7 @@
 package main
 
-// Code shared by the "record" commands. They use the same settings as the instances to find the spools and the store. None of
-// them may modify files that a running instance is writing.
+// Code shared by the "record" commands. They use the same settings as the instances to find the spools and the store.
+// None of them may modify files that a running instance is writing.
 
 import (
 	"context"
@@ -57,8 +57,8 @@
 	return signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 }
 
-// progress shows a command's progress if standard error is a terminal. Display errors are ignored, because nothing depends on
-// the display.
+// progress shows a command's progress if standard error is a terminal. Display errors are ignored, because nothing
+// depends on the display.
 type progress struct{ bar *progressbar.ProgressBar }
 
 func newProgress(description string) progress {
--- a/cmd/onyxgate/record_test.go
+++ b/cmd/onyxgate/record_test.go
@@ -14,8 +14,8 @@
 	"onyxgate/internal/record/sqlstore"
 )
 
-// nineEntries creates a settings file and a store with entries 1 to 9. Entry n was answered at Unix second n; there are three
-// entries of each outcome.
+// nineEntries creates a settings file and a store with entries 1 to 9. Entry n was answered at Unix second n; there are
+// three entries of each outcome.
 func nineEntries(t *testing.T) *recordCommands {
 	t.Helper()
 	dir := t.TempDir()
--- a/cmd/onyxgate/record_write.go
+++ b/cmd/onyxgate/record_write.go
@@ -17,8 +17,8 @@
 // rowSource calls each with every selected entry, one at a time.
 type rowSource func(each func(sqlstore.Row) error) error
 
-// writeEntries writes the selected entries as ndjson, csv or table. The first two hold one entry in memory at a time; the table
-// holds all of them, so limit bounds its memory.
+// writeEntries writes the selected entries as ndjson, csv or table. The first two hold one entry in memory at a time;
+// the table holds all of them, so limit bounds its memory.
 func writeEntries(commands *recordCommands, selected selection, limit int, format string, out io.Writer) error {
 	filter, err := selected.filter(limit)
 	if err != nil {
--- a/cmd/onyxgate/serve.go
+++ b/cmd/onyxgate/serve.go
@@ -23,8 +23,8 @@
 	Every         time.Duration `default:"1s" help:"Time between two log lines with counters."`
 }
 
-// signalBuffer is larger than the number of signals that can be expected before Run receives them. A signal that does not fit
-// into the buffer is lost.
+// signalBuffer is larger than the number of signals that can be expected before Run receives them. A signal that does
+// not fit into the buffer is lost.
 const signalBuffer = 16
 
 func (c serveCommand) Run() error {
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,6 +1,6 @@
-// Command simadapter connects the decision core to the simulator: it reads the simulator's messages from standard input and
-// writes replies to standard output. If it can't read or answer a line, it prints an error on standard error and exits with
-// status 1.
+// Command simadapter connects the decision core to the simulator: it reads the simulator's messages from standard input
+// and writes replies to standard output. If it can't read or answer a line, it prints an error on standard error and
+// exits with status 1.
 package main
 
 import (
--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -1,17 +1,18 @@
-// Package assembly wires the components of one instance together, starts them in order and shuts them down again. It also
-// defines which dependencies an instance can run without. It makes no routing decisions and adds no settings of its own.
+// Package assembly wires the components of one instance together, starts them in order and shuts them down again. It
+// also defines which dependencies an instance can run without. It makes no routing decisions and adds no settings of
+// its own.
 //
 // Startup order:
 //   - Read and validate the configuration and the operator's settings.
-//   - Lock and open the record's spool. If a record is enabled and the spool is unavailable, the instance does not start.
+//   - Lock and open the record's spool. If recording is enabled and the spool is unavailable, startup fails.
 //   - Open the listener.
 //   - Start the decision core with the endpoint list and the release update from the configuration.
 //   - Start the streams, the writers and the periodic reports.
 //   - Report ready.
 //
-// Shutdown runs in reverse: the front stops once all accepted requests are answered, then the recorder flushes its pending
-// entries, and everything else is abandoned. An instance keeps running without discovery, the platform, the record's store,
-// the metrics listener and, depending on the settings, the spool.
+// Shutdown runs in reverse: the front stops once all accepted requests are answered, then the recorder flushes its
+// pending entries, and everything else is abandoned. An instance keeps running without discovery, the platform, the
+// record's store, the metrics listener and, depending on the settings, the spool.
 package assembly
 
 import (
@@ -75,8 +76,8 @@
 	sourcesSeed
 )
 
-// New builds all components. Only the listener and the core are active when it returns: connections wait in the listener's
-// backlog until Run. Errors name the file or address that caused them.
+// New builds all components. Only the listener and the core are active when it returns: connections wait in the
+// listener's backlog until Run. Errors name the file or address that caused them.
 func New(o Options) (*Server, error) {
 	configuration, err := Read(o.ConfigPath)
 	if err != nil {
@@ -146,8 +147,8 @@
 	})
 }
 
-// makeUpstream creates the backend client. Backend addresses come from the merged sources if these are enabled, and from
-// discovery otherwise.
+// makeUpstream creates the backend client. Backend addresses come from the merged sources if these are enabled, and
+// from discovery otherwise.
 func (s *Server) makeUpstream() {
 	address := s.discovery.BackendAddress
 	if s.options.Settings.Sources.Enabled() {
@@ -192,8 +193,8 @@
 	}).Info("start")
 }
 
-// startCore starts the decision core and then, if enabled, the source merger. The core has to run first, because the merger
-// passes its restored state to it immediately.
+// startCore starts the decision core and then, if enabled, the source merger. The core has to run first, because the
+// merger passes its restored state to it immediately.
 func (s *Server) startCore() {
 	s.core.Start(func(p policy.Port) *policy.Instance {
 		return policy.New(p, siteconfig.InstanceConfig(s.config.settings, s.config.seed, s.sockets.ClientLimit()))
--- a/internal/assembly/configuration.go
+++ b/internal/assembly/configuration.go
@@ -71,8 +71,8 @@
 	bytesPerMB = 1 << 20
 	// defaultBodyBytes limits the memory for request bodies if the configuration sets no memory limit.
 	defaultBodyBytes = 1 << 30
-	// gcPercent is above Go's default of 100: the live heap is small at some hundreds of requests per second, so collection
-	// stays cheap. With a higher value, peaks of the heap would look like a growing heap.
+	// gcPercent is above Go's default of 100: the live heap is small at some hundreds of requests per second, so
+	// collection stays cheap. With a higher value, peaks of the heap would look like a growing heap.
 	gcPercent = 150
 )
 
--- a/internal/assembly/metrics.go
+++ b/internal/assembly/metrics.go
@@ -1,6 +1,7 @@
 package assembly
 
-// The metrics of an instance, one table per component. Tests in internal/ci compare them with the table in docs/oncall.md.
+// The metrics of an instance, one table per component. Tests in internal/ci compare them with the table in
+// docs/oncall.md.
 
 import (
 	"context"
@@ -54,8 +55,8 @@
 	{`onyxgate_sources_doubted{source="srv"}`, "1 while SRV is doubted, else 0", doubtGauge(sources.SRV)},
 }
 
-// ruleMetric counts changes by the rule that decided them. It has one time series, labeled with the rule, for each entry of
-// sources.Rules.
+// ruleMetric counts changes by the rule that decided them. It has one time series, labeled with the rule, for each
+// entry of sources.Rules.
 const ruleMetric = "onyxgate_sources_changes_by_rule_total"
 
 var recordMetrics = []metric[recorder.Status]{
--- a/internal/assembly/reload.go
+++ b/internal/assembly/reload.go
@@ -18,8 +18,8 @@
 // addressSetter is a client whose server address can be changed at run time.
 type addressSetter interface{ SetAddress(address string) }
 
-// reloader re-reads the configuration file. Only the addresses of discovery and the platform can change while the instance
-// runs. An invalid configuration is rejected as a whole.
+// reloader re-reads the configuration file. Only the addresses of discovery and the platform can change while the
+// instance runs. An invalid configuration is rejected as a whole.
 type reloader struct {
 	path      string
 	current   gjson.Result             // the configuration applied last
@@ -39,8 +39,8 @@
 	return r.retry()
 }
 
-// retry reads the configuration once. If that failed and attempts remain, it returns a channel that fires when retry has to
-// be called again, otherwise nil.
+// retry reads the configuration once. If that failed and attempts remain, it returns a channel that fires when retry
+// has to be called again, otherwise nil.
 func (r *reloader) retry() (retryAt <-chan time.Time) {
 	r.triesLeft--
 	if err := r.load(); err == nil || r.triesLeft <= 0 {
--- a/internal/assembly/reload_test.go
+++ b/internal/assembly/reload_test.go
@@ -14,8 +14,8 @@
 
 func (p *fakeAddressSetter) SetAddress(address string) { p.addresses = append(p.addresses, address) }
 
-// A valid configuration updates the clients whose addresses it changes. An invalid one changes nothing, and does not affect
-// later reloads.
+// A valid configuration updates the clients whose addresses it changes. An invalid one changes nothing, and does not
+// affect later reloads.
 func TestReload(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	text := func(discovery, platform string) string {
@@ -62,7 +62,8 @@
 	}
 }
 
-// A configuration that was read half written is read again. If it stays invalid, it changes nothing and the retries end.
+// A configuration that was read half written is read again. If it stays invalid, it changes nothing and the retries
+// end.
 func TestTorn(t *testing.T) {
 	before, after := newTestEnv(t), newTestEnv(t)
 	text := configJSON(after.address(), before.endpointList(1), safeClass, singleAttempt)
@@ -93,8 +94,8 @@
 	r.stop(t)
 }
 
-// On SIGHUP while the first endpoint list is awaited, discovery's new address is watched immediately and its list makes the
-// instance ready. A second SIGHUP before that stream is connected moves the client once more.
+// On SIGHUP while the first endpoint list is awaited, discovery's new address is watched immediately and its list makes
+// the instance ready. A second SIGHUP before that stream is connected moves the client once more.
 func TestMovedBeforeFirst(t *testing.T) {
 	first, second, third := newTestEnv(t), newTestEnv(t), newTestEnv(t)
 	r := start(t, configJSON(first.address(), first.endpointList(1), safeClass, singleAttempt))
--- a/internal/assembly/run.go
+++ b/internal/assembly/run.go
@@ -14,9 +14,9 @@
 	"onyxgate/internal/httpwire"
 )
 
-// firstListWait limits how long an instance waits at startup for discovery's endpoint list. Already the first request should
-// be routed by that list, so requests wait in the listener's backlog meanwhile. The wait is bounded because discovery may be
-// down.
+// firstListWait limits how long an instance waits at startup for discovery's endpoint list. Even the first
+// request should be routed by that list, so requests wait in the listener's backlog meanwhile. The wait is bounded
+// because discovery may be down.
 const firstListWait = time.Second
 
 // errSecondSignal aborts the shutdown on a second SIGTERM or SIGINT.
@@ -34,8 +34,8 @@
 	shutDown     chan bool // closed when all accepted requests are answered
 }
 
-// Run serves clients until the instance has shut down. The first SIGTERM or SIGINT starts a graceful shutdown, a second one
-// aborts it, and SIGHUP reloads the configuration. Run must be called only once.
+// Run serves clients until the instance has shut down. The first SIGTERM or SIGINT starts a graceful shutdown, a second
+// one aborts it, and SIGHUP reloads the configuration. Run must be called only once.
 func (s *Server) Run(signals <-chan os.Signal) error {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -69,7 +69,8 @@
 	}
 }
 
-// startRecorder starts the recorder if there is one. The returned channel is closed when the recorder has flushed and stopped.
+// startRecorder starts the recorder if there is one. The returned channel is closed when the recorder has flushed and
+// stopped.
 func (s *Server) startRecorder(ctx context.Context) (ended <-chan bool) {
 	done := make(chan bool)
 	go func() {
--- a/internal/assembly/settings_test.go
+++ b/internal/assembly/settings_test.go
@@ -6,16 +6,16 @@
 	"testing"
 )
 
-// Two deployments with different settings run in one process, at the same time and in sequence. Each must follow only its own
-// settings.
+// Two deployments with different settings run in one process, at the same time and in sequence. Each must follow only
+// its own settings.
 func TestTwoSettings(t *testing.T) {
 	glance, merge := "GET /glance/7", "POST /merge/7"
 	t.Run("side by side", func(t *testing.T) {
 		x, y := newTestEnv(t), newTestEnv(t)
 		a, b := startDeployment(t, x, safeClass, singleAttempt), startDeployment(t, y, unsafeClasses, fourAttempts)
 		for k := range 3 {
-			a.serves(t, fmt.Sprint("a", k), glance, merge)
-			b.serves(t, fmt.Sprint("b", k), merge, glance)
+			a.checkServesOwnClass(t, fmt.Sprint("a", k), glance, merge)
+			b.checkServesOwnClass(t, fmt.Sprint("b", k), merge, glance)
 		}
 		a.checkCounts(t, 3)
 		b.checkCounts(t, 3)
@@ -28,20 +28,20 @@
 	t.Run("one after the other", func(t *testing.T) {
 		x, y := newTestEnv(t), newTestEnv(t)
 		a := startDeployment(t, x, safeClass, singleAttempt)
-		a.serves(t, "a", glance, merge)
+		a.checkServesOwnClass(t, "a", glance, merge)
 		a.stop(t)
 		b := startDeployment(t, y, unsafeClasses, fourAttempts)
-		b.serves(t, "b", merge, glance)
+		b.checkServesOwnClass(t, "b", merge, glance)
 		b.checkCounts(t, 1)
 		b.stop(t)
 	})
 	t.Run("one after the other, reversed", func(t *testing.T) {
 		x, y := newTestEnv(t), newTestEnv(t)
 		b := startDeployment(t, y, unsafeClasses, fourAttempts)
-		b.serves(t, "b", merge, glance)
+		b.checkServesOwnClass(t, "b", merge, glance)
 		b.stop(t)
 		a := startDeployment(t, x, safeClass, singleAttempt)
-		a.serves(t, "a", glance, merge)
+		a.checkServesOwnClass(t, "a", glance, merge)
 		a.checkCounts(t, 1)
 		a.stop(t)
 	})
@@ -62,9 +62,9 @@
 	return deployment{r, env}
 }
 
-// checkServesOwnClass sends one request of the deployment's own class, which its backend has to receive, and one of the other
-// deployment's class, which has to be refused with 404.
-func (d deployment) serves(t *testing.T, id, own, other string) {
+// checkServesOwnClass sends one request of the deployment's own class, which its backend has to receive, and one of the
+// other deployment's class, which has to be refused with 404.
+func (d deployment) checkServesOwnClass(t *testing.T, id, own, other string) {
 	t.Helper()
 	c := d.connect(t)
 	for k, call := range []struct {
--- a/internal/assembly/start_test.go
+++ b/internal/assembly/start_test.go
@@ -14,8 +14,8 @@
 
 // Events that coincide with the start or the shutdown of an instance.
 
-// A request that waits in the listener's backlog while the instance starts must be routed by discovery's endpoint list, not by
-// the possibly outdated list in the configuration.
+// A request that waits in the listener's backlog while the instance starts must be routed by discovery's endpoint list,
+// not by the possibly outdated list in the configuration.
 func TestFirstRequest(t *testing.T) {
 	outdated, current := newTestEnv(t), newTestEnv(t)
 	r := start(t, configJSON(current.address(), outdated.endpointList(1), safeClass, singleAttempt))
@@ -84,7 +84,8 @@
 	time.Sleep(time.Hour) // lets the core's timer expire
 }
 
-// On SIGTERM just before the instance is ready, requests in the listener's backlog are served before the instance exits.
+// On SIGTERM just before the instance is ready, requests in the listener's backlog are served before the instance
+// exits.
 func TestEndsBeforeReady(t *testing.T) {
 	d := newTestEnv(t)
 	r := start(t, configJSON(d.address(), d.endpointList(1), safeClass, singleAttempt))
--- a/internal/ci/clock_test.go
+++ b/internal/ci/clock_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// wallClockCall matches code that converts between the wall clock and a number. Durations must not be computed from such
-// numbers, because the wall clock can be stepped.
+// wallClockCall matches code that converts between the wall clock and a number. Durations must not be computed from
+// such numbers, because the wall clock can be stepped.
 var wallClockCall = regexp.MustCompile(`\.Unix(Nano|Milli|Micro)?\(\)|time\.Unix(Milli|Micro)?\(`)
 
 // allowedWallClockUses lists the permitted uses, as "FILE: part of the line", with the reason.
@@ -28,8 +28,8 @@
 	"cmd/onyxgate/sources_resolve.go: UnixNano":                     "a seed",
 }
 
-// Durations are measured with the monotonic clock: program code may read the wall clock as a number only for the uses in
-// allowedWallClockUses.
+// Durations are measured with the monotonic clock: program code may read the wall clock as a number only for the uses
+// in allowedWallClockUses.
 func TestNoSpansOfWallTime(t *testing.T) {
 	used := map[string]bool{}
 	for _, folder := range []string{"policy", "internal", "cmd/onyxgate"} {
--- a/internal/ci/logcalls_test.go
+++ b/internal/ci/logcalls_test.go
@@ -1,7 +1,7 @@
 package ci
 
-// A parser that extracts from the program's source the log messages with their levels and fields, and the formats of the lines
-// logged by the decision core.
+// A parser that extracts from the program's source the log messages with their levels and fields, and the formats of
+// the lines logged by the decision core.
 
 import (
 	"fmt"
@@ -130,8 +130,8 @@
 	}
 }
 
-// entryFieldsOf returns the fields of a log entry: the package logrus, a variable that holds an entry, or one of these with
-// fields added. It returns nil for any other expression.
+// entryFieldsOf returns the fields of a log entry: the package logrus, a variable that holds an entry, or one of these
+// with fields added. It returns nil for any other expression.
 func (r *functionReader) entryFieldsOf(expression ast.Expr) *entryFields {
 	switch expression := expression.(type) {
 	case *ast.Ident:
@@ -247,8 +247,8 @@
 	line.places = append(line.places, place)
 }
 
-// readDecisionLine records the format of a line that the decision core passes to the host's log. If the argument has no known
-// format, the call only forwards a line from elsewhere and is ignored.
+// readDecisionLine records the format of a line that the decision core passes to the host's log. If the argument has no
+// known format, the call only forwards a line from elsewhere and is ignored.
 func (r *functionReader) readDecisionLine(call *ast.CallExpr) {
 	format, ok := r.lineFormat(call.Args[0])
 	if variable, isVariable := call.Args[0].(*ast.Ident); isVariable && !ok {
--- a/internal/ci/oncall_test.go
+++ b/internal/ci/oncall_test.go
@@ -56,8 +56,8 @@
 	return table
 }
 
-// checkRows reports keys that are only in the source or only on the page. places holds the place of each key in the source;
-// newRows holds the row to add to the page if it lacks the key.
+// checkRows reports keys that are only in the source or only on the page. places holds the place of each key in the
+// source; newRows holds the row to add to the page if it lacks the key.
 func (p pageTable) checkRows(t *testing.T, places, newRows map[string]string) {
 	t.Helper()
 	for _, key := range slices.Sorted(maps.Keys(places)) {
--- a/internal/ci/tests_test.go
+++ b/internal/ci/tests_test.go
@@ -1,5 +1,5 @@
-// Package ci tests the rules enforced in CI: which tests may fail, which constructs the source must not use, and that the
-// on-call page matches the source.
+// Package ci tests the rules enforced in CI: which tests may fail, which constructs the source must not use, and that
+// the on-call page matches the source.
 package ci
 
 import (
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// Only tests listed in KNOWN-RED.txt by package and name may fail. The list has at most three lines, each with a cause and an
-// issue.
+// Only tests listed in KNOWN-RED.txt by package and name may fail. The list has at most three lines, each with a cause
+// and an issue.
 func TestKnownRed(t *testing.T) {
 	script, err := filepath.Abs("../../.ci/tests")
 	if err != nil {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
-// Package config reads the operator's settings, a TOML file such as deploy/onyxgate.toml with one table per component. Each
-// problem in the file is reported with file, line, key, value and an example of a valid value. The types, defaults and checks
-// of the settings belong to the components.
+// Package config reads the operator's settings, a TOML file such as deploy/onyxgate.toml with one table per component.
+// Each problem in the file is reported with file, line, key, value and an example of a valid value. The types, defaults
+// and checks of the settings belong to the components.
 package config
 
 import (
@@ -41,8 +41,8 @@
 	return Parse(path, text)
 }
 
-// Parse parses and validates the text of a settings file; path is used in errors only. The error joins one *Problem for each
-// problem found.
+// Parse parses and validates the text of a settings file; path is used in errors only. The error joins one *Problem for
+// each problem found.
 func Parse(path string, text []byte) (Settings, error) {
 	settings := Default()
 	decoder := toml.NewDecoder(bytes.NewReader(text))
@@ -57,7 +57,8 @@
 	return settings, settings.validate(path, index)
 }
 
-// missingUnits reports durations and sizes that are given as bare numbers. The decoder accepts these as nanoseconds or bytes.
+// missingUnits reports durations and sizes that are given as bare numbers. The decoder accepts these as nanoseconds or
+// bytes.
 func missingUnits(path string, index keyIndex) error {
 	var problems []error
 	for _, key := range keysWithUnits(reflect.TypeFor[Settings](), "") {
@@ -86,8 +87,8 @@
 	return errors.Join(problems...)
 }
 
-// Format returns the settings as TOML, defaults included. The result contains no secrets: the password is stored in a separate
-// file, and the settings hold only its path.
+// Format returns the settings as TOML, defaults included. The result contains no secrets: the password is stored in a
+// separate file, and the settings hold only its path.
 func Format(s Settings) (string, error) {
 	var b bytes.Buffer
 	encoder := toml.NewEncoder(&b)
--- a/internal/failpoint/defect.go
+++ b/internal/failpoint/defect.go
@@ -31,8 +31,8 @@
 	return name, hit
 }
 
-// At marks a failpoint. If the process was configured to be killed at this hit of the failpoint, At kills it and does not
-// return. It is safe for concurrent use.
+// At marks a failpoint. If the process was configured to be killed at this hit of the failpoint, At kills it and does
+// not return. It is safe for concurrent use.
 func At(name string) {
 	if killAt == "" || name != killAt || hits.Add(1) != killAtHit {
 		return
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,5 +1,6 @@
-// Package invariant checks conditions that must hold whatever the network does. Programs built with the debug tag panic at the
-// first violation, so that tests and staging show where it occurred. Other builds count and log violations and continue.
+// Package invariant checks conditions that must hold whatever the network does. Programs built with the debug tag panic
+// at the first violation, so that tests and staging show where it occurred. Other builds count and log violations and
+// continue.
 package invariant
 
 import (
@@ -10,8 +11,8 @@
 
 var violations atomic.Int64
 
-// Check returns ok. If ok is false, it counts a violation of the named invariant and logs it with the details; debug builds
-// panic. It may be called from any goroutine and with any lock held.
+// Check returns ok. If ok is false, it counts a violation of the named invariant and logs it with the details; debug
+// builds panic. It may be called from any goroutine and with any lock held.
 func Check(ok bool, name string, detail ...any) bool {
 	if !ok {
 		violations.Add(1)
--- a/internal/jobs/queue.go
+++ b/internal/jobs/queue.go
@@ -1,6 +1,6 @@
-// Package jobs schedules background jobs. It picks the next job by priority, within each job's budget of time and bytes, and
-// ages waiting jobs so that none starves. The package starts no goroutines and reads no clock; internal/jobs/runner runs the
-// jobs.
+// Package jobs schedules background jobs. It picks the next job by priority, within each job's budget of time and
+// bytes, and ages waiting jobs so that none starves. The package starts no goroutines and reads no clock;
+// internal/jobs/runner runs the jobs.
 package jobs
 
 const (
@@ -61,8 +61,8 @@
 	return now + max(j.workBudget.wait(), j.byteBudget.wait())
 }
 
-// Queue holds the jobs. A job is identified by the index that Add returned. The zero value is an empty queue. A Queue is not
-// safe for concurrent use.
+// Queue holds the jobs. A job is identified by the index that Add returned. The zero value is an empty queue. A Queue
+// is not safe for concurrent use.
 type Queue struct{ jobs []job }
 
 // Add adds a job that is due immediately.
@@ -80,8 +80,8 @@
 // Schedule makes a job due at the given time (ms) unless it is due earlier already.
 func (q *Queue) Schedule(index int, at float64) { q.jobs[index].dueAt = min(q.jobs[index].dueAt, at) }
 
-// Next returns the job to run now and marks it as running. If no job can run, it returns -1 and the time (ms) after which to
-// call Next again.
+// Next returns the job to run now and marks it as running. If no job can run, it returns -1 and the time (ms) after
+// which to call Next again.
 func (q *Queue) Next(now float64) (index int, wait float64) {
 	index, wait = -1, burstMs
 	bestRank := 0.0
--- a/internal/jobs/runner/runner.go
+++ b/internal/jobs/runner/runner.go
@@ -9,11 +9,12 @@
 	"onyxgate/internal/jobs"
 )
 
-// Job does a bounded piece of work. It returns the number of bytes that it transferred and the delay until its next run. It
-// should return soon after its context is canceled.
+// Job does a bounded piece of work. It returns the number of bytes that it transferred and the delay until its next
+// run. It should return soon after its context is canceled.
 type Job func(ctx context.Context) (bytes int64, delay time.Duration)
 
-// Runner runs jobs until its context is canceled. It is safe for concurrent use, except that Add must not be called after Run.
+// Runner runs jobs until its context is canceled. It is safe for concurrent use, except that Add must not be called
+// after Run.
 type Runner struct {
 	startedAt time.Time
 	wakeup    chan struct{} // makes one waiting worker check the queue again
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics serves an instance's counters and gauges in the Prometheus text format. Labels never contain request IDs,
-// keys or clients.
+// Package metrics serves an instance's counters and gauges in the Prometheus text format. Labels never contain request
+// IDs, keys or clients.
 package metrics
 
 import (
@@ -37,8 +37,8 @@
 // New returns an empty Meter.
 func New() *Meter { return &Meter{metrics.NewSet()} }
 
-// Gauge registers a metric. The name includes the labels; names of counters end in _total. Each scrape calls value, possibly
-// from several goroutines at once. Gauge panics if the name is registered already.
+// Gauge registers a metric. The name includes the labels; names of counters end in _total. Each scrape calls value,
+// from any goroutine. Gauge panics if the name is registered already.
 func (m *Meter) Gauge(name string, value func() float64) { m.set.NewGauge(name, value) }
 
 const (
@@ -46,8 +46,8 @@
 	idleTimeout   = 30 * time.Second
 )
 
-// Serve serves the metrics until the context is canceled. It returns immediately if no listen address is configured. A failing
-// listener is only logged, because an instance must not fail for lack of monitoring.
+// Serve serves the metrics until the context is canceled. It returns immediately if no listen address is configured. A
+// failing listener is only logged, because an instance must not fail for lack of monitoring.
 func (m *Meter) Serve(ctx context.Context, c Config) {
 	if c.Listen == "" {
 		return
--- a/internal/siteconfig/instance.go
+++ b/internal/siteconfig/instance.go
@@ -6,8 +6,8 @@
 	"onyxgate/policy"
 )
 
-// InstanceConfig converts the settings to a policy.Config. maxOpenRequests is the process's own limit on open requests (0 means
-// no limit); the lower of it and the settings' limit applies.
+// InstanceConfig converts the settings to a policy.Config. maxOpenRequests is the process's own limit on open requests
+// (0 means no limit); the lower of it and the settings' limit applies.
 func InstanceConfig(settings gjson.Result, seed uint64, maxOpenRequests int) policy.Config {
 	limits, tariffs := settings.Get("limits"), settings.Get("tariffs")
 	_, classes := Classes(settings)
--- a/internal/siteconfig/problems.go
+++ b/internal/siteconfig/problems.go
@@ -34,8 +34,8 @@
 	p.addIf(limit < 0 || tooLow, "%s leaves no room for work: %d", key, limit)
 }
 
-// Problems validates a configuration. It returns one line per problem, which names the key, and none if the configuration is
-// valid.
+// Problems validates a configuration. It returns one line per problem, which names the key, and none if the
+// configuration is valid.
 func Problems(config gjson.Result) (lines []string) {
 	var p problems
 	p.checkAddress("listen", config.Get("listen").Str)
--- a/internal/siteconfig/siteconfig.go
+++ b/internal/siteconfig/siteconfig.go
@@ -1,11 +1,11 @@
-// Package siteconfig reads the users' JSON configuration of a site and of one instance in it. It converts the settings to the
-// types of package policy, in the same way for the simulator's adapter and for a running instance, and validates
+// Package siteconfig reads the users' JSON configuration of a site and of one instance in it. It converts the settings
+// to the types of package policy, in the same way for the simulator's adapter and for a running instance, and validates
 // configurations. It makes no decisions, and has no tuned values and no state.
 //
-// There are two JSON objects. The configuration is the complete file of an instance. The settings are its value under the key
-// "settings"; the simulator supplies only these. The name of a function's parameter tells which of the two it reads. A missing
-// key reads as the zero value; Problems reports the keys that are required. Times are in microseconds in the JSON, and in
-// milliseconds in return values.
+// There are two JSON objects. The configuration is the complete file of an instance. The settings are its value under
+// the key "settings"; the simulator supplies only these. The name of a function's parameter tells which of the two it
+// reads. A missing key reads as the zero value; Problems reports the keys that are required. Times are in microseconds
+// in the JSON, and in milliseconds in return values.
 //
 // siteconfig.go reads single values, instance.go builds the policy.Config, and problems.go validates.
 package siteconfig
@@ -74,7 +74,8 @@
 	return Milliseconds(settings.Get("family-info.call-timeout-us"))
 }
 
-// ZonesAndHardware returns the names of the zones and of the hardware classes. Package policy refers to both by their index.
+// ZonesAndHardware returns the names of the zones and of the hardware classes. Package policy refers to both by their
+// index.
 func ZonesAndHardware(settings gjson.Result) (zones, hardwareClasses []string) {
 	return stringList(settings.Get("dcs")), stringList(settings.Get("skus"))
 }
--- a/internal/units/units.go
+++ b/internal/units/units.go
@@ -1,5 +1,5 @@
-// Package units parses durations and sizes in the settings. A unit is required: a bare number is ambiguous, and the package
-// does not guess.
+// Package units parses durations and sizes in the settings. A unit is required: a bare number is ambiguous, and the
+// package does not guess.
 package units
 
 import (
