--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -1,12 +1,18 @@
-// Package assembly puts one instance together from its parts and takes it apart again. It owns the order in which they start
-// and end, and what an instance may go on without; it holds no decision, and no setting that no part has.
+// Package assembly wires the components of one instance together, starts them in order and shuts them down again. It
+// also defines which dependencies an instance can run without. It makes no routing decisions and adds no settings of
+// its own.
 //
-// The parts start so: the configuration and our settings are read and checked; the record takes its spool, without which an
-// instance that is to keep one does not start; the listener is opened; the decisions run, with the endpoint list and the
-// release updates that the configuration holds; streams, writers and reports begin; the front says that it is ready. They end
-// the other way round: the front shuts down once its requests are answered, then the record writes what it holds, and all else
-// is dropped. An instance goes on without discovery, the platform, the store of record, the metrics' listener and, by
-// setting, the spool.
+// Startup order:
+//   - Read and validate the configuration and the operator's settings.
+//   - Lock and open the record's spool. If recording is enabled and the spool is unavailable, startup fails.
+//   - Open the listener.
+//   - Start the decision core with the endpoint list and the release update from the configuration.
+//   - Start the streams, the writers and the periodic reports.
+//   - Report ready.
+//
+// Shutdown runs in reverse: the front stops once all accepted requests are answered, then the recorder flushes its
+// pending entries, and everything else is abandoned. An instance keeps running without discovery, the platform, the
+// record's store, the metrics listener and, depending on the settings, the spool.
 package assembly
 
 import (
@@ -27,20 +33,20 @@
 	"onyxgate/policy"
 )
 
-// Options are what an instance is started with beside its configuration.
+// Options holds the start-up parameters that are not part of the configuration file.
 type Options struct {
 	Version    string
-	ConfigPath string // of the configuration
-	// These replace the configuration's where they are not empty.
+	ConfigPath string // JSON configuration file
+	// Non-empty values override the configuration.
 	Name, Listen, Discovery string
 	Settings                config.Settings
-	ReportInterval          time.Duration // between two log lines of counts
+	ReportInterval          time.Duration // between log lines with counters
 }
 
-// Server is one instance that is put together: New, then Run.
+// Server is one fully wired instance. Create it with New, then call Run.
 type Server struct {
 	options   Options
-	site      site
+	config    effectiveConfig
 	listener  net.Listener
 	sockets   *httpwire.Sockets
 	core      *core.Core
@@ -48,11 +54,11 @@
 	platform  *httpwire.Platform
 	upstream  *httpwire.Upstream
 	front     *httpwire.Front
-	recorder  *recorder.Recorder // nil: nothing is recorded
-	sources   *host.Host         // nil: discovery alone
+	recorder  *recorder.Recorder // nil if recording is off
+	sources   *host.Host         // nil if discovery is the only source
 }
 
-// transport carries out what the core wants beside its requests.
+// transport performs the I/O that the core asks for outside of client requests.
 type transport struct{ *Server }
 
 func (t transport) SendVote(release policy.ReleaseID, verdict policy.Verdict, stage int) {
@@ -62,7 +68,7 @@
 func (t transport) WatchEndpoints()          { t.discovery.Refresh(false) }
 func (t transport) FetchEndpoints()          { t.discovery.Refresh(true) }
 
-// Seeds of the parts that draw by chance are the configuration's with these added: each draws its own numbers.
+// Offsets added to the configured seed, so that each component gets its own random sequence.
 const (
 	discoverySeed = iota
 	platformSeed
@@ -70,41 +76,42 @@
 	sourcesSeed
 )
 
-// New makes the parts; nothing runs yet but the listener's backlog. An error names the file or the address at fault.
+// New builds all components. Only the listener and the core are active when it returns: connections wait in the
+// listener's backlog until Run. Errors name the file or address that caused them.
 func New(o Options) (*Server, error) {
 	configuration, err := Read(o.ConfigPath)
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{options: o, site: newSite(o, configuration)}
-	s.site.limitProcess()
+	s := &Server{options: o, config: newEffectiveConfig(o, configuration)}
+	s.config.limitProcess()
 	s.core = core.New(transport{s})
 	if err := s.openRecorder(); err != nil {
 		return nil, err
 	}
-	if s.listener, err = listen(s.site.listen); err != nil {
+	if s.listener, err = listen(s.config.listen); err != nil {
 		return nil, err
 	}
-	s.sockets = httpwire.NewSockets(s.site.sockets)
-	s.makeStreams()
+	s.sockets = httpwire.NewSockets(s.config.sockets)
+	s.makeControlClients()
 	s.makeUpstream()
 	s.makeFront()
 	s.logStart()
 	s.startCore()
-	if err := s.applyKnown(); err != nil {
+	if err := s.applyInitialState(); err != nil {
 		return nil, err
 	}
 	return s, nil
 }
 
-// openRecorder takes the spool, if a record is kept.
+// openRecorder opens the spool if recording is enabled.
 func (s *Server) openRecorder() (err error) {
-	table := s.options.Settings.Record
-	if !table.Enabled() {
+	settings := s.options.Settings.Record
+	if !settings.Enabled() {
 		return nil
 	}
 	s.recorder, err = recorder.New(recorder.Options{
-		Settings: table, Instance: s.site.name, Classes: s.site.classNames, Now: s.core.Now, Seed: s.site.seed + recorderSeed,
+		Settings: settings, Instance: s.config.name, Classes: s.config.classNames, Now: s.core.Now, Seed: s.config.seed + recorderSeed,
 	})
 	if err != nil {
 		return err
@@ -113,41 +120,42 @@
 	return nil
 }
 
-// dial opens a TCP connection; the parts see to keep-alives and timeouts themselves.
+// dial opens a TCP connection without TCP keep-alives; callers handle keep-alives and timeouts themselves.
 func dial(ctx context.Context, address string) (net.Conn, error) {
 	return (&net.Dialer{KeepAlive: -1}).DialContext(ctx, "tcp", address)
 }
 
-// makeStreams makes the clients of discovery and the platform.
-func (s *Server) makeStreams() {
-	settings := s.site.settings
+// makeControlClients creates the clients of discovery and the platform.
+func (s *Server) makeControlClients() {
+	settings := s.config.settings
 	zones, hardware := siteconfig.ZonesAndHardware(settings)
 	s.discovery = httpwire.NewDiscovery(httpwire.DiscoveryConfig{
 		Core:            s.core,
 		Dial:            dial,
-		Address:         s.site.discovery,
+		Address:         s.config.discovery,
 		Zones:           zones,
 		HardwareClasses: hardware,
 		OnDemand:        siteconfig.OnDemandDiscovery(settings),
-		Seed:            s.site.seed + discoverySeed,
+		Seed:            s.config.seed + discoverySeed,
 	})
 	s.platform = httpwire.NewPlatform(httpwire.PlatformConfig{
 		Core:        s.core,
 		Dial:        dial,
-		Address:     s.site.platform(),
+		Address:     s.config.platform(),
 		VoteTimeout: milliseconds(siteconfig.VoteTimeout(settings)),
-		Seed:        s.site.seed + platformSeed,
+		Seed:        s.config.seed + platformSeed,
 	})
 }
 
-// makeUpstream makes the client of the backends, whose addresses come from the sources where there are several.
+// makeUpstream creates the backend client. Backend addresses come from the merged sources if these are enabled, and
+// from discovery otherwise.
 func (s *Server) makeUpstream() {
 	address := s.discovery.BackendAddress
 	if s.options.Settings.Sources.Enabled() {
-		address = func(id string) string { return s.sources.Address(id) } // s.sources is made after the upstream
+		address = func(id string) string { return s.sources.Address(id) } // s.sources is set later, by startCore
 	}
-	connect, idle := siteconfig.ConnectionTimes(s.site.settings)
-	onAnswers, onProbes := siteconfig.LoadReports(s.site.settings)
+	connect, idle := siteconfig.ConnectionTimes(s.config.settings)
+	onResponses, onProbes := siteconfig.LoadReports(s.config.settings)
 	s.upstream = httpwire.NewUpstream(httpwire.UpstreamConfig{
 		Core:               s.core,
 		Dial:               dial,
@@ -155,13 +163,13 @@
 		BackendAddress:     address,
 		ConnectTimeout:     milliseconds(connect),
 		BackendIdleTimeout: milliseconds(idle),
-		LoadOnResponses:    onAnswers,
+		LoadOnResponses:    onResponses,
 		LoadOnProbes:       onProbes,
 	})
 	s.discovery.OnAddressVacated(s.upstream.CloseAddress)
 }
 
-// milliseconds is a duration that the configuration's settings give in ms.
+// milliseconds converts a number of milliseconds to a time.Duration.
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
 func (s *Server) makeFront() {
@@ -169,44 +177,45 @@
 		Core:            s.core,
 		Upstream:        s.upstream,
 		Sockets:         s.sockets,
-		ClassNames:      s.site.classNames,
-		Classes:         s.site.classes,
-		CancelAllowed:   siteconfig.CancelAllowed(s.site.settings),
-		MaxOpenRequests: siteconfig.MaxOpenRequests(s.site.settings),
-		MaxBodyBytes:    s.site.bodyBytes(),
+		ClassNames:      s.config.classNames,
+		Classes:         s.config.classes,
+		CancelAllowed:   siteconfig.CancelAllowed(s.config.settings),
+		MaxOpenRequests: siteconfig.MaxOpenRequests(s.config.settings),
+		MaxBodyBytes:    s.config.bodyBytes(),
 	})
 }
 
 func (s *Server) logStart() {
 	logrus.WithFields(logrus.Fields{
-		"version": s.options.Version, "instance": s.site.name, "listen": s.listener.Addr().String(),
-		"cpus": runtime.NumCPU(), "cores": runtime.GOMAXPROCS(0), "sockets": s.site.sockets, "memory_mb": s.site.memoryMB,
-		"instances": s.site.instances(), "classes": len(s.site.classNames), "backends": s.site.knownBackends(),
+		"version": s.options.Version, "instance": s.config.name, "listen": s.listener.Addr().String(),
+		"cpus": runtime.NumCPU(), "cores": runtime.GOMAXPROCS(0), "sockets": s.config.sockets, "memory_mb": s.config.memoryMB,
+		"instances": s.config.instances(), "classes": len(s.config.classNames), "backends": s.config.knownBackends(),
 	}).Info("start")
 }
 
-// startCore starts the decisions, and the merge of the sources after them: what it restores goes to them at once.
+// startCore starts the decision core and then, if enabled, the source merger. The core has to run first, because the
+// merger passes its restored state to it immediately.
 func (s *Server) startCore() {
 	s.core.Start(func(p policy.Port) *policy.Instance {
-		return policy.New(p, siteconfig.InstanceConfig(s.site.settings, s.site.seed, s.sockets.ClientLimit()))
+		return policy.New(p, siteconfig.InstanceConfig(s.config.settings, s.config.seed, s.sockets.ClientLimit()))
 	})
 	if !s.options.Settings.Sources.Enabled() {
 		return
 	}
 	s.sources = host.New(host.Options{
-		Config: s.options.Settings.Sources, Fleet: s.core, OnAddressReleased: s.upstream.CloseAddress, Seed: s.site.seed + sourcesSeed,
-		Instance: int(s.site.settings.Get("me").Int()), Instances: s.site.instances(),
+		Config: s.options.Settings.Sources, Fleet: s.core, OnAddressReleased: s.upstream.CloseAddress, Seed: s.config.seed + sourcesSeed,
+		Instance: int(s.config.settings.Get("me").Int()), Instances: s.config.instances(),
 	})
 	s.discovery.OnUpdate(s.sources.OnDiscoveryUpdate, s.sources.OnDiscoveryDisconnected)
 }
 
-// applyKnown gives the decisions the endpoints and the release that the configuration holds.
-func (s *Server) applyKnown() error {
-	known := []byte(s.site.configuration.Get("known").Raw)
+// applyInitialState applies the endpoint list and the release update from the configuration.
+func (s *Server) applyInitialState() error {
+	known := []byte(s.config.configuration.Get("known").Raw)
 	if err := s.discovery.Apply(known, httpwire.FromConfiguration, func() {}); err != nil {
 		return fmt.Errorf("known: %w", err)
 	}
-	release := s.site.configuration.Get("pipeline.news")
+	release := s.config.configuration.Get("pipeline.news")
 	field := func(name string) string { return release.Get(name).String() }
 	if err := s.platform.Apply(httpwire.ReadReleaseFields(field)); err != nil {
 		return fmt.Errorf("pipeline.news: %w", err)
