--- a/internal/record/export.go
+++ b/internal/record/export.go
@@ -127,17 +127,17 @@
 )
 
 // NextSource returns the source of the next batch. The arguments report which of the sources have rows to export.
-func (s *ExportScheduler) NextSource(runningWaits, earlierWaits bool) ExportSource {
+func (s *ExportScheduler) NextSource(runningPending, earlierPending bool) ExportSource {
 	switch {
-	case runningWaits && earlierWaits:
+	case runningPending && earlierPending:
 		s.turn = (s.turn + 1) % turnsPerRound
 		if s.turn < runningTurns {
 			return SourceRunning
 		}
 		return SourceEarlier
-	case runningWaits:
+	case runningPending:
 		return SourceRunning
-	case earlierWaits:
+	case earlierPending:
 		return SourceEarlier
 	}
 	return SourceNone
--- a/internal/record/frame.go
+++ b/internal/record/frame.go
@@ -119,11 +119,11 @@
 
 // Encode returns the payload for a SegmentHeader, an Entry, Completions or a Gap.
 func Encode(kind Kind, value any) []byte {
-	text, err := cbor.Marshal(value)
+	encoded, err := cbor.Marshal(value)
 	if err != nil { // can't happen, all types of entry.go can be encoded
 		panic(fmt.Sprintf("record: encode %T: %v", value, err))
 	}
-	return append([]byte{byte(kind)}, text...)
+	return append([]byte{byte(kind)}, encoded...)
 }
 
 // Decode decodes a payload into a *SegmentHeader, *Entry, *Completions or *Gap. Errors wrap ErrCorruptFrame.
--- a/internal/record/frame_test.go
+++ b/internal/record/frame_test.go
@@ -17,7 +17,7 @@
 }
 
 // A frame that is truncated anywhere is short, and a frame with any bit flipped is rejected.
-func TestFrames(t *testing.T) {
+func TestParseFrameRejectsDamage(t *testing.T) {
 	whole := AppendFrame(nil, 7, Digest{1}, Encode(KindGap, Gap{Ordinal: 7, Cause: "x"}))
 	for i := range whole {
 		if _, _, err := ParseFrame(whole[:i]); !errors.Is(err, ErrShortFrame) {
--- a/internal/record/ledger_io.go
+++ b/internal/record/ledger_io.go
@@ -29,7 +29,7 @@
 }
 
 // Idle reports whether there is nothing to do.
-func (s IO) Idle() bool { return !s.NewSegment && len(s.Bytes) == 0 && !s.Sync }
+func (i IO) Idle() bool { return !i.NewSegment && len(i.Bytes) == 0 && !i.Sync }
 
 // NextIO returns the next work. Unless it is idle, Completed must be called when it is done, and NextIO returns no
 // other work until then.
--- a/internal/record/ledger_test.go
+++ b/internal/record/ledger_test.go
@@ -6,7 +6,7 @@
 )
 
 // Whatever I/O fails, confirmed entries are read back exactly once, in order and with their completions.
-func TestFailures(t *testing.T) {
+func TestConfirmedEntriesSurviveFailures(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		fail func(k int, next IO) (int, bool) // k is the number of the I/O
@@ -107,7 +107,7 @@
 }
 
 // Nothing is confirmed before its sync, and entries that are queued together share one sync.
-func TestGroups(t *testing.T) {
+func TestEntriesShareSync(t *testing.T) {
 	l, d := testLedger(largeOptions()), &disk{}
 	for range 5 {
 		l.AddEntry(1, testEntry("x"))
@@ -155,7 +155,7 @@
 }
 
 // While the spool is full, stalled or failing, requests are handled as configured and every response is counted.
-func TestFull(t *testing.T) {
+func TestUnwritableSpool(t *testing.T) {
 	fails := func(IO) (int, bool) { return 0, false }
 	for _, c := range []struct {
 		name   string
@@ -240,7 +240,7 @@
 }
 
 // Without syncs, written entries are confirmed immediately and responses don't wait.
-func TestUnsynced(t *testing.T) {
+func TestConfirmWithoutSync(t *testing.T) {
 	options := largeOptions()
 	options.Sync = false
 	l, d := testLedger(options), &disk{}
@@ -252,7 +252,7 @@
 }
 
 // A clock that is set back neither loses an entry nor delays I/O indefinitely.
-func TestClock(t *testing.T) {
+func TestClockSetBack(t *testing.T) {
 	l, d := testLedger(largeOptions()), &disk{}
 	n, _ := l.AddEntry(1e6, testEntry("x"))
 	d.drain(l, 1e6)
--- a/internal/record/postgres/tls_test.go
+++ b/internal/record/postgres/tls_test.go
@@ -49,7 +49,7 @@
 }
 
 // Each mode accepts exactly the servers that it should.
-func TestTLS(t *testing.T) {
+func TestTLSModes(t *testing.T) {
 	ours, text := certificate(t, "db.internal")
 	other, _ := certificate(t, "db.internal")
 	ca := writeFile(t, string(text))
@@ -101,7 +101,7 @@
 	return tls.Client(here, config).HandshakeContext(ctx)
 }
 
-func TestTLSFiles(t *testing.T) {
+func TestInvalidCAFile(t *testing.T) {
 	for name, file := range map[string]string{
 		"no certificate": writeFile(t, "no certificate"),
 		"missing":        filepath.Join(t.TempDir(), "missing"),
--- a/internal/record/recorder/bench_test.go
+++ b/internal/record/recorder/bench_test.go
@@ -9,7 +9,7 @@
 	"onyxgate/internal/core"
 )
 
-func BenchmarkAnswer(b *testing.B) {
+func BenchmarkResponse(b *testing.B) {
 	for _, c := range []struct{ name, mode, sync string }{
 		{"memory", "memory", "none"},
 		{"spool", "spool", "none"},
@@ -19,13 +19,13 @@
 			b.Run(fmt.Sprintf("%s/%d at once", c.name, atOnce), func(b *testing.B) {
 				config := DefaultConfig()
 				config.Mode, config.Sync, config.Directory, config.MaxSpoolBytes = c.mode, c.sync, b.TempDir(), 64<<30
-				benchmarkAnswer(b, config, atOnce)
+				benchmarkResponse(b, config, atOnce)
 			})
 		}
 	}
 }
 
-func benchmarkAnswer(b *testing.B, config Config, atOnce int) {
+func benchmarkResponse(b *testing.B, config Config, atOnce int) {
 	b.Helper()
 	r, err := New(testOptions(config))
 	if err != nil {
@@ -34,12 +34,12 @@
 	stop := start(r)
 	body := make([]byte, 2000)
 	b.ResetTimer()
-	var left atomic.Int64
-	left.Store(int64(b.N))
+	var remaining atomic.Int64
+	remaining.Store(int64(b.N))
 	var all sync.WaitGroup
 	for range atOnce {
 		all.Go(func() {
-			for left.Add(-1) >= 0 {
+			for remaining.Add(-1) >= 0 {
 				now := r.now()
 				ordinal := r.BeforeResponse(core.Completion{
 					RequestID: "0123456789abcdef", Kind: core.ActionServe, Reason: "answered", Backend: "s-5be2a07c",
--- a/internal/record/recorder/check.go
+++ b/internal/record/recorder/check.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	minSegmentBytes   = 16 << 10
-	minGroupBytes     = 4 << 10
-	minRoomBytes      = 64 << 10
-	minBudgetSegments = 4
-	maxBatchRows      = 5000
+	minSegmentBytes  = 16 << 10
+	minWriteBytes    = 4 << 10
+	minQueuedBytes   = 64 << 10
+	minSpoolSegments = 4
+	maxBatchRows     = 5000
 )
 
 // reportFunc is called for an invalid setting with its key, its value, what is wrong with it, and a valid example.
@@ -62,14 +62,14 @@
 	if c.MaxSegmentBytes < minSegmentBytes {
 		report("record.segment", c.MaxSegmentBytes, "smaller than 16 KiB, too small for a write", `"4MiB"`)
 	}
-	if c.MaxSpoolBytes < minBudgetSegments*c.MaxSegmentBytes {
+	if c.MaxSpoolBytes < minSpoolSegments*c.MaxSegmentBytes {
 		report("record.budget", c.MaxSpoolBytes, fmt.Sprintf("less than four segments of %v", c.MaxSegmentBytes),
-			fmt.Sprintf("%q", minBudgetSegments*c.MaxSegmentBytes))
+			fmt.Sprintf("%q", minSpoolSegments*c.MaxSegmentBytes))
 	}
-	if c.MaxWriteBytes < minGroupBytes || c.MaxWriteBytes > c.MaxSegmentBytes {
+	if c.MaxWriteBytes < minWriteBytes || c.MaxWriteBytes > c.MaxSegmentBytes {
 		report("record.group_bytes", c.MaxWriteBytes, "not between 4 KiB and the segment size", `"256KiB"`)
 	}
-	if c.MaxQueuedBytes < minRoomBytes {
+	if c.MaxQueuedBytes < minQueuedBytes {
 		report("record.room", c.MaxQueuedBytes, "smaller than 64 KiB, too small for a burst of requests", `"2MiB"`)
 	}
 }
--- a/internal/record/recorder/exporter.go
+++ b/internal/record/recorder/exporter.go
@@ -93,9 +93,9 @@
 
 // drain exports as much as possible before ctx is done.
 func (e *exporter) drain(ctx context.Context) {
-	for left := true; left && ctx.Err() == nil; {
+	for remaining := true; remaining && ctx.Err() == nil; {
 		var wait time.Duration
-		if _, wait, left = e.step(ctx); left {
+		if _, wait, remaining = e.step(ctx); remaining {
 			time.Sleep(wait)
 		}
 	}
@@ -103,7 +103,7 @@
 
 // step sends one batch if one is due. It returns the number of bytes sent, how long to wait before the next call, and
 // whether anything may remain to be exported. It must not be called concurrently.
-func (e *exporter) step(ctx context.Context) (sent int64, wait time.Duration, left bool) {
+func (e *exporter) step(ctx context.Context) (sent int64, wait time.Duration, remaining bool) {
 	from, batch, wait := e.nextBatch()
 	if from == nil || wait > 0 {
 		return 0, wait, from != nil
--- a/internal/record/recorder/recorder_test.go
+++ b/internal/record/recorder/recorder_test.go
@@ -27,12 +27,12 @@
 
 // A response waits for its entry to be synced, but no longer than CommitDelay or its remaining time, and not at all if
 // the sync can't be expected to succeed.
-func TestWaits(t *testing.T) {
+func TestBeforeResponseWait(t *testing.T) {
 	for _, c := range []struct {
 		name             string
 		sync             time.Duration // duration of a sync
 		err              error
-		left             float64 // ms
+		timeLeft         float64 // ms
 		minWait, maxWait time.Duration
 		unsynced         uint64
 	}{
@@ -61,7 +61,7 @@
 				failing.Store(true)
 				from, now := time.Now(), r.now()
 				completion := core.Completion{RequestID: "t", Kind: core.ActionServe, Now: now, Body: []byte("b")}
-				ordinal := r.BeforeResponse(completion, now+c.left)
+				ordinal := r.BeforeResponse(completion, now+c.timeLeft)
 				if took := time.Since(from); took < c.minWait || took > c.maxWait {
 					t.Errorf("BeforeResponse took %v, want %v to %v", took, c.minWait, c.maxWait)
 				}
--- a/internal/record/recorder/ship_test.go
+++ b/internal/record/recorder/ship_test.go
@@ -101,7 +101,7 @@
 }
 
 // The store rejects an incarnation that another spool directory exports, and its files are kept.
-func TestForeign(t *testing.T) {
+func TestShipForeign(t *testing.T) {
 	dir := t.TempDir()
 	config := DefaultConfig()
 	config.Mode, config.Directory = "spool", filepath.Join(dir, "spool")
--- a/internal/record/recorder/stored_test.go
+++ b/internal/record/recorder/stored_test.go
@@ -180,9 +180,9 @@
 		}
 		checkStored(t, store, instance, want)
 	}
-	for instance, left := range map[string]int{"n1": 0, "n2": 1} { // the files of a damaged incarnation are kept
-		if in := spool.OpenReadOnly(spool.Disk{}, config.Directory, instance).Incarnations(); len(in) != left {
-			t.Errorf("%s: incarnations left in the spool = %v, want %d", instance, in, left)
+	for instance, want := range map[string]int{"n1": 0, "n2": 1} { // the files of a damaged incarnation are kept
+		if incarnations := spool.OpenReadOnly(spool.Disk{}, config.Directory, instance).Incarnations(); len(incarnations) != want {
+			t.Errorf("%s: incarnations left in the spool = %v, want %d", instance, incarnations, want)
 		}
 	}
 }
--- a/internal/record/recorder/turns.go
+++ b/internal/record/recorder/turns.go
@@ -12,10 +12,10 @@
 // nextIncarnation returns the incarnation to export next, with rows already read, or nil if there is nothing to export.
 // The caller must hold mu.
 func (e *exporter) nextIncarnation() *incarnationReader {
-	runningWaits := e.readRunning()
+	runningPending := e.readRunning()
 	for {
 		e.skipRefused()
-		switch e.scheduler.NextSource(runningWaits, len(e.earlier) > 0) {
+		switch e.scheduler.NextSource(runningPending, len(e.earlier) > 0) {
 		case record.SourceRunning:
 			return e.running
 		case record.SourceEarlier:
@@ -29,7 +29,7 @@
 }
 
 // readRunning reads ahead in the running incarnation and reports whether it has rows to export.
-func (e *exporter) readRunning() (waits bool) {
+func (e *exporter) readRunning() (hasRows bool) {
 	if e.running == nil {
 		return false
 	}
@@ -38,12 +38,12 @@
 		e.logFailure(err, record.ExportUnreachable)
 	}
 	logDefects(e.running)
-	waits = e.running.hasPending()
+	hasRows = e.running.hasPending()
 	e.oldestWaiting = 0
-	if waits && e.running.rows[0].Gap == nil {
+	if hasRows && e.running.rows[0].Gap == nil {
 		e.oldestWaiting = e.running.rows[0].Entry.AnsweredAt
 	}
-	return waits
+	return hasRows
 }
 
 // readEarlier reads ahead in the first of the earlier incarnations and reports whether it could be read.
--- a/internal/record/replay_test.go
+++ b/internal/record/replay_test.go
@@ -29,7 +29,7 @@
 }
 
 // Damage to a spool is detected, and undamaged entries are still read.
-func TestDamage(t *testing.T) {
+func TestReplayDetectsDamage(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		damage  func(d *disk)
@@ -74,7 +74,7 @@
 }
 
 // A frame before any header is a defect. A segment of another incarnation or out of sequence is an error.
-func TestReplayRefuses(t *testing.T) {
+func TestReplayRejectsMisplacedFrames(t *testing.T) {
 	t.Run("frame before any header", func(t *testing.T) {
 		replay := NewReplay()
 		if replay.Apply(Frame{Ordinal: 3, Payload: []byte{0}}); len(replay.Defects) == 0 {
@@ -110,7 +110,7 @@
 }
 
 // FinalThrough never passes an entry without a completion, in whatever order completions are read.
-func TestThrough(t *testing.T) {
+func TestFinalThrough(t *testing.T) {
 	l, d := testLedger(largeOptions()), &disk{}
 	for i := range 4 {
 		l.AddEntry(1, testEntry(fmt.Sprint(i)))
--- a/internal/record/spool/damage_test.go
+++ b/internal/record/spool/damage_test.go
@@ -11,7 +11,7 @@
 )
 
 // Damage in an earlier segment is reported, and everything else is read.
-func TestEdits(t *testing.T) {
+func TestReaderReportsDamage(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		edit    func([]byte) []byte
@@ -35,21 +35,21 @@
 			if len(reader.Replay.Defects) == 0 || reader.Replay.Defects[0].Kind != c.kind {
 				t.Errorf("defects = %v, want the first of kind %s", reader.Replay.Defects, c.kind)
 			}
-			in := 0
+			read := 0
 			for request := range states {
 				if request != "" {
-					in++
+					read++
 				}
 			}
-			if in < 60-c.maxLost || in == 60 && c.kind != "spoilt" {
-				t.Errorf("read %d of 60 entries, want at least %d", in, 60-c.maxLost)
+			if read < 60-c.maxLost || read == 60 && c.kind != "spoilt" {
+				t.Errorf("read %d of 60 entries, want at least %d", read, 60-c.maxLost)
 			}
 		})
 	}
 }
 
 // A tail of zeros, random bytes or an incomplete frame is reported as a torn tail, not as a hole in the durable frames.
-func TestTails(t *testing.T) {
+func TestReaderReportsTornTail(t *testing.T) {
 	for name, tail := range map[string]string{
 		"zeros":            "\x00\x00\x00\x00\x00\x00",
 		"start of a frame": "\x0fox\xf1",
@@ -71,7 +71,7 @@
 
 // If pages reach the disk out of order, the frames that are there are read, and the missing ones are reported as
 // defects.
-func TestReordered(t *testing.T) {
+func TestReaderReportsReorderedPages(t *testing.T) {
 	files := memfs.New()
 	name, _ := writeIncarnation(t, files, 5)
 	var last, before int // offsets of the last two frames
@@ -116,22 +116,22 @@
 			writeFile(t, files, spool.Join("root", "n1", "i", spool.SegmentName(uint64(i+1))), content)
 		}
 		reader := spool.OpenReadOnly(files, "root", "n1").NewReader("i", true)
-		ends := 0
+		completions := 0
 		for calls, more := 0, true; more; calls++ {
 			if calls > 100 {
 				t.Fatalf("reading has not finished after %d calls of Next", calls)
 			}
-			rows, left, err := reader.Next()
+			rows, hasMore, err := reader.Next()
 			for _, row := range rows {
 				if row.State == record.StateAnswered {
-					ends++
+					completions++
 				}
 			}
-			more = left && err == nil
+			more = hasMore && err == nil
 		}
-		if bytes := len(one) + len(two); ends > bytes || reader.Replay.OpenEntries() > bytes {
+		if bytes := len(one) + len(two); completions > bytes || reader.Replay.OpenEntries() > bytes {
 			t.Fatalf("read %d completions and %d open entries from %d bytes, want at most one of each per byte",
-				ends, reader.Replay.OpenEntries(), bytes)
+				completions, reader.Replay.OpenEntries(), bytes)
 		}
 	})
 }
--- a/internal/record/spool/faults_test.go
+++ b/internal/record/spool/faults_test.go
@@ -39,7 +39,7 @@
 
 // Whichever operation fails, and whatever a power failure loses, durable entries are read exactly once with the right
 // state.
-func TestFaults(t *testing.T) {
+func TestDurableEntriesSurviveFaults(t *testing.T) {
 	for _, op := range []string{"none", "create", "write", "sync", "close", "syncdir"} {
 		for every := 2; every <= 5; every++ {
 			t.Run(fmt.Sprint(op, every), func(t *testing.T) { failAndLosePower(t, failEvery(every, op), op != "none") })
--- a/internal/record/spool/segment.go
+++ b/internal/record/spool/segment.go
@@ -48,12 +48,12 @@
 		return header, err
 	}
 	defer file.Close()
-	text := make([]byte, maxHeaderBytes)
-	n, err := file.ReadAt(text, 0)
+	buffer := make([]byte, maxHeaderBytes)
+	n, err := file.ReadAt(buffer, 0)
 	if err != nil && !errors.Is(err, io.EOF) {
 		return header, err
 	}
-	frame, _, err := record.ParseFrame(text[:n])
+	frame, _, err := record.ParseFrame(buffer[:n])
 	if err != nil {
 		return header, err
 	}
--- a/internal/record/spool/spool_test.go
+++ b/internal/record/spool/spool_test.go
@@ -13,7 +13,7 @@
 )
 
 // A reader that follows a writer reads each row once, across new segments and pruning.
-func TestFollow(t *testing.T) {
+func TestReaderFollowsWriter(t *testing.T) {
 	i := newIncarnation(t, memfs.New())
 	reader := i.spool.NewReader(i.writer.Incarnation, false)
 	read, freed := 0, int64(0)
@@ -47,7 +47,7 @@
 }
 
 // On the host's file system, only one process can open a spool, and a copied directory is rejected until it is adopted.
-func TestDisk(t *testing.T) {
+func TestDiskLockAndAdopt(t *testing.T) {
 	root := t.TempDir()
 	s, err := spool.Open(spool.Disk{}, root, "a/b c")
 	if err != nil {
--- a/internal/record/sqlstore/faults_test.go
+++ b/internal/record/sqlstore/faults_test.go
@@ -14,7 +14,7 @@
 )
 
 // Each server failure is mapped to the right export result, and committed rows are stored exactly once.
-func TestServerFails(t *testing.T) {
+func TestPostgresFailures(t *testing.T) {
 	for _, c := range []struct {
 		mode   string
 		result record.ExportResult
@@ -86,7 +86,7 @@
 }
 
 // A locked SQLite file and an unreachable one have different export results, and a newer schema is rejected.
-func TestSQLiteFails(t *testing.T) {
+func TestSQLiteFailures(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "x.db")
 	store := openSQLite(t, file, 0)
 	migrate(t, store)
--- a/internal/record/sqlstore/sqlstore_test.go
+++ b/internal/record/sqlstore/sqlstore_test.go
@@ -13,7 +13,7 @@
 )
 
 // Both stores keep each row once, however often it is put, and return it unchanged.
-func TestStores(t *testing.T) {
+func TestStoresKeepEachRowOnce(t *testing.T) {
 	sqliteStore := openSQLite(t, filepath.Join(t.TempDir(), "a b?.db"), time.Second)
 	postgresStore, _ := newPipeStore(t, filepath.Join(t.TempDir(), "pg"), "right")
 	for name, store := range map[string]*sqlstore.Store{"sqlite": sqliteStore, "postgres": postgresStore} {
