--- a/internal/record/export.go
+++ b/internal/record/export.go
@@ -72,7 +72,8 @@
 	return &ExportScheduler{maxRows: maxRows, maxWait: maxWait, random: random, batchRows: min(maxRows, firstBatchRows)}
 }
 
-// Next returns how many of the waiting rows may be sent now. If it returns 0, no rows may be sent for the next wait ms.
+// Next returns how many of the waiting rows may be sent now. If it returns 0, it should be called again
+// after wait ms, or earlier if more rows arrive.
 func (s *ExportScheduler) Next(now float64, waiting int) (rows int, wait float64) {
 	if waiting == 0 {
 		s.waitingSince = 0
@@ -127,17 +128,17 @@
 )
 
 // NextSource returns the source of the next batch. The arguments report which of the sources have rows to export.
-func (s *ExportScheduler) NextSource(runningWaits, earlierWaits bool) ExportSource {
+func (s *ExportScheduler) NextSource(runningPending, earlierPending bool) ExportSource {
 	switch {
-	case runningWaits && earlierWaits:
+	case runningPending && earlierPending:
 		s.turn = (s.turn + 1) % turnsPerRound
 		if s.turn < runningTurns {
 			return SourceRunning
 		}
 		return SourceEarlier
-	case runningWaits:
+	case runningPending:
 		return SourceRunning
-	case earlierWaits:
+	case earlierPending:
 		return SourceEarlier
 	}
 	return SourceNone
--- a/internal/record/frame.go
+++ b/internal/record/frame.go
@@ -42,7 +42,7 @@
 var (
 	magic      = [4]byte{0x0f, 'o', 'x', 0xf1}
 	castagnoli = crc32.MakeTable(crc32.Castagnoli)
-	// Created on first use, so that instances that don't record don't pay for it.
+	// decodeMode is created on first use, so that instances that don't record don't pay for it.
 	decodeMode = sync.OnceValue(func() cbor.DecMode {
 		mode, err := cbor.DecOptions{MaxArrayElements: 8192, MaxNestedLevels: 4, MaxMapPairs: 16}.DecMode()
 		if err != nil { // can't happen, the options are constant
@@ -61,7 +61,7 @@
 	return chain
 }
 
-// AppendFrame appends a frame to b. The payload must not be longer than MaxPayload.
+// AppendFrame appends a frame to b. The payload must not be empty or longer than MaxPayload.
 func AppendFrame(b []byte, ordinal uint64, chain Digest, payload []byte) []byte {
 	start := len(b)
 	b = append(b, magic[:]...)
@@ -119,11 +119,11 @@
 
 // Encode returns the payload for a SegmentHeader, an Entry, Completions or a Gap.
 func Encode(kind Kind, value any) []byte {
-	text, err := cbor.Marshal(value)
+	encoded, err := cbor.Marshal(value)
 	if err != nil { // can't happen, all types of entry.go can be encoded
 		panic(fmt.Sprintf("record: encode %T: %v", value, err))
 	}
-	return append([]byte{byte(kind)}, text...)
+	return append([]byte{byte(kind)}, encoded...)
 }
 
 // Decode decodes a payload into a *SegmentHeader, *Entry, *Completions or *Gap. Errors wrap ErrCorruptFrame.
