--- a/internal/simadapter/fleet_actions_test.go
+++ b/internal/simadapter/fleet_actions_test.go
@@ -5,8 +5,8 @@
 // This file carries out the actions of the fleet's instances.
 
 // applyAction carries out one action of an instance.
-func (f *fleet) applyAction(k int, name string, fields gjson.Result) {
-	request := f.instances[k].requests[fields.Get("request-id").Str]
+func (f *fleet) applyAction(index int, name string, fields gjson.Result) {
+	request := f.instances[index].requests[fields.Get("request-id").Str]
 	number := func(field string) int { return int(fields.Get(field).Int()) }
 	switch name {
 	case "place":
@@ -20,15 +20,15 @@
 		attempt := number("copy")
 		f.schedule(200, func() { f.finishAttempt(request, attempt, outcomeCanceled) })
 	case "probe":
-		f.startProbe(k, fields.Get("appliance").Str)
+		f.startProbe(index, fields.Get("appliance").Str)
 	case "signal":
-		f.sendMessage(k, number("recipient"), fields.Get("raw").Str)
+		f.sendMessage(index, number("recipient"), fields.Get("raw").Str)
 	case "notify-me":
-		f.setTimer(k, number("label"), fields.Get("after-us").Int())
+		f.setTimer(index, number("label"), fields.Get("after-us").Int())
 	case "stream-changes", "read-list":
-		f.fetchEndpoints(k)
+		f.fetchEndpoints(index)
 	case "say-so":
-		f.receiveVote(k, number("ver"), number("how"), number("wave"))
+		f.receiveVote(index, number("ver"), number("how"), number("wave"))
 	}
 }
 
@@ -42,30 +42,30 @@
 }
 
 // setTimer wakes an instance up after a delay, unless it was killed in the meantime.
-func (f *fleet) setTimer(k, label int, delay int64) {
-	in := f.instances[k]
+func (f *fleet) setTimer(index, label int, delay int64) {
+	in := f.instances[index]
 	seed := in.seed
 	f.schedule(delay, func() {
 		if in.seed == seed {
-			f.send(k, "wakeup", map[string]any{"label": label})
+			f.send(index, "wakeup", map[string]any{"label": label})
 		}
 	})
 }
 
 // fetchEndpoints sends the whole endpoint list, or a failure for one in six requests.
-func (f *fleet) fetchEndpoints(k int) {
+func (f *fleet) fetchEndpoints(index int) {
 	f.schedule(f.randomTime(10*millisecond), func() {
 		if f.discovery.down || f.rng.IntN(6) == 0 {
-			f.sendEndpointsFailed(k)
+			f.sendEndpointsFailed(index)
 			return
 		}
-		f.instances[k].subscribed = true
-		f.sendEndpoints(listSnapshot, k, f.listedBackends()...)
+		f.instances[index].subscribed = true
+		f.sendEndpoints(listSnapshot, index, f.listedBackends()...)
 	})
 }
 
 // startProbe probes the load of a backend.
-func (f *fleet) startProbe(k int, backend string) {
+func (f *fleet) startProbe(index int, backend string) {
 	b, sentAt := f.byID[backend], f.now
 	outcome, took := outcomeServed, 2*millisecond+f.randomTime(3*millisecond*b.slowdown)
 	switch {
@@ -75,7 +75,7 @@
 		outcome, took = outcomeTimedOut, 600*millisecond
 	}
 	f.schedule(took, func() {
-		f.send(k, "checked", map[string]any{
+		f.send(index, "checked", map[string]any{
 			"appliance": backend, "how": outcome, "took-us": f.now - sentAt, "feedback": f.loadReport(b),
 		})
 	})
--- a/internal/simadapter/fleet_faults_test.go
+++ b/internal/simadapter/fleet_faults_test.go
@@ -73,22 +73,22 @@
 
 // killInstance kills an instance, which restarts at once.
 func (f *fleet) killInstance() {
-	k := f.rng.IntN(len(f.instances))
-	f.instances[k].pending = nil
-	f.send(k, "killed", map[string]any{})
-	f.instances[k].running = false
-	f.startInstance(k)
+	index := f.rng.IntN(len(f.instances))
+	f.instances[index].pending = nil
+	f.send(index, "killed", map[string]any{})
+	f.instances[index].running = false
+	f.startInstance(index)
 }
 
-func (f *fleet) startInstance(k int) {
-	in := f.instances[k]
+func (f *fleet) startInstance(index int) {
+	in := f.instances[index]
 	in.running, in.requests, in.subscribed, in.vote = true, map[string]*fleetRequest{}, !f.onSubscription(), voteNone
-	settings := map[string]any{"me": k, "zone": k % max(f.zones, 1)}
+	settings := map[string]any{"me": index, "zone": index % max(f.zones, 1)}
 	maps.Copy(settings, f.settings)
-	f.send(k, "init", map[string]any{"prng": in.seed, "profile-data": settings})
+	f.send(index, "init", map[string]any{"prng": in.seed, "profile-data": settings})
 	in.seed++
-	f.sendEndpoints(listCached, k, f.listedBackends()...)
-	f.schedule(50*millisecond, func() { f.sendRelease(k, 0, voteCounted) })
+	f.sendEndpoints(listCached, index, f.listedBackends()...)
+	f.schedule(50*millisecond, func() { f.sendRelease(index, 0, voteCounted) })
 }
 
 // periodicUpdates sends the state of the newest release and the platform's counts.
--- a/internal/simadapter/fleet_releases_test.go
+++ b/internal/simadapter/fleet_releases_test.go
@@ -240,9 +240,9 @@
 }
 
 // receiveVote responds to a vote. A single vote is enough to roll back a release that is already released.
-func (f *fleet) receiveVote(k, release, verdict, stage int) {
+func (f *fleet) receiveVote(index, release, verdict, stage int) {
 	f.schedule(f.randomTime(30*millisecond), func() {
-		in, r := f.instances[k], &f.rollout
+		in, r := f.instances[index], &f.rollout
 		status := []int{
 			voteCounted, voteCounted, voteCounted, voteCounted, voteCounted, voteError, voteFull, voteUnanswered,
 		}[f.rng.IntN(8)]
@@ -253,7 +253,7 @@
 		if status == voteCounted {
 			in.vote, in.voteStage = verdict, stage
 		}
-		f.sendRelease(k, 1, status)
+		f.sendRelease(index, 1, status)
 		rollsBackReleased := verdict == voteRollback && r.phase == phaseReleased && release == r.release
 		if rollsBackReleased && status == voteCounted {
 			f.setPhase(r.stage, phaseRollingBack)
--- a/internal/simadapter/fleet_requests_test.go
+++ b/internal/simadapter/fleet_requests_test.go
@@ -39,13 +39,13 @@
 }
 
 // nextArrival sends a new request to an instance and schedules the next one.
-func (f *fleet) nextArrival(k int) {
-	f.schedule(f.randomTime(second/(f.rate*f.arrivalFactor)), func() { f.nextArrival(k) })
+func (f *fleet) nextArrival(index int) {
+	f.schedule(f.randomTime(second/(f.rate*f.arrivalFactor)), func() { f.nextArrival(index) })
 	key := ""
 	if f.rng.IntN(4) > 0 { // some keys are much more popular than others
 		key = fmt.Sprint("key/", min(f.rng.IntN(400), f.rng.IntN(400), f.rng.IntN(400)))
 	}
-	f.sendRequest(&fleetRequest{instance: k, class: f.rng.IntN(len(f.streamed)), key: key, try: 1})
+	f.sendRequest(&fleetRequest{instance: index, class: f.rng.IntN(len(f.streamed)), key: key, try: 1})
 }
 
 // sendRequest sends a request under a new ID. One client in forty leaves before its timeout.
@@ -147,8 +147,8 @@
 }
 
 // retry sends the client's next try. Half of the clients do not retry.
-func (f *fleet) retry(r *fleetRequest, harmless bool) {
-	mayRetry := r.try < maxTries && (harmless || r.class == 0)
+func (f *fleet) retry(r *fleetRequest, rejected bool) {
+	mayRetry := r.try < maxTries && (rejected || r.class == 0)
 	if mayRetry && f.rng.IntN(2) == 0 {
 		f.schedule(50*millisecond+f.randomTime(200*millisecond), func() {
 			f.sendRequest(&fleetRequest{instance: r.instance, class: r.class, key: r.key, try: r.try + 1})
--- a/internal/simadapter/fleet_test.go
+++ b/internal/simadapter/fleet_test.go
@@ -193,8 +193,8 @@
 	}
 	for _, group := range gjson.Get(reply, "agents").Array() {
 		name := group.Get("who").Str
-		k := slices.IndexFunc(f.instances, func(in *fleetInstance) bool { return in.name == name })
-		if !f.applyActions(d, k, fmt.Sprintf("%d %s: %s", f.now, name, events[name]), group.Get("out")) {
+		index := slices.IndexFunc(f.instances, func(in *fleetInstance) bool { return in.name == name })
+		if !f.applyActions(d, index, fmt.Sprintf("%d %s: %s", f.now, name, events[name]), group.Get("out")) {
 			return false
 		}
 	}
@@ -202,14 +202,14 @@
 }
 
 // applyActions carries out the actions of one instance. events are the events that caused them.
-func (f *fleet) applyActions(d driver, k int, events string, actions gjson.Result) (more bool) {
+func (f *fleet) applyActions(d driver, index int, events string, actions gjson.Result) (more bool) {
 	more = true
 	actions.ForEach(func(_, action gjson.Result) bool {
 		action.ForEach(func(name, fields gjson.Result) bool {
 			// Log lines are not decisions.
 			more = name.Str == "log" || d.effect(events, action.Raw)
 			if more {
-				f.applyAction(k, name.Str, fields)
+				f.applyAction(index, name.Str, fields)
 			}
 			return more
 		})
--- a/policy/exposure/exposure_test.go
+++ b/policy/exposure/exposure_test.go
@@ -67,18 +67,18 @@
 // sent.
 func spend(t *testing.T, seed uint64, startEmptyUntil, free float64) (sent float64) {
 	t.Helper()
-	chance := rand.New(rand.NewPCG(seed, 1))
+	random := rand.New(rand.NewPCG(seed, 1))
 	allowance := NewAllowance(2, 1)
 	allowance.StartEmptyUntil(startEmptyUntil)
 	allowance.Allows(3, 0, 1000) // creates the balance
 	limit, allowed := 0.5, free
 	for requests := range 400 {
 		if requests%100 == 99 {
-			limit = chance.Float64()
+			limit = random.Float64()
 		}
 		allowance.OnRequest(0, capOf(limit))
 		allowed += limit
-		for chance.IntN(3) == 0 && allowance.Allows(3, 0, 1000) {
+		for random.IntN(3) == 0 && allowance.Allows(3, 0, 1000) {
 			allowance.Use(3, 0, 1000)
 			sent++
 		}
--- a/policy/release/release_test.go
+++ b/policy/release/release_test.go
@@ -16,7 +16,7 @@
 	for _, tc := range []struct {
 		name    string
 		updates []Update
-		of      ID
+		release ID
 		phase   Phase
 		stage   int
 		limit   float64
@@ -54,11 +54,11 @@
 			for _, update := range tc.updates {
 				last = registry.Apply(update)
 			}
-			record := registry.Record(tc.of)
-			limit, limited := registry.Cap(tc.of)
+			record := registry.Record(tc.release)
+			limit, limited := registry.Cap(tc.release)
 			got := fmt.Sprint(record.Phase, record.Stage, limit, limited, last)
 			if want := fmt.Sprint(tc.phase, tc.stage, tc.limit, tc.limited, tc.last); got != want {
-				t.Errorf("release %d: phase, stage, cap, limited, last result = %s, want %s", tc.of, got, want)
+				t.Errorf("release %d: phase, stage, cap, limited, last result = %s, want %s", tc.release, got, want)
 			}
 		})
 	}
@@ -66,7 +66,7 @@
 
 // A release that is listed before its first update counts as being in its first stage. If no update for it ever
 // arrives, the announcement of a later release does not lift its cap.
-func TestListed(t *testing.T) {
+func TestListedBeforeFirstUpdate(t *testing.T) {
 	registry := NewRegistry(0.08)
 	if registry.OnListed(7) {
 		t.Error("OnListed(7) before any announcement = true, want false")
@@ -124,7 +124,7 @@
 
 // Whatever the order and number of updates, each release ends in the furthest phase of its own updates: no phase goes
 // back, a withdrawn release stays closed, and the newest release stays the newest.
-func TestAnyOrder(t *testing.T) {
+func TestUpdatesInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		registry, furthest, newest := NewRegistry(0.08), map[ID]Phase{}, ID(0)
 		for range rapid.IntRange(1, 40).Draw(t, "updates") {
--- a/policy/verdict/evaluator_test.go
+++ b/policy/verdict/evaluator_test.go
@@ -147,20 +147,20 @@
 	fleet.ArrivalRate = 1
 	e.StartRollout(0, 1, false, fleet)
 	e.SetState(2, release.Released, 0)
-	slow := func(from, to, latency float64) {
+	record := func(from, to, latency float64) {
 		for k := range 200 {
 			at := from + (to-from)*float64(k)/200
 			e.Record(1, 0, Outcome{EndedAt: at, Latency: latency, Backend: k % 4}, true, true)
 			e.Record(2, 0, Outcome{EndedAt: at, Latency: latency, Backend: 4 + k%4}, true, true)
 		}
 	}
-	slow(0, 6000, 50)
+	record(0, 6000, 50)
 	e.StartRollout(6000, 2, true, fleet)
 	e.SetState(1, release.RollingOut, 6000)
-	slow(6000, 12000, 150)
+	record(6000, 12000, 150)
 	e.Evaluate(12000, fleet)
 	expect(t, "desired verdict at the start of the saturation", e.desired, NoVerdict)
-	slow(12000, 12000+saturationLimit, 150)
+	record(12000, 12000+saturationLimit, 150)
 	e.Evaluate(12000+saturationLimit, fleet)
 	expect(t, "desired verdict after saturationLimit", e.desired, Rollback)
 	expect(t, "RollbackReason starts with 'saturation: '", strings.HasPrefix(e.RollbackReason(), "saturation: "), true)
--- a/policy/verdict/gates_test.go
+++ b/policy/verdict/gates_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// TestGates compares arms with n outcomes each, whose latencies are 50 to 150 ms. The candidate's latencies are
+// TestCompare compares arms with n outcomes each, whose latencies are 50 to 150 ms. The candidate's latencies are
 // multiplied by slow and a share bad of its outcomes are failures.
-func TestGates(t *testing.T) {
+func TestCompare(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		n           int
@@ -294,7 +294,7 @@
 // The slice gates show non-inferiority by equivalent success shares, by latencies, or by either. Variation between
 // the slices of an arm rules out the comparison that it affects.
 func TestSliceGates(t *testing.T) {
-	none, wild := [5]int{}, [5]int{0, 20, 0, 20, 0}
+	none, uneven := [5]int{}, [5]int{0, 20, 0, 20, 0}
 	same, slower, faster, drifting := [5]float64{100, 100, 100, 100, 100}, [5]float64{160, 160, 160, 160, 160}, [5]float64{60, 60, 60, 60, 60}, [5]float64{100, 200, 300, 400, 500}
 	for _, c := range []struct {
 		name                string
@@ -307,13 +307,13 @@
 		{"equal shares, baseline idle", unevenSlices(none, same), unevenSlices(none, same), true, true, ""},
 		{"equal shares, candidate's latency drifts", unevenSlices(none, drifting), unevenSlices(none, same), false, true, ""},
 		{"equal shares, baseline's latency drifts", unevenSlices(none, same), unevenSlices(none, drifting), false, true, ""},
-		{"candidate's shares uneven, equal latency", unevenSlices(wild, same), unevenSlices(none, same), false, true, ""},
-		{"baseline's shares uneven, equal latency", unevenSlices(none, same), unevenSlices(wild, same), false, true, ""},
-		{"candidate's shares uneven, faster", unevenSlices(wild, faster), unevenSlices(none, same), false, true, ""},
-		{"candidate's shares uneven, baseline idle", unevenSlices(wild, same), unevenSlices(none, same), true, false, ""},
-		{"baseline's shares uneven, baseline idle", unevenSlices(none, same), unevenSlices(wild, same), true, false, ""},
-		{"candidate's shares uneven, its latency drifts", unevenSlices(wild, drifting), unevenSlices(none, same), false, false, ""},
-		{"candidate's shares uneven, baseline's latency drifts", unevenSlices(wild, same), unevenSlices(none, drifting), false, false, ""},
+		{"candidate's shares uneven, equal latency", unevenSlices(uneven, same), unevenSlices(none, same), false, true, ""},
+		{"baseline's shares uneven, equal latency", unevenSlices(none, same), unevenSlices(uneven, same), false, true, ""},
+		{"candidate's shares uneven, faster", unevenSlices(uneven, faster), unevenSlices(none, same), false, true, ""},
+		{"candidate's shares uneven, baseline idle", unevenSlices(uneven, same), unevenSlices(none, same), true, false, ""},
+		{"baseline's shares uneven, baseline idle", unevenSlices(none, same), unevenSlices(uneven, same), true, false, ""},
+		{"candidate's shares uneven, its latency drifts", unevenSlices(uneven, drifting), unevenSlices(none, same), false, false, ""},
+		{"candidate's shares uneven, baseline's latency drifts", unevenSlices(uneven, same), unevenSlices(none, drifting), false, false, ""},
 		{"equal shares, slower: inferior", unevenSlices(none, slower), unevenSlices(none, same), false, false, "latency quantile 0.90"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/policy/verdict/saturation_test.go
+++ b/policy/verdict/saturation_test.go
@@ -97,7 +97,7 @@
 
 // The typical latency is that of the faster backends, or of all backends together if each instance sees few outcomes
 // of each. It is 0 with too few outcomes.
-func TestTypicalLatency(t *testing.T) {
+func TestLatencyInflation(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		latencies []float64 // by backend, for three outcomes each
--- a/policy/verdict/votes_test.go
+++ b/policy/verdict/votes_test.go
@@ -53,7 +53,7 @@
 		accepted Verdict
 		from, to float64 // ms after the response between which the next vote on the same verdict becomes due
 		retry    bool
-		source   string
+		text     string
 	}{
 		{VoteCounted, Promote, 2800, 3600, false, "vote response"},
 		{VoteRefused, NoVerdict, 150, 450, true, "vote response"},
@@ -75,7 +75,7 @@
 				expect(t, "VoteDue just before the earliest time", e.VoteDue(10000+c.from-1), false)
 				expect(t, "VoteDue at the latest time", e.VoteDue(10000+c.to), true)
 			}
-			expect(t, "String of the response", c.response, c.source)
+			expect(t, "String of the response", c.response, c.text)
 		})
 	}
 	expect(t, "String of NotAVote", NotAVote, "release update")
@@ -87,16 +87,16 @@
 	for _, response := range []VoteResponse{VoteCounted, VoteRefused, VoteUnanswered, VoteOutdated} {
 		for _, newest := range []release.ID{2, 3} {
 			t.Run(fmt.Sprint("response ", int(response), ", newest release ", newest), func(t *testing.T) {
-				e, random, same := rollingOut(1), seeded(), seeded()
+				e, random, expected := rollingOut(1), seeded(), seeded()
 				e.desired = Promote
 				e.BeginVote()
 				if newest > 2 {
 					e.StartRollout(10, newest, false, Fleet{Instances: 2})
 				} else {
-					same.Float64()
+					expected.Float64()
 				}
 				e.OnVoteResponse(20, response, random)
-				expect(t, "next random number", random.Uint64(), same.Uint64())
+				expect(t, "next random number", random.Uint64(), expected.Uint64())
 			})
 		}
 	}
