--- a/internal/simadapter/batch.go
+++ b/internal/simadapter/batch.go
@@ -17,7 +17,7 @@
 	ErrIncompleteBatch = errors.New("batch lacks now-us or agents")
 )
 
-// maxPools is the number of endpoint lists that the protocol may store in a process.
+// maxPools is the maximum number of endpoint lists that the protocol stores in a process.
 const maxPools = 16
 
 // host is one process of the simulator: its instances, which share no state, and the endpoint lists that events refer
@@ -28,10 +28,9 @@
 	reply     []byte
 }
 
-// instance holds the decisions of one instance, or nil while it is not started, and the actions written by them
-// during this batch.
+// instance holds the decisions of one instance and the actions that they have written during the current batch.
 type instance struct {
-	policy  *policy.Instance
+	policy  *policy.Instance // nil while the instance is not started
 	actions []byte
 }
 
@@ -49,7 +48,8 @@
 	}
 	now := siteconfig.Milliseconds(clock)
 	h.reply = append(h.reply[:0], `{"agents":[`...)
-	// A pool belongs to the process. It may appear next to the instances or among their events.
+	// A pool, which stores an endpoint list, belongs to the process. It may appear next to the instances or among
+	// their events.
 	batch.ForEach(func(key, value gjson.Result) bool {
 		switch key.Str {
 		case "pool":
--- a/internal/simadapter/events.go
+++ b/internal/simadapter/events.go
@@ -48,8 +48,8 @@
 	}
 )
 
-// handleEvent delivers one event to its instance. If the decisions panic, the message is written as an action, so
-// that the simulated day ends with it and not with a guessed action.
+// handleEvent delivers one event to its instance. If the decisions panic, the panic's message is written as an action.
+// The simulated day then ends with that message, and no action has to be guessed.
 func (h *host) handleEvent(e event, name string) error {
 	defer func() {
 		if text := recover(); text != nil {
@@ -92,7 +92,7 @@
 	slot := e.fields.Get("slot").Int()
 	knownForm := form == "D" || form == "F" || form == "C"
 	if !validSlot(slot) || !knownForm {
-		return &ValueError{Name: "list form", Value: fmt.Sprintf("%q, slot %d", form, slot)}
+		return &ValueError{Name: "list form or slot", Value: fmt.Sprintf("%q, slot %d", form, slot)}
 	}
 	e.instance.policy.OnEndpoints(e.now, policy.EndpointUpdate{
 		Endpoints: e.host.pools[slot], Snapshot: form != "D", Cached: form == "C",
--- a/internal/simadapter/fleet_actions_test.go
+++ b/internal/simadapter/fleet_actions_test.go
@@ -52,7 +52,8 @@
 	})
 }
 
-// fetchEndpoints sends the whole endpoint list, or a failure for one in six requests.
+// fetchEndpoints sends the whole endpoint list and subscribes the instance to changes. It sends a failure instead while
+// discovery is down, and otherwise for one in six requests.
 func (f *fleet) fetchEndpoints(index int) {
 	f.schedule(f.randomTime(10*millisecond), func() {
 		if f.discovery.down || f.rng.IntN(6) == 0 {
--- a/internal/simadapter/fleet_backends_test.go
+++ b/internal/simadapter/fleet_backends_test.go
@@ -114,7 +114,8 @@
 	return backends
 }
 
-// announceBackend sends a change of one backend to every instance, each after its own random delay.
+// announceBackend sends a change of one backend to every instance that receives changes at that time, each after its
+// own random delay.
 func (f *fleet) announceBackend(b *fleetBackend) {
 	for k, in := range f.instances {
 		f.schedule(f.randomTime(200*millisecond), func() {
--- a/internal/simadapter/fleet_releases_test.go
+++ b/internal/simadapter/fleet_releases_test.go
@@ -73,7 +73,7 @@
 	return int(math.Ceil(r.stages[r.stage] * float64(r.backends)))
 }
 
-// setNextDefect chooses the defect of the newest release. Most releases have none.
+// setNextDefect chooses the defect of the newest release. Three of seven releases have none.
 func (r *fleetRollout) setNextDefect() {
 	r.announced++
 	r.defect, r.sharedSlowdown = defect{slowdown: 1}, 1
@@ -139,7 +139,7 @@
 	f.schedule(90*second+f.randomTime(60*second), f.announceRelease)
 }
 
-// fillStage schedules upgrades of backends until the stage has the number that it wants.
+// fillStage schedules one upgrade for each backend that the current stage lacks.
 func (f *fleet) fillStage() {
 	if f.rollout.isClosed() {
 		return
@@ -188,7 +188,8 @@
 	}
 }
 
-// countVotes promotes the newest release or rolls it back according to the accepted votes.
+// countVotes promotes the newest release or rolls it back according to the accepted votes. In a timed rollout, a stage
+// is also promoted after a fixed time.
 func (f *fleet) countVotes() {
 	f.schedule(500*millisecond, f.countVotes)
 	r := &f.rollout
--- a/internal/simadapter/fleet_requests_test.go
+++ b/internal/simadapter/fleet_requests_test.go
@@ -16,7 +16,7 @@
 	outcomeNotSent
 )
 
-const maxTries = 3 // tries of one client
+const maxTries = 3 // maximum number of tries of one client
 
 // clientTimeouts are the times (us) after which a client leaves in its first, second and third try.
 var clientTimeouts = [maxTries]int64{4000 * millisecond, 2500 * millisecond, 1200 * millisecond}
@@ -30,7 +30,7 @@
 type fleetRequest struct {
 	id       string
 	instance int
-	seed     uint64 // incarnation of the instance that accepted the request
+	seed     uint64 // seed of the instance when it accepted the request, which identifies its incarnation
 	class    int
 	key      string
 	closed   bool // answered, or the client has left
@@ -146,7 +146,8 @@
 	}
 }
 
-// retry sends the client's next try. Half of the clients do not retry.
+// retry sends the client's next try. Half of the clients do not retry. A request that was not rejected, but failed, is
+// only retried if it is of class 0.
 func (f *fleet) retry(r *fleetRequest, rejected bool) {
 	mayRetry := r.try < maxTries && (rejected || r.class == 0)
 	if mayRetry && f.rng.IntN(2) == 0 {
--- a/internal/simadapter/fleet_test.go
+++ b/internal/simadapter/fleet_test.go
@@ -51,7 +51,7 @@
 type fleetInstance struct {
 	name       string
 	running    bool
-	seed       uint64   // of the current incarnation; it changes with each start
+	seed       uint64   // changes with each start, and so identifies the incarnation
 	pending    []string // events of the next batch
 	requests   map[string]*fleetRequest
 	subscribed bool
@@ -145,7 +145,7 @@
 // driver connects the fleet to the adapter under test.
 type driver struct {
 	answer func(batch string) (reply string)
-	effect func(events, action string) (more bool) // called with each action but log lines; false ends the run
+	effect func(events, action string) (more bool) // called for each action except log lines; false ends the run
 }
 
 // run sends batch after batch and carries out the actions in the replies.
--- a/internal/simadapter/replay_test.go
+++ b/internal/simadapter/replay_test.go
@@ -9,8 +9,8 @@
 	"onyxgate/internal/fake/replay"
 )
 
-// The adapter's replies to an hour of simulated days are identical to the recordings, byte for byte. A behavior
-// change caused by moving code is reported with the first effect that differs.
+// The adapter's replies to about an hour of simulated time are identical to the recordings, byte for byte. If moving
+// code changes the behavior, the test reports the first effect that differs.
 func TestReplay(t *testing.T) {
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
--- a/internal/simadapter/simadapter.go
+++ b/internal/simadapter/simadapter.go
@@ -17,9 +17,10 @@
 // bufferSize (bytes) is large enough for a typical batch or reply.
 const bufferSize = 1 << 20
 
-// Serve reads batches from r and writes a reply to each of them to w. It returns nil at the end of r. An error ends
-// the service and names the line that could not be read or handled. With errors.Is and errors.As it matches
-// ErrNotJSON, ErrIncompleteBatch, ErrNotStarted, ErrUnknownEvent, *ValueError or the error of r or w.
+// Serve reads batches from r and writes a reply to each of them to w. It returns nil at the end of r and stops at the
+// first error. The error names the line that could not be read or handled, unless a reply could not be written. With
+// errors.Is and errors.As it matches ErrNotJSON, ErrIncompleteBatch, ErrNotStarted, ErrUnknownEvent, *ValueError or the
+// error of r or w.
 func Serve(r io.Reader, w io.Writer) error {
 	in, out := bufio.NewReaderSize(r, bufferSize), bufio.NewWriterSize(w, bufferSize)
 	h := newHost()
@@ -44,8 +45,8 @@
 	}
 }
 
-// holdsBatch reports whether a line contains a batch. The rest after the last newline does if it is longer than one
-// byte.
+// holdsBatch reports whether a line has to be handled as a batch. A line that ends in a newline always is one; the
+// remainder after the last newline is one only if it is longer than a byte.
 func holdsBatch(line []byte, atEnd bool) bool {
 	if atEnd {
 		return len(line) > 1
--- a/internal/simadapter/simadapter_test.go
+++ b/internal/simadapter/simadapter_test.go
@@ -61,19 +61,19 @@
 		{"not started", requestBatch, "line 1: agent_0, knock: event for an instance that is not started", ErrNotStarted, ValueError{}},
 		{"unknown event", initBatch + eventBatch(`{"storm":{}}`), "line 2: agent_0, storm: unknown event", ErrUnknownEvent, ValueError{}},
 		{"unknown event, not started", eventBatch(`{"storm":{}}`), "line 1: agent_0, storm: event for an instance that is not started", ErrNotStarted, ValueError{}},
-		{"outcome", initBatch + eventBatch(`{"done":{"how":9}}`), "line 2: agent_0, done: outcome 9", nil, ValueError{"outcome", "9"}},
-		{"no outcome", initBatch + eventBatch(`{"done":{}}`), "line 2: agent_0, done: outcome 0", nil, ValueError{"outcome", "0"}},
-		{"phase", initBatch + eventBatch(`{"promotion":{"standing":4}}`), "line 2: agent_0, promotion: standing 4", nil, ValueError{"standing", "4"}},
-		{"pool's slot", initBatch + eventBatch(`{"pool":{"slot":16}}`), "line 2: agent_0, pool: slot 16", nil, ValueError{"slot", "16"}},
+		{"outcome", initBatch + eventBatch(`{"done":{"how":9}}`), "line 2: agent_0, done: outcome not defined by the protocol: 9", nil, ValueError{"outcome", "9"}},
+		{"no outcome", initBatch + eventBatch(`{"done":{}}`), "line 2: agent_0, done: outcome not defined by the protocol: 0", nil, ValueError{"outcome", "0"}},
+		{"phase", initBatch + eventBatch(`{"promotion":{"standing":4}}`), "line 2: agent_0, promotion: standing not defined by the protocol: 4", nil, ValueError{"standing", "4"}},
+		{"pool's slot", initBatch + eventBatch(`{"pool":{"slot":16}}`), "line 2: agent_0, pool: slot not defined by the protocol: 16", nil, ValueError{"slot", "16"}},
 		{
 			"list's slot", initBatch + eventBatch(`{"backends-changed":{"form":"D","slot":-1}}`),
-			`line 2: agent_0, backends-changed: list form "D", slot -1`, nil,
-			ValueError{"list form", `"D", slot -1`},
+			`line 2: agent_0, backends-changed: list form or slot not defined by the protocol: "D", slot -1`, nil,
+			ValueError{"list form or slot", `"D", slot -1`},
 		},
 		{
 			"list's form", initBatch + eventBatch(`{"backends-changed":{"form":"Z","slot":3}}`),
-			`line 2: agent_0, backends-changed: list form "Z", slot 3`, nil,
-			ValueError{"list form", `"Z", slot 3`},
+			`line 2: agent_0, backends-changed: list form or slot not defined by the protocol: "Z", slot 3`, nil,
+			ValueError{"list form or slot", `"Z", slot 3`},
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/simadapter/values.go
+++ b/internal/simadapter/values.go
@@ -32,7 +32,7 @@
 }
 
 // Error implements error.
-func (e *ValueError) Error() string { return e.Name + " " + e.Value }
+func (e *ValueError) Error() string { return e.Name + " not defined by the protocol: " + e.Value }
 
 func newValueError(name string, value int64) *ValueError {
 	return &ValueError{Name: name, Value: strconv.FormatInt(value, 10)}
--- a/policy/exposure/affinity.go
+++ b/policy/exposure/affinity.go
@@ -28,8 +28,8 @@
 // counts as answered by the release, because forgetting a key could send it to an earlier release.
 const maxKeys = 1 << 18
 
-// Affinity tracks which releases have answered a key or may be about to. Such a key is not sent to an earlier release
-// until the release that answered it is rolled back.
+// Affinity tracks which releases have answered a key or may be about to. Such a key must not be sent to an earlier
+// release until the release that answered it is rolled back.
 type Affinity struct {
 	answered    map[release.ID]*keySet
 	pending     map[release.ID]map[Key]int // open attempts by release and key
@@ -128,8 +128,9 @@
 	a.version++
 }
 
-// ForgetBefore drops the keys of all releases before the given one, as none of them is expected to return. If a
-// backend of an even older release does return, it gets no requests with a key.
+// ForgetBefore drops the keys of all releases before the given one, as none of them is expected to return. The latest
+// of those releases then counts as having answered every key, so a backend of an even older release that does return
+// gets no requests with a key. Open attempts still count.
 func (a *Affinity) ForgetBefore(release release.ID) {
 	for r := range a.answered {
 		if r < release {
--- a/policy/exposure/allowance.go
+++ b/policy/exposure/allowance.go
@@ -18,8 +18,8 @@
 	return &Allowance{freeAttempts: freeAttempts, buckets: max(buckets, 1), balances: map[release.ID][]float64{}}
 }
 
-// StartEmptyUntil makes balances that are created before the given time (ms) start without the free attempts, which
-// the previous process may have used within the same window.
+// StartEmptyUntil makes balances that are created before the given time (ms) start without the free attempts, because
+// the previous process may already have used them in the window over which attempts are counted.
 func (a *Allowance) StartEmptyUntil(until float64) { a.startEmptyUntil = until }
 
 // balance returns the balances of a release, by bucket. They are created on first use, holding the free attempts.
@@ -37,12 +37,12 @@
 	return balance
 }
 
-// Allows reports whether one more attempt may go to a release.
+// Allows reports whether one more attempt may go to a release under a cap, by the balance of the bucket.
 func (a *Allowance) Allows(release release.ID, bucket int, now float64) bool {
 	return a.balance(release, now)[bucket] >= 1
 }
 
-// Use subtracts one attempt at a release.
+// Use subtracts one attempt at a release from the balance of the bucket.
 func (a *Allowance) Use(release release.ID, bucket int, now float64) {
 	a.balance(release, now)[bucket]--
 }
@@ -52,7 +52,7 @@
 	Cap(release release.ID) (limit float64, limited bool)
 }
 
-// OnRequest credits one accepted request to every release under a cap.
+// OnRequest credits one accepted request to every release that has a balance and is under a cap.
 func (a *Allowance) OnRequest(bucket int, caps Caps) {
 	for release, balance := range a.balances { // the balances are independent, so map order does not matter
 		if share, limited := caps.Cap(release); limited {
--- a/policy/gossip/gossip.go
+++ b/policy/gossip/gossip.go
@@ -22,8 +22,8 @@
 // RecordSize is the encoded length of one summary, in bytes.
 const RecordSize = 14
 
-// latencyLimit (ms) bounds the latencies that Decode accepts. Encode never writes a record whose latency is this
-// high, negative or not a number.
+// latencyLimit (ms) bounds the latencies that Decode accepts. No attempt has a latency that is this high, negative or
+// not a number, so a record with one is damaged.
 const latencyLimit = 1e9
 
 const (
@@ -34,7 +34,7 @@
 // Summary is the outcome of one attempt.
 type Summary struct {
 	BackendHash      uint32 // BackendHash of the backend's ID, as indices differ between instances
-	Release          int
+	Release          int    // only the lowest 16 bits are encoded
 	Class            int
 	Failed           bool
 	ConnectionBroken bool
@@ -42,7 +42,7 @@
 	EndedAt          float64 // ms, by the clock of the instance that holds the summary
 }
 
-// BackendHash returns the identifier of a backend in summaries, a hash of its ID.
+// BackendHash returns the identifier of a backend in summaries: the 32-bit FNV-1a hash of its ID.
 func BackendHash(id string) uint32 {
 	hash := fnv.New32a()
 	hash.Write([]byte(id))
--- a/policy/release/release.go
+++ b/policy/release/release.go
@@ -5,20 +5,21 @@
 // not depend on backends, requests, a clock or the wire protocol. A Registry is not safe for concurrent use.
 //
 // Updates arrive in any order from several sources: notices, vote responses and the configuration. Updates of one
-// release are ordered by phase, then by stage; if both are equal, the lower cap wins. An update that would move a
-// release back is ignored, however recent it claims to be: the reported age does not include the time that the update
-// spent in transit. Records are never deleted, because losing the record of a withdrawn release would reopen it.
+// release are ordered by phase and, while it is rolling out, by stage; if these are equal, the lower cap wins. An
+// update that would move a release back is ignored, however recent it claims to be: the reported age does not include
+// the time that the update spent in transit. Records are never deleted, because losing the record of a withdrawn
+// release would reopen it.
 package release
 
 // ID identifies a release. Later releases have higher IDs.
 type ID int
 
 // Unknown is the release of a backend whose release no source has reported. It could be any release, so the strictest
-// rules apply: the backend may only get the traffic of a release in its first stage, its answers bind keys as answers
-// of the latest release do, and it may only serve keys that the oldest release may serve.
+// rules apply: the backend may only get the traffic of a release in its first stage, a key that it has answered counts
+// as answered by the latest release, and it may only serve keys that the oldest release may serve.
 const Unknown ID = 1 << 30
 
-// Phase is the phase of a rollout.
+// Phase is a step in the life cycle of a release.
 type Phase uint8
 
 // The phases of a release.
@@ -49,12 +50,12 @@
 }
 
 // Record is the known state of one release. A release without an update, of which only backends are known, is treated
-// as being in its first stage.
+// as being in its first stage, unless the fleet ran it before the newest release.
 type Record struct {
 	Update
 	Announced bool // an update has been received
-	// Superseded reports that a later release was announced before an update ended this one. Either it was withdrawn
-	// by then, or its last update was missed.
+	// Superseded is set if a later release was announced before an update reported this one as released or withdrawn.
+	// Either it was withdrawn by then, or its last update was missed.
 	Superseded bool
 }
 
@@ -77,7 +78,8 @@
 	firstStageCap float64 // cap of the first stage
 }
 
-// NewRegistry returns an empty Registry. firstStageCap is the cap of releases that have no update yet.
+// NewRegistry returns an empty Registry. firstStageCap is the cap of a release that has no update yet and counts as
+// being in its first stage.
 func NewRegistry(firstStageCap float64) *Registry {
 	return &Registry{records: map[ID]*Record{}, firstStageCap: firstStageCap}
 }
@@ -103,8 +105,8 @@
 	return release
 }
 
-// LatestIfUnknown returns the release to which a backend's answer binds a key: the given release, or the latest known
-// one if it is Unknown.
+// LatestIfUnknown returns the release that counts as having answered a key after a backend has answered it: the given
+// release, or the latest known one if it is Unknown.
 func (reg *Registry) LatestIfUnknown(release ID) ID {
 	if release != Unknown {
 		return release
@@ -116,7 +118,8 @@
 	return latest
 }
 
-// Record returns a copy of the record of a release.
+// Record returns a copy of the record of a release. A release without a record counts as released if it predates the
+// rollout, and otherwise as being in its first stage.
 func (reg *Registry) Record(release ID) Record {
 	if r := reg.records[release]; r != nil {
 		return *r
@@ -128,8 +131,8 @@
 	return Record{Update: first}
 }
 
-// predatesRollout reports whether a release without a record ran in the fleet before the newest release arrived, and
-// so is being replaced by it.
+// predatesRollout reports whether a release without a record counts as having run in the fleet before the rollout: it
+// is earlier than the newest release or, before any is announced, not later than the oldest listed one.
 func (reg *Registry) predatesRollout(release ID) bool {
 	return reg.hasNewest && release < reg.newest || !reg.hasNewest && release <= reg.oldestListed
 }
@@ -148,8 +151,8 @@
 	return change
 }
 
-// OnListed registers a release that a listed backend runs. It returns true if the release is later than the newest
-// announced one and was not known before, that is, if its first update is still to come.
+// OnListed handles a release that a listed backend runs. If the release is later than the newest announced one and has
+// no record, its first update is still to come: OnListed adds a record in the first stage and returns true.
 func (reg *Registry) OnListed(release ID) (early bool) {
 	if release == Unknown || reg.records[release] != nil || !reg.hasNewest || release <= reg.newest {
 		return false
@@ -158,7 +161,8 @@
 	return true
 }
 
-// applyFirst applies the first update of a release and supersedes all earlier releases that have not ended.
+// applyFirst applies the first update of a release. A release that is later than all announced ones becomes the newest
+// and supersedes the earlier ones that have not ended. Otherwise the release itself is superseded.
 func (reg *Registry) applyFirst(u Update) {
 	r := &Record{Update: u, Announced: true}
 	if u.Phase == Withdrawn {
@@ -208,9 +212,9 @@
 	}
 }
 
-// InferReleased marks a superseded release as released. It is called for a release that runs on most of the backends
-// with earlier releases: it must have been released and the update missed, because a release that is rolled back
-// never gets that far.
+// InferReleased marks a superseded release as released. It is called for a release that runs on most of those backends
+// whose release is earlier than the newest. It must have been released and the update missed, because a release that
+// is rolled back never gets that far.
 func (reg *Registry) InferReleased(release ID) {
 	if r := reg.records[release]; r != nil && r.Superseded && r.Phase == RollingOut {
 		r.Phase, r.Cap, r.Superseded = Released, 1, false
@@ -229,7 +233,8 @@
 	return reg.firstStageCap, true
 }
 
-// IsClosed reports whether a release is rolling back or withdrawn. Answers of a closed release bind no keys.
+// IsClosed reports whether a release is rolling back or withdrawn. Answers of a closed release do not restrict which
+// releases may serve a key.
 func (reg *Registry) IsClosed(release ID) bool {
 	p := reg.Record(release).Phase
 	return p == RollingBack || p == Withdrawn
@@ -241,7 +246,8 @@
 	return reg.hasNewest && (release == reg.newest || release < reg.newest && reg.Record(release).Phase == Released)
 }
 
-// Baseline returns the latest release before the newest announced one that was released, or 0 if there is none.
+// Baseline returns the latest release that is earlier than the newest announced one and is known to be released, or 0
+// if there is none.
 func (reg *Registry) Baseline() (base ID) {
 	for release, r := range reg.records {
 		if release < reg.newest && r.Phase == Released {
--- a/policy/release/release_test.go
+++ b/policy/release/release_test.go
@@ -65,7 +65,7 @@
 }
 
 // A release that is listed before its first update counts as being in its first stage. If no update for it ever
-// arrives, the announcement of a later release does not lift its cap.
+// arrives, the announcement of a later release does not lift its cap, but InferReleased does.
 func TestListedBeforeFirstUpdate(t *testing.T) {
 	registry := NewRegistry(0.08)
 	if registry.OnListed(7) {
@@ -122,8 +122,8 @@
 	}
 }
 
-// Whatever the order and number of updates, each release ends in the furthest phase of its own updates: no phase goes
-// back, a withdrawn release stays closed, and the newest release stays the newest.
+// Whatever the order and number of updates, no release is in a lower phase than its furthest update, a withdrawn
+// release stays closed, and the newest release stays the newest.
 func TestUpdatesInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		registry, furthest, newest := NewRegistry(0.08), map[ID]Phase{}, ID(0)
--- a/policy/verdict/evaluator.go
+++ b/policy/verdict/evaluator.go
@@ -14,11 +14,11 @@
 	// stageClockMargin (ms) is added for the inaccuracy of the clocks that report these starts.
 	minStageTime     = 3000
 	stageClockMargin = 550
-	// maxEvidenceWait (ms) after the start of its last backend, a stage with too few outcomes is promoted unless a
-	// regression was found.
+	// maxEvidenceWait (ms) is how long after the start of its last backend a stage with too few outcomes waits for
+	// more of them. It may then be promoted unless a regression was found.
 	maxEvidenceWait = 4000
-	// stalledStageAfter (ms) after its start, a stage is evaluated with the backends that are listed, even if they
-	// are too few.
+	// stalledStageAfter (ms) is how long after its start a stage waits for all of its backends. It is then evaluated
+	// with those that are listed.
 	stalledStageAfter = 10000
 	// stagePlacesMargin is the number of backends by which a stage may fall short of its share of the places. It
 	// absorbs rounding errors.
@@ -30,8 +30,8 @@
 	// soloEvaluationDelay (ms) is how long the other instances wait for the evaluators to promote a stage.
 	soloEvaluationDelay = 2000
 
-	// fleetErrorProbability is the probability that as many instances as a rollback needs are wrong about a release
-	// at the same time.
+	// fleetErrorProbability is the accepted probability that as many instances as a rollback needs are wrong about a
+	// release at the same time.
 	fleetErrorProbability = 0.04
 	// maxErrorProbability is the upper limit on the error probability of one instance. The errors of instances are
 	// not independent, because the same fault can affect many of them.
@@ -57,7 +57,7 @@
 	Places             int     // number of running backends when the rollout began
 	CandidateBackends  int     // running backends of the newest release
 	LastCandidateStart float64 // ms, latest start of a candidate backend
-	BaselineIdle       bool    // in the last stage only the candidate receives traffic
+	BaselineIdle       bool    // only the candidate receives traffic, as in the last stage
 }
 
 // isEvaluator reports whether this instance evaluates on behalf of the fleet. The evaluators are always the same few
@@ -82,7 +82,7 @@
 	saturation saturation
 
 	desired        Verdict
-	rollbackReason string // why the latest evaluation wanted a rollback
+	rollbackReason string // regression found when the gates were last run
 	voteState      voteState
 }
 
@@ -105,8 +105,8 @@
 // Stage returns the stage of the newest release, from 0.
 func (e *Evaluator) Stage() int { return e.stage }
 
-// RollbackReason returns the reason why the latest evaluation wants a rollback, for logs. It is empty if it wants
-// none.
+// RollbackReason returns, for logs, the regression that the gates found when they were last run, or "" if they found
+// none. It does not change while no gates are run, for example during a rollback.
 func (e *Evaluator) RollbackReason() string { return e.rollbackReason }
 
 // OutcomeCount returns the number of stored outcomes of an arm, over all classes.
@@ -126,8 +126,9 @@
 	e.evidence.add(arm, class, outcome, warm)
 }
 
-// MarkFailed turns a recorded success into a failure after its answer turned out to be wrong: the latest success of
-// the backend that was sent within a millisecond of sentAt.
+// MarkFailed turns a recorded success into a failure after its answer turned out to be wrong. It marks the latest
+// success of the class on the backend that was sent within a millisecond of sentAt, if there is one. The send time of
+// an outcome is taken to be its end minus its latency per unit of work.
 func (e *Evaluator) MarkFailed(class, backend int, sentAt float64) {
 	e.evidence.markFailed(class, backend, sentAt)
 }
@@ -150,8 +151,8 @@
 	e.stageStarted, e.desired, e.voteState.accepted = false, NoVerdict, NoVerdict
 }
 
-// SetState sets the stage and phase of the newest release and the time (ms) since which both have applied. A verdict
-// on one stage does not carry over to the next.
+// SetState sets the stage and phase of the newest release and the time (ms) since which both have applied. It does
+// nothing if neither has changed. A verdict on one stage does not carry over to the next.
 func (e *Evaluator) SetState(stage int, phase release.Phase, since float64) {
 	if stage == e.stage && phase == e.phase {
 		return
@@ -161,8 +162,8 @@
 	e.stageStarted, e.desired = false, NoVerdict
 }
 
-// Evaluate runs the gates and updates the desired verdict. A desired rollback stays until the release is rolling back
-// or another stage begins.
+// Evaluate runs the gates and updates the desired verdict. A desired rollback stays until the stage or phase changes
+// or another release is announced.
 func (e *Evaluator) Evaluate(now float64, fleet Fleet) {
 	ended := !e.announced || e.phase == release.RollingBack || e.phase == release.Withdrawn
 	if e.desired == Rollback && !ended {
@@ -189,7 +190,7 @@
 }
 
 // mayEvaluateStage reports whether the stage has, or has had, as many backends as it should, or has waited long
-// enough for them. The platform may round the number of backends differently.
+// enough for them. The platform may round the number of backends differently, so a stage may never get as many.
 func (e *Evaluator) mayEvaluateStage(now float64, fleet Fleet) bool {
 	wantedBackends := e.settings.Stages[e.stage] * float64(fleet.Places)
 	e.stageStarted = e.stageStarted || float64(fleet.CandidateBackends) > wantedBackends-stagePlacesMargin
@@ -240,7 +241,7 @@
 	return append(slices.Clone(classes), poolClasses(classes))
 }
 
-// errorProbability returns the probability with which one instance may be wrong in wanting a rollback. It is small if
+// errorProbability returns the accepted probability that an instance wrongly wants a rollback. It is small if
 // few votes of many instances suffice for a rollback, and larger if many instances, each of which observes little,
 // have to agree.
 func errorProbability(rollbackVotes int, fleet Fleet) float64 {
--- a/policy/verdict/evaluator_test.go
+++ b/policy/verdict/evaluator_test.go
@@ -8,8 +8,8 @@
 	"onyxgate/policy/release"
 )
 
-// recordOutcomes records count outcomes of each arm with equal latencies. If failEvery is not 0, every failEvery-th
-// outcome of the candidate is a failure.
+// recordOutcomes records count outcomes of each arm, evenly spread between two times (ms). Both arms have the same
+// latencies. If failEvery is not 0, every failEvery-th outcome of the candidate is a failure.
 func recordOutcomes(e *Evaluator, from, to float64, count, failEvery int) {
 	for k := range count {
 		at := from + (to-from)*float64(k)/float64(count)
@@ -61,7 +61,7 @@
 			e.SetState(c.stage, c.phase, 0)
 			failEvery := 0
 			if c.bad {
-				failEvery = 3 // not a divisor of the number of backends
+				failEvery = 3 // spreads the failures over all four backends
 			}
 			recordOutcomes(e, 0, c.now, 200, failEvery)
 			fleet := steadyFleet
@@ -75,7 +75,7 @@
 	}
 }
 
-// No verdict is desired before a release is announced.
+// TestEvaluateUnannounced checks that no verdict is desired before a release is announced.
 func TestEvaluateUnannounced(t *testing.T) {
 	e := New(Settings{Classes: 1, Stages: []float64{1}, Control: ControlMajority, RollbackVotes: 1})
 	e.Evaluate(50000, steadyFleet)
--- a/policy/verdict/evidence.go
+++ b/policy/verdict/evidence.go
@@ -40,7 +40,7 @@
 	Backend          int  // index of the backend, assigned by the caller
 
 	relativeLatency float64 // latency divided by the mean latency of its class
-	comparable      bool    // the latency is used in comparisons: the attempt succeeded on a warm or steady backend
+	comparable      bool    // the latency is used in comparisons: recorded as a success on a warm or steady backend
 }
 
 // evidence holds the outcomes of both arms by class, in order of time.
@@ -57,8 +57,8 @@
 	}
 }
 
-// add records an outcome. warm is set if its backend has finished its warm-up. An outcome of an unrelated release
-// only updates the usual latencies of the class and the backend and is not stored.
+// add records an outcome. warm is set if its backend has finished its warm-up. An outcome of an unrelated release is
+// not stored, but it updates the mean latency of the class and the steady-state check of the backend.
 func (e *evidence) add(arm Arm, class int, outcome Outcome, warm bool) {
 	mean := &e.meanLatency[class]
 	if *mean == 0 {
@@ -106,7 +106,8 @@
 	return math.Abs(first-second) <= latencyZone*max(first, second)
 }
 
-// markFailed turns the latest success of a backend that was sent within a millisecond of sentAt into a failure.
+// markFailed turns the latest success of a class and backend that was sent within a millisecond of sentAt into a
+// failure. It searches the baseline first, and takes the send time to be the end minus the latency.
 func (e *evidence) markFailed(class, backend int, sentAt float64) {
 	for arm := range e.outcomes {
 		outcomes := e.outcomes[arm][class]
--- a/policy/verdict/gates.go
+++ b/policy/verdict/gates.go
@@ -31,8 +31,8 @@
 	// maxSliceVariation is the maximum coefficient of variation of the success shares of an arm's slices for which
 	// the shares of the arms are compared.
 	maxSliceVariation = 0.15
-	// minSlowerQuantiles is the number of latencyQuantiles that must be slower for a regression. One of several
-	// quantiles that are checked often is slower by chance.
+	// minSlowerQuantiles is the number of latencyQuantiles that must be slower for a regression. They are compared
+	// often, and a single one can be slower by chance.
 	minSlowerQuantiles = 2
 
 	// latencyErrorDivisor divides the error probability of the failure gate to give that of each latency gate.
@@ -44,8 +44,8 @@
 	// minFailuresWithBreaks is the number of failures of the candidate below which broken connections do not count,
 	// as the network may be their cause.
 	minFailuresWithBreaks = 3
-	// minFailuresPlusVotes determines the minimum number of failures for a rollback: this number less one for each
-	// vote that a rollback needs, but at least one.
+	// minFailuresPlusVotes is the minimum sum of the candidate's failures and the votes that a rollback needs. However
+	// many votes are needed, there must be at least one failure.
 	minFailuresPlusVotes = 4
 )
 
@@ -75,8 +75,8 @@
 	candidate, baseline []Outcome
 }
 
-// compare runs all gates for one class: first the failure gate, which needs the fewest outcomes, then the latency
-// gates.
+// compare runs the gates for one class and stops at the first regression. The failure gate, which needs the fewest
+// outcomes, comes first. With fewer than minSample outcomes in an arm, only smallSampleLatencyGate follows it.
 func compare(candidate, baseline []Outcome, gateCriteria criteria) Comparison {
 	c := comparison{criteria: gateCriteria, candidate: candidate, baseline: baseline}
 	if c.failsMore() {
@@ -92,11 +92,12 @@
 	return c.sliceGates()
 }
 
-// failsMore is the failure gate. It reports whether the candidate's share of failures is higher than the baseline's,
-// based on a posterior distribution that is also meaningful below the minimum sample and without failures.
+// failsMore is the failure gate. It reports whether, with the required certainty, the candidate's share of failures
+// exceeds the baseline's by more than successShareZone plus the variation between backends. It uses a posterior
+// distribution, which is also meaningful below the minimum sample and without failures.
 func (c comparison) failsMore() bool {
 	candidate, baseline := c.candidate, c.baseline
-	if c.rollbackVotes < manyVotes && backendCount(candidate) >= minPerBackend { // ignores a single faulty backend
+	if c.rollbackVotes < manyVotes && backendCount(candidate) >= minPerBackend { // one faulty backend is not the release's fault
 		candidate = withoutWorstBackend(candidate)
 	}
 	failures, baselineFailures := failureCount(candidate), failureCount(baseline)
@@ -130,8 +131,9 @@
 	return latencies(outcomesSince(c.baseline, c.candidate))
 }
 
-// smallSampleLatencyGate detects a much slower candidate with few outcomes. Of hundreds of instances, none may ever
-// reach the minimum sample, but the many that have to agree on a rollback have enough evidence together.
+// smallSampleLatencyGate detects a much slower candidate with few outcomes and describes the regression, or returns
+// "". Of hundreds of instances, none may ever reach the minimum sample, but the many that have to agree on a rollback
+// have enough evidence together.
 func (c comparison) smallSampleLatencyGate() string {
 	if c.rollbackVotes < manyVotes || !c.comparesLatency() {
 		return ""
@@ -143,9 +145,10 @@
 	return ""
 }
 
-// latencyShiftGate detects a candidate more than half of whose outcomes are slower than the baseline's median by more
-// than the backends of one release vary. Comparing quantiles by slice takes hundreds of outcomes to detect a release
-// that is twice as slow, and by then the stage is over. A single bad slice is less than half of the outcomes.
+// latencyShiftGate detects a candidate more than half of whose latencies exceed the baseline's median by more than
+// latencyZone, shiftMargin and the variation between backends of one release together. It describes the regression,
+// or returns "". Comparing quantiles by slice takes hundreds of outcomes to detect a release that is twice as slow,
+// and by then the stage is over. A single bad slice has no effect here, as it is less than half of the outcomes.
 func (c comparison) latencyShiftGate() string {
 	candidate, baseline := latencies(c.candidate), c.baselineLatencies()
 	if !c.comparesLatency() || len(baseline) < minSample {
@@ -182,8 +185,8 @@
 	return !slices.ContainsFunc(latencySlices, few) && slicesAgree(latencySlices)
 }
 
-// successShareNonInferior reports whether the success shares are steady over the slices, and the candidate's are
-// equivalent or higher.
+// successShareNonInferior reports whether the success shares of both arms are steady over the slices, and the
+// candidate's were shown to be equivalent to the baseline's or higher.
 func (c comparison) successShareNonInferior(candidateSlices, baselineSlices [][]Outcome) bool {
 	candidate, baseline := mapSlice(candidateSlices, successShare), mapSlice(baselineSlices, successShare)
 	if variationCoefficient(candidate) > maxSliceVariation || variationCoefficient(baseline) > maxSliceVariation {
@@ -196,8 +199,9 @@
 	return equivalent || low > successShareZone
 }
 
-// latencyQuantileGate compares latency quantiles slice by slice. It reports a regression if enough of them are slower
-// by more than the equivalence zone plus the variation between backends of one release.
+// latencyQuantileGate compares latency quantiles slice by slice. It reports a regression if at least
+// minSlowerQuantiles of them are slower by more than the equivalence zone plus the variation between backends of one
+// release.
 func (c comparison) latencyQuantileGate(candidateSlices, baselineSlices [][]float64) Comparison {
 	var result Comparison
 	slower := 0
--- a/policy/verdict/gates_test.go
+++ b/policy/verdict/gates_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// TestCompare compares arms with n outcomes each, whose latencies are 50 to 150 ms. The candidate's latencies are
-// multiplied by slow and a share bad of its outcomes are failures.
+// TestCompare checks the result of all gates together. Each arm has n outcomes with latencies of 50 to 150 ms. The
+// candidate's latencies are multiplied by slow, and its share of failures is bad.
 func TestCompare(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -52,15 +52,15 @@
 	}
 }
 
-// With the few outcomes of one stage and latencies as uneven as in practice, a release that is twice as slow is
-// detected and one that is not is left alone. A release is also left alone if some of its few backends are degraded,
-// as some of the baseline's are too.
+// With the few outcomes of one stage and latencies as uneven as in practice, the gates find a regression if the release
+// is about twice as slow, and hardly ever if it is not. They hardly ever find one either if some of the release's few
+// backends are degraded and some of the baseline's are too.
 func TestSlowCandidate(t *testing.T) {
 	for _, c := range []struct {
 		name               string
-		times              float64
-		backends, degraded int // of the candidate; degraded: 4 times slower, as one in six of the baseline then is
-		least, most        int // bounds on the regressions found in 100 runs
+		times              float64 // latency factor of the candidate
+		backends, degraded int     // of the candidate; if any are degraded, so are one in six of the baseline's
+		least, most        int     // bounds on the regressions found in 100 runs
 	}{
 		{"twice as slow", 2.3, 5, 0, 80, 100},
 		{"as fast", 1, 5, 0, 0, 1},
@@ -86,7 +86,8 @@
 	}
 }
 
-// logNormalArm returns n outcomes with log-normally distributed latencies, four times higher on degraded backends.
+// logNormalArm returns n outcomes with log-normally distributed latencies, which are multiplied by times and are four
+// times higher on degraded backends.
 func logNormalArm(random *rand.Rand, n, backends int, times float64, degraded func(backend int) bool) (outcomes []Outcome) {
 	for k := range n {
 		o := Outcome{EndedAt: float64(k) / float64(n), Latency: 70 * times * math.Exp(0.7*random.NormFloat64()), Backend: k % backends, comparable: true}
@@ -104,8 +105,8 @@
 	for _, c := range []struct {
 		name                        string
 		instances, votes            int
-		failed, broken, backends, n int // the failures are spread over this number of backends
-		baseline, baselineBroken    int
+		failed, broken, backends, n int // of the candidate: errors, broken connections, backends with these, outcomes
+		baseline, baselineBroken    int // of the baseline: outcomes, broken connections
 		want                        bool
 	}{
 		{"few instances, one vote", 4, 1, 6, 0, 3, 12, 24, 0, true},
@@ -230,7 +231,7 @@
 		candidate, baseline int
 		want                bool
 	}{{20, 20, true}, {19, 20, false}, {20, 19, false}, {19, 19, false}} {
-		t.Run(fmt.Sprint(c.candidate, " of ", c.baseline), func(t *testing.T) {
+		t.Run(fmt.Sprint(c.candidate, " and ", c.baseline), func(t *testing.T) {
 			gateCriteria := criteria{compareLatency: true, errorProbability: 0.01, rollbackVotes: 1}
 			got := compare(arm(c.candidate, 300), arm(c.baseline, 100), gateCriteria)
 			expect(t, "regression found", got.Regression != "", c.want)
@@ -291,8 +292,8 @@
 	return outcomes
 }
 
-// The slice gates show non-inferiority by equivalent success shares, by latencies, or by either. Variation between
-// the slices of an arm rules out the comparison that it affects.
+// The slice gates show non-inferiority by success shares or by latencies. If one of these varies between the slices of
+// an arm, it shows nothing, but the other still can.
 func TestSliceGates(t *testing.T) {
 	none, uneven := [5]int{}, [5]int{0, 20, 0, 20, 0}
 	same, slower, faster, drifting := [5]float64{100, 100, 100, 100, 100}, [5]float64{160, 160, 160, 160, 160}, [5]float64{60, 60, 60, 60, 60}, [5]float64{100, 200, 300, 400, 500}
@@ -329,7 +330,7 @@
 
 // A single slower quantile is not a regression, but two are.
 func TestSlowerQuantiles(t *testing.T) {
-	// Multiplies the slowest of each ten latencies of an arm.
+	// arm returns 500 outcomes. In each ten of them, the given number of slowest latencies is multiplied by times.
 	arm := func(slowest int, times float64) (outcomes []Outcome) {
 		for k := range 500 {
 			latency := 100 + float64(k%10)
--- a/policy/verdict/helper_test.go
+++ b/policy/verdict/helper_test.go
@@ -6,6 +6,7 @@
 	"testing"
 )
 
+// expect fails the test unless got and want are printed alike, so want may be the text of a slice or struct.
 func expect(t *testing.T, what string, got, want any) {
 	t.Helper()
 	if fmt.Sprint(got) != fmt.Sprint(want) {
@@ -13,6 +14,7 @@
 	}
 }
 
+// expectNear fails the test unless got and want differ by at most 1e-6.
 func expectNear(t *testing.T, what string, got, want float64) {
 	t.Helper()
 	if math.Abs(got-want) > 1e-6 {
--- a/policy/verdict/saturation.go
+++ b/policy/verdict/saturation.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// inflationWindow (ms) is the time over which the fleet's latency is averaged. The baseline before a rollout
-	// covers twice as long.
+	// inflationWindow (ms) is the period whose outcomes determine the fleet's current latency. The baseline before a
+	// rollout covers twice as long.
 	inflationWindow = 3000
 	// saturationLimit (ms) is how long the fleet must be saturated before it counts against the candidate. Most
-	// saturations with other causes are shorter.
+	// saturations that are not caused by a release are shorter.
 	saturationLimit = 7000
 	// saturationStart and saturationEnd are the latencies, as multiples of the latency before the rollout, at which a
 	// saturation of the fleet starts and ends.
@@ -21,8 +21,8 @@
 	// maxArrivalRatio is the maximum arrival rate, as a multiple of the rate before the rollout, at which latencies
 	// are compared. A higher rate would itself explain a saturation.
 	maxArrivalRatio = 1.3
-	// releaseSettleTime (ms) after a release, all traffic has moved to it. A saturation that starts later is not
-	// caused by the release.
+	// releaseSettleTime (ms) is how long it takes until all traffic has moved to a release after it was released. A
+	// saturation that starts later is not caused by the release.
 	releaseSettleTime = 500
 	// lowQuantile is the quantile used as a low latency. Low latencies are the least affected by queueing.
 	lowQuantile = 0.3
@@ -46,9 +46,10 @@
 
 func newSaturation() saturation { return saturation{since: math.Inf(1), correction: 1} }
 
-// update processes the current latency inflation. Inflation from external causes only counts against the candidate by
-// how much it grows later: a saturation caused by a candidate grows with each stage. A saturation blocks promotion,
-// and counts as a regression once it lasts too long. During a long period of slowness this may hurt a good release.
+// update processes the current latency inflation. external is set if a saturation that starts now is attributed to
+// causes other than the candidate. Such inflation only counts against the candidate by how much it grows later,
+// because a saturation caused by a candidate grows with each stage. A saturation blocks promotion, and counts as a
+// regression once it lasts too long. During a long period of slowness this may hurt a good release.
 func (s *saturation) update(now, inflation float64, external bool) (saturated, tooLong bool) {
 	switch {
 	case inflation < saturationEnd*s.correction:
@@ -65,8 +66,8 @@
 }
 
 // updateSaturation reports whether the fleet is saturated, and whether it has been for too long. A saturation is
-// external if it starts before the candidate has a substantial share of the traffic, or after the candidate's
-// release.
+// external if it starts before the candidate has a substantial share of the traffic, or more than releaseSettleTime
+// after the candidate was released.
 func (e *Evaluator) updateSaturation(now float64, fleet Fleet) (saturated, tooLong bool) {
 	external := e.stage < 1 || e.phase == release.Released && now > e.stateSince+releaseSettleTime
 	return e.saturation.update(now, e.latencyInflation(now, fleet), external)
@@ -125,8 +126,8 @@
 	return quantile(lowQuantile, lowLatencies)
 }
 
-// relativeToBaseline returns the latencies since a given time by backend, each divided by the low latency of its
-// class before the rollout.
+// relativeToBaseline returns the comparable latencies since a given time by backend, each divided by the low latency
+// of its class before the rollout. Classes without such a low latency are left out.
 func (e *Evaluator) relativeToBaseline(outcomes [2][][]Outcome, since float64) [][]float64 {
 	var byBackend [][]float64
 	for _, arm := range outcomes {
--- a/policy/verdict/saturation_test.go
+++ b/policy/verdict/saturation_test.go
@@ -7,7 +7,8 @@
 	"onyxgate/policy/release"
 )
 
-// A saturation that began before the candidate had a share of the traffic counts only by how much it grows.
+// A saturation that starts before the candidate has a substantial share of the traffic counts only by how much it
+// grows.
 func TestSaturation(t *testing.T) {
 	for _, c := range []struct {
 		name          string
@@ -95,8 +96,8 @@
 	}
 }
 
-// The typical latency is that of the faster backends, or of all backends together if each instance sees few outcomes
-// of each. It is 0 with too few outcomes.
+// The latency inflation is that of the faster backends, or of all backends together if an instance sees few outcomes of
+// each. It is 0 with too few outcomes or too many arrivals.
 func TestLatencyInflation(t *testing.T) {
 	for _, c := range []struct {
 		name      string
--- a/policy/verdict/slices.go
+++ b/policy/verdict/slices.go
@@ -23,7 +23,8 @@
 }
 
 // sliceByTime divides outcomes at the times at which sliceByCount divides the reference, so that anything that
-// affects both arms at the same time cancels out in the difference. If a slice would be too small, it divides the
+// affects both arms at the same time cancels out in the difference. Outcomes before the first or after the last of
+// the reference, which must have at least sliceCount, are dropped. If a slice would be too small, it divides all
 // outcomes by count instead, and the slices are not paired with those of the reference.
 func sliceByTime(outcomes, reference []Outcome) (parts [][]Outcome, paired bool) {
 	rest := outcomesSince(outcomes, reference)
@@ -42,8 +43,9 @@
 	return parts, true
 }
 
-// slicesAgree reports whether the distance between slices is hardly larger than that between the halves of a slice.
-// The latencies of each slice must be in order of time: halves of sorted latencies would always be similar.
+// slicesAgree reports whether the mean distance between slices is at most maxSliceDistance times that between the
+// halves of a slice. The latencies of each slice must be in order of time, because the halves of sorted latencies
+// would always be similar.
 func slicesAgree(latencySlices [][]float64) bool {
 	var between, within float64
 	pairs := 0.0
--- a/policy/verdict/slices_test.go
+++ b/policy/verdict/slices_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// Slices do not agree if they are further apart than the halves of one slice.
+// Slices do not agree if they are much further apart than the halves of one slice.
 func TestSlicesAgree(t *testing.T) {
 	for _, c := range []struct {
 		times float64 // latency factor of the last slice
--- a/policy/verdict/statistics.go
+++ b/policy/verdict/statistics.go
@@ -31,7 +31,8 @@
 	return mean - half, mean + half
 }
 
-// wassersteinDistance returns the distance between two samples, computed from ten quantiles. It sorts both in place.
+// wassersteinDistance approximates the Wasserstein distance between two samples by ten quantiles. It sorts both in
+// place.
 func wassersteinDistance(x, y []float64) (distance float64) {
 	slices.Sort(x)
 	slices.Sort(y)
@@ -41,8 +42,8 @@
 	return distance
 }
 
-// latencyRatioLowerBound returns the lower confidence bound on the ratio of x to y, from the means of their
-// logarithms. It returns 0 if either has fewer than minCount values.
+// latencyRatioLowerBound returns the lower bound, at the given confidence level, on the ratio of x to y. It compares
+// the means of their logarithms, and returns 0 if either has fewer than minCount values.
 func latencyRatioLowerBound(x, y []float64, minCount int, level float64) float64 {
 	if len(x) < minCount || len(y) < minCount {
 		return 0
--- a/policy/verdict/verdict.go
+++ b/policy/verdict/verdict.go
@@ -42,10 +42,10 @@
 	VoteCounted
 	VoteRefused    // the platform was overloaded or failed, so the vote does not count
 	VoteUnanswered // no response was received, so the vote may count
-	VoteOutdated   // the vote was for a release or stage that is no longer the current one
+	VoteOutdated   // the vote was for a release or stage other than the current one
 )
 
-// String returns the name of the message that reported the state of a release, for logs.
+// String returns "vote response", or "release update" for NotAVote. Logs show it as the source of a release's state.
 func (r VoteResponse) String() string {
 	if r == NotAVote {
 		return "release update"
--- a/policy/verdict/votes.go
+++ b/policy/verdict/votes.go
@@ -8,8 +8,8 @@
 	// get the same response. Each pause is randomized between half and one and a half times its value.
 	voteRetryPause    = 300
 	outdatedVotePause = 3000
-	// An accepted vote is renewed after renewalShare of its lifetime plus a random part of up to renewalSpread, to
-	// spread the renewals of many instances.
+	// An accepted vote is renewed after renewalShare of its lifetime, plus a random share of up to renewalSpread so
+	// that the renewals of many instances are spread out.
 	renewalShare  = 0.7
 	renewalSpread = 0.2
 )
@@ -19,9 +19,9 @@
 	pending   bool // a vote was sent and has no response yet
 	sent      Vote // most recently sent vote
 	accepted  Verdict
-	stage     int // stage of the accepted vote
-	renewAt   float64
-	notBefore float64 // earliest time of the next vote
+	stage     int     // stage of the accepted vote
+	renewAt   float64 // ms, time from which the accepted vote is due for renewal
+	notBefore float64 // ms, earliest time of the next vote
 }
 
 // VoteDue reports whether the desired verdict should be sent now: it differs from the accepted one, or the accepted
@@ -47,7 +47,7 @@
 // VotePending reports whether a vote was sent and has no response yet.
 func (e *Evaluator) VotePending() bool { return e.voteState.pending }
 
-// OnVoteResponse handles the platform's response to the pending vote. If the vote did not count, retry is set and
+// OnVoteResponse handles the platform's response to the pending vote. If it is not VoteCounted, retry is set and
 // retryAt is the time (ms) from which a vote may be due again. One number is drawn from random, unless the vote was
 // on a release that is no longer the newest: its response does not affect votes on the newest release.
 func (e *Evaluator) OnVoteResponse(now float64, response VoteResponse, random *rand.Rand) (retryAt float64, retry bool) {
--- a/policy/verdict/votes_test.go
+++ b/policy/verdict/votes_test.go
@@ -16,6 +16,7 @@
 	return e
 }
 
+// seeded returns a generator that always draws the same numbers.
 func seeded() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
 // Whether a vote is due depends on the desired verdict, the state of the last vote and the time.
