--- a/policy/release/release_test.go
+++ b/policy/release/release_test.go
@@ -16,7 +16,7 @@
 	for _, tc := range []struct {
 		name    string
 		updates []Update
-		release ID
+		id      ID
 		phase   Phase
 		stage   int
 		limit   float64
@@ -54,11 +54,11 @@
 			for _, update := range tc.updates {
 				last = registry.Apply(update)
 			}
-			record := registry.Record(tc.release)
-			limit, limited := registry.Cap(tc.release)
+			record := registry.Record(tc.id)
+			limit, limited := registry.Cap(tc.id)
 			got := fmt.Sprint(record.Phase, record.Stage, limit, limited, last)
 			if want := fmt.Sprint(tc.phase, tc.stage, tc.limit, tc.limited, tc.last); got != want {
-				t.Errorf("release %d: phase, stage, cap, limited, last result = %s, want %s", tc.release, got, want)
+				t.Errorf("release %d: phase, stage, cap, limited, last result = %s, want %s", tc.id, got, want)
 			}
 		})
 	}
