--- a/internal/simadapter/fleet_requests_test.go
+++ b/internal/simadapter/fleet_requests_test.go
@@ -16,7 +16,7 @@
 	outcomeNotSent
 )
 
-const maxTries = 3 // tries of one client
+const maxTries = 3 // maximum number of tries of one client
 
 // clientTimeouts are the times (us) after which a client leaves in its first, second and third try.
 var clientTimeouts = [maxTries]int64{4000 * millisecond, 2500 * millisecond, 1200 * millisecond}
@@ -30,7 +30,7 @@
 type fleetRequest struct {
 	id       string
 	instance int
-	seed     uint64 // incarnation of the instance that accepted the request
+	seed     uint64 // seed of the instance when it accepted the request, which identifies its incarnation
 	class    int
 	key      string
 	closed   bool // answered, or the client has left
@@ -39,13 +39,13 @@
 }
 
 // nextArrival sends a new request to an instance and schedules the next one.
-func (f *fleet) nextArrival(k int) {
-	f.schedule(f.randomTime(second/(f.rate*f.arrivalFactor)), func() { f.nextArrival(k) })
+func (f *fleet) nextArrival(index int) {
+	f.schedule(f.randomTime(second/(f.rate*f.arrivalFactor)), func() { f.nextArrival(index) })
 	key := ""
 	if f.rng.IntN(4) > 0 { // some keys are much more popular than others
 		key = fmt.Sprint("key/", min(f.rng.IntN(400), f.rng.IntN(400), f.rng.IntN(400)))
 	}
-	f.sendRequest(&fleetRequest{instance: k, class: f.rng.IntN(len(f.streamed)), key: key, try: 1})
+	f.sendRequest(&fleetRequest{instance: index, class: f.rng.IntN(len(f.streamed)), key: key, try: 1})
 }
 
 // sendRequest sends a request under a new ID. One client in forty leaves before its timeout.
@@ -146,9 +146,10 @@
 	}
 }
 
-// retry sends the client's next try. Half of the clients do not retry.
-func (f *fleet) retry(r *fleetRequest, harmless bool) {
-	mayRetry := r.try < maxTries && (harmless || r.class == 0)
+// retry sends the client's next try. Half of the clients do not retry. A request that was not rejected, but failed, is
+// only retried if it is of class 0.
+func (f *fleet) retry(r *fleetRequest, rejected bool) {
+	mayRetry := r.try < maxTries && (rejected || r.class == 0)
 	if mayRetry && f.rng.IntN(2) == 0 {
 		f.schedule(50*millisecond+f.randomTime(200*millisecond), func() {
 			f.sendRequest(&fleetRequest{instance: r.instance, class: r.class, key: r.key, try: r.try + 1})
--- a/internal/simadapter/fleet_test.go
+++ b/internal/simadapter/fleet_test.go
@@ -51,7 +51,7 @@
 type fleetInstance struct {
 	name       string
 	running    bool
-	seed       uint64   // of the current incarnation; it changes with each start
+	seed       uint64   // changes with each start, and so identifies the incarnation
 	pending    []string // events of the next batch
 	requests   map[string]*fleetRequest
 	subscribed bool
@@ -145,7 +145,7 @@
 // driver connects the fleet to the adapter under test.
 type driver struct {
 	answer func(batch string) (reply string)
-	effect func(events, action string) (more bool) // called with each action but log lines; false ends the run
+	effect func(events, action string) (more bool) // called for each action except log lines; false ends the run
 }
 
 // run sends batch after batch and carries out the actions in the replies.
@@ -193,8 +193,8 @@
 	}
 	for _, group := range gjson.Get(reply, "agents").Array() {
 		name := group.Get("who").Str
-		k := slices.IndexFunc(f.instances, func(in *fleetInstance) bool { return in.name == name })
-		if !f.applyActions(d, k, fmt.Sprintf("%d %s: %s", f.now, name, events[name]), group.Get("out")) {
+		index := slices.IndexFunc(f.instances, func(in *fleetInstance) bool { return in.name == name })
+		if !f.applyActions(d, index, fmt.Sprintf("%d %s: %s", f.now, name, events[name]), group.Get("out")) {
 			return false
 		}
 	}
@@ -202,14 +202,14 @@
 }
 
 // applyActions carries out the actions of one instance. events are the events that caused them.
-func (f *fleet) applyActions(d driver, k int, events string, actions gjson.Result) (more bool) {
+func (f *fleet) applyActions(d driver, index int, events string, actions gjson.Result) (more bool) {
 	more = true
 	actions.ForEach(func(_, action gjson.Result) bool {
 		action.ForEach(func(name, fields gjson.Result) bool {
 			// Log lines are not decisions.
 			more = name.Str == "log" || d.effect(events, action.Raw)
 			if more {
-				f.applyAction(k, name.Str, fields)
+				f.applyAction(index, name.Str, fields)
 			}
 			return more
 		})
--- a/policy/release/release_test.go
+++ b/policy/release/release_test.go
@@ -16,7 +16,7 @@
 	for _, tc := range []struct {
 		name    string
 		updates []Update
-		of      ID
+		id      ID
 		phase   Phase
 		stage   int
 		limit   float64
@@ -54,19 +54,19 @@
 			for _, update := range tc.updates {
 				last = registry.Apply(update)
 			}
-			record := registry.Record(tc.of)
-			limit, limited := registry.Cap(tc.of)
+			record := registry.Record(tc.id)
+			limit, limited := registry.Cap(tc.id)
 			got := fmt.Sprint(record.Phase, record.Stage, limit, limited, last)
 			if want := fmt.Sprint(tc.phase, tc.stage, tc.limit, tc.limited, tc.last); got != want {
-				t.Errorf("release %d: phase, stage, cap, limited, last result = %s, want %s", tc.of, got, want)
+				t.Errorf("release %d: phase, stage, cap, limited, last result = %s, want %s", tc.id, got, want)
 			}
 		})
 	}
 }
 
 // A release that is listed before its first update counts as being in its first stage. If no update for it ever
-// arrives, the announcement of a later release does not lift its cap.
-func TestListed(t *testing.T) {
+// arrives, the announcement of a later release does not lift its cap, but InferReleased does.
+func TestListedBeforeFirstUpdate(t *testing.T) {
 	registry := NewRegistry(0.08)
 	if registry.OnListed(7) {
 		t.Error("OnListed(7) before any announcement = true, want false")
@@ -122,9 +122,9 @@
 	}
 }
 
-// Whatever the order and number of updates, each release ends in the furthest phase of its own updates: no phase goes
-// back, a withdrawn release stays closed, and the newest release stays the newest.
-func TestAnyOrder(t *testing.T) {
+// Whatever the order and number of updates, no release is in a lower phase than its furthest update, a withdrawn
+// release stays closed, and the newest release stays the newest.
+func TestUpdatesInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		registry, furthest, newest := NewRegistry(0.08), map[ID]Phase{}, ID(0)
 		for range rapid.IntRange(1, 40).Draw(t, "updates") {
