--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -31,7 +31,7 @@
 func newTestCore(t *testing.T, class policy.RequestClass, backends int) (*Core, *countingTransport) {
 	t.Helper()
 	class.LatencyObjective, class.Timeout, class.Value, class.DedupWindow = 1000, 4000, 1, 9000
-	core, sent := newTestCoreWithConfig(t, policy.Config{
+	core, transport := newTestCoreWithConfig(t, policy.Config{
 		Seed: 7, Instances: 1, Classes: []policy.RequestClass{class}, MaxAttempts: 3, CancelAllowed: true,
 		Exposure: policy.ExposureConfig{FreeAttempts: 2, Caps: []float64{0.1, 1}},
 		Rollout:  policy.RolloutConfig{Stages: []float64{0.1, 1}, Control: policy.ControlSingleVote, RollbackVotes: 1, VoteLifetime: 4000},
@@ -41,17 +41,17 @@
 		endpoints = append(endpoints, policy.Endpoint{ID: fmt.Sprint("s", k), Release: 1, Weight: 1})
 	}
 	core.UpdateEndpoints(policy.EndpointUpdate{Endpoints: endpoints, Snapshot: true, Cached: true})
-	return core, sent
+	return core, transport
 }
 
 // newTestCoreWithConfig starts a Core with the given configuration. Its timers are stopped when the test ends.
 func newTestCoreWithConfig(t *testing.T, config policy.Config) (*Core, *countingTransport) {
 	t.Helper()
-	sent := &countingTransport{}
-	core := New(sent)
+	transport := &countingTransport{}
+	core := New(transport)
 	core.Start(func(port policy.Port) *policy.Instance { return policy.New(port, config) })
 	t.Cleanup(func() { core.wakeTimer.Stop() })
-	return core, sent
+	return core, transport
 }
 
 // accept passes a request to the core that has timeLeft (ms) to be answered.
--- a/internal/core/crossings_test.go
+++ b/internal/core/crossings_test.go
@@ -84,13 +84,13 @@
 // An instance that is shutting down sends no votes, regardless of what it has observed of a release.
 func TestShutdownSendsNoVotes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		core, sent := newTestCore(t, policy.RequestClass{}, 2)
+		core, transport := newTestCore(t, policy.RequestClass{}, 2)
 		core.UpdateRelease(policy.ReleaseUpdate{Release: 2, Phase: policy.RollingOut, Cap: 0.1, HasState: true})
 		core.UpdateEndpoints(policy.EndpointUpdate{Endpoints: []policy.Endpoint{{ID: "n", Release: 2, Weight: 1, StartedAt: core.Now()}}})
 		core.Shutdown(core.Now() + 60000)
 		time.Sleep(20 * time.Second)
-		if sent.votes != 0 {
-			t.Errorf("votes while shutting down = %d, want 0", sent.votes)
+		if transport.votes != 0 {
+			t.Errorf("votes while shutting down = %d, want 0", transport.votes)
 		}
 	})
 }
--- a/internal/sources/host/config.go
+++ b/internal/sources/host/config.go
@@ -46,7 +46,7 @@
 func (c Config) Enabled() bool { return c.DNS.Name != "" || c.Subset.Size > 0 }
 
 // Validate reports each invalid value with its key, the problem and a valid example.
-func (c Config) Validate(report func(key string, value any, what, right string)) {
+func (c Config) Validate(report func(key string, value any, problem, example string)) {
 	if !c.Enabled() {
 		return
 	}
@@ -59,7 +59,7 @@
 	}
 }
 
-func (c DNSConfig) validate(report func(key string, value any, what, right string)) {
+func (c DNSConfig) validate(report func(key string, value any, problem, example string)) {
 	if len(c.Servers) == 0 {
 		report("sources.dns.servers", c.Servers, "needed by a name", `["10.0.0.53:53"]`)
 	}
--- a/internal/sources/model_test.go
+++ b/internal/sources/model_test.go
@@ -24,24 +24,24 @@
 
 // step applies one event and checks the invariants.
 func (s modelState) step(event func(m *Merger, retired map[string]bool) []Entry, failure bool) (modelState, error) {
-	n := modelState{merger: s.merger, applied: maps.Clone(s.applied), retired: maps.Clone(s.retired)}
-	before := n.merger.fleet.Running
-	for _, e := range event(&n.merger, n.retired) {
+	next := modelState{merger: s.merger, applied: maps.Clone(s.applied), retired: maps.Clone(s.retired)}
+	before := next.merger.fleet.Running
+	for _, e := range event(&next.merger, next.retired) {
 		if e.State == policy.EndpointRemoved {
-			delete(n.applied, e.ID)
+			delete(next.applied, e.ID)
 		} else {
-			n.applied[e.ID] = e
+			next.applied[e.ID] = e
 		}
 	}
-	running, err := n.checkFleet()
+	running, err := next.checkFleet()
 	switch {
 	case err != nil:
-	case running != n.merger.fleet.Running || len(n.applied) != n.merger.fleet.Len():
-		err = fmt.Errorf("%d backends run, %d are counted as running; a reader of the changes has %d backends, the fleet %d", running, n.merger.fleet.Running, len(n.applied), n.merger.fleet.Len())
+	case running != next.merger.fleet.Running || len(next.applied) != next.merger.fleet.Len():
+		err = fmt.Errorf("%d backends run, %d are counted as running; a reader of the changes has %d backends, the fleet %d", running, next.merger.fleet.Running, len(next.applied), next.merger.fleet.Len())
 	case failure && running < before:
 		err = fmt.Errorf("a source failure removed %d of %d running backends", before-running, before)
 	}
-	return n, err
+	return next, err
 }
 
 // checkFleet compares the fleet with the view of a reader of the changes, and checks that no two backends run at one
@@ -133,11 +133,11 @@
 	return all
 }
 
-// TestModel explores the states that a few backends and two sources can reach, by every order of events. It checks
-// that the invariants hold in each state, and that a drain and an SRV answer lead to the same fleet in either order.
-// The states of two backends are explored completely; those of three up to a limit, to bound the duration
+// TestReachableStates explores the states that a few backends and two sources can reach, by every order of events. It
+// checks that the invariants hold in each state, and that a drain and an SRV answer lead to the same fleet in either
+// order. The states of two backends are explored completely; those of three up to a limit, to bound the duration
 // (docs/results.md has a longer run).
-func TestModel(t *testing.T) {
+func TestReachableStates(t *testing.T) {
 	for _, c := range []struct{ backends, maxStates int }{{2, 1 << 30}, {3, 1500}} {
 		t.Run(fmt.Sprint(c.backends, " backends"), func(t *testing.T) { exploreStates(t, c.backends, c.maxStates) })
 	}
@@ -202,9 +202,9 @@
 	return pairs
 }
 
-// TestProperties checks the invariants on random sequences of events over more backends. rapid shrinks failing
+// TestRandomEvents checks the invariants on random sequences of events over more backends. rapid shrinks failing
 // sequences.
-func TestProperties(t *testing.T) {
+func TestRandomEvents(t *testing.T) {
 	all := events(5)
 	rapid.Check(t, func(t *rapid.T) {
 		s := newModelState()
--- a/policy/endpoints/endpoints_test.go
+++ b/policy/endpoints/endpoints_test.go
@@ -44,7 +44,7 @@
 }
 
 // Measurements of a process are not carried over to the next one.
-func TestStartProcess(t *testing.T) {
+func TestResetForNewProcess(t *testing.T) {
 	table := NewTable()
 	index, _ := table.Add("a", 1)
 	b := table.At(index)
