--- a/policy/admission/admission.go
+++ b/policy/admission/admission.go
@@ -10,7 +10,7 @@
 	"math/rand/v2"
 )
 
-// quotaBurstTime (ms) is the bucket size: a tenant can send this much time's worth of its quota at once.
+// quotaBurstTime (ms) is the bucket size, as a time: a tenant may send the quota of this time in one burst.
 const quotaBurstTime = 2000
 
 // Quotas holds one token bucket per tenant. Requests are spread evenly over the fleet, so each instance enforces an
@@ -35,8 +35,8 @@
 	return q
 }
 
-// OverQuota counts a request of the tenant and reports whether the request exceeds the quota. A tenant without a
-// quota never exceeds it.
+// OverQuota reports whether a request of the tenant exceeds the quota, and charges the request to the quota if not. A
+// tenant without a quota never exceeds it.
 func (q *Quotas) OverQuota(tenant int, now float64) bool {
 	if tenant >= len(q.buckets) {
 		return false
@@ -52,10 +52,11 @@
 }
 
 const (
-	// FullAdmissionThreshold is the admission probability from which on every request is admitted, because occasional
-	// late answers are not overload.
+	// FullAdmissionThreshold is the admission probability at and above which every request is admitted, because
+	// occasional late answers are not overload.
 	FullAdmissionThreshold = 0.75
-	// recoveryTime (ms) is the time constant with which the probability returns to 1 when no answers arrive at all.
+	// recoveryTime (ms) is the time constant with which the probability returns to 1 between signals, so that it
+	// recovers even if no answers arrive at all.
 	recoveryTime = 20000
 	// decrease is the fraction by which an overload signal of confidence 1 lowers the probability; increase is added
 	// for each answer in time.
--- a/policy/balance/balance.go
+++ b/policy/balance/balance.go
@@ -1,6 +1,6 @@
-// Package balance provides the inputs for choosing between backends: the load that a backend reports (Load), the
-// position of a key in a rollout (KeyPosition), and a randomized least-loaded choice (LeastLoaded). Which backends a
-// request may use is decided by the caller.
+// Package balance provides building blocks for choosing between backends: the load that a backend reports (Load), the
+// position of a key in a rollout (KeyPosition), and a randomized least-loaded choice (LeastLoaded). The caller decides
+// which backends a request may use.
 package balance
 
 import (
@@ -17,7 +17,8 @@
 	reportedAt float64 // ms
 }
 
-// NewLoad returns the load reported at the given time.
+// NewLoad returns the load of a report that arrived at time now (ms): the number of waiting requests and the busy
+// fraction of the backend.
 func NewLoad(waiting, busy, now float64) Load { return Load{load: waiting + busy, reportedAt: now} }
 
 // At returns the load, decayed by the age of the report.
@@ -25,7 +26,8 @@
 	return l.load * math.Exp(-(now-l.reportedAt)/loadDecayTime)
 }
 
-// KeyPosition returns a stable position of the key in [0,1) that differs for each salt. It is FNV-1a followed by the
+// KeyPosition returns a position of the key in [0,1) that is stable for a given salt and independent of the position
+// for another salt. It is FNV-1a, combined with the salt and mixed by multiplications and shifts like those of the
 // MurmurHash3 finalizer, because similar keys and salts would otherwise get similar positions.
 func KeyPosition(key string, salt uint64) float64 {
 	h := fnv.New64a()
--- a/policy/balance/choice.go
+++ b/policy/balance/choice.go
@@ -13,8 +13,8 @@
 	maxDraws = 40
 )
 
-// LeastLoaded draws candidates at random and returns the least loaded of the first few that accepts allows. Choosing
-// at random prevents all instances, each of which sees little of the load, from picking the same few backends.
+// LeastLoaded draws candidates at random and returns the least loaded of the first few for which accepts returns true.
+// Choosing at random prevents all instances, each of which sees little of the load, from picking the same few backends.
 // Candidates are drawn before they are tested, so the cost does not grow with the fleet. If none of the drawn
 // candidates is accepted, LeastLoaded returns the first candidate that fits, scanning from a random position, or -1
 // if there is none.
--- a/policy/balance/choice_test.go
+++ b/policy/balance/choice_test.go
@@ -18,7 +18,7 @@
 		chosen           int
 		minimum, maximum int
 	}{
-		{"all are accepted: the best of six draws", 20, all, all, 3, 200, 320},
+		{"all are accepted: the least loaded of six draws", 20, all, all, 3, 200, 320},
 		{"one is accepted", 20, only(5), all, 5, 800, 1000},
 		{"none is accepted, one fits", 20, none, only(7), 7, 1000, 1000},
 		{"none is accepted, all fit", 20, none, all, 3, 20, 90},
--- a/policy/endpoints/endpoints.go
+++ b/policy/endpoints/endpoints.go
@@ -95,7 +95,7 @@
 type Table struct {
 	backends []Backend
 	byID     map[string]int
-	byHash   map[uint32]int // by the hash of the id that outcome summaries use
+	byHash   map[uint32]int // by the hash that stands for the id in outcome summaries
 }
 
 // NewTable returns an empty table.
@@ -124,8 +124,8 @@
 // IndexSizes returns the number of ids and hashes in the lookup maps.
 func (t *Table) IndexSizes() (ids, hashes int) { return len(t.byID), len(t.byHash) }
 
-// RemoveAll marks every backend as removed. It is called before a snapshot is applied, which lists all existing
-// backends.
+// RemoveAll marks every backend as removed. It is called before a snapshot is applied, because a snapshot lists all
+// existing backends.
 func (t *Table) RemoveAll(now float64) {
 	for index := range t.backends {
 		if backend := &t.backends[index]; backend.State != Removed {
--- a/policy/endpoints/endpoints_test.go
+++ b/policy/endpoints/endpoints_test.go
@@ -24,10 +24,10 @@
 		listed Endpoint
 		want   bool
 	}{
-		{"the same", Endpoint{ID: "a", Release: 1, StartedAt: 500}, false},
-		{"it drains, in another zone, with another weight", Endpoint{ID: "a", Release: 1, StartedAt: 500, State: Draining, Zone: 1, Weight: 2}, false},
-		{"it was restarted", Endpoint{ID: "a", Release: 1, StartedAt: 600}, true},
-		{"it has another release", Endpoint{ID: "a", Release: 2, StartedAt: 500}, true},
+		{"unchanged", Endpoint{ID: "a", Release: 1, StartedAt: 500}, false},
+		{"only state, zone and weight changed", Endpoint{ID: "a", Release: 1, StartedAt: 500, State: Draining, Zone: 1, Weight: 2}, false},
+		{"restarted", Endpoint{ID: "a", Release: 1, StartedAt: 600}, true},
+		{"another release", Endpoint{ID: "a", Release: 2, StartedAt: 500}, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			table := NewTable()
--- a/policy/health/health.go
+++ b/policy/health/health.go
@@ -19,8 +19,8 @@
 	// minFailures is the decayed number of failures below which a backend is never skipped: less than one recent
 	// failure is not evidence.
 	minFailures = 0.5
-	// threshold is the fraction of the fleet's success probability: a backend is skipped if its sampled probability
-	// is below it.
+	// threshold is relative to the success probability of the fleet: a backend is skipped if its sampled probability
+	// is below this fraction of it.
 	threshold = 0.7
 )
 
--- a/policy/slowstart/slowstart.go
+++ b/policy/slowstart/slowstart.go
@@ -62,7 +62,7 @@
 )
 
 // Budget limits the requests to a backend while it warms up. It is a token bucket whose rate follows the capacity of
-// the backend. The zero value is empty.
+// the backend. The zero value is empty at time 0, and Allows refills it from then on.
 type Budget struct {
 	requests  float64
 	updatedAt float64 // ms
