--- a/internal/core/action.go
+++ b/internal/core/action.go
@@ -38,11 +38,11 @@
 	Bytes() []byte
 }
 
-// Action is an entry in the queue of a request's handler.
+// Action is what the handler of a request has to do next.
 type Action struct {
 	Kind       ActionKind
 	Attempt    *Attempt // set for ActionSendAttempt
-	RetryAfter float64  // ms, set for ActionReject; 0: the response names no time
+	RetryAfter float64  // ms, set for ActionReject; 0: the response gives no retry time
 	Response   Response // set for ActionServe; nil if the attempt returned none
 	Reason     string   // one word stating why the request ended; empty only for ActionSendAttempt
 }
@@ -51,7 +51,7 @@
 // and written to logs, so their text must not change.
 const (
 	reasonUntried       = "none"     // no attempt was made
-	reasonUnanswered    = "late"     // no attempt had ended yet
+	reasonUnanswered    = "late"     // an attempt was still open, or none had ended
 	reasonHandlerFailed = "failed"   // the handler failed
 	reasonWatchdog      = "watchdog" // the decisions did not answer in time
 )
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -93,8 +93,9 @@
 }
 
 // Finish reports how the attempt ended: policy.StatusServed with the response of the backend, or any other status,
-// for which the response is ignored. The response of the first served attempt is sent to the client. Finish is called
-// once per attempt, from any goroutine. A second call has no effect other than counting an invariant violation.
+// for which the response is ignored. The response of the first served attempt is sent to the client, unless the
+// request has already ended. Finish is called once per attempt, from any goroutine. A second call has no effect other
+// than an invariant violation.
 func (a *Attempt) Finish(status policy.AttemptStatus, response Response, load policy.LoadReport) {
 	r, c := a.request, a.request.core
 	c.handleEvent("attempt result", func(now float64) {
--- a/internal/core/clock.go
+++ b/internal/core/clock.go
@@ -8,8 +8,8 @@
 // minClockStep is the smallest change of the wall clock relative to the monotonic clock that counts as a step. If it
 // were lower, a pause between two readings or a correction by a time service would be taken for a step, and after a
 // step every newly listed backend goes through slow start. If it were higher, smaller steps would shift the start
-// times of backends unnoticed, and up to that much of a warm-up would be skipped or repeated. The value is tuned
-// together with the slow-start parameters.
+// times of backends unnoticed, and up to that much of a warm-up would be skipped or repeated. It depends on the
+// slow-start parameters and must be reviewed when they change.
 const minClockStep = 250 * time.Millisecond
 
 // clock combines the wall clock with the monotonic clock. Its time is Unix time in milliseconds at the start of the
@@ -19,7 +19,7 @@
 	startedAt float64              // Unix time, ms
 	wall      func() int64         // Unix time, ns
 	monotonic func() time.Duration // time since the start
-	offset    time.Duration        // difference of the wall clock to the monotonic one, as last observed
+	offset    time.Duration        // wall clock minus monotonic clock, at the start or after the last step
 }
 
 func newClock() clock {
@@ -38,8 +38,9 @@
 
 func (c *clock) difference() time.Duration { return time.Duration(c.wall()) - c.monotonic() }
 
-// step returns by how much the wall clock was stepped since the last call, or 0 if by less than minClockStep. A pause
-// of the process between the readings of the two clocks looks like a step, so a step must be seen twice in a row.
+// step returns by how much the wall clock has moved against the monotonic clock since the start or the last step, or 0
+// if by less than minClockStep. Smaller changes accumulate until they count as a step. A pause of the process between
+// the readings of the two clocks looks like a step, so a step must be seen twice in a row.
 func (c *clock) step() time.Duration {
 	for range 2 {
 		if (c.difference() - c.offset).Abs() < minClockStep {
@@ -51,9 +52,8 @@
 	return c.offset - previous
 }
 
-// CheckClock notifies the decisions if the wall clock was stepped since the last call. It must be called about once a
-// second. UpdateEndpoints also calls it, so that no listed start time is compared with a clock whose step has gone
-// unnoticed.
+// CheckClock notifies the decisions of a step of the wall clock, once per step. It must be called about once a second.
+// UpdateEndpoints also calls it, so that no listed start time is compared with a clock whose step has gone unnoticed.
 func (c *Core) CheckClock() {
 	c.handleEvent("clock step", func(now float64) {
 		step := c.clock.step()
--- a/internal/core/clock_test.go
+++ b/internal/core/clock_test.go
@@ -20,7 +20,7 @@
 		{"none", []time.Duration{0}, 0},
 		{"an hour back", []time.Duration{-time.Hour}, -time.Hour},
 		{"five seconds forward", []time.Duration{5 * time.Second}, 5 * time.Second},
-		{"some milliseconds", []time.Duration{100 * time.Millisecond}, 0},
+		{"less than minClockStep", []time.Duration{100 * time.Millisecond}, 0},
 		{"the process paused between two readings", []time.Duration{-400 * time.Millisecond, 0}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -23,13 +23,12 @@
 // dropped.
 const logQueueSize = 256
 
-// Transport sends everything the decisions send that does not belong to a request. Its methods are called with the
-// lock of Core held: each starts its work and returns immediately, and must not call back into Core before it
-// returns.
+// Transport sends everything that the decisions send outside of requests. Its methods are called with the lock of Core
+// held: each starts its work and returns immediately, and must not call back into Core before it returns.
 type Transport interface {
 	// SendVote sends a vote on a release. It is not called after Shutdown.
 	SendVote(release policy.ReleaseID, verdict policy.Verdict, stage int)
-	// SendProbe asks a backend for its load. The result is passed to ReportProbe.
+	// SendProbe asks a backend for its load. The result is passed to Core.ReportProbe.
 	SendProbe(backend string)
 	// WatchEndpoints opens the endpoint stream.
 	WatchEndpoints()
@@ -56,14 +55,12 @@
 	releases         map[string]policy.ReleaseID // by backend, as listed
 }
 
-// Counts holds counters since the start and the current number of open items. AttemptsByStatus is indexed by
-// policy.AttemptStatus. AttemptsWithheld counts the attempts that the decisions withdrew after their connection was
-// established.
+// Counts holds counters since the start and the current number of open requests, attempts and timers.
 type Counts struct {
 	Accepted, Served, Rejected, Failed, ClientGone int                           // requests since the start
-	AttemptsByStatus                               [policy.StatusNotSent + 1]int // attempts since the start
-	OpenRequests, OpenAttempts, Timers             int                           // now
-	AttemptsWithheld                               int                           // attempts withdrawn once connected
+	AttemptsByStatus                               [policy.StatusNotSent + 1]int // attempts since the start, by policy.AttemptStatus
+	OpenRequests, OpenAttempts, Timers             int                           // current numbers
+	AttemptsWithheld                               int                           // attempts that the decisions withdrew once connected
 	Releases                                       policy.ReleaseStatus          // the zero value before Start
 }
 
@@ -120,8 +117,8 @@
 }
 
 // Shutdown prepares the end of the process. No votes are sent from now on, because what an instance observes while it
-// leaves says nothing about the release. All open requests, and those accepted from now on, are answered by deadline
-// (ms).
+// leaves says nothing about the release. The decisions answer all open requests, and those accepted from now on, by
+// deadline (ms).
 func (c *Core) Shutdown(deadline float64) {
 	c.handleEvent("shutdown", func(now float64) {
 		c.shuttingDown, c.shutdownDeadline = true, deadline
--- a/internal/core/crossings_test.go
+++ b/internal/core/crossings_test.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// All requests open at shutdown are answered before the process is killed, regardless of their clients' deadlines:
-// those with an attempt in progress and those waiting for a backend.
+// All requests open at shutdown, and those accepted later, are answered before the process is killed, regardless of
+// their clients' deadlines: those with an attempt in progress and those waiting for a backend.
 func TestShutdownAnswersAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core, _ := newTestCore(t, policy.RequestClass{Semantics: policy.NonIdempotent}, 1)
--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -8,8 +8,8 @@
 )
 
 // handleEvent runs one event with the lock held; the event's time is read under the lock. The event must not block
-// and must not call methods of Core that take the lock. A panic is counted as an invariant violation: it must cost
-// only the event, not every request that the instance holds.
+// and must not call methods of Core that take the lock. A panic is counted as an invariant violation, which ends only a
+// debug build: a panic must cost only the event, not every request that the instance holds.
 func (c *Core) handleEvent(name string, event func(now float64)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/core/interceptor.go
+++ b/internal/core/interceptor.go
@@ -15,19 +15,20 @@
 // Interceptor observes every request, whichever front accepted it. Core knows interceptors only through this
 // interface. An interceptor may reject a request before the decisions see it, but not later. Its methods are called
 // concurrently from the handler goroutines of requests, never with the lock of Core held. For one request the order
-// of calls is Admit, BeforeResponse, AfterResponse, or Admit, Abandoned.
+// of calls is Admit, BeforeResponse, AfterResponse, or Admit, Abandoned. Admit is left out if the front or a previous
+// interceptor has already rejected the request; the other calls follow all the same.
 type Interceptor interface {
 	// Admit is called before the decisions see a request. reserve (ms) is the part of the client's time that the
-	// interceptor needs between the decision and the response. rejectReason is empty, or one word if the request is
-	// to be rejected at once. Admit must not block. If Core.Accept returns nil, no other method is called for the
-	// request.
+	// interceptor needs between the decision and the response, limited to a quarter. rejectReason is empty, or one
+	// word if the request is to be rejected at once. Admit must not block. If Core.Accept returns nil, no other method
+	// is called for the request.
 	Admit(now float64) (reserve float64, rejectReason string)
 	// BeforeResponse is called before the first byte of a response is written, including for requests rejected at
 	// once. It may delay the response until `until` (ms, comparable to Core.Now), but no longer. Its result is passed
 	// to AfterResponse.
 	BeforeResponse(completion Completion, until float64) (state any)
-	// AfterResponse is called after the last byte of the response was written (complete), or once it can no longer be
-	// written.
+	// AfterResponse is called when writing the response has ended. complete reports whether its last byte was written.
+	// state is the result of BeforeResponse.
 	AfterResponse(state any, now float64, complete bool)
 	// Abandoned is called instead of BeforeResponse and AfterResponse if the client is gone and nothing is written.
 	Abandoned(now float64)
@@ -115,9 +116,9 @@
 	return completion, r.Deadline + r.interceptorState.reservedTime - responseMargin
 }
 
-// ResponseWritten notifies the interceptors that the last byte of the response was written (complete), or that it
-// cannot be written. The handler calls it once, after writing the last action returned by NextAction, or after Fail,
-// and before Close. It has no effect if BeforeResponse was not called.
+// ResponseWritten notifies the interceptors that writing the response has ended. complete reports whether its last byte
+// was written. The handler calls it once, after writing the response for the last action returned by NextAction or
+// after Fail, and before Close. It has no effect if BeforeResponse was not called.
 func (r *Request) ResponseWritten(complete bool) {
 	if len(r.interceptorState.states) == 0 {
 		return
--- a/internal/core/interceptor_test.go
+++ b/internal/core/interceptor_test.go
@@ -32,7 +32,7 @@
 	r.calls = append(r.calls, fmt.Sprintf("after: %v %v", state, complete))
 }
 
-func (r *recordingInterceptor) Abandoned(float64) { r.calls = append(r.calls, "closed") }
+func (r *recordingInterceptor) Abandoned(float64) { r.calls = append(r.calls, "abandoned") }
 
 // runHandler acts as the handler of a request: it ends each attempt with the given status and writes the response.
 func runHandler(request *Request, status policy.AttemptStatus) {
@@ -87,7 +87,7 @@
 			r.ClientGone()
 			runHandler(r, policy.StatusNotSent)
 		},
-		[]string{"admit", "closed"},
+		[]string{"admit", "abandoned"},
 	},
 	{
 		"the handler fails", "", func(r *Request) {
@@ -108,7 +108,7 @@
 		},
 		[]string{"admit", `before: t served answered, 1 at "s0" of 1, "body"`, "after: t false"},
 	},
-	{"closed without a response", "", func(r *Request) { r.Close() }, []string{"admit", "closed"}},
+	{"closed without a response", "", func(r *Request) { r.Close() }, []string{"admit", "abandoned"}},
 }
 
 // For every outcome of a request, an interceptor receives each call once and in order.
@@ -139,9 +139,9 @@
 		name              string
 		reserve, reserved float64 // ms, of 2000
 	}{
-		{"nothing", 0, 0},
-		{"as asked", 300, 300},
-		{"a quarter", 900, 500},
+		{"none", 0, 0},
+		{"granted in full", 300, 300},
+		{"limited to a quarter", 900, 500},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/core/port.go
+++ b/internal/core/port.go
@@ -9,15 +9,15 @@
 // lock held.
 type port struct{ core *Core }
 
-// openRequest returns the request with the given ID, or nil. An effect for a missing request is not an error: the
-// request may just have ended.
+// openRequest returns the open request with the given ID, or nil. All effects but SendAttempt ignore a missing request,
+// because it may just have ended.
 func (p port) openRequest(id string) *Request {
 	invariant.Check(p.core.inEvent, "the lock is held when the decisions act", id)
 	return p.core.requests[id]
 }
 
-// SendAttempt queues an attempt for the request's handler. If limit (ms) is greater than 0, the attempt times out
-// after it, but no later than at the request's deadline.
+// SendAttempt queues an attempt for the request's handler. If limit (ms) is greater than 0 and ends before the
+// request's deadline, the attempt times out after it. Otherwise the attempt has the request's deadline.
 func (p port) SendAttempt(id, backend string, limit float64) {
 	c, r, now := p.core, p.openRequest(id), p.core.Now()
 	if r == nil {
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -31,8 +31,8 @@
 
 	// The fields below are guarded by the lock of Core.
 
-	current      *Attempt // the attempt that the handler is carrying out
-	wakeup       chan struct{}
+	current      *Attempt      // the attempt that the handler is carrying out
+	wakeup       chan struct{} // wakes the handler when an action is queued; nil until the handler first waits
 	actions      []Action
 	attempts     []*Attempt
 	openAttempts int
@@ -58,8 +58,10 @@
 	StartAttempt func(*Attempt)
 }
 
-// Accept passes a new request to the decisions and returns it to its handler. It returns nil if a request with the
-// same ID is already open; in that case nothing was started, although the interceptors have admitted the request.
+// Accept passes a new request to the decisions and returns it to its handler. A request that the front or an
+// interceptor rejects is returned with its final action, and the decisions do not see it. For any other request, Accept
+// returns nil if one with the same ID is already open; in that case nothing was started, although the interceptors have
+// admitted the request.
 func (c *Core) Accept(incoming IncomingRequest) *Request {
 	request := &Request{
 		ID: incoming.ID, IdempotencyKey: incoming.IdempotencyKey, Class: incoming.Class, ArrivedAt: incoming.ArrivedAt,
@@ -106,8 +108,8 @@
 func (r *Request) Age() float64 { return r.core.Now() - r.ArrivedAt }
 
 // NextAction waits for the next action and returns it. It must be called by the handler only, and not again after it
-// has returned an action other than ActionSendAttempt. Before it returns such a final action, the interceptors may
-// delay it for the time that they have reserved.
+// has returned an action other than ActionSendAttempt. Before it returns such a final action, it calls the
+// interceptors, which may delay it (see Interceptor.BeforeResponse).
 func (r *Request) NextAction() Action {
 	for {
 		action, wakeup := r.dequeueAction()
@@ -165,7 +167,7 @@
 }
 
 // finish sets the final action of the request, unless it already has one. No other function queues a final action, so
-// a request has exactly one. The caller holds the lock.
+// a request has at most one. The caller holds the lock.
 func (r *Request) finish(action Action) {
 	if r.ended {
 		return
@@ -185,8 +187,8 @@
 	}
 }
 
-// watchdog answers the request and ends its attempts even if everything else has failed. It wakes the decisions
-// first, because their own timer may be due at the same time.
+// watchdog answers the request if the decisions have failed to, and interrupts its open attempts. It wakes the
+// decisions first, because their own timer may be due at the same time.
 func (r *Request) watchdog() {
 	c := r.core
 	c.handleEvent("watchdog", func(now float64) {
--- a/internal/core/request_test.go
+++ b/internal/core/request_test.go
@@ -50,7 +50,7 @@
 		request.ClientGone()
 	}
 	if action := request.NextAction(); action.Kind != c.wantKind || action.Kind == ActionServe && action.Response != testResponse("body") {
-		t.Errorf("final action = %+v, want kind %v", action, c.wantKind)
+		t.Errorf("final action = %+v, want kind %v (with response %q if served)", action, c.wantKind, testResponse("body"))
 	}
 	if took := time.Since(arrived); took > c.maxDuration {
 		t.Errorf("answered after %v, want within %v", took, c.maxDuration)
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// minTimerInterval is the minimum time between two wake-ups. With two timers per request, the process would otherwise
-// wake up to ten thousand times a second, with only a few timers due each time.
+// minTimerInterval is the minimum time between two wake-ups. With two timers per request, there would otherwise be up
+// to ten thousand wake-ups a second, with only a few timers due each time.
 const minTimerInterval = time.Millisecond
 
 // timer is a timer of the decisions (request and attempt are nil), the watchdog of a request, or the timeout of an
@@ -48,7 +48,9 @@
 // timerDue reports whether the earliest timer is due. The caller holds the lock.
 func (c *Core) timerDue(now float64) bool { return len(c.timers) > 0 && c.timers[0].at <= now }
 
-// timerFired runs all due timers. It is called by the runtime timer in its own goroutine.
+// timerFired runs the due timers: first those of the decisions, then the watchdogs and timeouts that follow them in the
+// queue. Due timers of the decisions behind these run at the next wake-up. It is called by the runtime timer in its own
+// goroutine.
 func (c *Core) timerFired() {
 	c.handleEvent("timer", func(now float64) {
 		for c.timerDue(now) && c.timers[0].isInstanceTimer() {
@@ -62,7 +64,7 @@
 }
 
 // expireAttempts times out the attempts that are due and reschedules the wake-up. It returns the requests whose
-// watchdog is due.
+// watchdog is due. It stops at the first timer of the decisions.
 func (c *Core) expireAttempts() (overdue []*Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
