--- a/internal/sources/dns/dns.go
+++ b/internal/sources/dns/dns.go
@@ -37,7 +37,7 @@
 // Answer is the result of a look-up.
 type Answer struct {
 	Observations []sources.Observation
-	TTL          time.Duration // the lowest TTL of all records used
+	TTL          time.Duration // the lowest TTL of the SRV and address records used
 	Negative     bool          // the server stated that the name or its records do not exist; valid for TTL
 }
 
@@ -48,7 +48,7 @@
 var ErrServerError = errors.New("DNS server returned an error")
 
 const (
-	maxCNAMEs           = 8
+	maxCNAMEs           = 8    // followed per answer; also the limit of queries per name
 	maxRecords          = 4096 // per answer
 	maxAddressQuestions = 64   // targets per look-up whose addresses were not included in the SRV answer
 	// defaultNegativeTTL is used if a negative answer has no SOA record. RFC 2308 forbids caching such an answer;
@@ -78,8 +78,8 @@
 }
 
 // Lookup queries one server for the SRV records of a service and the addresses of their targets. If it fails, the
-// answer is empty, and the error either comes from the context or the connection, or wraps ErrUnusable or
-// ErrServerError.
+// answer is empty. The error wraps ErrUnusable or ErrServerError, or comes from the context or the connection, or
+// states that a name cannot be encoded.
 func (r *Resolver) Lookup(ctx context.Context, server, name string) (Answer, error) {
 	l := &lookup{Resolver: r, server: server, addresses: map[string][]targetAddress{}}
 	response, err := l.resolve(ctx, name, dnsmessage.TypeSRV)
@@ -122,8 +122,8 @@
 	}
 }
 
-// addressesOf returns the addresses of a target, either those already received or by querying for them. A target
-// without addresses is skipped, as RFC 2782 allows.
+// addressesOf returns the addresses of a target. It queries for them only if no answer of this look-up contained any.
+// It returns none for a target without addresses, which is then skipped, as RFC 2782 allows.
 func (l *lookup) addressesOf(ctx context.Context, name dnsmessage.Name) ([]targetAddress, error) {
 	target := strings.ToLower(name.String())
 	if target == "." {
@@ -146,8 +146,8 @@
 	return addresses, nil
 }
 
-// resolve sends a query and follows CNAMEs. Servers should not send CNAMEs here, but some do. Addresses in the
-// answers are recorded under the name that was queried.
+// resolve sends a query and follows CNAMEs. Servers should not send CNAMEs here, but some do. Addresses at the end of a
+// CNAME chain are recorded under the name that was queried, all others under the name of their own record.
 func (l *lookup) resolve(ctx context.Context, name string, kind dnsmessage.Type) (response, error) {
 	queried := strings.ToLower(fqdn(name))
 	owner := queried
@@ -168,7 +168,7 @@
 		}
 		owner = last
 	}
-	return response{}, fmt.Errorf("%w: %s has a chain of more than %d CNAMEs", ErrUnusable, queried, maxCNAMEs)
+	return response{}, fmt.Errorf("%w: the CNAME chain of %s did not end within %d queries", ErrUnusable, queried, maxCNAMEs)
 }
 
 // recordAddresses stores the addresses contained in an answer, each under the name that nameFor returns for its
--- a/internal/sources/dns/dns_test.go
+++ b/internal/sources/dns/dns_test.go
@@ -252,7 +252,7 @@
 	s := newService(t)
 	return []lookupTest{
 		{
-			name: "a wrong id, another question and another letter case before the answer",
+			name: "a wrong id, the query itself and another letter case before the answer",
 			server: func(_ string, q *dns.Msg) []*dns.Msg {
 				wrong, other, upperCase, own := reply(q, 0, nil, nil, nil), reply(q, 0, nil, nil, nil), reply(q, 0, nil, nil, nil), q.Copy()
 				wrong.Id++
--- a/internal/sources/dns/fuzz_test.go
+++ b/internal/sources/dns/fuzz_test.go
@@ -11,7 +11,7 @@
 	"github.com/miekg/dns"
 )
 
-// A look-up terminates whatever bytes the server sends, and a successful one either is negative or has observations.
+// A look-up returns whatever bytes the server sends. If it succeeds, its answer is negative or has observations.
 func FuzzAnswer(f *testing.F) {
 	q := new(dns.Msg)
 	q.SetQuestion("_r._tcp.x.", dns.TypeSRV)
--- a/internal/sources/dns/message.go
+++ b/internal/sources/dns/message.go
@@ -8,7 +8,8 @@
 	"golang.org/x/net/dns/dnsmessage"
 )
 
-// maxUDPPayload (bytes) is a size that is not fragmented on common paths. It is announced to the server with EDNS0.
+// maxUDPPayload (bytes) is the largest answer over UDP, announced to the server with EDNS0. A datagram of this size is
+// not fragmented on common paths.
 const maxUDPPayload = 1232
 
 // response is a parsed DNS message. It is parsed with golang.org/x/net because that package allocates nothing at
@@ -105,8 +106,8 @@
 	return last, false
 }
 
-// followCNAME returns the target of the owner's CNAME, or the owner itself if it has none, and whether records of the
-// given type for the owner come before the CNAME.
+// followCNAME returns the target of the owner's CNAME, or the owner itself if it has none, and whether the answer has
+// records of the given type for the owner (before the CNAME, if there is one).
 func (r response) followCNAME(owner string, kind dnsmessage.Type) (next string, found bool) {
 	for _, resource := range r.answers {
 		if !strings.EqualFold(resource.Header.Name.String(), owner) {
--- a/internal/sources/dns/transport.go
+++ b/internal/sources/dns/transport.go
@@ -11,7 +11,7 @@
 
 const (
 	maxMessageBytes   = 64 << 10
-	maxStrayDatagrams = 64 // datagrams read per query, while none of them answers it
+	maxStrayDatagrams = 64 // datagrams read per query before it fails because none of them answers it
 	frameHeaderBytes  = 2  // length prefix of a message over TCP
 )
 
@@ -36,8 +36,8 @@
 	return answer, err
 }
 
-// randomCase randomizes the letter case of a name. An off-path attacker who has not seen the query cannot reproduce
-// it.
+// randomCase randomizes the letter case of a name, which an answer has to repeat. An off-path attacker, who does not
+// see the query, would have to guess it.
 func (r *Resolver) randomCase(name string) string {
 	b := []byte(name)
 	for i, c := range b {
--- a/internal/sources/host/config.go
+++ b/internal/sources/host/config.go
@@ -9,23 +9,23 @@
 
 // Config is the table [sources] of the settings.
 type Config struct {
-	StateFile string       `toml:"state" comment:"a file in which 'onyxgate sources show' reads, and a restart what had ended; empty: none"`
+	StateFile string       `toml:"state" comment:"state file, read by 'onyxgate sources show' and after a restart; empty: none"`
 	DNS       DNSConfig    `toml:"dns"`
 	Subset    SubsetConfig `toml:"subset"`
 }
 
 // SubsetConfig is the table [sources.subset].
 type SubsetConfig struct {
-	Size        int `toml:"size" comment:"backends that this instance works with; 0: all"`
-	MinPerGroup int `toml:"least" comment:"of each release and zone, however small"`
+	Size        int `toml:"size" comment:"number of backends that this instance uses; 0: all"`
+	MinPerGroup int `toml:"least" comment:"minimum number of backends of each release in each zone, regardless of size"`
 }
 
 // DNSConfig is the table [sources.dns].
 type DNSConfig struct {
-	Name                string     `toml:"name" comment:"of the service, as _render._tcp.fleet.example.org; empty: off"`
-	Servers             []string   `toml:"servers" comment:"host:port, asked in turn as they fail"`
-	Timeout             units.Span `toml:"wait" comment:"for one answer over UDP"`
-	MaxLookupsPerSecond float64    `toml:"lookups_a_second" comment:"at most, whatever lifetimes say"`
+	Name                string     `toml:"name" comment:"SRV name of the service, such as _render._tcp.fleet.example.org; empty: no look-ups"`
+	Servers             []string   `toml:"servers" comment:"name servers, host:port; the one with the fewest recent failures is queried"`
+	Timeout             units.Span `toml:"wait" comment:"timeout of a query over UDP; twice as long over TCP"`
+	MaxLookupsPerSecond float64    `toml:"lookups_a_second" comment:"maximum number of look-ups per second, regardless of TTLs"`
 }
 
 // Limits of the values in [sources.dns].
@@ -45,7 +45,8 @@
 // Enabled reports whether any feature beyond plain discovery is configured.
 func (c Config) Enabled() bool { return c.DNS.Name != "" || c.Subset.Size > 0 }
 
-// Validate reports each invalid value with its key, the problem and a valid example.
+// Validate reports each invalid value with its key, the problem and a valid example. It checks nothing if no feature is
+// on, and the values of [sources.dns] only if a name is set.
 func (c Config) Validate(report func(key string, value any, problem, example string)) {
 	if !c.Enabled() {
 		return
--- a/internal/sources/host/host.go
+++ b/internal/sources/host/host.go
@@ -29,7 +29,7 @@
 type Options struct {
 	Config            Config
 	Fleet             Fleet
-	OnAddressReleased func(address string) // called when a backend has left an address or was replaced there
+	OnAddressReleased func(address string) // called with the lock held when a backend has left an address or was replaced there
 	Instance          int                  // index of this instance, from 0
 	Instances         int                  // number of instances in the fleet
 	Seed              uint64               // seed of all random choices
@@ -40,11 +40,12 @@
 	Lookups, FailedLookups, NegativeAnswers, Questions uint64
 	Changes                                            uint64                   // changes passed to the core
 	ChangesByRule                                      [sources.NumRules]uint64 // by rule, in the order of sources.Rules
-	Running, Backends                                  int                      // current number of backends: running, in any state
+	Running, Backends                                  int                      // current number of backends in the whole fleet: running, in any state
 	Doubt                                              [2]string                // reasons to doubt discovery and SRV; empty if there are none
 }
 
-// Host runs the merge of one instance. Its methods are safe for concurrent use.
+// Host runs the merge of one instance. Its methods are safe for concurrent use, except that only one call of Run may be
+// in progress.
 type Host struct {
 	config            Config
 	fleet             Fleet
@@ -125,8 +126,8 @@
 	}
 }
 
-// releasedAddresses returns the addresses that backends give up with these changes. It must be called before
-// publishView.
+// releasedAddresses returns the addresses that backends leave, or at which their process is replaced, with these
+// changes. It compares the changes with the published view, so it must be called before publishView.
 func (h *Host) releasedAddresses(changes []sources.Entry) (released []string) {
 	view := h.view.Load()
 	for _, e := range changes {
--- a/internal/sources/host/host_test.go
+++ b/internal/sources/host/host_test.go
@@ -126,7 +126,7 @@
 	return h
 }
 
-// run starts Run with a name server that names the given ports.
+// run starts Run with a name server that names the given ports. Without ports, the name server cannot be reached.
 func (h *testHost) run(ports ...int) {
 	h.service.set(ports...)
 	answer := dialNameServer(func() []int { return *h.service.ports.Load() })
@@ -214,7 +214,7 @@
 	}
 	for range 2 { // malformed, then missing
 		if h := newTestHost(stateFile, 3); len(h.fleet.endpoints) != 0 {
-			t.Errorf("fleet without a usable state file = %+v, want none", h.fleet.endpoints)
+			t.Errorf("fleet without a usable state file = %+v, want no backends", h.fleet.endpoints)
 		}
 		if err := os.RemoveAll(stateFile); err != nil {
 			t.Fatal(err)
--- a/internal/sources/host/lookup.go
+++ b/internal/sources/host/lookup.go
@@ -12,9 +12,10 @@
 )
 
 const (
-	// expireInterval is the time between two checks for expired entries.
+	// expireInterval is the minimum time between two checks for expired entries.
 	expireInterval = 5 * time.Second
-	// maxPause is the longest wait between two iterations of Run.
+	// maxPause is the longest wait for the next look-up in one iteration of Run, so that entries expire and the state
+	// file is saved in the meantime.
 	maxPause = time.Second
 )
 
--- a/internal/sources/host/statefile.go
+++ b/internal/sources/host/statefile.go
@@ -41,8 +41,8 @@
 	return s, err
 }
 
-// restore loads the state saved by a previous process. A missing file is not an error. An unreadable file is logged,
-// and the merger starts empty.
+// restore loads the state saved by a previous process. If the file is missing or cannot be read, the merger starts
+// empty. If it cannot be parsed, that is logged as well.
 func (h *Host) restore() {
 	text, err := os.ReadFile(h.config.StateFile)
 	if err != nil {
--- a/internal/sources/lookup.go
+++ b/internal/sources/lookup.go
@@ -6,15 +6,16 @@
 )
 
 const (
-	// TTLs are clamped to this range: a TTL of 0 would cause a flood of look-ups, and one of 2^31 seconds would never
-	// expire. RFC 8767 suggests a maximum of one week, but backends come and go within minutes.
+	// TTLs are clamped to this range: a TTL of 0 would cause a flood of look-ups, and one of 2^31 seconds would in
+	// practice never expire. RFC 8767 suggests a maximum of one week, but backends come and go within minutes.
 	minTTLMs, maxTTLMs = 1_000.0, 300_000.0
 	// A name is looked up again after a random fraction of its TTL, so that instances that cached it at the same time
 	// do not query at the same time.
 	minRefreshShare, maxRefreshShare = 0.6, 0.9
 	// maxNegativeTTLMs limits the negative TTL that a server may set under RFC 2308.
 	maxNegativeTTLMs = 60_000.0
-	// The back-off after all servers have failed starts at minBackoffMs and doubles up to maxBackoffMs.
+	// The back-off after as many failures in a row as there are servers starts at minBackoffMs and doubles up to
+	// maxBackoffMs. The wait is 0.5 to 1.5 times the back-off.
 	minBackoffMs, maxBackoffMs = 250.0, 10_000.0
 	// failureHalfLifeMs is the half-life of a server's failure count.
 	failureHalfLifeMs = 30_000.0
@@ -29,7 +30,7 @@
 	tokens              float64 // look-ups that the rate limit currently allows
 	refilledAt          float64
 	nextAt              float64 // earliest time of the next look-up
-	consecutiveFailures int     // servers that failed since the last answer or back-off
+	consecutiveFailures int     // failed look-ups since the last answer or back-off
 	backoffMs           float64
 }
 
@@ -49,8 +50,8 @@
 	return &LookupPacer{random: random, servers: make([]serverHealth, servers), rate: rate, tokens: 1}
 }
 
-// Next returns the server to query now and counts a look-up. If no look-up is due, it returns -1 and the time (ms) to
-// wait.
+// Next returns the server to query now and counts a look-up against the rate limit. If no look-up is due or allowed, it
+// returns -1 and the time (ms) to wait.
 func (l *LookupPacer) Next(now float64) (server int, wait float64) {
 	l.refill(now)
 	if now < l.nextAt {
@@ -83,8 +84,8 @@
 	return best
 }
 
-// OnAnswer records an answer of a server with the given TTL (ms). negative means that the name does not exist for
-// that time.
+// OnAnswer records an answer of a server with the given TTL (ms). negative means that the name or its records do not
+// exist for that time.
 func (l *LookupPacer) OnAnswer(now float64, server int, ttl float64, negative bool) {
 	l.servers[server].failures, l.consecutiveFailures, l.backoffMs = 0, 0, 0
 	ttl = min(max(ttl, minTTLMs), maxTTLMs)
@@ -94,8 +95,8 @@
 	l.nextAt = now + ttl*(minRefreshShare+(maxRefreshShare-minRefreshShare)*l.random.Float64())
 }
 
-// OnFailure records that a server did not answer, or sent an unusable answer. The next server is queried immediately;
-// after all servers have failed, the pacer backs off.
+// OnFailure records that a server did not answer, or sent an unusable answer. The next look-up, at the server with the
+// fewest failures, is due immediately; after as many failures in a row as there are servers, the pacer backs off.
 func (l *LookupPacer) OnFailure(now float64, server int) {
 	l.servers[server] = serverHealth{l.servers[server].decayedFailures(now) + 1, now}
 	l.consecutiveFailures++
--- a/internal/sources/merge.go
+++ b/internal/sources/merge.go
@@ -10,8 +10,9 @@
 	// maxMissedAnswers is the number of consecutive complete SRV answers without an address after which the address
 	// counts as no longer named. A single answer may be incomplete because the name server was still loading.
 	maxMissedAnswers = 2
-	// retiredHoldMs is how long an address whose backend drained or was removed stays closed to SRV once SRV no
-	// longer names it. A backend that SRV names there later is a new one.
+	// retiredHoldMs is the minimum time for which an address stays closed to SRV after the last report of discovery
+	// that its backend drains or was removed. After that time the address opens as soon as SRV no longer names it. A
+	// backend that SRV names there later is a new one.
 	retiredHoldMs = 60_000.0
 	// maxResolvedAgeMs is how long a backend that only SRV names is kept after the last answer that named it. RFC
 	// 8767 allows serving stale names for one to three days, but a fleet changes faster.
@@ -39,9 +40,9 @@
 	fleet        View
 	discovered   *immutable.Map[string, discoveredEndpoint] // by id; without removed backends
 	listedAt     *immutable.Map[string, string]             // by address: the id that discovery lists there
-	retired      *immutable.Map[string, float64]            // by address: when discovery drained or removed the backend
+	retired      *immutable.Map[string, float64]            // by address: when discovery last reported the drain or removal
 	resolved     *immutable.Map[string, resolvedEndpoint]   // by address
-	bestPriority int                                        // lowest priority that SRV names
+	bestPriority int                                        // lowest priority value that SRV names, which is preferred
 	meanWeight   float64                                    // mean weight of the addresses with bestPriority
 
 	consecutiveShrinks [numSources]int    // consecutive snapshots or answers that shrank too much
@@ -49,7 +50,7 @@
 
 	keptAddress  string // address of the last running backend if kept although not named; else empty
 	primaries    int    // running backends that are not spares
-	hadPrimaries bool   // whether there were primaries when the spares were last decided
+	hadPrimaries bool   // whether there were primaries when the spares were last updated
 }
 
 // New returns a Merger without any reports.
@@ -214,7 +215,8 @@
 	return named
 }
 
-// recordMissed records that an answer did not name an address, and removes the address after maxMissedAnswers.
+// recordMissed records that an answer did not name an address. accepted reports whether the omission counts. After
+// maxMissedAnswers the address is removed, and opened again if it was retired more than retiredHoldMs ago.
 func (m *Merger) recordMissed(now float64, changes []Entry, endpoint resolvedEndpoint, accepted bool) []Entry {
 	if accepted {
 		endpoint.missedAnswers++
@@ -231,8 +233,9 @@
 	return m.applyRules(changes, resolvedCandidate(address))
 }
 
-// Expire removes backends that only SRV names and has not named for too long. It also allows SRV to add retired
-// addresses again that were retired long enough ago and are no longer named. It must be called every few seconds.
+// Expire removes addresses that SRV has not named for maxResolvedAgeMs, and with them the backends that only SRV names.
+// It also opens the addresses that were retired more than retiredHoldMs ago, that discovery does not list and that SRV
+// no longer names. It must be called every few seconds.
 func (m *Merger) Expire(now float64) (changes []Entry) {
 	for address, endpoint := range iterate(m.resolved) {
 		if now-endpoint.lastSeen > maxResolvedAgeMs {
--- a/internal/sources/persist.go
+++ b/internal/sources/persist.go
@@ -34,7 +34,7 @@
 }
 
 // Restore loads the saved state into a new Merger and returns the resulting changes of the fleet. Observations that
-// are too old are skipped.
+// are too old are skipped. The others count as first named now: SavedObservation.FirstSeen is not restored.
 func (m *Merger) Restore(now float64, state MergerState) (changes []Entry) {
 	for address, at := range state.Retired {
 		// A time in the future means that the clock was set back. If it were kept, the address would stay retired for that
--- a/internal/sources/rules.go
+++ b/internal/sources/rules.go
@@ -42,10 +42,10 @@
 	{ruleListed, (*Merger).isListed, (*Merger).discoveredEntry},
 	// Discovery lists a backend at this address, so SRV names the same backend.
 	{ruleSame, (*Merger).isAddressListed, (*Merger).removedEntry},
-	// Discovery drained or removed the backend at this address, but SRV still names it.
+	// Discovery drained or removed the backend at this address, which is still closed to SRV.
 	{ruleEnded, (*Merger).isRetired, (*Merger).removedEntry},
-	// RFC 2782: backends with a higher priority number are used only if none with a lower number runs. Backends listed by
-	// discovery count as well.
+	// RFC 2782 prefers lower priority numbers. Backends with a higher number than the best are spares: they are used, all
+	// together, only if no other backend runs, whether named by SRV or listed by discovery.
 	{ruleSpare, (*Merger).isIdleSpare, (*Merger).removedEntry},
 	{ruleReserve, (*Merger).isSpare, (*Merger).resolvedEntry},
 	{ruleNamed, (*Merger).isNamed, (*Merger).resolvedEntry},
@@ -55,7 +55,7 @@
 // NumRules is the number of rules.
 const NumRules = len(rules)
 
-// Rules returns the names of the rules, in order.
+// Rules returns the names of the rules, in order of precedence.
 func Rules() []string {
 	names := make([]string, len(rules))
 	for i, r := range rules {
@@ -103,7 +103,7 @@
 }
 
 // resolvedEntry returns the backend as named by SRV, with conservative assumptions for what SRV does not report: an
-// unknown release, and a start at the time when it was first named.
+// unknown release, which is limited like one in its first stage, and a start at the time when it was first named.
 func (m *Merger) resolvedEntry(c candidate) Entry {
 	endpoint, _ := m.resolved.Get(c.address)
 	weight := 1.0
@@ -159,14 +159,14 @@
 	return e
 }
 
-// keepsLastRunning reports whether a backend is kept although SRV no longer names it. The last running backend is not
-// removed because its name is missing; it is removed once another backend runs (reconcileSpares).
+// keepsLastRunning reports whether a backend is kept although SRV no longer names it: a missing name alone does not
+// remove the last running backend. It is removed once another backend runs (reconcileSpares).
 func (m *Merger) keepsLastRunning(c candidate, decided, previous Entry, present bool) bool {
 	isLastRunning := present && previous.State == policy.EndpointRunning && m.fleet.Running == 1
 	return isLastRunning && decided.Rule == ruleUnnamed && c.isResolved()
 }
 
-// countRunning adds by (1 or -1) to the counts of running backends if the entry is running.
+// countRunning changes the counts of running backends by 1 or -1 if the entry is running.
 func (m *Merger) countRunning(e Entry, by int) {
 	if e.State != policy.EndpointRunning {
 		return
--- a/internal/sources/rules_test.go
+++ b/internal/sources/rules_test.go
@@ -6,7 +6,7 @@
 	"onyxgate/policy"
 )
 
-// TestRules checks each row of the merge rules.
+// TestRules checks the fleet after sequences of reports that exercise each of the merge rules.
 func TestRules(t *testing.T) {
 	run, drain, removed := policy.EndpointRunning, policy.EndpointDraining, policy.EndpointRemoved
 	list := func(snapshot bool, e ...Entry) func(*Merger) {
--- a/internal/sources/sources.go
+++ b/internal/sources/sources.go
@@ -1,6 +1,7 @@
 // Package sources merges the reports of several sources into one fleet: discovery, which knows the states, releases
 // and start times of backends, and DNS SRV records, which provide addresses, priorities and weights. The package does
-// no I/O, reads no clock and starts no goroutines. A failing source never removes a backend.
+// no I/O, reads no clock and starts no goroutines. A failing source removes no backend, except that a backend known
+// only from SRV expires one hour after it was last named.
 //
 // # The merge rules
 //
@@ -13,16 +14,17 @@
 // times, SRV none of them. A drain and an SRV answer therefore lead to the same fleet in either order, with one
 // exception: the last running backend is kept, see below.
 //
-// Transitions: see the table `rules`, of which the first rule that applies decides. A backend that discovery drained
-// or removed comes back at its address only if discovery lists the address as running, or once SRV has not named the
-// address for a minute. Backends missing from a snapshot or answer are removed only if its omissions are accepted
-// (acceptsOmissions): those of an empty list never are, and those of a list that shrank by more than half only at the
-// third time in a row. For SRV, a backend is removed only after two complete answers without it.
+// Transitions: see the table `rules`, of which the first rule that applies decides. If discovery drains or removes a
+// backend, its address is retired: SRV can add no backend there. The address opens again when discovery lists it as
+// running, or when SRV does not name it and at least a minute has passed since the last report of the drain or removal.
+// Backends missing from a snapshot or answer are removed only if its omissions are accepted (acceptsOmissions): those
+// of an empty list never are, and those of a list that shrank by more than half only at the third time in a row. SRV
+// counts as not naming an address only after two complete answers without it.
 //
 // Defaults: a source that fails, stops reporting or reports that the service does not exist keeps its last view and
 // is marked doubtful. A backend that only SRV names runs an unknown release, counts as started when it was first
-// named, and is removed one hour after the last answer that named it. The last running backend is never removed
-// because its name is missing.
+// named, and is removed one hour after the last answer that named it. While it is the last backend running, it is
+// removed neither by that nor for a missing name.
 package sources
 
 import (
@@ -33,7 +35,7 @@
 	"onyxgate/policy"
 )
 
-// Source identifies a source of reports about the fleet.
+// Source identifies a source of reports about the fleet: Discovery or SRV.
 type Source int
 
 // The sources, in the order in which per-source values are stored.
--- a/internal/sources/subset.go
+++ b/internal/sources/subset.go
@@ -14,15 +14,15 @@
 	Instance    int // index of this instance, from 0
 	Instances   int // number of instances in the fleet
 	Size        int // backends in the subset; 0: all
-	MinPerGroup int // minimum backends of each release and zone, regardless of Size
+	MinPerGroup int // minimum number of backends of each release in each zone, if there are as many, regardless of Size
 }
 
 // Subset returns the ids of the backends that an instance uses. All instances compute it in the same way: backends
-// are placed on a ring by the hash of their id, and instances start at equal distances and take the backends that
-// follow. This way the number of instances per backend differs by at most one. A backend that is added or removed
-// moves each window by at most one place, and an additional instance moves the windows by a fraction of the distance
-// between two instances. Draining backends stay in the subset so that no drain is missed. The whole fleet is returned
-// if Size is 0 or at least the size of the fleet.
+// are placed on a ring by the hash of their id; the windows of the instances start at equal distances on it, and each
+// contains the next Size backends. This way the number of windows per backend differs by at most one. A backend that is
+// added or removed moves each window by at most one place, and an additional instance moves each window by at most
+// the distance between two instances. Backends are added for MinPerGroup in the same way. Draining backends stay in the
+// subset so that no drain is missed. The whole fleet is returned if Size is 0 or at least the size of the fleet.
 func Subset(o SubsetOptions, fleet []Entry) map[string]bool {
 	if o.Size <= 0 || o.Size >= len(fleet) || o.Instances <= 0 {
 		return entryIDs(fleet)
@@ -49,7 +49,7 @@
 	return chosen
 }
 
-// subsetGroup is a group of backends of which every subset contains a minimum number.
+// subsetGroup is a release in a zone. Every subset contains a minimum number of backends of each group.
 type subsetGroup struct {
 	release policy.ReleaseID
 	zone    int
--- a/internal/sources/subset_test.go
+++ b/internal/sources/subset_test.go
@@ -34,7 +34,7 @@
 	return subsets
 }
 
-// countIn returns the number of backends of a release that are in the subset.
+// countIn returns the number of backends of the fleet that have the release and are in the subset.
 func countIn(subset map[string]bool, fleet []Entry, release policy.ReleaseID) (n int) {
 	for _, e := range fleet {
 		if subset[e.ID] && e.Release == release {
@@ -44,8 +44,8 @@
 	return n
 }
 
-// The load is balanced, every release and zone is represented, and draining backends are included. Few subsets change
-// when a backend or an instance is added or removed.
+// The load is balanced, every release and zone is represented, and draining backends are included. Only a small share
+// of the subsets' entries changes when a backend or an instance is added or removed.
 func TestSubset(t *testing.T) {
 	fleet := newFleet(1000)
 	fleet[7].State = policy.EndpointDraining
@@ -64,7 +64,7 @@
 		name      string
 		instances int
 		fleet     []Entry
-		most      float64 // maximum share of the subsets that changes
+		most      float64 // maximum share of the subsets' entries that changes
 	}{
 		{"a backend is removed", instances, append(slices.Clone(fleet[:500]), fleet[501:]...), 0.05},
 		{"ten backends are added", instances, append(slices.Clone(fleet), newFleet(1010)[1000:]...), 0.2},
@@ -72,7 +72,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if share := movedShare(before, subsetsOf(c.instances, c.fleet)[:instances]); share > c.most {
-				t.Errorf("%s: %.3f of the subsets change, want at most %v", c.name, share, c.most)
+				t.Errorf("%s: a share of %.3f of the subsets' entries changes, want at most %v", c.name, share, c.most)
 			}
 		})
 	}
@@ -100,7 +100,7 @@
 	}
 }
 
-// movedShare returns the share of the subsets in after that was not in before.
+// movedShare returns the fraction of the entries of all subsets in after that the same subset in before did not have.
 func movedShare(before, after []map[string]bool) float64 {
 	moved, all := 0, 0
 	for i, subset := range after {
