--- a/cmd/onyxgate/record_test.go
+++ b/cmd/onyxgate/record_test.go
@@ -49,7 +49,7 @@
 }
 
 // Each format contains every selected entry once, and filters are applied.
-func TestWrite(t *testing.T) {
+func TestWriteEntries(t *testing.T) {
 	commands := nineEntries(t)
 	for _, c := range []struct {
 		name     string
--- a/internal/assembly/run.go
+++ b/internal/assembly/run.go
@@ -40,14 +40,14 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	s.startBackground(ctx)
-	recording, endRecording := context.WithCancel(context.Background())
-	defer endRecording()
-	recorded := s.startRecorder(recording)
+	recorderCtx, cancelRecorder := context.WithCancel(context.Background())
+	defer cancelRecorder()
+	recorderDone := s.startRecorder(recorderCtx)
 	s.serveMetrics(ctx)
 	r := &run{
 		Server:       s,
 		ctx:          ctx,
-		stopRecorder: func() { endRecording(); <-recorded },
+		stopRecorder: func() { cancelRecorder(); <-recorderDone },
 		reloader:     s.newReloader(),
 		serveEnded:   make(chan error, 1),
 		shuttingDown: make(chan bool),
--- a/internal/ci/logcalls_test.go
+++ b/internal/ci/logcalls_test.go
@@ -82,8 +82,8 @@
 	return calls
 }
 
-// functionReader parses one top-level declaration and tracks its variables that hold log entries or formats.
-type functionReader struct {
+// declarationReader parses one top-level declaration and tracks its variables that hold log entries or formats.
+type declarationReader struct {
 	calls   *logCalls
 	file    string
 	files   *token.FileSet
@@ -93,7 +93,7 @@
 
 func (c *logCalls) readFile(name string, files *token.FileSet, file *ast.File) {
 	for _, declaration := range file.Decls {
-		reader := &functionReader{c, name, files, map[string]*entryFields{}, map[string]string{}}
+		reader := &declarationReader{c, name, files, map[string]*entryFields{}, map[string]string{}}
 		ast.Inspect(declaration, func(node ast.Node) bool {
 			switch node := node.(type) {
 			case *ast.AssignStmt:
@@ -106,12 +106,12 @@
 	}
 }
 
-func (r *functionReader) place(node ast.Node) string {
+func (r *declarationReader) place(node ast.Node) string {
 	return fmt.Sprintf("%s:%d", r.file, r.files.Position(node.Pos()).Line)
 }
 
 // readAssignment records log entries and lines that are assigned to a variable before they are logged.
-func (r *functionReader) readAssignment(assignment *ast.AssignStmt) {
+func (r *declarationReader) readAssignment(assignment *ast.AssignStmt) {
 	if len(assignment.Lhs) != 1 || len(assignment.Rhs) != 1 {
 		return
 	}
@@ -132,7 +132,7 @@
 
 // entryFieldsOf returns the fields of a log entry: the package logrus, a variable that holds an entry, or one of these
 // with fields added. It returns nil for any other expression.
-func (r *functionReader) entryFieldsOf(expression ast.Expr) *entryFields {
+func (r *declarationReader) entryFieldsOf(expression ast.Expr) *entryFields {
 	switch expression := expression.(type) {
 	case *ast.Ident:
 		if expression.Name == "logrus" {
@@ -207,7 +207,7 @@
 // formattingMethod matches the methods that build the message from a format or from several parts.
 var formattingMethod = regexp.MustCompile(`^(Trace|Debug|Info|Print|Warn|Warning|Error|Fatal|Panic|Log)(f|ln)$`)
 
-func (r *functionReader) readCall(call *ast.CallExpr) {
+func (r *declarationReader) readCall(call *ast.CallExpr) {
 	method, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok {
 		return
@@ -249,7 +249,7 @@
 
 // readDecisionLine records the format of a line that the decision core passes to the host's log. If the argument has no
 // known format, the call only forwards a line from elsewhere and is ignored.
-func (r *functionReader) readDecisionLine(call *ast.CallExpr) {
+func (r *declarationReader) readDecisionLine(call *ast.CallExpr) {
 	format, ok := r.lineFormat(call.Args[0])
 	if variable, isVariable := call.Args[0].(*ast.Ident); isVariable && !ok {
 		format, ok = r.formats[variable.Name]
@@ -262,7 +262,7 @@
 var verb = regexp.MustCompile(`%[-+# 0]*[0-9.]*[a-zA-Z]`)
 
 // lineFormat returns the format string of a Sprintf call, with … in place of each verb, or a constant line.
-func (r *functionReader) lineFormat(expression ast.Expr) (string, bool) {
+func (r *declarationReader) lineFormat(expression ast.Expr) (string, bool) {
 	if call, ok := expression.(*ast.CallExpr); ok && len(call.Args) > 0 {
 		function, isMethod := call.Fun.(*ast.SelectorExpr)
 		if !isMethod || function.Sel.Name != "Sprintf" {
--- a/internal/jobs/runner/runner_test.go
+++ b/internal/jobs/runner/runner_test.go
@@ -73,7 +73,7 @@
 }
 
 // Run returns only after a running job has finished.
-func TestStop(t *testing.T) {
+func TestRunWaitsForRunningJob(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := New()
 		var ended atomic.Bool
--- a/internal/siteconfig/instance.go
+++ b/internal/siteconfig/instance.go
@@ -29,11 +29,11 @@
 }
 
 // lowerLimit returns the lower of the process's and the settings' limit. Values of 0 or less mean no limit.
-func lowerLimit(ofProcess, ofSettings int) int {
-	if ofSettings > 0 && (ofProcess <= 0 || ofSettings < ofProcess) {
-		return ofSettings
+func lowerLimit(processLimit, settingsLimit int) int {
+	if settingsLimit > 0 && (processLimit <= 0 || settingsLimit < processLimit) {
+		return settingsLimit
 	}
-	return ofProcess
+	return processLimit
 }
 
 // maxRetryAfter returns the longest Retry-After (ms) that a rejection may carry; 0 means that rejections carry none.
--- a/internal/siteconfig/siteconfig.go
+++ b/internal/siteconfig/siteconfig.go
@@ -109,9 +109,9 @@
 	return numbers
 }
 
-func stringList(list gjson.Result) (words []string) {
+func stringList(list gjson.Result) (texts []string) {
 	for _, value := range list.Array() {
-		words = append(words, value.Str)
+		texts = append(texts, value.Str)
 	}
-	return words
+	return texts
 }
