--- a/cmd/onyxgate/check.go
+++ b/cmd/onyxgate/check.go
@@ -50,6 +50,6 @@
 	}
 	_, classes := siteconfig.Classes(configuration.Get("settings"))
 	backends := configuration.Get("known.servers").Array()
-	fmt.Printf("%s can be used: %d products, %d appliances known\n", path, len(classes), len(backends))
+	fmt.Printf("%s is valid: %d products, %d known appliances\n", path, len(classes), len(backends))
 	return nil
 }
--- a/cmd/onyxgate/record.go
+++ b/cmd/onyxgate/record.go
@@ -22,7 +22,7 @@
 type recordCommands struct {
 	Settings string       `env:"ONYXGATE_SETTINGS" type:"path" required:"" help:"Settings file, TOML: its table [record] locates the spools and the store."`
 	Status   recordStatus `cmd:"" help:"Show the contents of the spools and the store."`
-	List     recordList   `cmd:"" help:"List entries of the store, the newest last."`
+	List     recordList   `cmd:"" help:"List entries of the store, the oldest first."`
 	Export   recordExport `cmd:"" help:"Export entries of the store as NDJSON or CSV."`
 	Verify   recordVerify `cmd:"" help:"Check for gaps, duplicates, broken chains and entries in doubt; exits with 1 if it finds a defect."`
 	Ship     recordShip   `cmd:"" help:"Send the entries that a stopped instance left in its spool to the store."`
--- a/cmd/onyxgate/record_adopt.go
+++ b/cmd/onyxgate/record_adopt.go
@@ -10,7 +10,7 @@
 	Instance string `name:"agent" required:"" help:"The instance whose spool directory was moved."`
 }
 
-// Run adopts the directory and prints its incarnations.
+// Run adopts the directory and prints the incarnations that it adopted, even if it fails partway.
 func (c recordAdopt) Run(commands *recordCommands) error {
 	settings, err := commands.recordConfig()
 	if err != nil {
--- a/cmd/onyxgate/record_list.go
+++ b/cmd/onyxgate/record_list.go
@@ -5,7 +5,7 @@
 type recordList struct {
 	selection
 	Format string `enum:"table,ndjson,csv" default:"table" help:"table, ndjson or csv."`
-	Limit  int    `default:"100" help:"Maximum number of entries."`
+	Limit  int    `default:"100" help:"Maximum number of entries; the oldest are listed."`
 }
 
 // Run writes entries to standard output.
--- a/cmd/onyxgate/sources_resolve.go
+++ b/cmd/onyxgate/sources_resolve.go
@@ -48,7 +48,7 @@
 
 func printAnswer(answer dns.Answer) {
 	if answer.Negative {
-		fmt.Println("  no such service, for", answer.TTL)
+		fmt.Println("  no such service; the answer may be cached for", answer.TTL)
 	}
 	for _, o := range answer.Observations {
 		fmt.Printf("  %s priority %d weight %d\n", o.Address, o.Priority, o.Weight)
--- a/cmd/onyxgate/sources_show.go
+++ b/cmd/onyxgate/sources_show.go
@@ -25,7 +25,7 @@
 }
 
 // writeFleet writes one row per statement; only the first row of a backend shows the backend's own columns. The ages
-// are relative to the time at which the file was written.
+// of statements are relative to the time at which the file was written.
 func writeFleet(out io.Writer, s host.State, now float64) {
 	_, _ = fmt.Fprintf(out, "written %v ago; doubts of discovery: %q, of SRV: %q\n", // errors are ignored, as the table ignores them
 		age(s.WrittenAt, now), s.Doubt[sources.Discovery], s.Doubt[sources.SRV])
--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -7,12 +7,13 @@
 //   - Lock and open the record's spool. If recording is enabled and the spool is unavailable, startup fails.
 //   - Open the listener.
 //   - Start the decision core with the endpoint list and the release update from the configuration.
-//   - Start the streams, the writers and the periodic reports.
-//   - Report ready.
+//   - Start the endpoint and release streams, the recorder, the metrics listener and the periodic reports.
+//   - Report ready and accept clients.
 //
-// Shutdown runs in reverse: the front stops once all accepted requests are answered, then the recorder flushes its
-// pending entries, and everything else is abandoned. An instance keeps running without discovery, the platform, the
-// record's store, the metrics listener and, depending on the settings, the spool.
+// Shutdown runs in reverse: the front serves requests until none are left, or until shortly before the process is
+// expected to be killed. Then the recorder flushes its pending entries, for a limited time. Everything else is stopped
+// without waiting. An instance keeps running without discovery, the platform, the record's store, the metrics listener
+// and, depending on the settings, the spool.
 package assembly
 
 import (
@@ -33,7 +34,8 @@
 	"onyxgate/policy"
 )
 
-// Options holds the start-up parameters that are not part of the configuration file.
+// Options holds the parameters of New: the path of the configuration, overrides for some of its values, and the
+// operator's settings.
 type Options struct {
 	Version    string
 	ConfigPath string // JSON configuration file
@@ -68,7 +70,7 @@
 func (t transport) WatchEndpoints()          { t.discovery.Refresh(false) }
 func (t transport) FetchEndpoints()          { t.discovery.Refresh(true) }
 
-// Offsets added to the configured seed, so that each component gets its own random sequence.
+// Offsets added to the configured seed, so that these components draw different random sequences.
 const (
 	discoverySeed = iota
 	platformSeed
@@ -77,7 +79,7 @@
 )
 
 // New builds all components. Only the listener and the core are active when it returns: connections wait in the
-// listener's backlog until Run. Errors name the file or address that caused them.
+// listener's backlog until Run. An error names the file, the address or the configuration key at fault, if there is one.
 func New(o Options) (*Server, error) {
 	configuration, err := Read(o.ConfigPath)
 	if err != nil {
@@ -152,7 +154,7 @@
 func (s *Server) makeUpstream() {
 	address := s.discovery.BackendAddress
 	if s.options.Settings.Sources.Enabled() {
-		address = func(id string) string { return s.sources.Address(id) } // s.sources is set later, by startCore
+		address = func(id string) string { return s.sources.Address(id) } // startCore sets s.sources later
 	}
 	connect, idle := siteconfig.ConnectionTimes(s.config.settings)
 	onResponses, onProbes := siteconfig.LoadReports(s.config.settings)
@@ -193,8 +195,8 @@
 	}).Info("start")
 }
 
-// startCore starts the decision core and then, if enabled, the source merger. The core has to run first, because the
-// merger passes its restored state to it immediately.
+// startCore starts the decision core and then, if enabled, creates the host of the merged sources. The core has to be
+// started first, because host.New passes the restored state to it.
 func (s *Server) startCore() {
 	s.core.Start(func(p policy.Port) *policy.Instance {
 		return policy.New(p, siteconfig.InstanceConfig(s.config.settings, s.config.seed, s.sockets.ClientLimit()))
--- a/internal/assembly/configuration.go
+++ b/internal/assembly/configuration.go
@@ -71,12 +71,13 @@
 	bytesPerMB = 1 << 20
 	// defaultBodyBytes limits the memory for request bodies if the configuration sets no memory limit.
 	defaultBodyBytes = 1 << 30
-	// gcPercent is above Go's default of 100: the live heap is small at some hundreds of requests per second, so
-	// collection stays cheap. With a higher value, peaks of the heap would look like a growing heap.
+	// gcPercent is only moderately above Go's default of 100: at some hundreds of requests per second, the live heap is
+	// small and its collection cheap. With a higher value, peaks of the heap could be mistaken for growth.
 	gcPercent = 150
 )
 
-// bodyBytes returns the limit on memory for request bodies: a quarter of the memory limit.
+// bodyBytes returns the limit on memory for request bodies: a quarter of the memory limit, or defaultBodyBytes if
+// there is none.
 func (s effectiveConfig) bodyBytes() int64 {
 	if s.memoryMB > 0 {
 		return int64(s.memoryMB) * bytesPerMB / 4
@@ -90,7 +91,7 @@
 		runtime.GOMAXPROCS(cores)
 	}
 	if s.memoryMB > 0 {
-		// The other 40% cover stacks, the program itself and garbage that is not collected yet.
+		// The other 40% are a reserve for stacks, the program itself and garbage that is collected late.
 		debug.SetMemoryLimit(int64(s.memoryMB) * bytesPerMB * 6 / 10)
 		debug.SetGCPercent(gcPercent)
 	}
--- a/internal/assembly/reload.go
+++ b/internal/assembly/reload.go
@@ -33,7 +33,7 @@
 	}}
 }
 
-// start begins a reload with a first attempt. See retry for the result.
+// start makes the first attempt of a reload. Its result is that of retry.
 func (r *reloader) start() (retryAt <-chan time.Time) {
 	r.triesLeft = maxReloadTries
 	return r.retry()
--- a/internal/assembly/reload_test.go
+++ b/internal/assembly/reload_test.go
@@ -37,7 +37,7 @@
 		"discovery": discovery, "pipeline.address": platform,
 	}}
 	for _, c := range []struct{ name, text, discovery, platform string }{
-		{"unchanged: the address given at the start stays", text("d:1", "p:1"), "[]", "[]"},
+		{"no address changed", text("d:1", "p:1"), "[]", "[]"},
 		{"discovery moves", text("d:2", "p:1"), "[d:2]", "[]"},
 		{"truncated file", text("d:2", "p:1")[:200], "[d:2]", "[]"},
 		{"invalid address", text("d", "p:3"), "[d:2]", "[]"},
--- a/internal/assembly/run.go
+++ b/internal/assembly/run.go
@@ -19,7 +19,7 @@
 // because discovery may be down.
 const firstListWait = time.Second
 
-// errSecondSignal aborts the shutdown on a second SIGTERM or SIGINT.
+// errSecondSignal is the result of Run if a second SIGTERM or SIGINT aborts the shutdown.
 var errSecondSignal = errors.New("told twice to end")
 
 // run is the state of one call of Run, from the start of the background work to the end of the shutdown.
@@ -31,11 +31,12 @@
 	reloadAgain  <-chan time.Time // fires when the reload has to be retried; nil if no retry is pending
 	serveEnded   chan error
 	shuttingDown chan bool // closed on the first SIGTERM or SIGINT
-	shutDown     chan bool // closed when all accepted requests are answered
+	shutDown     chan bool // closed when the front has shut down
 }
 
-// Run serves clients until the instance has shut down. The first SIGTERM or SIGINT starts a graceful shutdown, a second
-// one aborts it, and SIGHUP reloads the configuration. Run must be called only once.
+// Run serves clients until the instance has shut down. The first SIGTERM or SIGINT starts a graceful shutdown, after
+// which Run returns nil. A second one aborts it, and Run returns an error. SIGHUP reloads the configuration. Run must be
+// called only once.
 func (s *Server) Run(signals <-chan os.Signal) error {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -70,7 +71,7 @@
 }
 
 // startRecorder starts the recorder if there is one. The returned channel is closed when the recorder has flushed and
-// stopped.
+// stopped, and immediately if there is no recorder.
 func (s *Server) startRecorder(ctx context.Context) (ended <-chan bool) {
 	done := make(chan bool)
 	go func() {
@@ -148,7 +149,7 @@
 	}
 }
 
-// startShutdown stops accepting connections, and closes shutDown when all accepted requests are answered.
+// startShutdown starts the graceful shutdown of the front, and closes shutDown when it is complete.
 func (r *run) startShutdown() {
 	logrus.Info("shutting down")
 	close(r.shuttingDown)
--- a/internal/ci/tests_test.go
+++ b/internal/ci/tests_test.go
@@ -34,7 +34,7 @@
 		{"an unlisted failure", "-", good, bad, false, "TestBad"},
 		{"an unlisted failure, an empty list", "", two, good, false, "TestBad"},
 		{"a listed failure", "a.TestBad; it is red; issue 24\n", two, good, true, "KNOWN RED: a.TestBad; it is red; issue 24"},
-		{"the same, run apart", "a.TestBad; it is red; issue 24\n", two, good, true, "failed as listed"},
+		{"a listed failure, run separately", "a.TestBad; it is red; issue 24\n", two, good, true, "failed as listed"},
 		{"a listed test that passes", "a.TestGood; it was red; issue 24", good, good, true, "all of them passed"},
 		{"the same name in another package", "a.TestBad; it is red; issue 24\n", two, bad, false, "TestBad"},
 		{"another test in the same package", "a.TestGood; it is red; issue 24\n", two, good, false, "TestBad"},
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
 // Package config reads the operator's settings, a TOML file such as deploy/onyxgate.toml with one table per component.
-// Each problem in the file is reported with file, line, key, value and an example of a valid value. The types, defaults
-// and checks of the settings belong to the components.
+// Each problem is reported with the file, its line if it has one and, if it concerns a key, with the key, the value and
+// what to write instead. The types, defaults and checks of the settings belong to the components.
 package config
 
 import (
@@ -41,8 +41,9 @@
 	return Parse(path, text)
 }
 
-// Parse parses and validates the text of a settings file; path is used in errors only. The error joins one *Problem for
-// each problem found.
+// Parse parses and validates the text of a settings file; path is used in errors only. It decodes the file, looks for
+// missing units and validates the values, and stops after the first of these steps that finds problems. The error
+// consists of *Problem values; only an error of the decoder without a position is wrapped instead.
 func Parse(path string, text []byte) (Settings, error) {
 	settings := Default()
 	decoder := toml.NewDecoder(bytes.NewReader(text))
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// Every problem is reported with file, line, key, value and an example of a valid value.
+// Problems are reported with the file, the line if there is one, and what is wrong or what to write instead.
 func TestParseErrors(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
 		{"an unknown key", "[record]\n\nmode = \"off\"\ndirektory = \"x\"\n", "f.toml:4: record.direktory: no such key; write one of mode, directory"},
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -31,7 +31,7 @@
 func allKeys() (keys []string) {
 	text, err := Format(Default())
 	if err != nil {
-		return nil // errors then suggest no keys; the tests check that the defaults can be formatted
+		return nil // errors then suggest only the tables; the tests check that the defaults can be formatted
 	}
 	table := ""
 	for line := range strings.SplitSeq(text, "\n") {
--- a/internal/config/problem.go
+++ b/internal/config/problem.go
@@ -26,7 +26,7 @@
 	return fmt.Sprintf("%s:%d:%d: %s", p.Path, p.Line, p.Column, p.Text)
 }
 
-// explainDecodeError converts an error of the TOML decoder to problems.
+// explainDecodeError converts an error of the TOML decoder to problems, or wraps it if it has no position.
 func explainDecodeError(path string, text []byte, err error) error {
 	var unknown *toml.StrictMissingError
 	if errors.As(err, &unknown) {
--- a/internal/failpoint/failpoint.go
+++ b/internal/failpoint/failpoint.go
@@ -6,5 +6,5 @@
 // detect the lack of that protection.
 //
 // Both exist only in programs built with the tag "defect". In release builds the functions do nothing and read no
-// environment variables, so nothing in the environment can kill the process or switch off a protection.
+// environment variables, so no variable in the environment can kill the process or switch off a protection.
 package failpoint
--- a/internal/jobs/queue.go
+++ b/internal/jobs/queue.go
@@ -39,7 +39,7 @@
 	return -b.remaining / b.perSecond * 1000
 }
 
-// job is one job with its state. Times are in ms of the caller's clock.
+// job is one job with its state. Times are in ms, by the clock that the callers of Queue use.
 type job struct {
 	Options
 	workBudget, byteBudget budget
@@ -77,7 +77,8 @@
 // Runs returns the number of completed runs of a job.
 func (q *Queue) Runs(index int) uint64 { return q.jobs[index].runs }
 
-// Schedule makes a job due at the given time (ms) unless it is due earlier already.
+// Schedule makes a job due at the given time (ms) unless it is due earlier already. While the job runs, Schedule has no
+// lasting effect, because Completed sets the next due time.
 func (q *Queue) Schedule(index int, at float64) { q.jobs[index].dueAt = min(q.jobs[index].dueAt, at) }
 
 // Next returns the job to run now and marks it as running. If no job can run, it returns -1 and the time (ms) after
@@ -109,7 +110,8 @@
 // Usage is the running time and the bytes that one run used.
 type Usage struct{ Ms, Bytes float64 }
 
-// Completed records the end of a job's run. The job is due again after the given delay (ms).
+// Completed records the end of a job's run and subtracts what it used from its budgets. The job is due again after the
+// given delay (ms).
 func (q *Queue) Completed(now float64, index int, used Usage, delay float64) {
 	j := &q.jobs[index]
 	j.running = false
--- a/internal/jobs/runner/runner.go
+++ b/internal/jobs/runner/runner.go
@@ -13,21 +13,21 @@
 // run. It should return soon after its context is canceled.
 type Job func(ctx context.Context) (bytes int64, delay time.Duration)
 
-// Runner runs jobs until its context is canceled. It is safe for concurrent use, except that Add must not be called
-// after Run.
+// Runner runs jobs until its context is canceled. All calls of Add must be made before Run; the functions that Add
+// returns may be called from any goroutine.
 type Runner struct {
 	startedAt time.Time
 	wakeup    chan struct{} // makes one waiting worker check the queue again
 	jobs      []Job         // by index in the queue
 
 	mu    sync.Mutex
-	queue jobs.Queue // times in ms since just before start
+	queue jobs.Queue // times are those of now
 }
 
 // New returns a runner without jobs.
 func New() *Runner { return &Runner{startedAt: time.Now(), wakeup: make(chan struct{}, 1)} }
 
-// Add adds a job. The returned function makes the job due immediately.
+// Add adds a job. The returned function makes the job due immediately. It has no effect while the job is running.
 func (r *Runner) Add(o jobs.Options, job Job) (runNow func()) {
 	index := r.queue.Add(o)
 	r.jobs = append(r.jobs, job)
@@ -39,7 +39,7 @@
 	}
 }
 
-// now returns the queue's time. It is never 0, because the queue uses 0 for "never".
+// now returns the time (ms) for the queue. It is never 0, because the queue uses 0 for "never".
 func (r *Runner) now() float64 { return milliseconds(time.Since(r.startedAt)) + 1 }
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
@@ -51,7 +51,8 @@
 	}
 }
 
-// Run runs the jobs on the given number of goroutines until the context is canceled. It returns when no job is running.
+// Run runs the jobs on the given number of goroutines until the context is canceled, and returns when the running jobs
+// have finished.
 func (r *Runner) Run(ctx context.Context, workers int) {
 	var wg sync.WaitGroup
 	for range workers {
@@ -74,7 +75,7 @@
 	}
 }
 
-// wait returns after the given time, or earlier if the context is canceled or the queue has changed.
+// wait returns after the given time, or earlier if the context is canceled or a wakeup is received.
 func (r *Runner) wait(ctx context.Context, ms float64) {
 	timer := time.NewTimer(time.Duration(ms * float64(time.Millisecond)))
 	defer timer.Stop()
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics serves an instance's counters and gauges in the Prometheus text format. Labels never contain request
-// IDs, keys or clients.
+// Package metrics serves an instance's counters and gauges in the Prometheus text format. Labels must not contain
+// request IDs, keys or clients.
 package metrics
 
 import (
@@ -15,13 +15,13 @@
 
 // Config is the table [metrics] of the settings.
 type Config struct {
-	Listen string `toml:"listen" comment:"where they are scraped, at /metrics; empty: nowhere"`
+	Listen string `toml:"listen" comment:"address that serves /metrics; empty: metrics are not served"`
 }
 
 // DefaultConfig returns the defaults: no listener.
 func DefaultConfig() Config { return Config{} }
 
-// Validate calls report with an invalid listen address: the key, the value, the reason and a valid example.
+// Validate calls report if the listen address is invalid, with its key, its value, the reason and a valid example.
 func (c Config) Validate(report func(key string, value any, reason, example string)) {
 	if c.Listen == "" {
 		return
@@ -37,8 +37,8 @@
 // New returns an empty Meter.
 func New() *Meter { return &Meter{metrics.NewSet()} }
 
-// Gauge registers a metric. The name includes the labels; names of counters end in _total. Each scrape calls value,
-// from any goroutine. Gauge panics if the name is registered already.
+// Gauge registers a metric. The name includes the labels; names of counters end in _total. Each scrape calls value, which
+// must be safe for concurrent use. Gauge panics if the name is registered already.
 func (m *Meter) Gauge(name string, value func() float64) { m.set.NewGauge(name, value) }
 
 const (
--- a/internal/siteconfig/siteconfig.go
+++ b/internal/siteconfig/siteconfig.go
@@ -1,11 +1,11 @@
 // Package siteconfig reads the users' JSON configuration of a site and of one instance in it. It converts the settings
 // to the types of package policy, in the same way for the simulator's adapter and for a running instance, and validates
-// configurations. It makes no decisions, and has no tuned values and no state.
+// configurations. It makes no decisions, contains no tuning constants and keeps no state.
 //
 // There are two JSON objects. The configuration is the complete file of an instance. The settings are its value under
-// the key "settings"; the simulator supplies only these. The name of a function's parameter tells which of the two it
-// reads. A missing key reads as the zero value; Problems reports the keys that are required. Times are in microseconds
-// in the JSON, and in milliseconds in return values.
+// the key "settings"; the simulator supplies only these. Exported functions name their parameter config or settings
+// accordingly. A missing key reads as the zero value; Problems reports the keys that are required. Times are in
+// microseconds in the JSON, and in milliseconds in return values.
 //
 // siteconfig.go reads single values, instance.go builds the policy.Config, and problems.go validates.
 package siteconfig
@@ -94,7 +94,7 @@
 // Cores returns the limit on concurrently running threads, rounded up; 0 means no limit.
 func Cores(config gjson.Result) int { return int(math.Ceil(config.Get("limits.cores").Num)) }
 
-// Seed returns the seed for random numbers. The error is that of strconv.ParseUint.
+// Seed parses the seed for random numbers, a hexadecimal number. The error is that of strconv.ParseUint.
 func Seed(config gjson.Result) (uint64, error) {
 	return strconv.ParseUint(config.Get("seed").Str, 16, 64)
 }
--- a/internal/siteconfig/siteconfig_test.go
+++ b/internal/siteconfig/siteconfig_test.go
@@ -50,7 +50,7 @@
 				want = []string{c.want}
 			}
 			if lines := Problems(gjson.Parse(strings.Replace(validConfig, c.from, c.to, 1))); !slices.Equal(lines, want) {
-				t.Errorf("got %q, want %q", lines, want)
+				t.Errorf("Problems() = %q, want %q", lines, want)
 			}
 		})
 	}
@@ -73,7 +73,7 @@
 		`settings.family-info.decided-by is unknown: ""`,
 	}
 	if lines := Problems(gjson.Parse(`{}`)); !slices.Equal(lines, want) {
-		t.Errorf("got %q, want %q", lines, want)
+		t.Errorf("Problems() of {} = %q, want %q", lines, want)
 	}
 }
 
@@ -98,7 +98,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := InstanceConfig(gjson.Parse(c.settings), 1, c.processLimit).MaxOpenRequests; got != c.want {
-				t.Errorf("got %d, want %d", got, c.want)
+				t.Errorf("MaxOpenRequests = %d, want %d", got, c.want)
 			}
 		})
 	}
@@ -128,6 +128,6 @@
 		Tenants:   policy.TenantConfig{Quotas: []float64{0.02}, OverQuotaValue: 0.25},
 	}
 	if got := InstanceConfig(gjson.Parse(settings), 7, 0); !reflect.DeepEqual(got, want) {
-		t.Errorf("got  %+v\nwant %+v", got, want)
+		t.Errorf("InstanceConfig() = %+v\nwant %+v", got, want)
 	}
 }
--- a/internal/units/units.go
+++ b/internal/units/units.go
@@ -1,5 +1,4 @@
-// Package units parses durations and sizes in the settings. A unit is required: a bare number is ambiguous, and the
-// package does not guess.
+// Package units parses durations and sizes in the settings. A unit is required, because a bare number is ambiguous.
 package units
 
 import (
@@ -47,7 +46,7 @@
 	return nil
 }
 
-// endsInDigit reports whether the text is empty or ends in a digit, and so has no unit.
+// endsInDigit reports whether the text is empty or ends in a digit, as a number without a unit does.
 func endsInDigit(text []byte) bool {
 	last := len(text) - 1
 	return last < 0 || text[last] >= '0' && text[last] <= '9'
