--- a/internal/assembly/configuration.go
+++ b/internal/assembly/configuration.go
@@ -46,25 +46,25 @@
 
 func newEffectiveConfig(o Options, configuration gjson.Result) effectiveConfig {
 	settings := configuration.Get("settings")
-	s := effectiveConfig{
+	c := effectiveConfig{
 		configuration: configuration,
 		settings:      settings,
 		name:          cmp.Or(o.Name, configuration.Get("name").Str),
 		listen:        cmp.Or(o.Listen, configuration.Get("listen").Str),
 		discovery:     cmp.Or(o.Discovery, configuration.Get("discovery").Str),
 	}
-	s.seed, _ = siteconfig.Seed(configuration) // Read has validated the seed
-	s.sockets, s.memoryMB = siteconfig.Limits(configuration)
-	s.classNames, s.classes = siteconfig.Classes(settings)
-	return s
+	c.seed, _ = siteconfig.Seed(configuration) // Read has validated the seed
+	c.sockets, c.memoryMB = siteconfig.Limits(configuration)
+	c.classNames, c.classes = siteconfig.Classes(settings)
+	return c
 }
 
-func (s effectiveConfig) platform() string { return s.configuration.Get("pipeline.address").Str }
+func (c effectiveConfig) platform() string { return c.configuration.Get("pipeline.address").Str }
 
-func (s effectiveConfig) instances() int { return int(s.settings.Get("balancers").Int()) }
+func (c effectiveConfig) instances() int { return int(c.settings.Get("balancers").Int()) }
 
-func (s effectiveConfig) knownBackends() int {
-	return len(s.configuration.Get("known.servers").Array())
+func (c effectiveConfig) knownBackends() int {
+	return len(c.configuration.Get("known.servers").Array())
 }
 
 const (
@@ -78,21 +78,21 @@
 
 // bodyBytes returns the limit on memory for request bodies: a quarter of the memory limit, or defaultBodyBytes if
 // there is none.
-func (s effectiveConfig) bodyBytes() int64 {
-	if s.memoryMB > 0 {
-		return int64(s.memoryMB) * bytesPerMB / 4
+func (c effectiveConfig) bodyBytes() int64 {
+	if c.memoryMB > 0 {
+		return int64(c.memoryMB) * bytesPerMB / 4
 	}
 	return defaultBodyBytes
 }
 
 // limitProcess applies the configured core and memory limits to the Go runtime.
-func (s effectiveConfig) limitProcess() {
-	if cores := siteconfig.Cores(s.configuration); cores > 0 { // more threads would only compete for the same cores
+func (c effectiveConfig) limitProcess() {
+	if cores := siteconfig.Cores(c.configuration); cores > 0 { // more threads would only compete for the same cores
 		runtime.GOMAXPROCS(cores)
 	}
-	if s.memoryMB > 0 {
+	if c.memoryMB > 0 {
 		// The other 40% are a reserve for stacks, the program itself and garbage that is collected late.
-		debug.SetMemoryLimit(int64(s.memoryMB) * bytesPerMB * 6 / 10)
+		debug.SetMemoryLimit(int64(c.memoryMB) * bytesPerMB * 6 / 10)
 		debug.SetGCPercent(gcPercent)
 	}
 }
--- a/internal/siteconfig/siteconfig_test.go
+++ b/internal/siteconfig/siteconfig_test.go
@@ -86,9 +86,9 @@
 // The lower of the process's and the settings' limit applies; 0 means no limit.
 func TestMaxOpenRequests(t *testing.T) {
 	for _, c := range []struct {
-		name               string
-		settings           string
-		processLimit, want int
+		name              string
+		settings          string
+		processLimit, max int
 	}{
 		{"none", `{}`, 0, 0},
 		{"the process's", `{}`, 40, 40},
@@ -97,8 +97,8 @@
 		{"the process's is lower", `{"limits":{"max-open":30}}`, 20, 20},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := InstanceConfig(gjson.Parse(c.settings), 1, c.processLimit).MaxOpenRequests; got != c.want {
-				t.Errorf("MaxOpenRequests = %d, want %d", got, c.want)
+			if got := InstanceConfig(gjson.Parse(c.settings), 1, c.processLimit).MaxOpenRequests; got != c.max {
+				t.Errorf("MaxOpenRequests = %d, want %d", got, c.max)
 			}
 		})
 	}
