--- a/internal/assembly/metrics_test.go
+++ b/internal/assembly/metrics_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// Each metric returns the counter that its name refers to.
+// Metrics return the counters that their names refer to.
 func TestMetricValues(t *testing.T) {
 	counts := core.Counts{
 		Accepted: 1, Served: 2, Rejected: 3, Failed: 4, ClientGone: 5, OpenRequests: 6, OpenAttempts: 7, AttemptsWithheld: 8,
--- a/internal/ci/logcalls_test.go
+++ b/internal/ci/logcalls_test.go
@@ -82,7 +82,8 @@
 	return calls
 }
 
-// declarationReader parses one top-level declaration and tracks its variables that hold log entries or formats.
+// declarationReader finds the log calls of one top-level declaration, and tracks the variables in it that hold log
+// entries or formats.
 type declarationReader struct {
 	calls   *logCalls
 	file    string
@@ -274,7 +275,7 @@
 	return verb.ReplaceAllString(text, "…"), ok
 }
 
-// importersOf returns the non-test files of the program that import a package.
+// importersOf returns the non-test files that import a package. Unlike readLogCalls it includes the fakes.
 func importersOf(t *testing.T, importPath string) (files []string) {
 	t.Helper()
 	for _, folder := range []string{"policy", "internal", "cmd/onyxgate"} {
--- a/internal/ci/oncall_test.go
+++ b/internal/ci/oncall_test.go
@@ -79,7 +79,7 @@
 	places, newRows := map[string]string{}, map[string]string{}
 	for _, line := range calls.lines {
 		if places[line.message] != "" {
-			t.Errorf("%q is logged at two levels: %s and %s", line.message, places[line.message], line.places)
+			t.Errorf("%q is logged at two levels, at %s and at %s", line.message, places[line.message], line.places)
 		}
 		places[line.message] = strings.Join(line.places, ", ")
 		newRows[line.message] = "| `" + line.message + "` | " + line.level + " | " + line.fieldList() + " | MEANING | WHAT TO DO |"
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -37,8 +37,8 @@
 // New returns an empty Meter.
 func New() *Meter { return &Meter{metrics.NewSet()} }
 
-// Gauge registers a metric. The name includes the labels; names of counters end in _total. Each scrape calls value, which
-// must be safe for concurrent use. Gauge panics if the name is registered already.
+// Gauge registers a metric. The name includes the labels; names of counters end in _total. Each scrape calls value,
+// which must be safe for concurrent use. Gauge panics if the name is registered already.
 func (m *Meter) Gauge(name string, value func() float64) { m.set.NewGauge(name, value) }
 
 const (
--- a/internal/siteconfig/siteconfig_test.go
+++ b/internal/siteconfig/siteconfig_test.go
@@ -104,7 +104,7 @@
 	}
 }
 
-// Every key of the settings is converted to its field of policy.Config, in the units of package policy.
+// The settings are converted to the fields of policy.Config, in the units of package policy.
 func TestInstanceConfig(t *testing.T) {
 	settings := `{"me":2,"balancers":9,"zone":1,"discovery":"subscribe","tariffs":{"probe":0.5,"cross-zone":0.1},
 "limits":{"max-attempts":5,"parallel-tries":true,"cancel":true,"retry-after":true,"max-retry-after-us":2000,"peers":true,"probes":true},
