--- a/internal/siteconfig/siteconfig_test.go
+++ b/internal/siteconfig/siteconfig_test.go
@@ -50,7 +50,7 @@
 				want = []string{c.want}
 			}
 			if lines := Problems(gjson.Parse(strings.Replace(validConfig, c.from, c.to, 1))); !slices.Equal(lines, want) {
-				t.Errorf("got %q, want %q", lines, want)
+				t.Errorf("Problems() = %q, want %q", lines, want)
 			}
 		})
 	}
@@ -73,7 +73,7 @@
 		`settings.family-info.decided-by is unknown: ""`,
 	}
 	if lines := Problems(gjson.Parse(`{}`)); !slices.Equal(lines, want) {
-		t.Errorf("got %q, want %q", lines, want)
+		t.Errorf("Problems() of {} = %q, want %q", lines, want)
 	}
 }
 
@@ -86,9 +86,9 @@
 // The lower of the process's and the settings' limit applies; 0 means no limit.
 func TestMaxOpenRequests(t *testing.T) {
 	for _, c := range []struct {
-		name           string
-		settings       string
-		ofProcess, max int
+		name              string
+		settings          string
+		processLimit, max int
 	}{
 		{"none", `{}`, 0, 0},
 		{"the process's", `{}`, 40, 40},
@@ -97,14 +97,14 @@
 		{"the process's is lower", `{"limits":{"max-open":30}}`, 20, 20},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := InstanceConfig(gjson.Parse(c.settings), 1, c.ofProcess).MaxOpenRequests; got != c.max {
-				t.Errorf("got %d, want %d", got, c.max)
+			if got := InstanceConfig(gjson.Parse(c.settings), 1, c.processLimit).MaxOpenRequests; got != c.max {
+				t.Errorf("MaxOpenRequests = %d, want %d", got, c.max)
 			}
 		})
 	}
 }
 
-// Every key of the settings is converted to its field of policy.Config, in the units of package policy.
+// The settings are converted to the fields of policy.Config, in the units of package policy.
 func TestInstanceConfig(t *testing.T) {
 	settings := `{"me":2,"balancers":9,"zone":1,"discovery":"subscribe","tariffs":{"probe":0.5,"cross-zone":0.1},
 "limits":{"max-attempts":5,"parallel-tries":true,"cancel":true,"retry-after":true,"max-retry-after-us":2000,"peers":true,"probes":true},
@@ -128,6 +128,6 @@
 		Tenants:   policy.TenantConfig{Quotas: []float64{0.02}, OverQuotaValue: 0.25},
 	}
 	if got := InstanceConfig(gjson.Parse(settings), 7, 0); !reflect.DeepEqual(got, want) {
-		t.Errorf("got  %+v\nwant %+v", got, want)
+		t.Errorf("InstanceConfig() = %+v\nwant %+v", got, want)
 	}
 }
