--- a/cmd/e2e/cluster.go
+++ b/cmd/e2e/cluster.go
@@ -21,12 +21,12 @@
 )
 
 const (
-	startTries    = 500                    // to connect to an instance that has been started
-	startPoll     = 10 * time.Millisecond  // between two such tries
+	maxStartDials    = 500                    // to connect to an instance that has been started
+	startDialInterval     = 10 * time.Millisecond  // between two such tries
 	dialTimeout   = 100 * time.Millisecond // of such a try
-	leaveTimeout  = 8 * time.Second        // from SIGTERM until an instance has ended
-	logTail       = 2000                   // bytes of a log that a message quotes
-	outputTail    = 600                    // bytes of a command's output that a message quotes
+	shutdownTimeout  = 8 * time.Second        // from SIGTERM until an instance has ended
+	logTailSize       = 2000                   // bytes of a log that a message quotes
+	outputTailSize    = 600                    // bytes of a command's output that a message quotes
 	defectEnv     = "ONYXGATE_DEFECT="
 	killAtEnv     = "ONYXGATE_KILL_AT="
 	programImport = "onyxgate/cmd/onyxgate"
@@ -55,7 +55,7 @@
 // process is one instance from its start to its end.
 type process struct {
 	command *exec.Cmd
-	ended   chan struct{}
+	exited   chan struct{}
 	err     error // how it ended; read once ended is closed
 }
 
@@ -65,7 +65,7 @@
 // kill kills the process, unless it is dead, and waits until it is.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
-	<-p.ended
+	<-p.exited
 }
 
 // usage is what an instance took, as the kernel counts it.
@@ -150,53 +150,53 @@
 	if options.settings != "" {
 		args = append(args, "--settings", options.settings)
 	}
-	p := &process{command: newCommand(c.program, args...), ended: make(chan struct{})}
+	p := &process{command: newCommand(c.program, args...), exited: make(chan struct{})}
 	p.command.Stdout, p.command.Stderr = log, log
 	p.command.Env = append(os.Environ(), options.env...)
 	if err := p.command.Start(); err != nil {
 		return nil, err
 	}
 	go func() {
-		defer close(p.ended)
+		defer close(p.exited)
 		p.err = p.command.Wait()
 	}()
 	return p, nil
 }
 
 func (c *cluster) awaitListening(instance int, p *process) error {
-	for range startTries {
+	for range maxStartDials {
 		select {
-		case <-p.ended:
-			if endedBySIGKILL(p.err) {
+		case <-p.exited:
+			if killedBySIGKILL(p.err) {
 				return nil
 			}
-			return fmt.Errorf("instance %s ended at its start: %w\n%s", instanceName(instance), p.err, c.tail(instance))
+			return fmt.Errorf("instance %s ended at its start: %w\n%s", instanceName(instance), p.err, c.logTail(instance))
 		default:
 		}
 		if conn, err := loopback.Dial(c.addresses[instance], dialTimeout); err == nil {
 			conn.Close()
 			return nil
 		}
-		time.Sleep(startPoll)
+		time.Sleep(startDialInterval)
 	}
-	return fmt.Errorf("instance %s does not listen\n%s", instanceName(instance), c.tail(instance))
+	return fmt.Errorf("instance %s does not listen\n%s", instanceName(instance), c.logTail(instance))
 }
 
 func (c *cluster) logPath(instance int) string {
 	return filepath.Join(c.dir, instanceName(instance)+".log")
 }
 
-// tail is the end of an instance's log, for a person to read.
-func (c *cluster) tail(instance int) string {
+// logTail is the end of an instance's log, for a person to read.
+func (c *cluster) logTail(instance int) string {
 	text, err := os.ReadFile(c.logPath(instance))
 	if err != nil {
 		return err.Error()
 	}
-	return string(text[max(0, len(text)-logTail):])
+	return string(text[max(0, len(text)-logTailSize):])
 }
 
-// endedBySIGKILL tells that a process ended by SIGKILL and by nothing of its own.
-func endedBySIGKILL(err error) bool {
+// killedBySIGKILL tells that a process ended by SIGKILL and by nothing of its own.
+func killedBySIGKILL(err error) bool {
 	var exit *exec.ExitError
 	if !errors.As(err, &exit) {
 		return false
@@ -221,7 +221,7 @@
 		if p == nil {
 			continue
 		}
-		if violation := c.awaitEnd(instance, p); violation != "" {
+		if violation := c.awaitExit(instance, p); violation != "" {
 			violations = append(violations, violation)
 		}
 		state := p.command.ProcessState
@@ -230,14 +230,14 @@
 	return violations
 }
 
-// awaitEnd waits until an instance has left, and kills one that does not. It returns a violation, or nothing.
-func (c *cluster) awaitEnd(instance int, p *process) (violation string) {
+// awaitExit waits until an instance has left, and kills one that does not. It returns a violation, or nothing.
+func (c *cluster) awaitExit(instance int, p *process) (violation string) {
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		if p.err != nil {
-			violation = fmt.Sprintf("instance %s ended with %v: %s", instanceName(instance), p.err, c.tail(instance))
+			violation = fmt.Sprintf("instance %s ended with %v: %s", instanceName(instance), p.err, c.logTail(instance))
 		}
-	case <-time.After(leaveTimeout):
+	case <-time.After(shutdownTimeout):
 		p.kill()
 		violation = fmt.Sprintf("instance %s did not leave", instanceName(instance))
 	}
@@ -259,13 +259,13 @@
 	return 0
 }
 
-// command runs the operators' command line and returns what it printed.
-func (c *cluster) command(args ...string) ([]byte, error) {
+// runCommand runs the operators' runCommand line and returns what it printed.
+func (c *cluster) runCommand(args ...string) ([]byte, error) {
 	command := newCommand(c.program, args...)
 	var out, stderr bytes.Buffer
 	command.Stdout, command.Stderr = &out, &stderr
 	if err := command.Run(); err != nil {
-		tail := out.Bytes()[max(0, out.Len()-outputTail):]
+		tail := out.Bytes()[max(0, out.Len()-outputTailSize):]
 		return out.Bytes(), fmt.Errorf("onyxgate %v: %w: %s%s", args, err, tail, stderr.Bytes())
 	}
 	return out.Bytes(), nil
--- a/cmd/e2e/day.go
+++ b/cmd/e2e/day.go
@@ -28,8 +28,8 @@
 	shortDay   = 8 * time.Second
 	newRelease = 2
 
-	// lateAfter is how long after it was sent a response is late: the deadline that clients state, and a client's own delay.
-	lateAfter = 2*time.Second + 50*time.Millisecond
+	// maxResponseTime is how long after it was sent a response is late: the deadline that clients state, and a client's own delay.
+	maxResponseTime = 2*time.Second + 50*time.Millisecond
 )
 
 // Run carries out the day.
@@ -58,8 +58,8 @@
 	P50        float64                   `json:"p50_ms"`
 	P99        float64                   `json:"p99_ms"`
 	Stages     []string                  `json:"stages"`
-	Resident   []float64                 `json:"resident_mb"` // of each instance, just before it leaves
-	CPU        float64                   `json:"cpu_us_a_txn"`
+	ResidentMB   []float64                 `json:"resident_mb"` // of each instance, just before it leaves
+	CPUPerRequest        float64                   `json:"cpu_us_a_txn"`
 }
 
 func (d *dayScenario) options() testbedOptions {
@@ -79,7 +79,7 @@
 
 // inject rolls the release out after an eighth of the day.
 func (d *dayScenario) inject(bed *testbed) error {
-	end := bed.loadBegan.Add(d.Length)
+	end := bed.loadStartedAt.Add(d.Length)
 	done := make(chan struct{})
 	defer close(done)
 	go showProgress(bed.fleet, d.Length, done)
@@ -110,7 +110,7 @@
 	}
 }
 
-func (d *dayScenario) check(bed *testbed, found *claims) error {
+func (d *dayScenario) check(bed *testbed, found *verdict) error {
 	d.count(bed)
 	for _, claim := range []struct {
 		what       string
@@ -140,14 +140,14 @@
 	}
 	f.P50, f.P99 = d.latencies.quantileMs(medianQuantile), d.latencies.quantileMs(highestQuantile)
 	for _, stage := range bed.fleet.Stages {
-		f.Stages = append(f.Stages, describeStage(stage, bed.loadBegan))
+		f.Stages = append(f.Stages, describeStage(stage, bed.loadStartedAt))
 	}
 	cpu := time.Duration(0)
 	for _, used := range bed.cluster.usages {
-		f.Resident = append(f.Resident, used.residentMB)
+		f.ResidentMB = append(f.ResidentMB, used.residentMB)
 		cpu += used.cpu
 	}
-	f.CPU = float64(cpu.Microseconds()) / float64(max(f.Requests, 1))
+	f.CPUPerRequest = float64(cpu.Microseconds()) / float64(max(f.Requests, 1))
 }
 
 func (d *dayScenario) countResponse(response fleet.Response) {
@@ -164,12 +164,12 @@
 	switch {
 	case lost:
 		f.Lost++
-	case response.Done.Sub(response.Sent) > lateAfter:
+	case response.Done.Sub(response.Sent) > maxResponseTime:
 		f.Late++
 	}
 }
 
-func (d *dayScenario) report(found *claims) error {
+func (d *dayScenario) report(found *verdict) error {
 	if d.JSON {
 		return found.print(d.figures)
 	}
--- a/cmd/e2e/exposure_test.go
+++ b/cmd/e2e/exposure_test.go
@@ -10,11 +10,11 @@
 	"onyxgate/internal/fake/fleet"
 )
 
-// seedOfTrials draws the traffic of the trials.
-const seedOfTrials = 27
+// trialSeed draws the traffic of the trials.
+const trialSeed = 27
 
-// trial is one instance, as a real process, among backends and a platform whose messages a proxy can hold back.
-type trial struct {
+// singleInstanceRun is one instance, as a real process, among backends and a platform whose messages a proxy can hold back.
+type singleInstanceRun struct {
 	*testbed
 	t     *testing.T
 	proxy *faultproxy.Proxy
@@ -22,28 +22,28 @@
 }
 
 // newTrial starts an instance on six backends of release 1, under traffic.
-func newTrial(t *testing.T) *trial {
+func newTrial(t *testing.T) *singleInstanceRun {
 	t.Helper()
 	bed, err := newTestbed(testbedOptions{fleet: fleet.Options{Instances: 1, Backends: 6, Cores: 4}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(bed.close)
-	x := &trial{testbed: bed, t: t}
+	x := &singleInstanceRun{testbed: bed, t: t}
 	x.fleet.KeyAffinity = true
 	x.fleet.Linger = time.Minute // who is gone still answers: only the instance keeps requests from it
-	x.fleet.Manual()
+	x.fleet.SetManualRollout()
 	if x.proxy, err = faultproxy.New(x.fleet.PlatformAddress()); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(x.proxy.Close)
 	x.fleet.PlatformOverride[0] = x.proxy.Address()
-	if err := x.cluster.start(startOptions{instance: 0, seed: seedOfTrials}); err != nil {
+	if err := x.cluster.start(startOptions{instance: 0, seed: trialSeed}); err != nil {
 		t.Fatal(err)
 	}
 	x.startLoad(fleet.ClientOptions{
 		Rate: func() float64 { return 300 },
-		Seed: seedOfTrials,
+		Seed: trialSeed,
 		Keys: 2000, // few are asked for so often that they are kept out of a trial
 	})
 	x.stop = func() {
@@ -56,92 +56,92 @@
 	return x
 }
 
-// until waits for a condition, which has to come true.
-func (x *trial) until(what string, holds func() bool) {
+// waitFor waits for a condition, which has to come true.
+func (x *singleInstanceRun) waitFor(what string, holds func() bool) {
 	x.t.Helper()
 	for from := time.Now(); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Since(from) > 20*time.Second {
-			x.t.Fatalf("it never came to this: %s\n%s", what, x.cluster.tail(0))
+			x.t.Fatalf("it never came to this: %s\n%s", what, x.cluster.logTail(0))
 		}
 	}
 }
 
-// requests waits until clients have had so many more responses.
-func (x *trial) requests(n int) {
+// awaitResponses waits until clients have had so many more responses.
+func (x *singleInstanceRun) awaitResponses(n int) {
 	x.t.Helper()
 	from := len(x.clients.Log())
-	x.until(fmt.Sprint(n, " more responses"), func() bool { return len(x.clients.Log()) >= from+n })
+	x.waitFor(fmt.Sprint(n, " more responses"), func() bool { return len(x.clients.Log()) >= from+n })
 }
 
-// attempts waits until so many more attempts have reached a release.
-func (x *trial) attempts(release, n int) {
+// awaitAttempts waits until so many more awaitAttempts have reached a release.
+func (x *singleInstanceRun) awaitAttempts(release, n int) {
 	x.t.Helper()
 	from := x.fleet.Attempts(release)
-	x.until(fmt.Sprint(n, " more attempts at release ", release), func() bool { return x.fleet.Attempts(release) >= from+n })
+	x.waitFor(fmt.Sprint(n, " more attempts at release ", release), func() bool { return x.fleet.Attempts(release) >= from+n })
 }
 
-func onTrial(release int) fleet.Stage {
+func canaryStage(release int) fleet.Stage {
 	return fleet.Stage{Release: release, Mode: fleet.ModeCanary, Cap: 0.25}
 }
 
-// withdraw tries a release on one backend and rolls it back again.
-func (x *trial) withdraw(release int) {
+// rollOutAndWithdraw tries a release on one backend and rolls it back again.
+func (x *singleInstanceRun) rollOutAndWithdraw(release int) {
 	x.t.Helper()
-	x.fleet.Announce(onTrial(release))
+	x.fleet.Announce(canaryStage(release))
 	if err := x.fleet.StartBackends(release, 1, 4); err != nil {
 		x.t.Fatal(err)
 	}
-	x.attempts(release, 20)
+	x.awaitAttempts(release, 20)
 	x.fleet.Announce(fleet.Stage{Release: release, Mode: fleet.ModeRollingBack})
 	x.fleet.Announce(fleet.Stage{Release: release, Mode: fleet.ModeRolledBack})
 	x.fleet.DrainBackends(release, 1)
-	x.requests(200)
+	x.awaitResponses(200)
 }
 
-func notices(firstLine string) bool { return strings.HasPrefix(firstLine, "GET /notices") }
+func isReleaseStream(firstLine string) bool { return strings.HasPrefix(firstLine, "GET /notices") }
 
-func votes(firstLine string) bool { return strings.HasPrefix(firstLine, "POST ") }
+func isVote(firstLine string) bool { return strings.HasPrefix(firstLine, "POST ") }
 
 // Incident 27: a release's backend is listed seconds before its release update, and the release before it was withdrawn. Its
 // keys are its keys from the first answer on: before the update, as it comes, and after it.
 func TestListedBeforeReleaseUpdate(t *testing.T) {
 	x := newTrial(t)
-	x.withdraw(2)
-	x.proxy.Hold(notices)
-	x.fleet.Announce(onTrial(3))
+	x.rollOutAndWithdraw(2)
+	x.proxy.Hold(isReleaseStream)
+	x.fleet.Announce(canaryStage(3))
 	if err := x.fleet.StartBackends(3, 1, 4); err != nil {
 		t.Fatal(err)
 	}
-	x.attempts(3, 60)
-	early := len(x.fleet.Affinity().Violations)
+	x.awaitAttempts(3, 60)
+	early := len(x.fleet.AffinityAudit().Violations)
 	x.proxy.Release()
-	x.requests(1500)
+	x.awaitResponses(1500)
 	x.stop()
-	seen := x.fleet.Affinity()
-	if seen.Asked < 20 {
-		t.Errorf("not put to the test: keys of a later release were asked for %d times", seen.Asked)
+	seen := x.fleet.AffinityAudit()
+	if seen.BoundAttempts < 20 {
+		t.Errorf("not put to the test: keys of a later release were asked for %d times", seen.BoundAttempts)
 	}
 	if n := len(seen.Violations); n > 0 {
 		t.Errorf("%d of %d attempts with a key that release 3 had answered reached release 1, %d of them before the release update:\n%s",
-			n, seen.Asked, early, strings.Join(seen.Violations[:min(n, 5)], "\n"))
+			n, seen.BoundAttempts, early, strings.Join(seen.Violations[:min(n, 5)], "\n"))
 	}
 }
 
 // A release that was withdrawn gets nothing from there on, listed or not, whatever is announced after it.
 func TestWithdrawnStaysClosed(t *testing.T) {
 	x := newTrial(t)
-	x.fleet.Announce(onTrial(2))
+	x.fleet.Announce(canaryStage(2))
 	if err := x.fleet.StartBackends(2, 1, 4); err != nil {
 		t.Fatal(err)
 	}
-	x.attempts(2, 20)
+	x.awaitAttempts(2, 20)
 	x.fleet.Announce(fleet.Stage{Release: 2, Mode: fleet.ModeRollingBack})
 	x.fleet.Announce(fleet.Stage{Release: 2, Mode: fleet.ModeRolledBack})
-	x.requests(100) // its backend stays listed as ready: the list lags
-	time.Sleep(fleet.Grace)
+	x.awaitResponses(100) // its backend stays listed as ready: the list lags
+	time.Sleep(fleet.DrainGrace)
 	closed := x.fleet.Attempts(2)
-	x.fleet.Announce(onTrial(3))
-	x.requests(400)
+	x.fleet.Announce(canaryStage(3))
+	x.awaitResponses(400)
 	x.stop()
 	if n := x.fleet.Attempts(2) - closed; n > 0 {
 		t.Errorf("%d attempts reached release 2, which was withdrawn, after release 3 had been announced", n)
@@ -151,20 +151,20 @@
 // A vote's response that was on its way while the release was withdrawn tells what was, and opens nothing.
 func TestLateVoteAnswer(t *testing.T) {
 	x := newTrial(t)
-	x.fleet.Announce(onTrial(2))
+	x.fleet.Announce(canaryStage(2))
 	if err := x.fleet.StartBackends(2, 1, 4); err != nil {
 		t.Fatal(err)
 	}
-	x.attempts(2, 20)
-	x.proxy.Hold(votes)
-	x.until("a vote's response is held", func() bool { return x.proxy.Holding() > 0 })
+	x.awaitAttempts(2, 20)
+	x.proxy.Hold(isVote)
+	x.waitFor("a vote's response is held", func() bool { return x.proxy.Holding() > 0 })
 	x.fleet.Announce(fleet.Stage{Release: 2, Mode: fleet.ModeRollingBack})
-	x.requests(20) // the update is there
+	x.awaitResponses(20) // the update is there
 	x.proxy.Release()
-	x.requests(100)
-	time.Sleep(fleet.Grace)
+	x.awaitResponses(100)
+	time.Sleep(fleet.DrainGrace)
 	closed := x.fleet.Attempts(2)
-	x.requests(400)
+	x.awaitResponses(400)
 	x.stop()
 	if n := x.fleet.Attempts(2) - closed; n > 0 {
 		t.Errorf("%d attempts reached release 2, which is rolled back, after a vote's response from before that", n)
--- a/cmd/e2e/killer.go
+++ b/cmd/e2e/killer.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// outsideKill stands for a kill from outside among the kill points.
-	outsideKill = "outside"
+	// externalKill stands for a kill from outside among the kill points.
+	externalKill = "outside"
 
 	minStoreKills = 2
-	firstStream   = 100 // of the random streams by which instances draw, one each
+	firstRandomStream   = 100 // of the random streams by which instances draw, one each
 )
 
 // killPoints are the failpoints at which an instance kills itself, and how often at most the draw lets one be passed before.
@@ -49,7 +49,7 @@
 
 	mu            sync.Mutex // holds everything below
 	err           error      // the first one, after which there is no verdict
-	deaths        []death
+	kills        []instanceKill
 	instanceKills int
 	killsAt       map[string]int // by kill point
 	storeKills    int
@@ -68,8 +68,8 @@
 	k.cancel = cancel
 	var all sync.WaitGroup
 	for i := range k.cluster.fleet.Instances {
-		random := rand.New(rand.NewPCG(k.scenario.Seed, uint64(firstStream+i)))
-		all.Go(func() { k.killInstance(ctx, i, random) })
+		random := rand.New(rand.NewPCG(k.scenario.Seed, uint64(firstRandomStream+i)))
+		all.Go(func() { k.killRepeatedly(ctx, i, random) })
 	}
 	all.Go(func() { k.failStore(ctx) })
 	all.Wait()
@@ -92,14 +92,14 @@
 	return k.err != nil
 }
 
-// killInstance has one instance die and start again until the killing ends, and leaves one that does not kill itself.
-func (k *killer) killInstance(ctx context.Context, instance int, random *rand.Rand) {
+// killRepeatedly has one instance die and start again until the killing ends, and leaves one that does not kill itself.
+func (k *killer) killRepeatedly(ctx context.Context, instance int, random *rand.Rand) {
 	for ctx.Err() == nil {
-		point, dies := k.awaitDeath(ctx, instance, random)
+		point, dies := k.awaitKill(ctx, instance, random)
 		if !dies {
 			break
 		}
-		k.restart(k.drawLife(instance, random))
+		k.restart(k.drawStartOptions(instance, random))
 		if point != "" {
 			k.countKill(point)
 		}
@@ -110,24 +110,24 @@
 	}
 }
 
-// awaitDeath waits until an instance has died, or has lived for a drawn time and is to die now, and returns at which point:
+// awaitKill waits until an instance has died, or has lived for a drawn time and is to die now, and returns at which point:
 // empty where it ended without one, which restart tells apart. It does not die where the killing ends first.
-func (k *killer) awaitDeath(ctx context.Context, instance int, random *rand.Rand) (point string, dies bool) {
+func (k *killer) awaitKill(ctx context.Context, instance int, random *rand.Rand) (point string, dies bool) {
 	p := k.cluster.process(instance)
 	timer := time.NewTimer(time.Duration(600+random.IntN(1200)) * time.Millisecond)
 	defer timer.Stop()
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return killPoint(p), true
 	case <-timer.C:
-		return outsideKill, true
+		return externalKill, true
 	case <-ctx.Done():
 		return "", false
 	}
 }
 
-// drawLife draws an instance's next life, with a kill point in three of four.
-func (k *killer) drawLife(instance int, random *rand.Rand) startOptions {
+// drawStartOptions draws an instance's next life, with a kill point in three of four.
+func (k *killer) drawStartOptions(instance int, random *rand.Rand) startOptions {
 	env := k.scenario.env
 	if random.IntN(4) > 0 {
 		point := killPoints[random.IntN(len(killPoints))]
@@ -156,11 +156,11 @@
 	at := time.Now()
 	p.kill()
 	k.mu.Lock()
-	k.deaths = append(k.deaths, death{next.instance, at})
+	k.kills = append(k.kills, instanceKill{next.instance, at})
 	k.mu.Unlock()
-	if !endedBySIGKILL(p.err) {
+	if !killedBySIGKILL(p.err) {
 		k.fail(fmt.Errorf("instance %s ended by itself: %w\n%s", instanceName(next.instance), p.err,
-			k.cluster.tail(next.instance)))
+			k.cluster.logTail(next.instance)))
 	}
 	if err := k.cluster.start(next); err != nil {
 		k.fail(err)
@@ -184,7 +184,7 @@
 	random := k.scenario.random
 	for n := 0; ctx.Err() == nil; n++ {
 		pause(ctx, time.Duration(300+random.IntN(500))*time.Millisecond)
-		kind, err := k.scenario.store.fault(n, random)
+		kind, err := k.scenario.store.injectFault(n, random)
 		if err != nil {
 			k.fail(err)
 		}
--- a/cmd/e2e/record.go
+++ b/cmd/e2e/record.go
@@ -29,13 +29,13 @@
 	warmUpTime    = time.Second            // until all connections are there
 	recoveryTime  = 500 * time.Millisecond // of requests after the last fault
 	shortMaxKills = 8
-	maxTook       = 50 * time.Second // of a full run
+	maxRunTime       = 50 * time.Second // of a full run
 	maxServedLoss = 0.01             // of the share of requests served, by a fault that clients should not feel
 	surgeFactor   = 2                // of the rate, in the middle of the stall
 )
 
-// recordTimes are the parts of a run.
-type recordTimes struct {
+// phaseLengths are the parts of a run.
+type phaseLengths struct {
 	calm, stall time.Duration
 	killing     time.Duration // at most
 }
@@ -44,12 +44,12 @@
 func (r recordCommand) Run() error {
 	s := &recordScenario{
 		recordCommand: r,
-		times:         recordTimes{calm: 6 * time.Second, stall: 6 * time.Second, killing: 26 * time.Second},
+		lengths:         phaseLengths{calm: 6 * time.Second, stall: 6 * time.Second, killing: 26 * time.Second},
 		random:        rand.New(rand.NewPCG(r.Seed, 3)),
 		figures:       recordFigures{Seed: r.Seed, Store: r.Store, Defect: r.Defect},
 	}
 	if r.Short {
-		s.times = recordTimes{calm: 2 * time.Second, stall: 2 * time.Second, killing: 12 * time.Second}
+		s.lengths = phaseLengths{calm: 2 * time.Second, stall: 2 * time.Second, killing: 12 * time.Second}
 		s.Kills = min(r.Kills, shortMaxKills)
 	}
 	return run(s)
@@ -58,7 +58,7 @@
 // recordScenario is the run as a scenario.
 type recordScenario struct {
 	recordCommand
-	times    recordTimes
+	lengths    phaseLengths
 	random   *rand.Rand // draws the faults of the store
 	store    faultyStore
 	settings string // path
@@ -81,7 +81,7 @@
 	if r.store, err = newFaultyStore(r.Store, bed.dir); err != nil {
 		return nil, err
 	}
-	bed.cleanup(r.store.close)
+	bed.addCleanup(r.store.close)
 	if r.settings, err = writeRecordSettings(bed.dir, r.store); err != nil {
 		return nil, err
 	}
@@ -133,12 +133,12 @@
 func (r *recordScenario) inject(bed *testbed) error {
 	time.Sleep(warmUpTime)
 	r.calmFrom = time.Now()
-	time.Sleep(r.times.calm)
+	time.Sleep(r.lengths.calm)
 	if err := r.stall(); err != nil {
 		return err
 	}
 	r.killer = newKiller(r, bed.cluster)
-	if err := r.killer.run(r.times.killing); err != nil {
+	if err := r.killer.run(r.lengths.killing); err != nil {
 		return err
 	}
 	if err := r.store.recover(); err != nil {
@@ -156,20 +156,20 @@
 	}
 	for _, surge := range []bool{false, true, false} {
 		r.surge.Store(surge)
-		time.Sleep(r.times.stall / 3)
+		time.Sleep(r.lengths.stall / 3)
 	}
 	r.stallTo = time.Now()
 	return r.store.stall(false)
 }
 
-func (r *recordScenario) check(bed *testbed, found *claims) error {
+func (r *recordScenario) check(bed *testbed, found *verdict) error {
 	for i := range bed.fleet.Instances {
-		_, err := bed.cluster.command("record", "ship", "--settings", r.settings, "--agent", instanceName(i))
-		found.requireNone(err)
+		_, err := bed.cluster.runCommand("record", "ship", "--settings", r.settings, "--agent", instanceName(i))
+		found.requireNoError(err)
 	}
-	_, err := bed.cluster.command("record", "verify", "--settings", r.settings)
-	found.requireNone(err)
-	text, err := bed.cluster.command("record", "export", "--settings", r.settings)
+	_, err := bed.cluster.runCommand("record", "verify", "--settings", r.settings)
+	found.requireNoError(err)
+	text, err := bed.cluster.runCommand("record", "export", "--settings", r.settings)
 	if err != nil {
 		return err
 	}
@@ -190,19 +190,19 @@
 	f.compare(log, exported)
 	calm, stalled := servedBetween(log, r.calmFrom, r.stallFrom), servedBetween(log, r.stallFrom, r.stallTo)
 	f.ServedCalm, f.P99Calm = calm.share, calm.p99Ms
-	f.ServedStall, f.P99Stall, f.StallResponses = stalled.share, stalled.p99Ms, stalled.requests
-	f.OpenAtKills = countOpenAt(r.killer.deaths, log)
+	f.ServedStalled, f.P99Stalled, f.ResponsesStalled = stalled.share, stalled.p99Ms, stalled.requests
+	f.OpenAtKills = countOpenAt(r.killer.kills, log)
 	f.InstanceKills, f.KillsAt = r.killer.instanceKills, r.killer.killsAt
 	f.StoreKills, f.StoreFaults = r.killer.storeKills, r.killer.storeFaults
 	f.Stalls = r.killer.storeStalls + 1 // and the long one before the kills
 	f.Violations = bed.fleet.Audit()
-	f.Took = time.Since(bed.began).Seconds()
+	f.DurationSeconds = time.Since(bed.startedAt).Seconds()
 	return nil
 }
 
 // judge holds the figures against the claims. A short run is judged by those alone that no slow host can
 // violate.
-func (r *recordScenario) judge(found *claims) {
+func (r *recordScenario) judge(found *verdict) {
 	f := r.figures
 	found.require(f.Missing == 0, "missing: %d", f.Missing)
 	found.require(f.Duplicates == 0, "duplicates: %d", f.Duplicates)
@@ -215,9 +215,9 @@
 	}
 	found.require(f.InDoubt <= f.OpenAtKills, "in doubt: %d, with %d requests open at kills", f.InDoubt, f.OpenAtKills)
 	found.require(f.InstanceKills >= r.Kills, "not put to the test: %d kills of %d", f.InstanceKills, r.Kills)
-	found.require(f.ServedStall >= f.ServedCalm-maxServedLoss,
-		"served while the store stalled: %.4f, calm %.4f", f.ServedStall, f.ServedCalm)
-	found.require(f.Took <= maxTook.Seconds(), "took %.0f s", f.Took)
+	found.require(f.ServedStalled >= f.ServedCalm-maxServedLoss,
+		"served while the store stalled: %.4f, calm %.4f", f.ServedStalled, f.ServedCalm)
+	found.require(f.DurationSeconds <= maxRunTime.Seconds(), "took %.0f s", f.DurationSeconds)
 }
 
-func (r *recordScenario) report(found *claims) error { return found.print(r.figures) }
+func (r *recordScenario) report(found *verdict) error { return found.print(r.figures) }
--- a/cmd/e2e/record_figures.go
+++ b/cmd/e2e/record_figures.go
@@ -19,14 +19,14 @@
 const (
 	// States of an entry as the export writes them.
 	stateAnswered    = "given"
-	stateUndelivered = "unheard"
+	stateClientGone = "unheard"
 	stateInDoubt     = "in doubt"
 
 	maxExportLine = 1 << 20
 	maxExamples   = 5 // of missing or invented entries that are printed
 
-	// seenLate is how much later than it happened a death, or a response, may be seen here.
-	seenLate = 5 * time.Millisecond
+	// observationDelay is how much later than it happened a death, or a response, may be seen here.
+	observationDelay = 5 * time.Millisecond
 )
 
 // recordFigures are the figures of a run. The JSON keys are read by scripts.
@@ -47,21 +47,21 @@
 	Stalls         int              `json:"stalls"`
 	StoreFaults    map[string]int   `json:"store_faults"`
 	ServedCalm     float64          `json:"settled_share_calm"`
-	ServedStall    float64          `json:"settled_share_stalled"`
+	ServedStalled    float64          `json:"settled_share_stalled"`
 	P99Calm        float64          `json:"p99_ms_calm"`
-	P99Stall       float64          `json:"p99_ms_stalled"`
-	StallResponses int              `json:"answers_stalled"`
+	P99Stalled       float64          `json:"p99_ms_stalled"`
+	ResponsesStalled int              `json:"answers_stalled"`
 	Violations     fleet.Violations `json:"rules_broken"`
-	Took           float64          `json:"took_s"`
+	DurationSeconds           float64          `json:"took_s"`
 }
 
-// entries are an exported record, by request id.
-type entries map[string][]sqlstore.Row
+// entriesByRequest are an exported record, by request id.
+type entriesByRequest map[string][]sqlstore.Row
 
 // readExport reads a record as `onyxgate record export` prints it, and counts it. An entry that stands there again is counted
 // as a duplicate and left out.
-func (f *recordFigures) readExport(text []byte) (entries, error) {
-	exported := entries{}
+func (f *recordFigures) readExport(text []byte) (entriesByRequest, error) {
+	exported := entriesByRequest{}
 	lines := bufio.NewScanner(bytes.NewReader(text))
 	lines.Buffer(nil, maxExportLine)
 	seen := map[string]bool{}
@@ -86,10 +86,10 @@
 }
 
 // compare holds the record against what the clients got.
-func (f *recordFigures) compare(log []fleet.Response, exported entries) {
+func (f *recordFigures) compare(log []fleet.Response, exported entriesByRequest) {
 	whole := map[string]fleet.Response{} // responses by request id
 	for _, response := range log {
-		if isWhole(response) {
+		if isComplete(response) {
 			whole[response.ID] = response
 			f.compareResponse(response, exported[response.ID])
 		}
@@ -102,8 +102,8 @@
 	}
 }
 
-// isWhole tells that a response reached the client whole.
-func isWhole(response fleet.Response) bool {
+// isComplete tells that a response reached the client whole.
+func isComplete(response fleet.Response) bool {
 	switch response.Outcome {
 	case fleet.OutcomeServed, fleet.OutcomeRejected, fleet.OutcomeFailed:
 		return true
@@ -115,7 +115,7 @@
 func (f *recordFigures) compareResponse(response fleet.Response, rows []sqlstore.Row) {
 	f.Responses++
 	found := slices.ContainsFunc(rows, func(entry sqlstore.Row) bool {
-		return entry.State != stateUndelivered && sameResponse(response, entry)
+		return entry.State != stateClientGone && matchesEntry(response, entry)
 	})
 	if !found {
 		if f.Missing++; f.Missing <= maxExamples {
@@ -129,7 +129,7 @@
 
 // compareEntry looks for an answered entry among the responses that clients got.
 func (f *recordFigures) compareEntry(entry sqlstore.Row, response fleet.Response, got bool) {
-	if entry.State != stateAnswered || got && sameResponse(response, entry) {
+	if entry.State != stateAnswered || got && matchesEntry(response, entry) {
 		return
 	}
 	if f.Invented++; f.Invented <= maxExamples {
@@ -137,8 +137,8 @@
 	}
 }
 
-// sameResponse tells that an entry says of a response what the client saw.
-func sameResponse(response fleet.Response, entry sqlstore.Row) bool {
+// matchesEntry tells that an entry says of a response what the client saw.
+func matchesEntry(response fleet.Response, entry sqlstore.Row) bool {
 	body := ""
 	if response.Outcome == fleet.OutcomeServed {
 		body = hex.EncodeToString(response.Body[:])
@@ -147,18 +147,18 @@
 		instanceName(response.Instance) == entry.Instance
 }
 
-// death is when an instance died, as seen from outside.
-type death struct {
+// instanceKill is when an instance died, as seen from outside.
+type instanceKill struct {
 	instance int
 	at       time.Time
 }
 
 // countOpenAt counts the requests that were under way at an instance's death, as their clients saw it.
-func countOpenAt(deaths []death, log []fleet.Response) (n int) {
+func countOpenAt(deaths []instanceKill, log []fleet.Response) (n int) {
 	for _, d := range deaths {
 		for _, response := range log {
 			reached := response.Instance == d.instance && response.Outcome != fleet.OutcomeUnreachable
-			underWay := response.Sent.Before(d.at) && response.Done.After(d.at.Add(-seenLate))
+			underWay := response.Sent.Before(d.at) && response.Done.After(d.at.Add(-observationDelay))
 			if reached && underWay {
 				n++
 			}
--- a/cmd/e2e/record_figures_test.go
+++ b/cmd/e2e/record_figures_test.go
@@ -27,7 +27,7 @@
 	second := with(func(e *sqlstore.Row) { e.Ordinal = 8 })
 	otherBody := with(func(e *sqlstore.Row) { e.BodyDigest = "00" })
 	otherInstance := with(func(e *sqlstore.Row) { e.Instance = "n2" })
-	undelivered := with(func(e *sqlstore.Row) { e.State = stateUndelivered })
+	undelivered := with(func(e *sqlstore.Row) { e.State = stateClientGone })
 	inDoubt := with(func(e *sqlstore.Row) { e.State = stateInDoubt })
 	broken := fleet.Response{ID: "r1", Class: "order", Instance: 1, Outcome: fleet.OutcomeBroken}
 
@@ -96,7 +96,7 @@
 		{"unreachable", fleet.Response{Instance: 1, Sent: at(-10), Done: at(10), Outcome: fleet.OutcomeUnreachable}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := countOpenAt([]death{{1, died}}, []fleet.Response{c.response}); got != c.want {
+			if got := countOpenAt([]instanceKill{{1, died}}, []fleet.Response{c.response}); got != c.want {
 				t.Errorf("%d open, want %d", got, c.want)
 			}
 		})
--- a/cmd/e2e/report.go
+++ b/cmd/e2e/report.go
@@ -11,27 +11,27 @@
 // errViolations says that the run was carried out and a claim was violated.
 var errViolations = errors.New("a claim was violated")
 
-// claims collects the violations of a run.
-type claims struct {
+// verdict collects the violations of a run.
+type verdict struct {
 	violations []string
 }
 
 // require notes a violation unless the claim passed.
-func (c *claims) require(passed bool, format string, args ...any) {
+func (c *verdict) require(passed bool, format string, args ...any) {
 	if !passed {
 		c.violations = append(c.violations, fmt.Sprintf(format, args...))
 	}
 }
 
-// requireNone notes a violation for an error.
-func (c *claims) requireNone(err error) {
+// requireNoError notes a violation for an error.
+func (c *verdict) requireNoError(err error) {
 	if err != nil {
 		c.violations = append(c.violations, err.Error())
 	}
 }
 
 // err is errViolations where there are any.
-func (c *claims) err() error {
+func (c *verdict) err() error {
 	if len(c.violations) > 0 {
 		return errViolations
 	}
@@ -40,7 +40,7 @@
 
 // print writes the figures of a run and its verdict to standard output as one JSON object. It returns errViolations where a
 // claim was violated: exit code and "held" say the same.
-func (c *claims) print(figures any) error {
+func (c *verdict) print(figures any) error {
 	text, err := json.Marshal(figures)
 	if err != nil {
 		return err
--- a/cmd/e2e/responses.go
+++ b/cmd/e2e/responses.go
@@ -13,7 +13,7 @@
 
 const (
 	maxLatency      = time.Minute // that a histogram holds
-	latencyDigits   = 3           // significant ones that a histogram keeps
+	latencyPrecision   = 3           // significant ones that a histogram keeps
 	medianQuantile  = 50
 	highestQuantile = 99
 )
@@ -22,7 +22,7 @@
 type latencies struct{ histogram *hdrhistogram.Histogram }
 
 func newLatencies() latencies {
-	return latencies{hdrhistogram.New(1, maxLatency.Microseconds(), latencyDigits)}
+	return latencies{hdrhistogram.New(1, maxLatency.Microseconds(), latencyPrecision)}
 }
 
 // add notes the latency of a served request.
@@ -37,15 +37,15 @@
 	return float64(l.histogram.ValueAtQuantile(quantile)) / 1000
 }
 
-// served is what the requests sent in a span came to.
-type served struct {
+// servedRequests is what the requests sent in a span came to.
+type servedRequests struct {
 	share    float64 // of the responses
 	p99Ms    float64
 	requests int
 }
 
 // servedBetween counts the responses to what was sent in a span.
-func servedBetween(log []fleet.Response, from, to time.Time) (s served) {
+func servedBetween(log []fleet.Response, from, to time.Time) (s servedRequests) {
 	times, n := newLatencies(), 0
 	for _, response := range log {
 		if response.Sent.Before(from) || response.Sent.After(to) {
--- a/cmd/e2e/scenario.go
+++ b/cmd/e2e/scenario.go
@@ -21,9 +21,9 @@
 	// inject applies the faults while clients send, and returns when the load may end.
 	inject(bed *testbed) error
 	// check judges the run after all instances have ended.
-	check(bed *testbed, found *claims) error
+	check(bed *testbed, found *verdict) error
 	// report prints figures and verdict; it returns errViolations where a claim was violated.
-	report(found *claims) error
+	report(found *verdict) error
 }
 
 // run carries out a scenario. It returns errViolations where a claim was violated, and any other error where there is no
@@ -48,7 +48,7 @@
 		return err
 	}
 	bed.endLoad()
-	found := &claims{violations: bed.cluster.stop()}
+	found := &verdict{violations: bed.cluster.stop()}
 	if err := s.check(bed, found); err != nil {
 		return err
 	}
@@ -69,8 +69,8 @@
 	fleet     *fleet.Fleet
 	cluster   *cluster
 	clients   *fleet.Clients
-	began     time.Time // after the program was built
-	loadBegan time.Time
+	startedAt     time.Time // after the program was built
+	loadStartedAt time.Time
 
 	cancelLoad context.CancelFunc
 	loadEnded  chan struct{}
@@ -85,7 +85,7 @@
 	}
 	bed = &testbed{dir: dir}
 	if !options.keep {
-		bed.cleanup(func() { _ = os.RemoveAll(dir) }) // what stays behind is a directory of temporary files
+		bed.addCleanup(func() { _ = os.RemoveAll(dir) }) // what stays behind is a directory of temporary files
 	}
 	defer func() {
 		if err != nil {
@@ -98,24 +98,24 @@
 			return nil, err
 		}
 	}
-	bed.began = time.Now()
+	bed.startedAt = time.Now()
 	if bed.fleet, err = fleet.New(options.fleet); err != nil {
 		return nil, err
 	}
-	bed.cleanup(bed.fleet.Close)
+	bed.addCleanup(bed.fleet.Close)
 	bed.cluster, err = newCluster(bed.fleet, program, dir)
 	return bed, err
 }
 
-// cleanup names what is to be done at the end, after the instances have ended. The last one named is done first.
-func (b *testbed) cleanup(f func()) { b.cleanups = append(b.cleanups, f) }
+// addCleanup names what is to be done at the end, after the instances have ended. The last one named is done first.
+func (b *testbed) addCleanup(f func()) { b.cleanups = append(b.cleanups, f) }
 
 // startLoad has clients send until endLoad. The options' addresses are those of the cluster.
 func (b *testbed) startLoad(options fleet.ClientOptions) {
 	options.Addresses = b.cluster.addresses
 	b.clients = fleet.NewClients(b.fleet, options)
 	ctx, cancel := context.WithCancel(context.Background())
-	b.cancelLoad, b.loadEnded, b.loadBegan = cancel, make(chan struct{}), time.Now()
+	b.cancelLoad, b.loadEnded, b.loadStartedAt = cancel, make(chan struct{}), time.Now()
 	go func() {
 		defer close(b.loadEnded)
 		b.clients.Run(ctx)
--- a/cmd/e2e/srv.go
+++ b/cmd/e2e/srv.go
@@ -26,8 +26,8 @@
 // The instances, by their sources.
 const (
 	discoveryOnly = 0
-	deadResolver  = 1 // its resolver is silent throughout
-	faultyDNS     = 2 // its resolver fails in drawn ways, and discovery falls silent for it
+	silentResolver  = 1 // its resolver is silent throughout
+	faultyResolver     = 2 // its resolver fails in drawn ways, and discovery falls silent for it
 )
 
 // Run carries out the scenario.
@@ -35,11 +35,11 @@
 	scenario := &srvScenario{
 		srvCommand: s,
 		random:     rand.New(rand.NewPCG(s.Seed, 4)),
-		part:       time.Second,
+		unit:       time.Second,
 		figures:    srvFigures{Seed: s.Seed, Defect: s.Defect, Faults: map[string]int{}},
 	}
 	if s.Short {
-		scenario.part /= 2
+		scenario.unit /= 2
 	}
 	return run(scenario)
 }
@@ -48,24 +48,24 @@
 type srvScenario struct {
 	srvCommand
 	random   *rand.Rand    // draws the faults of the resolver
-	part     time.Duration // the unit of the phases
+	unit     time.Duration // the unit of the phases
 	servers  map[int]*dnsserver.Server
 	settings [3]string // paths, by instance
 	env      []string
-	stale    atomic.Bool // the name servers name whoever ever ran
-	phases   srvPhases
-	replaced []string // ids of the backends that came while discovery was silent
+	staleRecords    atomic.Bool // the name servers name whoever ever ran
+	phases   srvPhaseStarts
+	replacementIDs []string // ids of the backends that came while discovery was silent
 	figures  srvFigures
 }
 
-// srvPhases are the times at which the phases began.
-type srvPhases struct {
-	wave      time.Time // the rollout: drains at every stage, while the resolver fails and names who drained
+// srvPhaseStarts are the times at which the phases began.
+type srvPhaseStarts struct {
+	rollout      time.Time // the rollout: drains at every stage, while the resolver fails and names who drained
 	killed    time.Time // an instance dies in the wave, and starts with what it wrote down
-	waveEnded time.Time // the resolver is well again
+	rolloutEnded time.Time // the resolver is well again
 	calm      time.Time
-	muted     time.Time // discovery is silent and backends change; SRV alone tells the truth
-	none      time.Time // both sources are silent
+	discoveryMuted     time.Time // discovery is silent and backends change; SRV alone tells the truth
+	bothSilent      time.Time // both sources are silent
 	end       time.Time
 }
 
@@ -75,14 +75,14 @@
 
 func (s *srvScenario) setUp(bed *testbed) (instances []startOptions, err error) {
 	bed.fleet.Linger = time.Minute // who is listed as gone still answers: only the instances keep requests from it
-	s.stale.Store(true)
+	s.staleRecords.Store(true)
 	s.servers = map[int]*dnsserver.Server{}
-	for _, instance := range []int{deadResolver, faultyDNS} {
+	for _, instance := range []int{silentResolver, faultyResolver} {
 		if err := s.startResolver(bed, instance); err != nil {
 			return nil, err
 		}
 	}
-	s.servers[deadResolver].Fail("silent")
+	s.servers[silentResolver].Fail("silent")
 	s.env = []string{defectEnv + s.Defect}
 	for i := range bed.fleet.Instances {
 		instances = append(instances, s.startOptions(i, s.Seed+uint64(i)))
@@ -92,11 +92,11 @@
 
 // startResolver starts an instance's name server and writes the settings that name it.
 func (s *srvScenario) startResolver(bed *testbed, instance int) error {
-	server, err := dnsserver.New(func() []string { return bed.fleet.Addresses(instance, s.stale.Load()) })
+	server, err := dnsserver.New(func() []string { return bed.fleet.Addresses(instance, s.staleRecords.Load()) })
 	if err != nil {
 		return err
 	}
-	bed.cleanup(server.Close)
+	bed.addCleanup(server.Close)
 	s.servers[instance] = server
 	const text = `[sources]
 state = %q
@@ -121,44 +121,44 @@
 
 func (s *srvScenario) inject(bed *testbed) error {
 	s.figures.FleetTrueMin = len(bed.fleet.Addresses(discoveryOnly, false))
-	time.Sleep(s.part)
+	time.Sleep(s.unit)
 	if err := s.rollOut(bed); err != nil {
 		return err
 	}
-	s.phases.waveEnded = time.Now()
-	time.Sleep(2 * s.part) // names come back
+	s.phases.rolloutEnded = time.Now()
+	time.Sleep(2 * s.unit) // names come back
 	s.phases.calm = time.Now()
-	time.Sleep(4 * s.part)
+	time.Sleep(4 * s.unit)
 	if err := s.muteDiscovery(bed); err != nil {
 		return err
 	}
-	time.Sleep(6 * s.part)
-	s.phases.none = time.Now()
-	s.servers[faultyDNS].Fail("silent")
-	time.Sleep(4 * s.part)
+	time.Sleep(6 * s.unit)
+	s.phases.bothSilent = time.Now()
+	s.servers[faultyResolver].Fail("silent")
+	time.Sleep(4 * s.unit)
 	s.phases.end = time.Now()
 	return nil
 }
 
 // rollOut rolls a release out while the resolver fails; an instance is killed in the middle and started again.
 func (s *srvScenario) rollOut(bed *testbed) error {
-	s.phases.wave = time.Now()
+	s.phases.rollout = time.Now()
 	bed.fleet.StartRollout(newRelease, 0)
-	s.failResolver(bed, 9*s.part)
-	bed.cluster.process(faultyDNS).kill()
+	s.failResolver(bed, 9*s.unit)
+	bed.cluster.process(faultyResolver).kill()
 	s.phases.killed = time.Now()
-	if err := bed.cluster.start(s.startOptions(faultyDNS, s.Seed+9)); err != nil {
+	if err := bed.cluster.start(s.startOptions(faultyResolver, s.Seed+9)); err != nil {
 		return err
 	}
-	s.failResolver(bed, 7*s.part)
+	s.failResolver(bed, 7*s.unit)
 	return nil
 }
 
 // failResolver has the resolver fail in drawn ways for a time.
 func (s *srvScenario) failResolver(bed *testbed, length time.Duration) {
-	server := s.servers[faultyDNS]
+	server := s.servers[faultyResolver]
 	for until := time.Now().Add(length); time.Now().Before(until); s.observeFleet(bed) {
-		mode := dnsserver.Modes[s.random.IntN(len(dnsserver.Modes))]
+		mode := dnsserver.FailureModes[s.random.IntN(len(dnsserver.FailureModes))]
 		server.Fail(mode)
 		s.figures.Faults[mode]++
 		time.Sleep(time.Duration(300+s.random.IntN(600)) * time.Millisecond)
@@ -168,10 +168,10 @@
 
 // muteDiscovery silences discovery for an instance and replaces backends, of which only SRV tells it.
 func (s *srvScenario) muteDiscovery(bed *testbed) (err error) {
-	s.stale.Store(false)
-	bed.fleet.MuteDiscovery(faultyDNS, true)
-	s.phases.muted = time.Now()
-	s.replaced, err = bed.fleet.ReplaceBackends(2)
+	s.staleRecords.Store(false)
+	bed.fleet.MuteDiscovery(faultyResolver, true)
+	s.phases.discoveryMuted = time.Now()
+	s.replacementIDs, err = bed.fleet.ReplaceBackends(2)
 	s.observeFleet(bed)
 	return err
 }
@@ -182,10 +182,10 @@
 	s.figures.FleetTrueMin = min(s.figures.FleetTrueMin, running)
 }
 
-func (s *srvScenario) check(bed *testbed, found *claims) error {
+func (s *srvScenario) check(bed *testbed, found *verdict) error {
 	s.count(bed)
 	s.judge(found)
 	return nil
 }
 
-func (s *srvScenario) report(found *claims) error { return found.print(s.figures) }
+func (s *srvScenario) report(found *verdict) error { return found.print(s.figures) }
--- a/cmd/e2e/store.go
+++ b/cmd/e2e/store.go
@@ -23,8 +23,8 @@
 	settings() string
 	// stall begins or ends a stall.
 	stall(on bool) error
-	// fault has the store fail for a drawn time, the n-th time, and returns the kind of the fault once it is over.
-	fault(n int, random *rand.Rand) (kind string, err error)
+	// injectFault has the store fail for a drawn time, the n-th time, and returns the kind of the injectFault once it is over.
+	injectFault(n int, random *rand.Rand) (kind string, err error)
 	// recover ends all faults.
 	recover() error
 	// close ends the store; its data stays.
@@ -70,14 +70,14 @@
 	return c, nil
 }
 
-// order writes a line to the child's input.
-func (c *child) order(line string) error {
+// send writes a line to the child's input.
+func (c *child) send(line string) error {
 	_, err := fmt.Fprintln(c.input, line)
 	return err
 }
 
-// end has the child end by itself.
-func (c *child) end() error {
+// stop has the child stop by itself.
+func (c *child) stop() error {
 	c.input.Close()
 	return c.command.Wait()
 }
--- a/cmd/e2e/store_postgres.go
+++ b/cmd/e2e/store_postgres.go
@@ -60,26 +60,26 @@
 
 func (s *postgresStore) stall(on bool) error {
 	if on {
-		return s.server.order(storeStalled)
+		return s.server.send(storeStalled)
 	}
 	return s.recover()
 }
 
-func (s *postgresStore) fault(n int, random *rand.Rand) (kind string, err error) {
+func (s *postgresStore) injectFault(n int, random *rand.Rand) (kind string, err error) {
 	kind = postgresFaults[n%len(postgresFaults)]
 	if kind == storeKilled {
 		s.server.kill()
 		time.Sleep(time.Duration(100+random.IntN(300)) * time.Millisecond)
 		return kind, s.start()
 	}
-	if err := s.server.order(kind); err != nil {
+	if err := s.server.send(kind); err != nil {
 		return kind, err
 	}
 	time.Sleep(time.Duration(200+random.IntN(500)) * time.Millisecond)
 	return kind, s.recover()
 }
 
-func (s *postgresStore) recover() error { return s.server.order(postgresHealthy) }
+func (s *postgresStore) recover() error { return s.server.send(postgresHealthy) }
 
 func (s *postgresStore) close() {
 	s.server.input.Close()
--- a/cmd/e2e/store_sqlite.go
+++ b/cmd/e2e/store_sqlite.go
@@ -20,7 +20,7 @@
 // sqliteStore is a SQLite file.
 type sqliteStore struct {
 	path   string
-	holder *child // of the write lock; nil: it was never held
+	lockHolder *child // of the write lock; nil: it was never held
 }
 
 func newSQLiteStore(dir string) *sqliteStore {
@@ -31,23 +31,23 @@
 
 func (s *sqliteStore) stall(on bool) error {
 	if !on {
-		return s.holder.end()
+		return s.lockHolder.stop()
 	}
 	holder, err := startChild("holdlite", s.path)
 	if err == nil {
-		s.holder = holder
+		s.lockHolder = holder
 	}
 	return err
 }
 
-// fault holds the lock, and has its holder be killed within its transaction every other time.
-func (s *sqliteStore) fault(n int, random *rand.Rand) (kind string, err error) {
+// injectFault holds the lock, and has its holder be killed within its transaction every other time.
+func (s *sqliteStore) injectFault(n int, random *rand.Rand) (kind string, err error) {
 	if err := s.stall(true); err != nil {
 		return "", err
 	}
 	time.Sleep(time.Duration(100+random.IntN(600)) * time.Millisecond)
 	if n%2 == 0 {
-		s.holder.kill()
+		s.lockHolder.kill()
 		return storeKilled, nil
 	}
 	return storeStalled, s.stall(false)
@@ -57,8 +57,8 @@
 func (s *sqliteStore) recover() error { return nil }
 
 func (s *sqliteStore) close() {
-	if s.holder != nil {
-		s.holder.input.Close()
+	if s.lockHolder != nil {
+		s.lockHolder.input.Close()
 	}
 }
 
--- a/internal/fake/dnsserver/dnsserver.go
+++ b/internal/fake/dnsserver/dnsserver.go
@@ -20,7 +20,7 @@
 	domain           = ".fleet.example.org."
 	ttlSeconds       = 2
 	maxUDPSize       = dns.MinMsgSize * 2
-	garbage          = "this is no answer to anything"
+	garbageReply          = "this is no answer to anything"
 	failSilent       = "silent"
 	failServfail     = "servfail"
 	failNXDomain     = "nxdomain"
@@ -29,12 +29,12 @@
 	failHalf         = "half"
 	failGarbage      = "garbage"
 	failWrongID      = "wrong id"
-	failZeroLifetime = "lifetime 0"
+	failZeroTTL = "lifetime 0"
 )
 
-// Modes are the ways to fail; the first is none.
-var Modes = []string{
-	"", failSilent, failServfail, failNXDomain, failEmpty, failTruncated, failHalf, failGarbage, failWrongID, failZeroLifetime,
+// FailureModes are the ways to fail; the first is none.
+var FailureModes = []string{
+	"", failSilent, failServfail, failNXDomain, failEmpty, failTruncated, failHalf, failGarbage, failWrongID, failZeroTTL,
 }
 
 // Server is a name server. Its methods may be called at any time and by anyone.
@@ -80,7 +80,7 @@
 	case failSilent:
 		return
 	case failGarbage:
-		_, _ = w.Write([]byte(garbage)) // a client that is gone needs none
+		_, _ = w.Write([]byte(garbageReply)) // a client that is gone needs none
 		return
 	}
 	message := s.answer(query, mode)
@@ -109,7 +109,7 @@
 		addresses = addresses[:len(addresses)/2]
 	case failWrongID:
 		message.Id++
-	case failZeroLifetime:
+	case failZeroTTL:
 		ttl = 0
 	}
 	name := query.Question[0].Name
--- a/internal/fake/faultproxy/faultproxy.go
+++ b/internal/fake/faultproxy/faultproxy.go
@@ -24,10 +24,10 @@
 	target   string
 
 	mu          sync.Mutex
-	changed     *sync.Cond                           // of matches
+	matchesChanged     *sync.Cond                           // of matches
 	matches     func(firstLine string) bool          // connections that are held; nil: none
 	onPass      func(firstLine string, bytes []byte) // nil: nobody
-	waiting     int                                  // connections on which bytes of the target are held now
+	holding     int                                  // connections on which bytes of the target are held now
 	connections map[net.Conn]bool                    // open ones, of both sides
 }
 
@@ -38,7 +38,7 @@
 		return nil, err
 	}
 	p := &Proxy{listener: listener, target: target, connections: map[net.Conn]bool{}}
-	p.changed = sync.NewCond(&p.mu)
+	p.matchesChanged = sync.NewCond(&p.mu)
 	go p.accept()
 	return p, nil
 }
@@ -58,7 +58,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.matches = nil
-	p.changed.Broadcast()
+	p.matchesChanged.Broadcast()
 }
 
 // OnPass sets a function that sees the target's bytes just before they go to the client. It is set before the first connection
@@ -73,7 +73,7 @@
 func (p *Proxy) Holding() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.waiting
+	return p.holding
 }
 
 // Close ends the proxy and all its connections.
@@ -82,7 +82,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.matches = nil
-	p.changed.Broadcast()
+	p.matchesChanged.Broadcast()
 	for c := range p.connections {
 		c.Close()
 	}
@@ -99,56 +99,56 @@
 			near.Close()
 			continue
 		}
-		s := &session{proxy: p, near: near, far: far, named: make(chan struct{})}
+		s := &session{proxy: p, client: near, target: far, firstLineKnown: make(chan struct{})}
 		p.mu.Lock()
 		p.connections[near], p.connections[far] = true, true
 		p.mu.Unlock()
-		go s.forward()
-		go s.backward()
+		go s.copyToTarget()
+		go s.copyToClient()
 	}
 }
 
 // session is one connection through the proxy.
 type session struct {
 	proxy     *Proxy
-	near, far net.Conn // the client's and the target's
+	client, target net.Conn // the client's and the target's
 	once      sync.Once
-	named     chan struct{} // closed once the first line is known
+	firstLineKnown     chan struct{} // closed once the first line is known
 	firstLine string
 }
 
 func (s *session) close() {
-	s.near.Close()
-	s.far.Close()
+	s.client.Close()
+	s.target.Close()
 	s.proxy.mu.Lock()
 	defer s.proxy.mu.Unlock()
-	delete(s.proxy.connections, s.near)
-	delete(s.proxy.connections, s.far)
+	delete(s.proxy.connections, s.client)
+	delete(s.proxy.connections, s.target)
 }
 
-// name sets the first line; only the first call counts.
-func (s *session) name(line string) {
+// setFirstLine sets the first line; only the first call counts.
+func (s *session) setFirstLine(line string) {
 	s.once.Do(func() {
 		s.firstLine = line
-		close(s.named)
+		close(s.firstLineKnown)
 	})
 }
 
-// forward passes on what the client sends and takes the first line from it.
-func (s *session) forward() {
+// copyToTarget passes on what the client sends and takes the first line from it.
+func (s *session) copyToTarget() {
 	defer s.close()
-	defer s.name("")
+	defer s.setFirstLine("")
 	buffer, head := make([]byte, bufferSize), []byte(nil)
 	for {
-		n, err := s.near.Read(buffer)
+		n, err := s.client.Read(buffer)
 		if n > 0 {
 			if len(head) < maxFirstLine {
 				head = append(head, buffer[:n]...)
 				if line, _, whole := bytes.Cut(head, []byte("\r\n")); whole {
-					s.name(string(line))
+					s.setFirstLine(string(line))
 				}
 			}
-			if _, err := s.far.Write(buffer[:n]); err != nil {
+			if _, err := s.target.Write(buffer[:n]); err != nil {
 				return
 			}
 		}
@@ -158,18 +158,18 @@
 	}
 }
 
-// backward passes on what the target sends, once it may go. It waits for the first line, by which connections are chosen.
-func (s *session) backward() {
+// copyToClient passes on what the target sends, once it may go. It waits for the first line, by which connections are chosen.
+func (s *session) copyToClient() {
 	defer s.close()
 	buffer := make([]byte, bufferSize)
 	for {
-		n, err := s.far.Read(buffer)
+		n, err := s.target.Read(buffer)
 		if n > 0 {
-			<-s.named
-			if !s.wait(buffer[:n]) {
+			<-s.firstLineKnown
+			if !s.awaitRelease(buffer[:n]) {
 				return
 			}
-			if _, err := s.near.Write(buffer[:n]); err != nil {
+			if _, err := s.client.Write(buffer[:n]); err != nil {
 				return
 			}
 		}
@@ -179,21 +179,21 @@
 	}
 }
 
-// wait returns when these bytes of the target may pass, and whether the client is still there. What was held while the client
+// awaitRelease returns when these bytes of the target may pass, and whether the client is still there. What was held while the client
 // left is not shown to OnPass, since nobody reads it.
-func (s *session) wait(bytes []byte) (open bool) {
+func (s *session) awaitRelease(bytes []byte) (open bool) {
 	p := s.proxy
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	held := func() bool { return p.matches != nil && p.matches(s.firstLine) }
 	if held() {
-		p.waiting++
+		p.holding++
 		for held() {
-			p.changed.Wait()
+			p.matchesChanged.Wait()
 		}
-		p.waiting--
+		p.holding--
 	}
-	if !p.connections[s.near] {
+	if !p.connections[s.client] {
 		return false
 	}
 	if p.onPass != nil {
--- a/internal/fake/fleet/affinity.go
+++ b/internal/fake/fleet/affinity.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// answerSeen is how long after a good answer was written its key counts as answered: until then it may still be on its way.
-const answerSeen = 150 * time.Millisecond
+// answerTransitTime is how long after a good answer was written its key counts as answered: until then it may still be on its way.
+const answerTransitTime = 150 * time.Millisecond
 
-// closedFor is how long after an instance was told of a cap of 0 attempts at the release may still arrive.
-const closedFor = Grace + 150*time.Millisecond
+// closedGrace is how long after an instance was told of a cap of 0 attempts at the release may still arrive.
+const closedGrace = DrainGrace + 150*time.Millisecond
 
-// Affinity counts what was seen of the rule on keys.
-type Affinity struct {
-	Asked      int      // attempts with a key that a later release than the first had answered before
+// AffinityAudit counts what was seen of the rule on keys.
+type AffinityAudit struct {
+	BoundAttempts      int      // attempts with a key that a later release than the first had answered before
 	Violations []string // a line for each attempt that reached an earlier release than that
 }
 
-// Closed counts what was seen of closed releases.
-type Closed struct {
+// ClosedReleaseAudit counts what was seen of closed releases.
+type ClosedReleaseAudit struct {
 	Notified   int      // closings of which an instance was told
 	Violations []string // a line for each attempt that came later than closedFor
 }
@@ -34,30 +34,30 @@
 
 type instanceRelease struct{ instance, release int }
 
-type answeredBy struct {
+type firstAnswer struct {
 	release int
 	at      time.Time
 }
 
-// affinity is under the fleet's lock.
-type affinity struct {
-	answers    map[instanceKey][]answeredBy // the first answer of each release
+// affinityChecker is under the fleet's lock.
+type affinityChecker struct {
+	answers    map[instanceKey][]firstAnswer // the first answer of each release
 	rolledBack map[int]bool                 // releases that are rolled back: their answers bind no key from there on
-	seen       Affinity
+	audit       AffinityAudit
 }
 
 // checkAttempt judges an attempt that has reached a backend of a release.
-func (a *affinity) checkAttempt(reached attempt, release int) {
+func (a *affinityChecker) checkAttempt(reached attempt, release int) {
 	for _, answer := range a.answers[instanceKey{reached.instance, reached.key}] {
 		since := time.Since(answer.at)
-		if since < answerSeen {
+		if since < answerTransitTime {
 			continue
 		}
 		if answer.release > 1 {
-			a.seen.Asked++
+			a.audit.BoundAttempts++
 		}
 		if release < answer.release {
-			a.seen.Violations = append(a.seen.Violations,
+			a.audit.Violations = append(a.audit.Violations,
 				fmt.Sprintf("request %s, key %s, instance n%d: release %d, answered by release %d %d ms before",
 					reached.requestID, reached.key, reached.instance, release, answer.release, since.Milliseconds()))
 		}
@@ -65,7 +65,7 @@
 }
 
 // recordAnswer notes that a release's good answer to an attempt has been written.
-func (a *affinity) recordAnswer(answered attempt, release int) {
+func (a *affinityChecker) recordAnswer(answered attempt, release int) {
 	if a.rolledBack[release] {
 		return
 	}
@@ -75,11 +75,11 @@
 			return
 		}
 	}
-	a.answers[k] = append(a.answers[k], answeredBy{release, time.Now()})
+	a.answers[k] = append(a.answers[k], firstAnswer{release, time.Now()})
 }
 
 // rollBack frees the keys of a release.
-func (a *affinity) rollBack(release int) {
+func (a *affinityChecker) rollBack(release int) {
 	a.rolledBack[release] = true
 	for k, answers := range a.answers {
 		kept := answers[:0]
@@ -99,7 +99,7 @@
 	k := instanceRelease{instance, release}
 	if _, known := f.closedAt[k]; limit == 0 && !known {
 		f.closedAt[k] = time.Now()
-		f.closedSeen.Notified++
+		f.closedAudit.Notified++
 	}
 }
 
@@ -108,7 +108,7 @@
 func (f *Fleet) ForgetInstance(instance int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.incarnation[instance]++
+	f.incarnations[instance]++
 	for k := range f.affinity.answers {
 		if k.instance == instance {
 			delete(f.affinity.answers, k)
@@ -124,8 +124,8 @@
 // checkClosed judges an attempt that has reached a backend of a release. Under the lock.
 func (f *Fleet) checkClosed(reached attempt, release int) {
 	closedAt, closed := f.closedAt[instanceRelease{reached.instance, release}]
-	if since := time.Since(closedAt); closed && since > closedFor {
-		f.closedSeen.Violations = append(f.closedSeen.Violations,
+	if since := time.Since(closedAt); closed && since > closedGrace {
+		f.closedAudit.Violations = append(f.closedAudit.Violations,
 			fmt.Sprintf("request %s, instance n%d: release %d, told closed %d ms before",
 				reached.requestID, reached.instance, release, since.Milliseconds()))
 	}
--- a/internal/fake/fleet/audit.go
+++ b/internal/fake/fleet/audit.go
@@ -23,7 +23,7 @@
 func (f *Fleet) RequestSent(instance int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.requestsAt[instance] = append(f.requestsAt[instance], time.Now())
+	f.requestTimes[instance] = append(f.requestTimes[instance], time.Now())
 }
 
 // attemptArrived counts an attempt that has reached a backend, and completes what is known of it.
@@ -34,22 +34,22 @@
 	if notifiedAt := b.notifiedAt[a.instance]; !notifiedAt.IsZero() {
 		late := now.Sub(notifiedAt)
 		f.LatestAfterDrain = max(f.LatestAfterDrain, late)
-		if late > Grace+drainSlack {
+		if late > DrainGrace+drainSlack {
 			f.violations.AfterDrain++
 		}
 	}
-	f.noteReached(a.instance, now.Unix(), b.ID)
+	f.recordReached(a.instance, now.Unix(), b.ID)
 	if b.Release == f.stage.Release && f.stage.Mode == ModeCanary {
-		f.canaryAttemptsAt[a.instance] = append(f.canaryAttemptsAt[a.instance], now)
+		f.canaryAttemptTimes[a.instance] = append(f.canaryAttemptTimes[a.instance], now)
 	}
 	f.attempts[b.Release]++
 	f.affinity.checkAttempt(*a, b.Release)
 	f.checkClosed(*a, b.Release)
-	a.draining, a.incarnation = b.state != stateReady, f.incarnation[a.instance]
+	a.draining, a.incarnation = b.state != stateReady, f.incarnations[a.instance]
 }
 
-// noteReached notes the second in which an attempt reached a backend. Under the lock.
-func (f *Fleet) noteReached(instance int, second int64, id string) {
+// recordReached notes the second in which an attempt reached a backend. Under the lock.
+func (f *Fleet) recordReached(instance int, second int64, id string) {
 	reached := f.reachedInSecond[instance]
 	if reached[second] == nil {
 		reached[second] = map[string]bool{}
@@ -67,13 +67,13 @@
 			f.violations.DuplicateEffects++
 		}
 	case SemanticsIdempotent:
-		if ranAt, ran := f.keyRanAt[a.idempotencyKey]; ran {
+		if ranAt, ran := f.keyExecutedAt[a.idempotencyKey]; ran {
 			if time.Since(ranAt) < a.class.DedupWindow {
 				return true
 			}
 			f.violations.DuplicateEffects++
 		}
-		f.keyRanAt[a.idempotencyKey] = time.Now()
+		f.keyExecutedAt[a.idempotencyKey] = time.Now()
 	}
 	return false
 }
@@ -82,7 +82,7 @@
 func (f *Fleet) answerWritten(b *Backend, a attempt) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if a.incarnation == f.incarnation[a.instance] {
+	if a.incarnation == f.incarnations[a.instance] {
 		f.affinity.recordAnswer(a, b.Release)
 	}
 }
@@ -99,18 +99,18 @@
 func (f *Fleet) Audit() Violations {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for instance, attempts := range f.canaryAttemptsAt {
-		f.violations.Exposure += f.overexposed(attempts, f.requestsAt[instance])
+	for instance, attempts := range f.canaryAttemptTimes {
+		f.violations.Exposure += f.countOverexposed(attempts, f.requestTimes[instance])
 	}
 	return f.violations
 }
 
-// overexposed counts the windows, one ending with each attempt, in which attempts at the release on trial were too many for
+// countOverexposed counts the windows, one ending with each attempt, in which attempts at the release on trial were too many for
 // the requests. Under the lock.
-func (f *Fleet) overexposed(attempts, requests []time.Time) (windows int) {
+func (f *Fleet) countOverexposed(attempts, requests []time.Time) (windows int) {
 	firstAttempt, firstRequest := 0, 0 // in the window
 	for last, end := range attempts {
-		begin := end.Add(-Window)
+		begin := end.Add(-ExposureWindow)
 		for attempts[firstAttempt].Before(begin) {
 			firstAttempt++
 		}
@@ -149,8 +149,8 @@
 	return highest
 }
 
-// CountReached is how many of these backends an instance's attempts reached in a span.
-func (f *Fleet) CountReached(instance int, ids []string, from, to time.Time) (n int) {
+// CountBackendsReached is how many of these backends an instance's attempts reached in a span.
+func (f *Fleet) CountBackendsReached(instance int, ids []string, from, to time.Time) (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, id := range ids {
@@ -164,8 +164,8 @@
 	return n
 }
 
-// MinReached is the least number of backends that an instance's attempts reached in any whole second of a span.
-func (f *Fleet) MinReached(instance int, from, to time.Time) int {
+// MinBackendsReached is the least number of backends that an instance's attempts reached in any whole second of a span.
+func (f *Fleet) MinBackendsReached(instance int, from, to time.Time) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	least := len(f.backends)
--- a/internal/fake/fleet/audit_test.go
+++ b/internal/fake/fleet/audit_test.go
@@ -37,7 +37,7 @@
 		{"within the cap", every(10*ms, 25), every(ms, 250), []Stage{{At: began, Cap: 0.25}}, 0},
 		{"over the cap", every(ms, 100), every(ms, 100), []Stage{{At: began, Cap: 0.25}}, 95},
 		{"a cap of one", every(ms, 100), every(ms, 100), []Stage{{At: began, Cap: 1}}, 0},
-		{"spread over windows", every(Window, 50), nil, []Stage{{At: began, Cap: 0.25}}, 0},
+		{"spread over windows", every(ExposureWindow, 50), nil, []Stage{{At: began, Cap: 0.25}}, 0},
 		{
 			"a lower cap binds once the window has passed", every(ms, 100), every(ms, 100),
 			[]Stage{{At: began, Cap: 1}, {At: began.Add(50 * ms), Cap: 0}},
@@ -46,7 +46,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := &Fleet{Stages: c.stages}
-			if got := f.overexposed(c.attempts, c.requests); got != c.want {
+			if got := f.countOverexposed(c.attempts, c.requests); got != c.want {
 				t.Errorf("%d windows, want %d", got, c.want)
 			}
 		})
@@ -90,7 +90,7 @@
 func TestAffinityRule(t *testing.T) {
 	a := attempt{requestID: "r", key: "7"}
 	answered := func(f *Fleet) {
-		f.affinity.answers[instanceKey{0, "7"}] = []answeredBy{{release: 2, at: time.Now().Add(-2 * answerSeen)}}
+		f.affinity.answers[instanceKey{0, "7"}] = []firstAnswer{{release: 2, at: time.Now().Add(-2 * answerTransitTime)}}
 	}
 	for _, c := range []struct {
 		name       string
@@ -109,7 +109,7 @@
 			f := newTestFleet(t)
 			c.prepare(f)
 			f.affinity.checkAttempt(a, c.release)
-			if got := f.Affinity().Violations; len(got) != c.violations {
+			if got := f.AffinityAudit().Violations; len(got) != c.violations {
 				t.Errorf("violations %q, want %d", got, c.violations)
 			}
 		})
@@ -136,8 +136,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			f := newTestFleet(t)
 			f.StartRollout(2, 0)
-			f.stageBegan = time.Now().Add(-2 * minStage)
-			f.manual = c.manual
+			f.stageEnteredAt = time.Now().Add(-2 * minStageTime)
+			f.manualRollout = c.manual
 			if status, code := f.handleVote(c.release, c.stage, c.verdict); status != c.status {
 				t.Errorf("status %d %s, want %d", status, code, c.status)
 			}
--- a/internal/fake/fleet/backend.go
+++ b/internal/fake/fleet/backend.go
@@ -36,7 +36,7 @@
 	notifiedAt   []time.Time // by instance: when it was told that the backend drains or is gone; under the fleet's lock
 	servers      []*http.Server
 	listeners    []net.Listener
-	slots        chan bool // one entry for each busy core
+	busyCores        chan bool // one entry for each busy core
 	queued       atomic.Int64
 	inFlight     atomic.Int64
 
@@ -56,7 +56,7 @@
 func newBackend(f *Fleet, id string, options backendOptions) (*Backend, error) {
 	b := &Backend{
 		ID: id, Release: options.release, fleet: f, cores: options.cores, startedAt: options.startedAt,
-		failureShare: options.failureShare, state: stateReady, notifiedAt: make([]time.Time, f.Instances), slots: make(chan bool, options.cores),
+		failureShare: options.failureShare, state: stateReady, notifiedAt: make([]time.Time, f.Instances), busyCores: make(chan bool, options.cores),
 	}
 	for instance := range f.Instances {
 		listener, err := loopback.Listen()
@@ -86,7 +86,7 @@
 		return 1
 	}
 	warmth := float64(time.Since(b.startedAt)) / float64(WarmUp)
-	return min(ColdFrom+(1-ColdFrom)*warmth, 1)
+	return min(ColdSpeed+(1-ColdSpeed)*warmth, 1)
 }
 
 // survivesLoad tells whether it still runs. A warming backend fails for good once it has had more than Overload times what it
@@ -97,13 +97,13 @@
 	if b.startedAt.IsZero() || b.speed() >= 1 {
 		return !b.failed
 	}
-	overloaded := float64(b.inFlight.Load()) > Overload*b.speed()*float64(b.cores)
+	overloaded := float64(b.inFlight.Load()) > OverloadFactor*b.speed()*float64(b.cores)
 	switch {
 	case !overloaded:
 		b.overloadedSince = time.Time{}
 	case b.overloadedSince.IsZero():
 		b.overloadedSince = time.Now()
-	case time.Since(b.overloadedSince) > FallTime && !b.failed:
+	case time.Since(b.overloadedSince) > MaxOverloadTime && !b.failed:
 		b.failed = true
 		b.fleet.countColdOverloaded()
 	}
@@ -175,7 +175,7 @@
 
 func (b *Backend) loadReport() string {
 	return fmt.Sprintf("inflight=%d,queue=%d,util=%.2f", b.inFlight.Load(), b.queued.Load(),
-		float64(len(b.slots))/float64(b.cores))
+		float64(len(b.busyCores))/float64(b.cores))
 }
 
 // acquireCore waits for a free core; false where the client gave up before.
@@ -183,14 +183,14 @@
 	b.queued.Add(1)
 	defer b.queued.Add(-1)
 	select {
-	case b.slots <- true:
+	case b.busyCores <- true:
 		return true
 	case <-r.Context().Done():
 		return false
 	}
 }
 
-func (b *Backend) releaseCore() { <-b.slots }
+func (b *Backend) releaseCore() { <-b.busyCores }
 
 // work takes the time that a request of a class needs, 20% more or less.
 func (b *Backend) work(class Class) {
@@ -200,7 +200,7 @@
 func respond(w http.ResponseWriter, text string) {
 	w.Header().Set("Content-Type", "text/plain")
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
-	write(w, text)
+	writeBody(w, text)
 }
 
 func reject(w http.ResponseWriter) {
@@ -208,8 +208,8 @@
 	http.Error(w, "full", http.StatusServiceUnavailable)
 }
 
-// write writes a body. Where it can't be written the client went away, and the clients' log shows it.
-func write(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
+// writeBody writes a body. Where it can't be written the client went away, and the clients' log shows it.
+func writeBody(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
 
 // serve passes a listener's requests to a handler until the listener closes.
 func serve(listener net.Listener, handler http.HandlerFunc) {
--- a/internal/fake/fleet/client_conn.go
+++ b/internal/fake/fleet/client_conn.go
@@ -18,9 +18,9 @@
 
 const (
 	connectTimeout = time.Second
-	idleCheck      = 50 * time.Microsecond // for which an idle connection is read, to see whether it was closed
+	idleCheckTimeout      = 50 * time.Microsecond // for which an idle connection is read, to see whether it was closed
 	responseSlack  = 2 * time.Second       // after the deadline, until a client gives up
-	silentAfter    = time.Second           // after the deadline, from where on no response counts as silence
+	silenceThreshold    = time.Second           // after the deadline, from where on no response counts as silence
 )
 
 // attempt makes one try and sets its outcome.
@@ -39,7 +39,7 @@
 	conn.Close()
 	switch {
 	case response.Outcome != "": // whole, on a connection that the instance closes
-	case time.Since(response.Sent) > r.class.Timeout+silentAfter:
+	case time.Since(response.Sent) > r.class.Timeout+silenceThreshold:
 		response.Outcome = OutcomeSilent
 	default:
 		response.Outcome = OutcomeBroken
@@ -127,7 +127,7 @@
 
 // stillOpen tells whether nothing came on an idle connection, neither its end nor bytes that nobody asked for.
 func stillOpen(conn net.Conn) bool {
-	if conn.SetReadDeadline(time.Now().Add(idleCheck)) != nil {
+	if conn.SetReadDeadline(time.Now().Add(idleCheckTimeout)) != nil {
 		return false
 	}
 	_, err := conn.Read(make([]byte, 1))
--- a/internal/fake/fleet/clients.go
+++ b/internal/fake/fleet/clients.go
@@ -30,7 +30,7 @@
 	defaultKeys     = 1000
 	maxTries        = 3
 	retryDelay      = 50 * time.Millisecond  // grows by itself with each retry
-	unreachableTime = 300 * time.Millisecond // for which clients pass over an instance that refused a connection
+	unreachableBackoff = 300 * time.Millisecond // for which clients pass over an instance that refused a connection
 )
 
 // Response is what one try of a client came to.
@@ -136,11 +136,11 @@
 	instance := r.instance
 	for retry := range maxTries {
 		var response Response
-		response, instance = c.begin(r, instance, retry)
+		response, instance = c.newResponse(r, instance, retry)
 		c.fleet.RequestSent(instance)
 		c.attempt(r, &response)
 		response.Done = time.Now()
-		c.end(response)
+		c.logResponse(response)
 		neverRan := response.Outcome == OutcomeRejected || response.Outcome == OutcomeUnreachable
 		mayRetry := neverRan || r.class.Semantics != SemanticsNonIdempotent
 		if response.Outcome == OutcomeServed || !mayRetry {
@@ -150,13 +150,13 @@
 	}
 }
 
-// begin names a try and chooses its instance: as a load balancer before the instances, it passes over those that refused a
+// newResponse names a try and chooses its instance: as a load balancer before the instances, it passes over those that refused a
 // connection a moment ago.
-func (c *Clients) begin(r request, instance, retry int) (Response, int) {
+func (c *Clients) newResponse(r request, instance, retry int) (Response, int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for range c.options.Addresses {
-		if time.Since(c.unreachableAt[instance]) > unreachableTime {
+		if time.Since(c.unreachableAt[instance]) > unreachableBackoff {
 			break
 		}
 		instance = (instance + 1) % len(c.options.Addresses)
@@ -167,8 +167,8 @@
 	}, instance
 }
 
-// end logs a try.
-func (c *Clients) end(response Response) {
+// logResponse logs a try.
+func (c *Clients) logResponse(response Response) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.log = append(c.log, response)
--- a/internal/fake/fleet/configuration.go
+++ b/internal/fake/fleet/configuration.go
@@ -47,12 +47,12 @@
 				"connect-timeout-us": 250_000, "idle-close-us": 30_000_000,
 			},
 			"contract": object{
-				"drain-grace-us": Grace.Microseconds(), "cold-from": ColdFrom, "warm-up-us": WarmUp.Microseconds(),
-				"overload-factor": Overload, "fall-us": FallTime.Microseconds(),
+				"drain-grace-us": DrainGrace.Microseconds(), "cold-from": ColdSpeed, "warm-up-us": WarmUp.Microseconds(),
+				"overload-factor": OverloadFactor, "fall-us": MaxOverloadTime.Microseconds(),
 			},
 			"family-info": object{
 				"spare-tries": FreeAttempts, "most-shares": stageCaps, "rings": stageShares, "keys-stay": f.KeyAffinity,
-				"counted-over-us": Window.Microseconds(), "decided-by": "single", "back-votes": 1,
+				"counted-over-us": ExposureWindow.Microseconds(), "decided-by": "single", "back-votes": 1,
 				"ballot-ttl-us": 4_000_000, "call-timeout-us": 800_000,
 			},
 		},
--- a/internal/fake/fleet/contract.go
+++ b/internal/fake/fleet/contract.go
@@ -41,13 +41,13 @@
 
 // The contract as the instances are told it; a backend acts by it and the audit counts by it.
 const (
-	Grace        = 1000 * time.Millisecond // in which attempts may still reach a backend after it is listed as draining
-	ColdFrom     = 0.4                     // share of full speed that a backend has just after its start
+	DrainGrace        = 1000 * time.Millisecond // in which attempts may still reach a backend after it is listed as draining
+	ColdSpeed     = 0.4                     // share of full speed that a backend has just after its start
 	WarmUp       = 3 * time.Second         // until a backend has full speed
-	Overload     = 4.0                     // attempts in flight for each core at full speed, above which a warming backend is overloaded
-	FallTime     = time.Second             // of overload, after which a warming backend fails for good
+	OverloadFactor     = 4.0                     // attempts in flight for each core at full speed, above which a warming backend is overloaded
+	MaxOverloadTime     = time.Second             // of overload, after which a warming backend fails for good
 	FreeAttempts = 2                       // at a release on trial in each window, over its exposure cap
-	Window       = 4 * time.Second         // over which exposure is counted
+	ExposureWindow       = 4 * time.Second         // over which exposure is counted
 )
 
 // Modes of a release, as the platform writes them.
@@ -73,7 +73,7 @@
 	Cap     float64 // on the release's exposure, a share of an instance's requests
 }
 
-// canary returns the first moment of a canary stage.
-func canary(release, stage int) Stage {
+// canaryStage returns the first moment of a canaryStage stage.
+func canaryStage(release, stage int) Stage {
 	return Stage{At: time.Now(), Release: release, Stage: stage, Mode: ModeCanary, Cap: stageCaps[stage]}
 }
--- a/internal/fake/fleet/control.go
+++ b/internal/fake/fleet/control.go
@@ -5,11 +5,11 @@
 
 import "time"
 
-// Manual leaves the rollout to the caller: votes are answered with the stage in force and move nothing.
-func (f *Fleet) Manual() {
+// SetManualRollout leaves the rollout to the caller: votes are answered with the stage in force and move nothing.
+func (f *Fleet) SetManualRollout() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.manual = true
+	f.manualRollout = true
 }
 
 // StartBackends lists n more backends of a release, warm ones: no instance limits them for their start.
@@ -76,16 +76,16 @@
 	return f.attempts[release]
 }
 
-// Affinity is what was seen of the rule on keys so far.
-func (f *Fleet) Affinity() Affinity {
+// AffinityAudit is what was seen of the rule on keys so far.
+func (f *Fleet) AffinityAudit() AffinityAudit {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.affinity.seen
+	return f.affinity.audit
 }
 
-// ClosedReleases is what was seen of closed releases so far.
-func (f *Fleet) ClosedReleases() Closed {
+// ClosedReleaseAudit is what was seen of closed releases so far.
+func (f *Fleet) ClosedReleaseAudit() ClosedReleaseAudit {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.closedSeen
+	return f.closedAudit
 }
--- a/internal/fake/fleet/discovery.go
+++ b/internal/fake/fleet/discovery.go
@@ -38,8 +38,8 @@
 	return object{"version": f.listVersion, "full": full, "servers": servers}
 }
 
-// endpointText is endpointList as JSON. Under the lock.
-func (f *Fleet) endpointText(instance int, full bool) string {
+// endpointListJSON is endpointList as JSON. Under the lock.
+func (f *Fleet) endpointListJSON(instance int, full bool) string {
 	text, err := json.Marshal(f.endpointList(instance, full))
 	if err != nil {
 		panic(err) // strings and numbers of our own can always be written
@@ -54,13 +54,13 @@
 		if f.muted[stream.instance] {
 			continue
 		}
-		stream.send(f.endpointText(stream.instance, false) + "\n")
-		f.noteNotified(stream.instance)
+		stream.send(f.endpointListJSON(stream.instance, false) + "\n")
+		f.recordDrainNotifications(stream.instance)
 	}
 }
 
-// noteNotified records that an instance is told now which backends drain or are gone. Under the lock.
-func (f *Fleet) noteNotified(instance int) {
+// recordDrainNotifications records that an instance is told now which backends drain or are gone. Under the lock.
+func (f *Fleet) recordDrainNotifications(instance int) {
 	for _, backend := range f.backends {
 		if backend.state != stateReady && backend.notifiedAt[instance].IsZero() {
 			backend.notifiedAt[instance] = time.Now()
@@ -85,11 +85,11 @@
 			<-r.Context().Done()
 			return
 		case !watch:
-			write(w, text)
+			writeBody(w, text)
 			return
 		}
 		stream.stream(r.Context(), w, streamOptions{
-			contentType: "application/json", first: text + "\n", keepAlive: "\n", keepAliveTime: discoveryKeepAlive,
+			contentType: "application/json", initial: text + "\n", keepAlive: "\n", keepAliveInterval: discoveryKeepAlive,
 			muted: func() bool { return f.isMuted(instance) },
 		})
 		f.mu.Lock()
@@ -106,10 +106,10 @@
 	if f.muted[instance] {
 		return "", nil, true
 	}
-	f.noteNotified(instance)
+	f.recordDrainNotifications(instance)
 	if watch {
 		stream = newSubscriber(instance)
 		f.endpointStreams[stream] = true
 	}
-	return f.endpointText(instance, true), stream, false
+	return f.endpointListJSON(instance, true), stream, false
 }
--- a/internal/fake/fleet/fleet.go
+++ b/internal/fake/fleet/fleet.go
@@ -14,8 +14,8 @@
 	"onyxgate/internal/fake/loopback"
 )
 
-// goneAfter is how long a backend is listed as draining before it is listed as gone.
-const goneAfter = 3 * time.Second
+// drainingTime is how long a backend is listed as draining before it is listed as gone.
+const drainingTime = 3 * time.Second
 
 // Options say what a fleet starts with.
 type Options struct {
@@ -40,8 +40,8 @@
 	backends    []*Backend // all that ever were, in the order of their start
 	listVersion int
 	stage       Stage
-	stageBegan  time.Time
-	manual      bool         // votes move nothing
+	stageEnteredAt  time.Time
+	manualRollout      bool         // votes move nothing
 	muted       map[int]bool // instances whose discovery is silent
 
 	endpointStreams    map[*subscriber]bool
@@ -50,17 +50,17 @@
 	platformListener   net.Listener
 
 	violations       Violations
-	keyRanAt         map[string]time.Time        // by idempotency key, the latest run
+	keyExecutedAt         map[string]time.Time        // by idempotency key, the latest run
 	executions       map[string]int              // runs of non-idempotent requests, by request id
-	requestsAt       [][]time.Time               // when each instance was sent requests
-	canaryAttemptsAt [][]time.Time               // when attempts of each instance reached the release on trial
+	requestTimes       [][]time.Time               // when each instance was sent requests
+	canaryAttemptTimes [][]time.Time               // when attempts of each instance reached the release on trial
 	reachedInSecond  []map[int64]map[string]bool // by instance and second of Unix time, the backends that attempts reached
 	attempts         map[int]int                 // that reached backends, by release
 
-	incarnation []int // of each instance's process, counted from 0
-	affinity    affinity
+	incarnations []int // of each instance's process, counted from 0
+	affinity    affinityChecker
 	closedAt    map[instanceRelease]time.Time // when an instance was told that a release's cap is 0
-	closedSeen  Closed
+	closedAudit  ClosedReleaseAudit
 }
 
 // New starts a fleet of warm backends of release 1, with its discovery and platform.
@@ -71,13 +71,13 @@
 		muted:            map[int]bool{},
 		endpointStreams:  map[*subscriber]bool{},
 		noticeStreams:    map[*subscriber]bool{},
-		keyRanAt:         map[string]time.Time{},
+		keyExecutedAt:         map[string]time.Time{},
 		executions:       map[string]int{},
-		requestsAt:       make([][]time.Time, options.Instances),
-		canaryAttemptsAt: make([][]time.Time, options.Instances),
+		requestTimes:       make([][]time.Time, options.Instances),
+		canaryAttemptTimes: make([][]time.Time, options.Instances),
 		attempts:         map[int]int{},
-		incarnation:      make([]int, options.Instances),
-		affinity:         affinity{answers: map[instanceKey][]answeredBy{}, rolledBack: map[int]bool{}},
+		incarnations:      make([]int, options.Instances),
+		affinity:         affinityChecker{answers: map[instanceKey][]firstAnswer{}, rolledBack: map[int]bool{}},
 		closedAt:         map[instanceRelease]time.Time{},
 	}
 	for range options.Instances {
@@ -141,7 +141,7 @@
 // drain lists a backend as draining, later as gone, and ends it after Linger. Under the lock; the caller publishes.
 func (f *Fleet) drain(backend *Backend) {
 	backend.state = stateDraining
-	time.AfterFunc(goneAfter, func() {
+	time.AfterFunc(drainingTime, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		backend.state = stateGone
--- a/internal/fake/fleet/platform.go
+++ b/internal/fake/fleet/platform.go
@@ -33,7 +33,7 @@
 	first := f.stageEvent()
 	f.mu.Unlock()
 	stream.stream(r.Context(), w, streamOptions{
-		contentType: "text/event-stream", first: first, keepAlive: ":\n", keepAliveTime: noticeKeepAlive,
+		contentType: "text/event-stream", initial: first, keepAlive: ":\n", keepAliveInterval: noticeKeepAlive,
 		muted: func() bool { return false },
 	})
 	f.mu.Lock()
@@ -54,7 +54,7 @@
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
 	w.WriteHeader(status)
-	write(w, text)
+	writeBody(w, text)
 }
 
 // voteResponse tells a voter the stage in force after its vote.
--- a/internal/fake/fleet/rollout.go
+++ b/internal/fake/fleet/rollout.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// minStage is the time before which a vote to promote a stage moves nothing.
-const minStage = time.Second
+// minStageTime is the time before which a vote to promote a stage moves nothing.
+const minStageTime = time.Second
 
 // Verdicts of a vote that move the rollout, and the error code of one that comes too late, as the platform's API writes them.
 const (
@@ -21,7 +21,7 @@
 func (f *Fleet) StartRollout(release int, failureShare float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.enterStage(canary(release, 0), failureShare)
+	f.enterStage(canaryStage(release, 0), failureShare)
 }
 
 // CurrentStage is the stage in force.
@@ -44,7 +44,7 @@
 
 // setStage puts a stage in force and notifies of it. Under the lock.
 func (f *Fleet) setStage(stage Stage) {
-	f.stage, f.stageBegan = stage, stage.At
+	f.stage, f.stageEnteredAt = stage, stage.At
 	f.Stages = append(f.Stages, stage)
 	f.broadcastStage()
 }
@@ -100,10 +100,10 @@
 	onCurrentStage := release == current.Release && stage == current.Stage
 	mayMove := current.Mode == ModeCanary || verdict == voteForRollback
 	switch {
-	case f.manual && release == current.Release:
+	case f.manualRollout && release == current.Release:
 	case !onCurrentStage || !mayMove:
 		return http.StatusBadRequest, codeStale
-	case verdict == voteForPromotion && time.Since(f.stageBegan) > minStage:
+	case verdict == voteForPromotion && time.Since(f.stageEnteredAt) > minStageTime:
 		f.promote()
 	case verdict == voteForRollback:
 		f.enterStage(Stage{At: time.Now(), Release: current.Release, Stage: current.Stage, Mode: ModeRollingBack}, 0)
@@ -115,7 +115,7 @@
 func (f *Fleet) promote() {
 	next := Stage{At: time.Now(), Release: f.stage.Release, Stage: f.stage.Stage, Mode: ModeStable, Cap: 1}
 	if f.stage.Stage+1 < len(stageShares) {
-		next = canary(f.stage.Release, f.stage.Stage+1)
+		next = canaryStage(f.stage.Release, f.stage.Stage+1)
 	}
 	f.enterStage(next, f.failureShare(f.stage.Release))
 }
--- a/internal/fake/fleet/stream.go
+++ b/internal/fake/fleet/stream.go
@@ -32,9 +32,9 @@
 // streamOptions say what a stream carries beside its updates.
 type streamOptions struct {
 	contentType   string
-	first         string // the state at the time of connecting
+	initial         string // the state at the time of connecting
 	keepAlive     string
-	keepAliveTime time.Duration
+	keepAliveInterval time.Duration
 	muted         func() bool // no keep-alive is sent while it returns true
 }
 
@@ -42,9 +42,9 @@
 func (s *subscriber) stream(ctx context.Context, w http.ResponseWriter, options streamOptions) {
 	w.Header().Set("Content-Type", options.contentType)
 	controller := http.NewResponseController(w)
-	ticker := time.NewTicker(options.keepAliveTime)
+	ticker := time.NewTicker(options.keepAliveInterval)
 	defer ticker.Stop()
-	text := options.first
+	text := options.initial
 	for {
 		if _, err := io.WriteString(w, text); err != nil || controller.Flush() != nil {
 			return
--- a/internal/fake/loopback/loopback_test.go
+++ b/internal/fake/loopback/loopback_test.go
@@ -7,16 +7,16 @@
 	"testing"
 )
 
-// packetsAt is a UDP socket in name only, at the port of a TCP listener.
-type packetsAt struct {
+// fakePacketConn is a UDP socket in name only, at the port of a TCP listener.
+type fakePacketConn struct {
 	net.PacketConn
 	address net.Addr
 	closed  *int
 }
 
-func (p packetsAt) LocalAddr() net.Addr { return p.address }
+func (p fakePacketConn) LocalAddr() net.Addr { return p.address }
 
-func (p packetsAt) Close() error {
+func (p fakePacketConn) Close() error {
 	*p.closed++
 	return nil
 }
@@ -48,9 +48,9 @@
 	asked, closed := 0, 0
 	packets, listener, err := listenPair(func() (net.PacketConn, error) {
 		if asked++; asked <= inUse {
-			return packetsAt{nil, taken.Addr(), &closed}, nil
+			return fakePacketConn{nil, taken.Addr(), &closed}, nil
 		}
-		return packetsAt{nil, free, &closed}, nil
+		return fakePacketConn{nil, free, &closed}, nil
 	})
 	if closed != wantClosed {
 		t.Errorf("%d sockets closed, want %d", closed, wantClosed)
--- a/internal/fake/postgres/postgres.go
+++ b/internal/fake/postgres/postgres.go
@@ -22,8 +22,8 @@
 const (
 	modeStall  = "stall"  // nothing is answered
 	modeRefuse = "refuse" // connections are closed at once, open ones too
-	modeCut    = "cut"    // connections break at a commit, which does not count
-	modeLose   = "lose"   // connections break at a commit, which counts
+	modeFailCommit    = "cut"    // connections break at a commit, which does not count
+	modeLoseConfirmation   = "lose"   // connections break at a commit, which counts
 
 	sqlstateLength = 5
 )
@@ -31,7 +31,7 @@
 const (
 	scramSalt       = "onyxgate-standin"
 	scramIterations = 4096
-	maxLine         = 64 << 20 // of the file
+	maxLineSize         = 64 << 20 // of the file
 )
 
 // Server is a server with one database and one user.
@@ -41,7 +41,7 @@
 
 	user        string
 	credentials scram.StoredCredentials // zero: no password is asked for
-	writing     sync.Mutex              // held by the transaction that writes: one at a time
+	writeLock     sync.Mutex              // held by the transaction that writes: one at a time
 
 	mu           sync.Mutex // holds everything below, and Entries and Gaps
 	modeChanged  sync.Cond
@@ -49,7 +49,7 @@
 	file         *os.File // a transaction a line
 	version      int      // of the schema
 	incarnations map[string]incarnation
-	stored       map[string]bool // by entryKey
+	storedKeys       map[string]bool // by entryKey
 	connections  map[net.Conn]bool
 }
 
@@ -72,7 +72,7 @@
 // SCRAM-SHA-256 unless it is empty. Errors are those of the file.
 func New(path, user, password string) (*Server, error) {
 	s := &Server{
-		user: user, incarnations: map[string]incarnation{}, stored: map[string]bool{}, connections: map[net.Conn]bool{},
+		user: user, incarnations: map[string]incarnation{}, storedKeys: map[string]bool{}, connections: map[net.Conn]bool{},
 	}
 	s.modeChanged.L = &s.mu
 	if password != "" {
@@ -96,7 +96,7 @@
 // load applies the transactions of the file.
 func (s *Server) load() error {
 	lines := bufio.NewScanner(s.file)
-	lines.Buffer(nil, maxLine)
+	lines.Buffer(nil, maxLineSize)
 	for lines.Scan() {
 		var t transaction
 		if json.Unmarshal(lines.Bytes(), &t) != nil {
@@ -178,7 +178,7 @@
 		s.incarnations[name] = row
 	}
 	for _, entry := range t.Entries {
-		s.stored[entryKey(entry)] = true
+		s.storedKeys[entryKey(entry)] = true
 	}
 	s.Entries, s.Gaps = append(s.Entries, t.Entries...), append(s.Gaps, t.Gaps...)
 }
--- a/internal/fake/postgres/session.go
+++ b/internal/fake/postgres/session.go
@@ -16,7 +16,7 @@
 	oidText   = 25
 	oidFloat8 = 701
 
-	sizeEight    = 8
+	sizeEightBytes    = 8
 	sizeVariable = -1
 )
 
@@ -26,7 +26,7 @@
 	backend       *pgproto3.Backend
 	inTransaction bool
 	failed        bool // the transaction can only be rolled back
-	locked        bool // it holds server.writing
+	holdsWriteLock        bool // it holds server.writing
 	changes       transaction
 
 	// The statement that was parsed last, and its result.
@@ -56,15 +56,15 @@
 				return false
 			}
 		case *pgproto3.StartupMessage:
-			return s.welcome(m.Parameters["user"])
+			return s.completeStartup(m.Parameters["user"])
 		default:
 			return false
 		}
 	}
 }
 
-// welcome authenticates a user and tells it that statements may come; false ends the connection.
-func (s *session) welcome(user string) bool {
+// completeStartup authenticates a user and tells it that statements may come; false ends the connection.
+func (s *session) completeStartup(user string) bool {
 	if s.server.credentials.Iters > 0 && !s.authenticate(user) {
 		s.backend.Send(&pgproto3.ErrorResponse{Severity: "FATAL", Code: "28P01", Message: "password authentication failed"})
 		_ = s.backend.Flush() // the connection ends in any case
@@ -174,7 +174,7 @@
 	}
 	var fields []pgproto3.FieldDescription
 	for _, c := range s.columns {
-		size := int16(sizeEight)
+		size := int16(sizeEightBytes)
 		if c.oid == oidText {
 			size = sizeVariable
 		}
--- a/internal/fake/postgres/statements.go
+++ b/internal/fake/postgres/statements.go
@@ -21,9 +21,9 @@
 // endTransaction drops what the transaction changed and lets the next one write.
 func (s *session) endTransaction() {
 	s.inTransaction, s.failed, s.changes = false, false, transaction{}
-	if s.locked {
-		s.locked = false
-		s.server.writing.Unlock()
+	if s.holdsWriteLock {
+		s.holdsWriteLock = false
+		s.server.writeLock.Unlock()
 	}
 }
 
@@ -33,7 +33,7 @@
 	defer s.endTransaction()
 	mode := server.awaitMode()
 	switch {
-	case mode == modeCut:
+	case mode == modeFailCommit:
 		return false
 	case len(mode) == sqlstateLength:
 		s.inTransaction = false
@@ -50,7 +50,7 @@
 		return false
 	}
 	server.apply(s.changes)
-	return mode != modeLose
+	return mode != modeLoseConfirmation
 }
 
 // execute plays the statement that was parsed last; false ends the connection.
@@ -71,13 +71,13 @@
 	case text == "" || strings.HasPrefix(text, "--"): // a ping
 		return true
 	}
-	if s.inTransaction && !s.locked && name != sqlstore.NameSelect {
-		s.server.writing.Lock()
-		s.locked = true
+	if s.inTransaction && !s.holdsWriteLock && name != sqlstore.NameSelect {
+		s.server.writeLock.Lock()
+		s.holdsWriteLock = true
 	}
 	s.server.mu.Lock()
 	defer s.server.mu.Unlock()
-	if play, ok := statements[name]; ok {
+	if play, ok := statementHandlers[name]; ok {
 		play(s, text)
 	} else {
 		s.sendError(sqlstateSyntax, "not played here: "+s.text)
@@ -94,12 +94,12 @@
 	return name, strings.TrimSpace(strings.TrimSuffix(text, ";"))
 }
 
-// statements play sqlstore's statements, under the server's lock.
-var statements = map[string]func(s *session, text string){
+// statementHandlers play sqlstore's statementHandlers, under the server's lock.
+var statementHandlers = map[string]func(s *session, text string){
 	sqlstore.NameMigrate:       (*session).migrate,
 	sqlstore.NameVersion:       (*session).selectVersion,
 	sqlstore.NameClaim:         (*session).claim,
-	sqlstore.NameUpdateThrough: (*session).advance,
+	sqlstore.NameUpdateThrough: (*session).updateThrough,
 	sqlstore.NameOwner:         (*session).selectOwner,
 	sqlstore.NameInsertEntries: (*session).insertEntries,
 	sqlstore.NameInsertGaps:    (*session).insertGaps,
@@ -127,8 +127,8 @@
 	}
 }
 
-// advance raises the numbers up to which an incarnation's entries are stored and closed.
-func (s *session) advance(string) {
+// updateThrough raises the numbers up to which an incarnation's entries are stored and closed.
+func (s *session) updateThrough(string) {
 	name := s.args[4]
 	row, exists := s.incarnation(name)
 	if !exists {
@@ -165,7 +165,7 @@
 	}
 	skipStored := strings.Contains(text, "on conflict do nothing")
 	for _, row := range rows {
-		if !skipStored || !s.server.stored[entryKey(row)] {
+		if !skipStored || !s.server.storedKeys[entryKey(row)] {
 			s.changes.Entries = append(s.changes.Entries, row)
 		}
 	}
--- a/internal/fake/replay/replay.go
+++ b/internal/fake/replay/replay.go
@@ -19,11 +19,11 @@
 	"testing"
 )
 
-// blockEffects is the number of effects under one hash.
-const blockEffects = 1000
+// effectsPerBlock is the number of effects under one hash.
+const effectsPerBlock = 1000
 
-// hashBytes is how much of a block's SHA-256 is kept.
-const hashBytes = 12
+// hashSize is how much of a block's SHA-256 is kept.
+const hashSize = 12
 
 // record has Close write the recording in place of comparing with it.
 var record = flag.Bool("record", false, "write the recordings of replay tests in place of comparing with them")
@@ -46,7 +46,7 @@
 // block is what a recording keeps of blockEffects effects, or of the last ones. It is one line of the file.
 type block struct {
 	hash   string // hexadecimal
-	checks []byte // one for each effect
+	checkBytes []byte // one for each effect
 }
 
 // Open begins a stream; the recording is read from path, or written there by Close where the test runs with -record. A recording
@@ -72,7 +72,7 @@
 		if err != nil {
 			t.Fatalf("%s: %v", path, err)
 		}
-		r.recorded = append(r.recorded, block{hash: sum, checks: checks})
+		r.recorded = append(r.recorded, block{hash: sum, checkBytes: checks})
 	}
 	if err := lines.Err(); err != nil {
 		t.Fatalf("%s: %v", path, err)
@@ -95,13 +95,13 @@
 	r.hashText(text)
 	check := checkByte(text)
 	matches := *record || r.matches(check)
-	r.current.checks = append(r.current.checks, check)
+	r.current.checkBytes = append(r.current.checkBytes, check)
 	r.effects++
 	if !matches {
 		r.fail(text)
 		return
 	}
-	if len(r.current.checks) == blockEffects {
+	if len(r.current.checkBytes) == effectsPerBlock {
 		r.endBlock()
 	}
 }
@@ -115,7 +115,7 @@
 	if r.differs {
 		return
 	}
-	if len(r.current.checks) > 0 {
+	if len(r.current.checkBytes) > 0 {
 		r.endBlock()
 	}
 	if *record {
@@ -134,11 +134,11 @@
 
 // matches tells whether the recording has this check for the effect that comes next.
 func (r *Recorder) matches(check byte) bool {
-	number, effect := len(r.written), len(r.current.checks)
+	number, effect := len(r.written), len(r.current.checkBytes)
 	if number >= len(r.recorded) {
 		return false
 	}
-	recorded := r.recorded[number].checks
+	recorded := r.recorded[number].checkBytes
 	return effect < len(recorded) && recorded[effect] == check
 }
 
@@ -150,7 +150,7 @@
 
 // endBlock ends the current block and compares its hash with that of the recording, which covers the events too.
 func (r *Recorder) endBlock() {
-	r.current.hash = hex.EncodeToString(r.hash.Sum(nil)[:hashBytes])
+	r.current.hash = hex.EncodeToString(r.hash.Sum(nil)[:hashSize])
 	r.hash.Reset()
 	if number := len(r.written); !*record && r.recorded[number].hash != r.current.hash {
 		r.differs = true
@@ -164,7 +164,7 @@
 func (r *Recorder) write() {
 	var text strings.Builder
 	for _, b := range r.written {
-		fmt.Fprintf(&text, "%s %s\n", b.hash, base64.StdEncoding.EncodeToString(b.checks))
+		fmt.Fprintf(&text, "%s %s\n", b.hash, base64.StdEncoding.EncodeToString(b.checkBytes))
 	}
 	if err := os.WriteFile(r.path, []byte(text.String()), 0o600); err != nil {
 		r.t.Fatal(err)
--- a/internal/fake/replay/replay_test.go
+++ b/internal/fake/replay/replay_test.go
@@ -7,15 +7,15 @@
 	"testing"
 )
 
-// failures is a test that keeps its failures.
-type failures struct {
+// failureCollector is a test that keeps its failureCollector.
+type failureCollector struct {
 	testing.TB
 	lines []string
 }
 
-func (f *failures) Helper()             {}
-func (f *failures) Logf(string, ...any) {}
-func (f *failures) Errorf(format string, args ...any) {
+func (f *failureCollector) Helper()             {}
+func (f *failureCollector) Logf(string, ...any) {}
+func (f *failureCollector) Errorf(format string, args ...any) {
 	f.lines = append(f.lines, fmt.Sprintf(format, args...))
 }
 
@@ -56,7 +56,7 @@
 				effects[k] = fmt.Sprint("effect ", k)
 			}
 			play(t, path, true, "event", effects)
-			found := &failures{TB: t}
+			found := &failureCollector{TB: t}
 			play(found, path, false, c.event, c.change(effects))
 			got := strings.Join(found.lines, "; ")
 			if c.want == "" && got != "" || c.want != "" && (len(found.lines) != 1 || !strings.Contains(got, c.want)) {
