--- a/internal/fake/dnsserver/dnsserver.go
+++ b/internal/fake/dnsserver/dnsserver.go
@@ -1,5 +1,5 @@
-// Package dnsserver fakes a name server on loopback, by UDP and TCP, which serves the SRV records of one service and fails as
-// it is told.
+// Package dnsserver fakes a name server on loopback, over UDP and TCP. It serves the SRV records of one service, and
+// fails in the mode that a test sets.
 package dnsserver
 
 import (
@@ -13,41 +13,41 @@
 	"onyxgate/internal/fake/loopback"
 )
 
-// Service is the name that is served.
+// Service is the name for which the server has SRV records.
 const Service = "_render._tcp.fleet.example.org."
 
 const (
-	domain           = ".fleet.example.org."
-	ttlSeconds       = 2
-	maxUDPSize       = dns.MinMsgSize * 2
-	garbageReply          = "this is no answer to anything"
-	failSilent       = "silent"
-	failServfail     = "servfail"
-	failNXDomain     = "nxdomain"
-	failEmpty        = "empty"
-	failTruncated    = "truncated"
-	failHalf         = "half"
-	failGarbage      = "garbage"
-	failWrongID      = "wrong id"
-	failZeroTTL = "lifetime 0"
+	domain        = ".fleet.example.org."
+	ttlSeconds    = 2
+	maxUDPSize    = dns.MinMsgSize * 2
+	garbageReply  = "this is no answer to anything"
+	failSilent    = "silent"
+	failServfail  = "servfail"
+	failNXDomain  = "nxdomain"
+	failEmpty     = "empty"
+	failTruncated = "truncated"
+	failHalf      = "half"
+	failGarbage   = "garbage"
+	failWrongID   = "wrong id"
+	failZeroTTL   = "lifetime 0"
 )
 
-// FailureModes are the ways to fail; the first is none.
+// FailureModes lists the modes of failure. The first one, the empty string, is normal operation.
 var FailureModes = []string{
 	"", failSilent, failServfail, failNXDomain, failEmpty, failTruncated, failHalf, failGarbage, failWrongID, failZeroTTL,
 }
 
-// Server is a name server. Its methods may be called at any time and by anyone.
+// Server is a fake name server. Its methods are safe for concurrent use.
 type Server struct {
-	Address string       // of both UDP and TCP
-	Queries atomic.Int64 // received so far
+	Address string       // for both UDP and TCP
+	Queries atomic.Int64 // queries received so far
 
-	mode      atomic.Value // a string, one of Modes
+	mode      atomic.Value // a string, one of FailureModes
 	addresses func() []string
 	udp, tcp  *dns.Server
 }
 
-// New starts a server that names the backends at these addresses, which it asks for at each query.
+// New starts a server with an SRV record for each address that the function returns. It is called for each query.
 func New(addresses func() []string) (*Server, error) {
 	s := &Server{addresses: addresses}
 	s.mode.Store("")
@@ -57,22 +57,22 @@
 	}
 	s.Address = packets.LocalAddr().String()
 	s.udp, s.tcp = &dns.Server{PacketConn: packets, Handler: s}, &dns.Server{Listener: listener, Handler: s}
-	go func() { _ = s.udp.ActivateAndServe() }() // both end by Close
+	go func() { _ = s.udp.ActivateAndServe() }() // both return once Close is called
 	go func() { _ = s.tcp.ActivateAndServe() }()
 	return s, nil
 }
 
-// Fail sets how the server fails from the next query on, by one of Modes.
+// Fail sets the failure mode from the next query on; mode is one of FailureModes.
 func (s *Server) Fail(mode string) { s.mode.Store(mode) }
 
-// Close ends the server.
+// Close stops the server.
 func (s *Server) Close() {
-	// They fail only where serving hasn't begun or has ended, and there is nothing left to close then.
+	// Shutdown fails only if serving hasn't begun or has ended, when there is nothing to close.
 	_ = s.udp.Shutdown()
 	_ = s.tcp.Shutdown()
 }
 
-// ServeDNS answers a query as the mode in force says.
+// ServeDNS answers a query according to the current failure mode.
 func (s *Server) ServeDNS(w dns.ResponseWriter, query *dns.Msg) {
 	s.Queries.Add(1)
 	mode := s.mode.Load().(string)
@@ -80,7 +80,7 @@
 	case failSilent:
 		return
 	case failGarbage:
-		_, _ = w.Write([]byte(garbageReply)) // a client that is gone needs none
+		_, _ = w.Write([]byte(garbageReply)) // an error means that the client is gone
 		return
 	}
 	message := s.answer(query, mode)
@@ -88,7 +88,7 @@
 	if mode == failTruncated || overUDP && message.Len() > maxUDPSize {
 		message.Answer, message.Extra, message.Truncated = nil, nil, true
 	}
-	_ = w.WriteMsg(message) // a client that is gone asks again
+	_ = w.WriteMsg(message) // an error means that the client is gone, and it retries
 }
 
 func (s *Server) answer(query *dns.Msg, mode string) *dns.Msg {
@@ -123,9 +123,9 @@
 	return message
 }
 
-// records are the SRV record of the i-th backend and the address record of its target.
+// records returns the SRV record of the i-th backend and the address record of its target.
 func records(name string, i int, address string, ttl uint32) (service *dns.SRV, host *dns.A) {
-	// The addresses are those of listeners of ours, so they have an IP address and a port.
+	// The addresses are those of this process's listeners, so they always consist of an IP address and a port.
 	ip, portText, _ := net.SplitHostPort(address)
 	port, _ := strconv.Atoi(portText)
 	target := "h" + strconv.Itoa(i) + domain
--- a/internal/fake/faultproxy/faultproxy.go
+++ b/internal/fake/faultproxy/faultproxy.go
@@ -1,6 +1,6 @@
-// Package faultproxy is a TCP proxy on loopback for end-to-end tests. It passes bytes on unchanged and can hold back what the
-// target sends, on connections that a test chooses by the first line of what the client sent. It never changes, reorders or
-// drops a byte.
+// Package faultproxy is a TCP proxy on loopback for end-to-end tests. It forwards bytes unchanged, and can delay what
+// the target sends on connections that a test selects by the first line sent by the client. It never changes,
+// reorders or drops a byte.
 package faultproxy
 
 import (
@@ -15,23 +15,23 @@
 const (
 	dialTimeout  = 5 * time.Second
 	bufferSize   = 32 << 10
-	maxFirstLine = 4 << 10 // bytes within which the first line has to end
+	maxFirstLine = 4 << 10 // a first line that does not end within this many bytes is not recognized
 )
 
-// Proxy forwards connections to one target. Its methods may be called at any time and by anyone.
+// Proxy forwards connections to one target. Its methods are safe for concurrent use.
 type Proxy struct {
 	listener net.Listener
 	target   string
 
-	mu          sync.Mutex
-	matchesChanged     *sync.Cond                           // of matches
-	matches     func(firstLine string) bool          // connections that are held; nil: none
-	onPass      func(firstLine string, bytes []byte) // nil: nobody
-	holding     int                                  // connections on which bytes of the target are held now
-	connections map[net.Conn]bool                    // open ones, of both sides
+	mu             sync.Mutex
+	matchesChanged *sync.Cond                           // signaled when matches changes
+	matches        func(firstLine string) bool          // selects the connections to hold; nil holds none
+	onPass         func(firstLine string, bytes []byte) // may be nil
+	holding        int                                  // number of connections with bytes from the target held now
+	connections    map[net.Conn]bool                    // open connections on both sides
 }
 
-// New starts a proxy for a target on a port that the kernel chooses.
+// New starts a proxy for a target, on a port chosen by the kernel.
 func New(target string) (*Proxy, error) {
 	listener, err := loopback.Listen()
 	if err != nil {
@@ -43,17 +43,17 @@
 	return p, nil
 }
 
-// Address is where the proxy listens.
+// Address returns the address on which the proxy listens.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Hold keeps back what the target sends on connections whose first line matches, from now on and until Release.
+// Hold delays what the target sends on connections whose first line matches, until Release is called.
 func (p *Proxy) Hold(matches func(firstLine string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.matches = matches
 }
 
-// Release passes on all that is held.
+// Release forwards everything that is held.
 func (p *Proxy) Release() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -61,22 +61,22 @@
 	p.matchesChanged.Broadcast()
 }
 
-// OnPass sets a function that sees the target's bytes just before they go to the client. It is set before the first connection
-// and must not call the proxy.
+// OnPass sets a function that is called with the target's bytes just before they are forwarded to the client. It must
+// be set before the first connection, and the function must not call the proxy.
 func (p *Proxy) OnPass(onPass func(firstLine string, bytes []byte)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.onPass = onPass
 }
 
-// Holding is the number of connections on which bytes are held now.
+// Holding returns the number of connections on which bytes are held now.
 func (p *Proxy) Holding() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.holding
 }
 
-// Close ends the proxy and all its connections.
+// Close stops the proxy and closes all its connections.
 func (p *Proxy) Close() {
 	p.listener.Close()
 	p.mu.Lock()
@@ -90,31 +90,31 @@
 
 func (p *Proxy) accept() {
 	for {
-		near, err := p.listener.Accept()
+		client, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		far, err := loopback.Dial(p.target, dialTimeout)
+		target, err := loopback.Dial(p.target, dialTimeout)
 		if err != nil {
-			near.Close()
+			client.Close()
 			continue
 		}
-		s := &session{proxy: p, client: near, target: far, firstLineKnown: make(chan struct{})}
+		s := &session{proxy: p, client: client, target: target, firstLineKnown: make(chan struct{})}
 		p.mu.Lock()
-		p.connections[near], p.connections[far] = true, true
+		p.connections[client], p.connections[target] = true, true
 		p.mu.Unlock()
 		go s.copyToTarget()
 		go s.copyToClient()
 	}
 }
 
-// session is one connection through the proxy.
+// session is a connection through the proxy.
 type session struct {
-	proxy     *Proxy
-	client, target net.Conn // the client's and the target's
-	once      sync.Once
-	firstLineKnown     chan struct{} // closed once the first line is known
-	firstLine string
+	proxy          *Proxy
+	client, target net.Conn
+	once           sync.Once
+	firstLineKnown chan struct{} // closed once the first line is known
+	firstLine      string
 }
 
 func (s *session) close() {
@@ -126,7 +126,7 @@
 	delete(s.proxy.connections, s.target)
 }
 
-// setFirstLine sets the first line; only the first call counts.
+// setFirstLine sets the first line; only the first call has an effect.
 func (s *session) setFirstLine(line string) {
 	s.once.Do(func() {
 		s.firstLine = line
@@ -134,7 +134,7 @@
 	})
 }
 
-// copyToTarget passes on what the client sends and takes the first line from it.
+// copyToTarget forwards what the client sends, and reads the first line from it.
 func (s *session) copyToTarget() {
 	defer s.close()
 	defer s.setFirstLine("")
@@ -158,7 +158,8 @@
 	}
 }
 
-// copyToClient passes on what the target sends, once it may go. It waits for the first line, by which connections are chosen.
+// copyToClient forwards what the target sends, once it need not be held. It waits for the first line, which selects
+// the connections to hold.
 func (s *session) copyToClient() {
 	defer s.close()
 	buffer := make([]byte, bufferSize)
@@ -179,8 +180,8 @@
 	}
 }
 
-// awaitRelease returns when these bytes of the target may pass, and whether the client is still there. What was held while the client
-// left is not shown to OnPass, since nobody reads it.
+// awaitRelease returns once bytes from the target may be forwarded, and reports whether the client is still
+// connected. If the client has disconnected in the meantime OnPass does not see the bytes, since nobody reads them.
 func (s *session) awaitRelease(bytes []byte) (open bool) {
 	p := s.proxy
 	p.mu.Lock()
--- a/internal/fake/fleet/affinity.go
+++ b/internal/fake/fleet/affinity.go
@@ -1,30 +1,31 @@
 package fleet
 
-// This file owns the rule on affinity as it is seen from outside: a key that a release has answered through an instance goes
-// to no earlier release through it, unless that release is rolled back; and nothing goes to a release of which an instance was
-// told that its cap is 0.
+// Checks of key affinity and closed releases from outside. Once a release has answered a key through an instance, the
+// key must not reach an earlier release through that instance, unless the release that answered is rolled back. No
+// attempt may reach a release once its instance was notified that the release's cap is 0.
 
 import (
 	"fmt"
 	"time"
 )
 
-// answerTransitTime is how long after a good answer was written its key counts as answered: until then it may still be on its way.
+// answerTransitTime is the time from writing a successful response until its key counts as answered, since the
+// response may be in transit.
 const answerTransitTime = 150 * time.Millisecond
 
-// closedGrace is how long after an instance was told of a cap of 0 attempts at the release may still arrive.
+// closedGrace is how long attempts at a release may still arrive after their instance was notified of a cap of 0.
 const closedGrace = DrainGrace + 150*time.Millisecond
 
-// AffinityAudit counts what was seen of the rule on keys.
+// AffinityAudit is the result of the key affinity checks.
 type AffinityAudit struct {
-	BoundAttempts      int      // attempts with a key that a later release than the first had answered before
-	Violations []string // a line for each attempt that reached an earlier release than that
+	BoundAttempts int      // attempts with a key that a release later than the first had answered
+	Violations    []string // one line for each attempt that reached an earlier release
 }
 
-// ClosedReleaseAudit counts what was seen of closed releases.
+// ClosedReleaseAudit is the result of the checks on closed releases.
 type ClosedReleaseAudit struct {
-	Notified   int      // closings of which an instance was told
-	Violations []string // a line for each attempt that came later than closedFor
+	Notified   int      // notifications to an instance that a release is closed
+	Violations []string // one line for each attempt that arrived later than closedGrace
 }
 
 type instanceKey struct {
@@ -39,14 +40,14 @@
 	at      time.Time
 }
 
-// affinityChecker is under the fleet's lock.
+// affinityChecker checks key affinity. It is guarded by the fleet's mu.
 type affinityChecker struct {
-	answers    map[instanceKey][]firstAnswer // the first answer of each release
-	rolledBack map[int]bool                 // releases that are rolled back: their answers bind no key from there on
-	audit       AffinityAudit
+	answers    map[instanceKey][]firstAnswer // first answer of each release
+	rolledBack map[int]bool                  // rolled-back releases, whose answers no longer bind a key
+	audit      AffinityAudit
 }
 
-// checkAttempt judges an attempt that has reached a backend of a release.
+// checkAttempt checks an attempt that has reached a backend of the given release.
 func (a *affinityChecker) checkAttempt(reached attempt, release int) {
 	for _, answer := range a.answers[instanceKey{reached.instance, reached.key}] {
 		since := time.Since(answer.at)
@@ -58,13 +59,13 @@
 		}
 		if release < answer.release {
 			a.audit.Violations = append(a.audit.Violations,
-				fmt.Sprintf("request %s, key %s, instance n%d: release %d, answered by release %d %d ms before",
+				fmt.Sprintf("request %s, key %s, instance n%d: release %d, answered by release %d %d ms earlier",
 					reached.requestID, reached.key, reached.instance, release, answer.release, since.Milliseconds()))
 		}
 	}
 }
 
-// recordAnswer notes that a release's good answer to an attempt has been written.
+// recordAnswer records that a successful response of a release was written.
 func (a *affinityChecker) recordAnswer(answered attempt, release int) {
 	if a.rolledBack[release] {
 		return
@@ -78,7 +79,7 @@
 	a.answers[k] = append(a.answers[k], firstAnswer{release, time.Now()})
 }
 
-// rollBack frees the keys of a release.
+// rollBack discards a release's answers, so that they no longer bind their keys.
 func (a *affinityChecker) rollBack(release int) {
 	a.rolledBack[release] = true
 	for k, answers := range a.answers {
@@ -92,7 +93,7 @@
 	}
 }
 
-// StageNotified notes that a release's exposure cap has been written to an instance.
+// StageNotified records that a release's exposure cap has been written to an instance.
 func (f *Fleet) StageNotified(instance, release int, limit float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -103,8 +104,8 @@
 	}
 }
 
-// ForgetInstance begins an instance's records anew: its process has ended, and the next one starts from nothing. Answers to
-// what the ended process had sent count for nobody from here on.
+// ForgetInstance resets the checks of an instance whose process has ended, since the next process starts without
+// state. Responses to attempts of the ended process no longer count.
 func (f *Fleet) ForgetInstance(instance int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -121,12 +122,12 @@
 	}
 }
 
-// checkClosed judges an attempt that has reached a backend of a release. Under the lock.
+// checkClosed checks an attempt that has reached a backend of the given release. The caller holds f.mu.
 func (f *Fleet) checkClosed(reached attempt, release int) {
 	closedAt, closed := f.closedAt[instanceRelease{reached.instance, release}]
 	if since := time.Since(closedAt); closed && since > closedGrace {
 		f.closedAudit.Violations = append(f.closedAudit.Violations,
-			fmt.Sprintf("request %s, instance n%d: release %d, told closed %d ms before",
+			fmt.Sprintf("request %s, instance n%d: release %d, notified as closed %d ms earlier",
 				reached.requestID, reached.instance, release, since.Milliseconds()))
 	}
 }
--- a/internal/fake/fleet/audit.go
+++ b/internal/fake/fleet/audit.go
@@ -1,32 +1,33 @@
 package fleet
 
-// This file owns what is counted of the rules from outside: by what reached the backends and when, never by what an instance
-// says of itself.
+// Checks of the rules from outside. They use only what reached the backends and when, never an instance's own counts.
 
 import "time"
 
 const (
-	// What the protocol lets pass over an exposure cap: two attempts and 4% of the requests.
+	// Tolerance of the protocol above an exposure cap: two attempts and 4% of the requests.
 	exposureSlackAttempts = 2
 	exposureSlackShare    = 0.04
 )
 
-// Violations counts breaches of the rules; lost requests are the clients' to count. The JSON keys are read by scripts.
+// Violations counts violations of the rules; lost requests are counted by the clients. The JSON keys are read by
+// scripts.
 type Violations struct {
-	DuplicateEffects int `json:"Twice"`    // runs of what may run only once
-	AfterDrain       int `json:"Drains"`   // attempts at a draining backend, later than the grace time
-	ColdOverloaded   int `json:"Fallen"`   // warming backends that failed of overload
-	Exposure         int `json:"Exposure"` // windows with more attempts at a release on trial than its cap allows
+	DuplicateEffects int `json:"Twice"`    // repeated executions of requests that may run only once
+	AfterDrain       int `json:"Drains"`   // attempts that reached a draining backend after the grace time
+	ColdOverloaded   int `json:"Fallen"`   // warming backends that failed because of overload
+	Exposure         int `json:"Exposure"` // windows with more attempts at a canary release than its cap allows
 }
 
-// RequestSent notes that an instance was sent a request.
+// RequestSent records that a request was sent to an instance.
 func (f *Fleet) RequestSent(instance int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.requestTimes[instance] = append(f.requestTimes[instance], time.Now())
 }
 
-// attemptArrived counts an attempt that has reached a backend, and completes what is known of it.
+// attemptArrived checks and counts an attempt that has reached a backend, and fills in its incarnation and whether
+// the backend was draining.
 func (f *Fleet) attemptArrived(b *Backend, a *attempt) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -48,7 +49,7 @@
 	a.draining, a.incarnation = b.state != stateReady, f.incarnations[a.instance]
 }
 
-// recordReached notes the second in which an attempt reached a backend. Under the lock.
+// recordReached records in which second an attempt reached a backend. The caller holds f.mu.
 func (f *Fleet) recordReached(instance int, second int64, id string) {
 	reached := f.reachedInSecond[instance]
 	if reached[second] == nil {
@@ -57,7 +58,7 @@
 	reached[second][id] = true
 }
 
-// beginExecution notes that a request runs, and tells whether it is a repetition that has no effect.
+// beginExecution records that a request runs, and reports whether it is a repetition without effect.
 func (f *Fleet) beginExecution(a attempt) (repeated bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -78,7 +79,8 @@
 	return false
 }
 
-// answerWritten notes that a good answer to an attempt was written. An answer to a process that has ended is nobody's.
+// answerWritten records that a successful response to an attempt was written. A response to a process that has ended
+// does not count.
 func (f *Fleet) answerWritten(b *Backend, a attempt) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -93,9 +95,9 @@
 	f.violations.ColdOverloaded++
 }
 
-// Audit returns all violations. It counts those of the exposure cap, which can only be judged at the end, and may be called
-// once: in any window an instance's attempts at the release on trial are at most the free ones and the cap's share of the
-// requests that it was sent, with what the protocol lets pass.
+// Audit returns all violations and must be called only once. It adds the violations of the exposure cap, which can
+// only be checked at the end of a run: in any window, an instance may send the canary release at most the free
+// attempts plus the cap's share of the requests sent to the instance, plus the tolerance.
 func (f *Fleet) Audit() Violations {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -105,10 +107,10 @@
 	return f.violations
 }
 
-// countOverexposed counts the windows, one ending with each attempt, in which attempts at the release on trial were too many for
-// the requests. Under the lock.
+// countOverexposed counts the windows, one ending at each attempt, that contain more attempts at the canary release
+// than the requests allow. The caller holds f.mu.
 func (f *Fleet) countOverexposed(attempts, requests []time.Time) (windows int) {
-	firstAttempt, firstRequest := 0, 0 // in the window
+	firstAttempt, firstRequest := 0, 0 // indexes of the first ones in the window
 	for last, end := range attempts {
 		begin := end.Add(-ExposureWindow)
 		for attempts[firstAttempt].Before(begin) {
@@ -126,7 +128,7 @@
 	return windows
 }
 
-// countUntil counts the times, in ascending order, that are not after the end.
+// countUntil counts the times that are not after end. The times are in ascending order.
 func countUntil(times []time.Time, end time.Time) (n int) {
 	for _, at := range times {
 		if at.After(end) {
@@ -137,7 +139,8 @@
 	return n
 }
 
-// highestCap is the highest of the caps in force in a window: a lower one binds once the window has passed. Under the lock.
+// highestCap returns the highest cap in force during a window, since a lower cap applies only once the window has
+// passed. The caller holds f.mu.
 func (f *Fleet) highestCap(begin, end time.Time) (highest float64) {
 	for k, stage := range f.Stages {
 		lastStage := k+1 == len(f.Stages)
@@ -149,7 +152,8 @@
 	return highest
 }
 
-// CountBackendsReached is how many of these backends an instance's attempts reached in a span.
+// CountBackendsReached returns how many of the given backends were reached by an instance's attempts between two
+// times.
 func (f *Fleet) CountBackendsReached(instance int, ids []string, from, to time.Time) (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -164,7 +168,8 @@
 	return n
 }
 
-// MinBackendsReached is the least number of backends that an instance's attempts reached in any whole second of a span.
+// MinBackendsReached returns the smallest number of backends that an instance's attempts reached in any whole second
+// between two times.
 func (f *Fleet) MinBackendsReached(instance int, from, to time.Time) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fake/fleet/backend.go
+++ b/internal/fake/fleet/backend.go
@@ -1,6 +1,6 @@
 package fleet
 
-// This file owns the backends: how they run requests, and what they count of them.
+// The fake backends: request execution, load and failure under overload.
 
 import (
 	"fmt"
@@ -17,42 +17,45 @@
 	"onyxgate/internal/fake/loopback"
 )
 
-// maxQueue is how many requests may wait for a core of a backend.
+// maxQueue is the number of requests that may wait for a core of a backend.
 const maxQueue = 64
 
-// drainSlack is what an attempt may be late after Grace before it counts: the time that it is on its way on a busy host.
+// drainSlack is added to DrainGrace before an attempt counts as late: on a busy host an attempt may be in transit for
+// that long.
 const drainSlack = 50 * time.Millisecond
 
-// Backend has some cores and a queue. It is slow after a cold start, and fails for good when it is overloaded then.
+// Backend runs requests on a fixed number of cores and queues the rest. After a cold start it is slow, and overload
+// during that time makes it fail permanently.
 type Backend struct {
 	ID      string
 	Release int
 
 	fleet        *Fleet
 	cores        int
-	startedAt    time.Time   // zero: warm from the start
-	state        string      // as discovery lists it; under the fleet's lock
-	failureShare float64     // of requests, that it answers with an error
-	notifiedAt   []time.Time // by instance: when it was told that the backend drains or is gone; under the fleet's lock
+	startedAt    time.Time   // zero if it was warm from the start
+	state        string      // as listed by discovery; guarded by fleet.mu
+	failureShare float64     // fraction of requests answered with an error
+	notifiedAt   []time.Time // by instance: when it was notified that the backend is draining or gone; guarded by fleet.mu
 	servers      []*http.Server
 	listeners    []net.Listener
-	busyCores        chan bool // one entry for each busy core
+	busyCores    chan bool // holds one entry for each busy core
 	queued       atomic.Int64
 	inFlight     atomic.Int64
 
 	mu              sync.Mutex
-	overloadedSince time.Time // zero: it is not overloaded
+	overloadedSince time.Time // zero while it is not overloaded
 	failed          bool
 }
 
 type backendOptions struct {
 	release      int
 	cores        int
-	startedAt    time.Time // zero: warm
-	failureShare float64   // of requests, that it answers with an error
+	startedAt    time.Time // zero if it is warm from the start
+	failureShare float64   // fraction of requests answered with an error
 }
 
-// newBackend starts a backend that listens on an address for each instance, by which its attempts are told apart.
+// newBackend starts a backend with a separate listener for each instance, so that an attempt's address identifies its
+// instance.
 func newBackend(f *Fleet, id string, options backendOptions) (*Backend, error) {
 	b := &Backend{
 		ID: id, Release: options.release, fleet: f, cores: options.cores, startedAt: options.startedAt,
@@ -67,7 +70,7 @@
 			b.serve(instance, w, r)
 		})}
 		b.listeners, b.servers = append(b.listeners, listener), append(b.servers, server)
-		go func() { _ = server.Serve(listener) }() // it ends by close
+		go func() { _ = server.Serve(listener) }() // returns once close is called
 	}
 	return b, nil
 }
@@ -80,7 +83,7 @@
 	}
 }
 
-// speed is the share of full speed that it has now.
+// speed returns the current fraction of full speed.
 func (b *Backend) speed() float64 {
 	if b.startedAt.IsZero() {
 		return 1
@@ -89,8 +92,8 @@
 	return min(ColdSpeed+(1-ColdSpeed)*warmth, 1)
 }
 
-// survivesLoad tells whether it still runs. A warming backend fails for good once it has had more than Overload times what it
-// can do for FallTime.
+// survivesLoad reports whether the backend still runs. A warming backend fails permanently if its load exceeds
+// OverloadFactor times its capacity for MaxOverloadTime.
 func (b *Backend) survivesLoad() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -110,15 +113,15 @@
 	return !b.failed
 }
 
-// attempt is one request as it has reached a backend.
+// attempt is a request that has reached a backend.
 type attempt struct {
 	instance       int
-	incarnation    int // of the instance's process
+	incarnation    int // of the instance's process when the attempt arrived
 	requestID      string
 	class          Class
-	key            string // the last part of the path, by which requests have an affinity
+	key            string // affinity key: the last segment of the path
 	idempotencyKey string
-	draining       bool // its backend was when it arrived
+	draining       bool // the backend was draining when the attempt arrived
 }
 
 func newAttempt(instance int, r *http.Request) attempt {
@@ -140,7 +143,7 @@
 	return Classes[0]
 }
 
-// serve runs an attempt of an instance.
+// serve handles an attempt from an instance.
 func (b *Backend) serve(instance int, w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -159,7 +162,7 @@
 		return
 	}
 	if !b.acquireCore(r) {
-		return // given up while it waited: it never ran
+		return // canceled while queued, so it never ran
 	}
 	defer b.releaseCore()
 	if repeated := b.fleet.beginExecution(arrived); !repeated {
@@ -178,7 +181,7 @@
 		float64(len(b.busyCores))/float64(b.cores))
 }
 
-// acquireCore waits for a free core; false where the client gave up before.
+// acquireCore waits for a free core. It returns false if the request is canceled first.
 func (b *Backend) acquireCore(r *http.Request) bool {
 	b.queued.Add(1)
 	defer b.queued.Add(-1)
@@ -192,7 +195,7 @@
 
 func (b *Backend) releaseCore() { <-b.busyCores }
 
-// work takes the time that a request of a class needs, 20% more or less.
+// work sleeps for the execution time of a request of the class, varied by up to 20%.
 func (b *Backend) work(class Class) {
 	time.Sleep(time.Duration(float64(class.Work) / b.speed() * (0.8 + 0.4*rand.Float64())))
 }
@@ -208,11 +211,11 @@
 	http.Error(w, "full", http.StatusServiceUnavailable)
 }
 
-// writeBody writes a body. Where it can't be written the client went away, and the clients' log shows it.
+// writeBody writes a response body. A failed write means that the client is gone, which the clients' log shows.
 func writeBody(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
 
-// serve passes a listener's requests to a handler until the listener closes.
+// serve handles a listener's requests until the listener is closed.
 func serve(listener net.Listener, handler http.HandlerFunc) {
 	server := http.Server{Handler: handler}
-	_ = server.Serve(listener) // it ends with the listener
+	_ = server.Serve(listener) // returns once the listener is closed
 }
--- a/internal/fake/fleet/client_conn.go
+++ b/internal/fake/fleet/client_conn.go
@@ -1,7 +1,6 @@
 package fleet
 
-// This file owns the clients' side of the wire: connections that are kept, requests as they are written and responses as they
-// are read.
+// HTTP/1.1 as the clients speak it: connection reuse, writing requests and reading responses.
 
 import (
 	"bufio"
@@ -17,13 +16,13 @@
 )
 
 const (
-	connectTimeout = time.Second
-	idleCheckTimeout      = 50 * time.Microsecond // for which an idle connection is read, to see whether it was closed
-	responseSlack  = 2 * time.Second       // after the deadline, until a client gives up
-	silenceThreshold    = time.Second           // after the deadline, from where on no response counts as silence
+	connectTimeout   = time.Second
+	idleCheckTimeout = 50 * time.Microsecond // read timeout of the check whether an idle connection was closed
+	responseSlack    = 2 * time.Second       // time after the deadline at which a client stops waiting
+	silenceThreshold = time.Second           // a missing response counts as silence from this long after the deadline
 )
 
-// attempt makes one try and sets its outcome.
+// attempt sends one try of a request and sets the outcome of its response.
 func (c *Clients) attempt(r request, response *Response) {
 	conn := c.connect(response.Instance)
 	if conn == nil {
@@ -38,7 +37,7 @@
 	}
 	conn.Close()
 	switch {
-	case response.Outcome != "": // whole, on a connection that the instance closes
+	case response.Outcome != "": // complete response on a connection that the instance closes
 	case time.Since(response.Sent) > r.class.Timeout+silenceThreshold:
 		response.Outcome = OutcomeSilent
 	default:
@@ -46,8 +45,8 @@
 	}
 }
 
-// exchange writes a request and reads its response. It sets the outcome of a whole response, and tells whether the connection
-// can be used again.
+// exchange writes a request and reads its response. It sets the outcome if the response is complete, and reports
+// whether the connection can be reused.
 func exchange(conn net.Conn, r request, response *Response) (reusable bool) {
 	if conn.SetDeadline(time.Now().Add(r.class.Timeout+responseSlack)) != nil {
 		return false
@@ -82,7 +81,7 @@
 	return OutcomeBadRequest
 }
 
-// requestText is a request as it goes over the wire.
+// requestText returns a request as sent on the wire.
 func requestText(r request, response *Response) string {
 	path := fmt.Sprintf("/%s/%d", r.class.Name, r.key)
 	headers := fmt.Sprintf("Host: api\r\nReq-Id: %s\r\nReq-Deadline: %dm\r\n", response.ID, r.class.Timeout.Milliseconds())
@@ -98,7 +97,8 @@
 	return "POST " + path + " HTTP/1.1\r\n" + headers + "Content-Length: 5\r\n\r\nscore"
 }
 
-// connect takes an idle connection that the instance has not closed, or opens one; nil where the instance can't be reached.
+// connect returns an idle connection that the instance has not closed, or opens a new one. It returns nil if the
+// instance can't be reached.
 func (c *Clients) connect(instance int) net.Conn {
 	for conn := c.takeIdle(instance); conn != nil; conn = c.takeIdle(instance) {
 		if stillOpen(conn) {
@@ -125,7 +125,7 @@
 	return connections[last]
 }
 
-// stillOpen tells whether nothing came on an idle connection, neither its end nor bytes that nobody asked for.
+// stillOpen reports whether an idle connection has neither been closed nor received unsolicited bytes.
 func stillOpen(conn net.Conn) bool {
 	if conn.SetReadDeadline(time.Now().Add(idleCheckTimeout)) != nil {
 		return false
--- a/internal/fake/fleet/clients.go
+++ b/internal/fake/fleet/clients.go
@@ -1,7 +1,7 @@
 package fleet
 
-// This file owns the clients: they send requests at a rate, state deadlines, retry, and log what they got, which is the only
-// oracle that an end-to-end test has.
+// The clients: they send requests with deadlines at a given rate, retry them and log the responses. This log is the
+// only oracle of an end-to-end test.
 
 import (
 	"context"
@@ -14,26 +14,26 @@
 	"onyxgate/internal/record"
 )
 
-// Outcomes of a client's request. The first three are a response of the instance; their text is the record's, and a key in the
-// figures that scripts read.
+// Outcomes of a client's request. The first three are responses of the instance. The record uses the same texts, and
+// they are keys of the figures that scripts read.
 const (
 	OutcomeServed      = "settled"
 	OutcomeRejected    = "declined"
 	OutcomeFailed      = "voided"
-	OutcomeBadRequest  = "refused" // the instance took it for no valid request
-	OutcomeBroken      = "broken"  // the connection broke before the response was whole
-	OutcomeSilent      = "silent"  // nothing came until long after the deadline
-	OutcomeUnreachable = "nobody"  // no connection to the instance
+	OutcomeBadRequest  = "refused" // the instance rejected the request as invalid
+	OutcomeBroken      = "broken"  // the connection broke before the response was complete
+	OutcomeSilent      = "silent"  // no response until long after the deadline
+	OutcomeUnreachable = "nobody"  // the instance could not be connected to
 )
 
 const (
-	defaultKeys     = 1000
-	maxTries        = 3
-	retryDelay      = 50 * time.Millisecond  // grows by itself with each retry
-	unreachableBackoff = 300 * time.Millisecond // for which clients pass over an instance that refused a connection
+	defaultKeys        = 1000
+	maxTries           = 3
+	retryDelay         = 50 * time.Millisecond  // before the first retry; grows linearly with each further one
+	unreachableBackoff = 300 * time.Millisecond // how long clients avoid an instance that refused a connection
 )
 
-// Response is what one try of a client came to.
+// Response is the result of one try of a client.
 type Response struct {
 	ID, Class  string
 	Instance   int
@@ -43,12 +43,12 @@
 	Retry      int           // 0 for the first try
 }
 
-// ClientOptions say what clients send, and where.
+// ClientOptions configures the traffic of the clients.
 type ClientOptions struct {
 	Addresses []string       // of the instances
-	Rate      func() float64 // requests a second, asked before each
+	Rate      func() float64 // requests per second, evaluated before each request
 	Seed      uint64
-	Keys      int // distinct keys of requests; 0: 1000
+	Keys      int // number of distinct affinity keys; 0 means 1000
 }
 
 // Clients send requests to instances and log the responses.
@@ -64,7 +64,7 @@
 	lastID        uint64
 }
 
-// NewClients makes clients, which send nothing until Run.
+// NewClients returns clients that send nothing until Run is called.
 func NewClients(f *Fleet, options ClientOptions) *Clients {
 	if options.Keys == 0 {
 		options.Keys = defaultKeys
@@ -76,7 +76,7 @@
 	}
 }
 
-// Log is what all of them got so far.
+// Log returns the responses of all clients so far.
 func (c *Clients) Log() []Response {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -94,7 +94,7 @@
 	}
 }
 
-// Run sends requests until ctx ends, and returns when the last one under way has its response.
+// Run sends requests until ctx is done, and returns once the last open request has its response.
 func (c *Clients) Run(ctx context.Context) {
 	random := rand.New(rand.NewPCG(c.options.Seed, 2))
 	var requests sync.WaitGroup
@@ -111,7 +111,7 @@
 	requests.Wait()
 }
 
-// drawClass returns the class at a point between 0 and 1 of the classes' shares.
+// drawClass maps a point between 0 and 1 to a class according to the classes' shares.
 func drawClass(point float64) Class {
 	for _, class := range Classes {
 		if point < class.Share {
@@ -122,16 +122,16 @@
 	return Classes[len(Classes)-1]
 }
 
-// request is what a client wants; its tries share it.
+// request is a client's request; all its tries share it.
 type request struct {
 	class          Class
-	instance       int // at which it is tried first
+	instance       int // where it is sent first
 	key            int
 	idempotencyKey string
 }
 
-// send tries a request up to three times: a rejected one or one that reached nobody may be sent again, and one that may have run
-// where its class allows it.
+// send tries a request up to three times. A request that was rejected, or that reached no instance, may always be
+// retried; one that may have run is retried only if its class allows it.
 func (c *Clients) send(r request) {
 	instance := r.instance
 	for retry := range maxTries {
@@ -150,8 +150,8 @@
 	}
 }
 
-// newResponse names a try and chooses its instance: as a load balancer before the instances, it passes over those that refused a
-// connection a moment ago.
+// newResponse assigns a try its id and its instance. Like a load balancer in front of the instances, it skips those
+// that refused a connection a moment ago.
 func (c *Clients) newResponse(r request, instance, retry int) (Response, int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -167,7 +167,7 @@
 	}, instance
 }
 
-// logResponse logs a try.
+// logResponse appends the result of a try to the log.
 func (c *Clients) logResponse(response Response) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fake/fleet/configuration.go
+++ b/internal/fake/fleet/configuration.go
@@ -1,6 +1,6 @@
 package fleet
 
-// This file owns the configuration that an instance starts with, in the users' JSON.
+// The configuration file of an instance, in the users' JSON format.
 
 import (
 	"cmp"
@@ -11,15 +11,15 @@
 
 type object = map[string]any
 
-// InstanceOptions say what an instance is told of itself.
+// InstanceOptions are the settings of an instance that differ from those of the others.
 type InstanceOptions struct {
 	Index  int
 	Name   string
-	Listen string // the address for clients
+	Listen string // address on which it accepts clients
 	Seed   uint64
 }
 
-// Configuration is the JSON file that an instance starts with.
+// Configuration returns the JSON configuration file of an instance.
 func (f *Fleet) Configuration(options InstanceOptions) ([]byte, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -59,7 +59,7 @@
 	})
 }
 
-// stageObject is the stage in force. Under the lock.
+// stageObject returns the stage in force. The caller holds f.mu.
 func (f *Fleet) stageObject() object {
 	return object{
 		"release": f.stage.Release, "tranche": f.stage.Stage, "mode": f.stage.Mode, "exposure": f.stage.Cap,
--- a/internal/fake/fleet/contract.go
+++ b/internal/fake/fleet/contract.go
@@ -1,24 +1,24 @@
 package fleet
 
-// This file owns what the end-to-end tests agree on with the instances: request classes, the users' contract, and the stages
-// of a rollout.
+// The part of the users' contract that the instances, the fake backends and the audit share: request classes, limits
+// and rollout stages.
 
 import "time"
 
-// Semantics of a class, as the users' configuration writes them.
+// Semantics of a class, as written in the users' configuration.
 const (
 	SemanticsSafe          = "repeatable" // may run any number of times
 	SemanticsIdempotent    = "by_key"     // may be sent again with the same idempotency key
 	SemanticsNonIdempotent = "once"       // must not run twice
 )
 
-// Class is a request class as clients and backends know it.
+// Class is a request class.
 type Class struct {
 	Name             string
-	Share            float64       // of all requests
-	Work             time.Duration // on a backend at full speed
+	Share            float64       // fraction of all requests
+	Work             time.Duration // execution time on a backend at full speed
 	LatencyObjective time.Duration
-	Timeout          time.Duration // the deadline that clients state
+	Timeout          time.Duration // sent by clients as the deadline
 	Semantics        string        // one of the Semantics constants
 	DedupWindow      time.Duration // how long a backend remembers an idempotency key
 }
@@ -39,18 +39,19 @@
 	},
 }
 
-// The contract as the instances are told it; a backend acts by it and the audit counts by it.
+// The contract that the instances are configured with. The fake backends behave accordingly, and the audit checks
+// against it.
 const (
-	DrainGrace        = 1000 * time.Millisecond // in which attempts may still reach a backend after it is listed as draining
-	ColdSpeed     = 0.4                     // share of full speed that a backend has just after its start
-	WarmUp       = 3 * time.Second         // until a backend has full speed
-	OverloadFactor     = 4.0                     // attempts in flight for each core at full speed, above which a warming backend is overloaded
-	MaxOverloadTime     = time.Second             // of overload, after which a warming backend fails for good
-	FreeAttempts = 2                       // at a release on trial in each window, over its exposure cap
-	ExposureWindow       = 4 * time.Second         // over which exposure is counted
+	DrainGrace      = 1000 * time.Millisecond // attempts may still reach a backend for this long after it is listed as draining
+	ColdSpeed       = 0.4                     // fraction of full speed at which a backend starts cold
+	WarmUp          = 3 * time.Second         // time until a cold backend reaches full speed
+	OverloadFactor  = 4.0                     // a warming backend is overloaded above this number of attempts in flight per core at full speed
+	MaxOverloadTime = time.Second             // a warming backend that is overloaded for longer fails permanently
+	FreeAttempts    = 2                       // attempts at the canary release that each window allows beyond its exposure cap
+	ExposureWindow  = 4 * time.Second         // the window over which exposure is counted
 )
 
-// Modes of a release, as the platform writes them.
+// Modes of a release in the platform's API.
 const (
 	ModeCanary      = "canary"
 	ModeStable      = "stable"
@@ -58,22 +59,23 @@
 	ModeRolledBack  = "reverted"
 )
 
-// stageShares is the share of backends that run the release at each stage, stageCaps the exposure cap of the stage.
+// stageShares is the fraction of backends that run the release at each stage; stageCaps is the exposure cap of each
+// stage.
 var (
 	stageShares = []float64{0.2, 0.5, 1}
 	stageCaps   = []float64{0.25, 0.6, 1}
 )
 
-// Stage is the state of the newest release from a time on.
+// Stage is the state of the newest release, in force since At.
 type Stage struct {
 	At      time.Time
 	Release int
 	Stage   int
 	Mode    string  // one of the Mode constants
-	Cap     float64 // on the release's exposure, a share of an instance's requests
+	Cap     float64 // exposure cap: the largest share of an instance's requests that may reach the release
 }
 
-// canaryStage returns the first moment of a canaryStage stage.
+// canaryStage returns a canary stage that begins now.
 func canaryStage(release, stage int) Stage {
 	return Stage{At: time.Now(), Release: release, Stage: stage, Mode: ModeCanary, Cap: stageCaps[stage]}
 }
--- a/internal/fake/fleet/control.go
+++ b/internal/fake/fleet/control.go
@@ -1,18 +1,20 @@
 package fleet
 
-// This file owns what a test does to the fleet by hand: which backends of which release are listed, what the platform says of
-// the newest release, and which instance hears nothing.
+// Methods by which a test controls and observes the fleet: listed backends, the stage of the newest release, and
+// discovery outages.
 
 import "time"
 
-// SetManualRollout leaves the rollout to the caller: votes are answered with the stage in force and move nothing.
+// SetManualRollout leaves the rollout to the caller: a vote is answered with the stage in force and does not change
+// it.
 func (f *Fleet) SetManualRollout() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.manualRollout = true
 }
 
-// StartBackends lists n more backends of a release, warm ones: no instance limits them for their start.
+// StartBackends adds n warm backends of a release to the endpoint list. Since they are warm, no instance limits their
+// load.
 func (f *Fleet) StartBackends(release, n, cores int) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -38,7 +40,7 @@
 	f.publishEndpoints()
 }
 
-// Announce puts a stage in force from now on and notifies of it on every stream of notices.
+// Announce puts a stage in force immediately and sends it on all release streams.
 func (f *Fleet) Announce(stage Stage) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -49,7 +51,7 @@
 	f.setStage(stage)
 }
 
-// MuteDiscovery silences an instance's discovery, or lets it speak again.
+// MuteDiscovery starts or ends an outage of an instance's discovery, during which it sends nothing.
 func (f *Fleet) MuteDiscovery(instance int, muted bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -57,7 +59,7 @@
 	f.publishEndpoints()
 }
 
-// ReadyBackends is how many backends of a release are listed as ready.
+// ReadyBackends returns the number of backends of a release that are listed as ready.
 func (f *Fleet) ReadyBackends(release int) (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -69,21 +71,21 @@
 	return n
 }
 
-// Attempts is how many attempts have reached backends of a release.
+// Attempts returns the number of attempts that have reached backends of a release.
 func (f *Fleet) Attempts(release int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.attempts[release]
 }
 
-// AffinityAudit is what was seen of the rule on keys so far.
+// AffinityAudit returns the result of the key affinity checks so far.
 func (f *Fleet) AffinityAudit() AffinityAudit {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.affinity.audit
 }
 
-// ClosedReleaseAudit is what was seen of closed releases so far.
+// ClosedReleaseAudit returns the result of the checks on closed releases so far.
 func (f *Fleet) ClosedReleaseAudit() ClosedReleaseAudit {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fake/fleet/discovery.go
+++ b/internal/fake/fleet/discovery.go
@@ -1,6 +1,6 @@
 package fleet
 
-// This file owns discovery: the list of endpoints, as each instance reads or watches it.
+// Discovery: the endpoint list, which instances read or watch.
 
 import (
 	"encoding/json"
@@ -9,17 +9,18 @@
 	"time"
 )
 
-// discoveryKeepAlive is the time between two signs of life on a watch.
+// discoveryKeepAlive is the interval of keep-alives on a watch.
 const discoveryKeepAlive = 2 * time.Second
 
-// States of a backend, as discovery lists them.
+// States of a backend in the endpoint list.
 const (
 	stateReady    = "Ready"
 	stateDraining = "Terminating"
 	stateGone     = "Gone"
 )
 
-// endpointList is the list at the addresses of one instance; a full one leaves out who is gone. Under the lock.
+// endpointList returns the endpoint list with the addresses for one instance; a full one omits backends that are
+// gone. The caller holds f.mu.
 func (f *Fleet) endpointList(instance int, full bool) object {
 	servers := []object{}
 	for _, backend := range f.backends {
@@ -38,16 +39,16 @@
 	return object{"version": f.listVersion, "full": full, "servers": servers}
 }
 
-// endpointListJSON is endpointList as JSON. Under the lock.
+// endpointListJSON returns endpointList as JSON. The caller holds f.mu.
 func (f *Fleet) endpointListJSON(instance int, full bool) string {
 	text, err := json.Marshal(f.endpointList(instance, full))
 	if err != nil {
-		panic(err) // strings and numbers of our own can always be written
+		panic(err) // unreachable: the list holds only strings, numbers and booleans
 	}
 	return string(text)
 }
 
-// publishEndpoints sends the list on every watch. Under the lock.
+// publishEndpoints sends the endpoint list on all watches. The caller holds f.mu.
 func (f *Fleet) publishEndpoints() {
 	f.listVersion++
 	for stream := range f.endpointStreams {
@@ -59,7 +60,8 @@
 	}
 }
 
-// recordDrainNotifications records that an instance is told now which backends drain or are gone. Under the lock.
+// recordDrainNotifications records that an instance is notified now of all backends that are draining or gone. The
+// caller holds f.mu.
 func (f *Fleet) recordDrainNotifications(instance int) {
 	for _, backend := range f.backends {
 		if backend.state != stateReady && backend.notifiedAt[instance].IsZero() {
@@ -75,13 +77,13 @@
 	return f.muted[instance]
 }
 
-// serveDiscovery serves one instance until its listener closes.
+// serveDiscovery serves one instance until its listener is closed.
 func (f *Fleet) serveDiscovery(instance int, listener net.Listener) {
 	serve(listener, func(w http.ResponseWriter, r *http.Request) {
 		watch := r.URL.Query().Get("watch") != ""
 		text, stream, muted := f.openEndpointStream(instance, watch)
 		switch {
-		case muted: // silent to the end of the connection
+		case muted: // sends nothing until the client disconnects
 			<-r.Context().Done()
 			return
 		case !watch:
@@ -98,8 +100,8 @@
 	})
 }
 
-// openEndpointStream returns the whole list, and a stream of what follows it where the instance watches: no update falls
-// between the two. A muted instance gets neither.
+// openEndpointStream returns the full endpoint list and, if the instance watches, a stream of the updates after it;
+// no update is lost between the two. A muted instance gets neither.
 func (f *Fleet) openEndpointStream(instance int, watch bool) (text string, stream *subscriber, muted bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fake/fleet/fleet.go
+++ b/internal/fake/fleet/fleet.go
@@ -1,10 +1,8 @@
-// Package fleet fakes the platform's side on loopback: backends, discovery, the rollout and its votes, and clients. It speaks
-// the users' protocol and counts from outside what the end-to-end tests judge. It is small on purpose: it is no model of a
-// real fleet, and nothing of it may depend on the code that it judges.
+// Package fleet fakes the platform's side on loopback: backends, discovery, the rollout with its votes, and clients.
+// It implements the users' protocol and counts, from outside the instances, the figures that the end-to-end tests
+// check. It is deliberately small: it does not model a real fleet, and it must not depend on the code under test.
 package fleet
 
-// This file owns the fleet itself: its parts, its start and its end, and the backends that run.
-
 import (
 	"fmt"
 	"net"
@@ -17,68 +15,68 @@
 // drainingTime is how long a backend is listed as draining before it is listed as gone.
 const drainingTime = 3 * time.Second
 
-// Options say what a fleet starts with.
+// Options configures a new fleet.
 type Options struct {
 	Instances int
-	Backends  int // of release 1, all warm
-	Cores     int // of each backend
+	Backends  int // running release 1, all warm
+	Cores     int // per backend
 }
 
-// Fleet is the platform's side for a number of instances. Linger, KeyAffinity and PlatformOverride are
-// set before the first instance starts; Stages, DrainsNotified and LatestAfterDrain are read once instances and clients have
-// ended.
+// Fleet is the platform's side for a number of instances. Linger, KeyAffinity and PlatformOverride must be set before
+// the first instance starts; Stages, DrainsNotified and LatestAfterDrain may be read once all instances and clients
+// have stopped.
 type Fleet struct {
 	Instances        int
-	Linger           time.Duration  // how long a backend still answers after it is listed as gone
-	KeyAffinity      bool           // a key that a release has answered goes to no earlier release
-	PlatformOverride map[int]string // by instance: where it finds the platform in place of PlatformAddress
-	Stages           []Stage        // all so far, the last one in force
-	DrainsNotified   int            // how often an instance was told that a backend drains
-	LatestAfterDrain time.Duration  // the longest time between an instance's notification of a drain and an attempt that arrived from it
-
-	mu          sync.Mutex // holds everything below
-	backends    []*Backend // all that ever were, in the order of their start
-	listVersion int
-	stage       Stage
-	stageEnteredAt  time.Time
-	manualRollout      bool         // votes move nothing
-	muted       map[int]bool // instances whose discovery is silent
+	Linger           time.Duration  // how long a backend still serves requests after it is listed as gone
+	KeyAffinity      bool           // a key that a release has answered must not reach an earlier release
+	PlatformOverride map[int]string // by instance: the platform's address in its configuration, if not PlatformAddress
+	Stages           []Stage        // all stages so far; the last one is in force
+	DrainsNotified   int            // number of notifications to an instance that a backend is draining
+	LatestAfterDrain time.Duration  // longest time from notifying an instance of a drain to the arrival of an attempt from it
+
+	mu             sync.Mutex // guards everything below
+	backends       []*Backend // all ever started, in that order
+	listVersion    int
+	stage          Stage
+	stageEnteredAt time.Time
+	manualRollout  bool         // votes do not change the stage
+	muted          map[int]bool // instances to which discovery sends nothing
 
 	endpointStreams    map[*subscriber]bool
 	noticeStreams      map[*subscriber]bool
-	discoveryListeners []net.Listener // one for each instance
+	discoveryListeners []net.Listener // one per instance
 	platformListener   net.Listener
 
-	violations       Violations
-	keyExecutedAt         map[string]time.Time        // by idempotency key, the latest run
-	executions       map[string]int              // runs of non-idempotent requests, by request id
-	requestTimes       [][]time.Time               // when each instance was sent requests
-	canaryAttemptTimes [][]time.Time               // when attempts of each instance reached the release on trial
-	reachedInSecond  []map[int64]map[string]bool // by instance and second of Unix time, the backends that attempts reached
-	attempts         map[int]int                 // that reached backends, by release
-
-	incarnations []int // of each instance's process, counted from 0
-	affinity    affinityChecker
-	closedAt    map[instanceRelease]time.Time // when an instance was told that a release's cap is 0
+	violations         Violations
+	keyExecutedAt      map[string]time.Time        // latest execution, by idempotency key
+	executions         map[string]int              // executions of non-idempotent requests, by request id
+	requestTimes       [][]time.Time               // by instance: when requests were sent to it
+	canaryAttemptTimes [][]time.Time               // by instance: when its attempts reached the canary release
+	reachedInSecond    []map[int64]map[string]bool // by instance and Unix second: the backends that attempts reached
+	attempts           map[int]int                 // attempts that reached backends, by release
+
+	incarnations []int // by instance: incarnation of its process, counted from 0
+	affinity     affinityChecker
+	closedAt     map[instanceRelease]time.Time // when an instance was notified that a release's cap is 0
 	closedAudit  ClosedReleaseAudit
 }
 
 // New starts a fleet of warm backends of release 1, with its discovery and platform.
 func New(options Options) (*Fleet, error) {
 	f := &Fleet{
-		Instances:        options.Instances,
-		PlatformOverride: map[int]string{},
-		muted:            map[int]bool{},
-		endpointStreams:  map[*subscriber]bool{},
-		noticeStreams:    map[*subscriber]bool{},
-		keyExecutedAt:         map[string]time.Time{},
-		executions:       map[string]int{},
+		Instances:          options.Instances,
+		PlatformOverride:   map[int]string{},
+		muted:              map[int]bool{},
+		endpointStreams:    map[*subscriber]bool{},
+		noticeStreams:      map[*subscriber]bool{},
+		keyExecutedAt:      map[string]time.Time{},
+		executions:         map[string]int{},
 		requestTimes:       make([][]time.Time, options.Instances),
 		canaryAttemptTimes: make([][]time.Time, options.Instances),
-		attempts:         map[int]int{},
-		incarnations:      make([]int, options.Instances),
-		affinity:         affinityChecker{answers: map[instanceKey][]firstAnswer{}, rolledBack: map[int]bool{}},
-		closedAt:         map[instanceRelease]time.Time{},
+		attempts:           map[int]int{},
+		incarnations:       make([]int, options.Instances),
+		affinity:           affinityChecker{answers: map[instanceKey][]firstAnswer{}, rolledBack: map[int]bool{}},
+		closedAt:           map[instanceRelease]time.Time{},
 	}
 	for range options.Instances {
 		f.reachedInSecond = append(f.reachedInSecond, map[int64]map[string]bool{})
@@ -93,7 +91,7 @@
 	return f, f.listen()
 }
 
-// listen starts discovery, at an address of its own for each instance, and the platform.
+// listen starts discovery, with a separate address for each instance, and the platform.
 func (f *Fleet) listen() error {
 	for instance := range f.Instances {
 		listener, err := loopback.Listen()
@@ -111,10 +109,10 @@
 	return nil
 }
 
-// PlatformAddress is the platform's own address.
+// PlatformAddress returns the address of the platform itself, without a proxy.
 func (f *Fleet) PlatformAddress() string { return f.platformListener.Addr().String() }
 
-// Close ends discovery, the platform and all backends.
+// Close stops discovery, the platform and all backends.
 func (f *Fleet) Close() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -127,7 +125,7 @@
 	}
 }
 
-// startBackend adds a backend. Under the lock; the caller publishes.
+// startBackend adds a backend. The caller holds f.mu and publishes the endpoint list.
 func (f *Fleet) startBackend(options backendOptions) error {
 	backend, err := newBackend(f, fmt.Sprintf("a%d", len(f.backends)+1), options)
 	if err != nil {
@@ -138,7 +136,8 @@
 	return nil
 }
 
-// drain lists a backend as draining, later as gone, and ends it after Linger. Under the lock; the caller publishes.
+// drain lists a backend as draining, lists it as gone after drainingTime, and stops it after a further Linger. The
+// caller holds f.mu and publishes the endpoint list.
 func (f *Fleet) drain(backend *Backend) {
 	backend.state = stateDraining
 	time.AfterFunc(drainingTime, func() {
@@ -150,8 +149,8 @@
 	})
 }
 
-// ReplaceBackends drains n ready backends, starts a cold one of the same release for each, and returns the ids of the new
-// ones.
+// ReplaceBackends drains n ready backends, starts a cold backend of the same release in place of each, and returns
+// the ids of the new backends.
 func (f *Fleet) ReplaceBackends(n int) (ids []string, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -171,7 +170,8 @@
 	return ids, nil
 }
 
-// Addresses are those at which an instance finds the ready backends, or all that ever ran.
+// Addresses returns the addresses at which an instance reaches the ready backends or, if all is set, every backend
+// that was ever started.
 func (f *Fleet) Addresses(instance int, all bool) (addresses []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fake/fleet/platform.go
+++ b/internal/fake/fleet/platform.go
@@ -1,6 +1,6 @@
 package fleet
 
-// This file owns the platform's API: the stream of notices and the votes.
+// The platform's API: the release stream and the votes.
 
 import (
 	"fmt"
@@ -15,7 +15,7 @@
 	codeSyntax      = "SYNTAX"
 )
 
-// servePlatform serves all instances until the listener closes.
+// servePlatform serves all instances until the listener is closed.
 func (f *Fleet) servePlatform(listener net.Listener) {
 	serve(listener, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/notices" {
@@ -57,21 +57,21 @@
 	writeBody(w, text)
 }
 
-// voteResponse tells a voter the stage in force after its vote.
+// voteResponse returns the body of the response to a vote: the stage in force after it.
 func voteResponse(stage Stage) string {
 	return fmt.Sprintf(`<?xml version="1.0"?><Response><groups><item><release>%d</release><tranche>%d</tranche>`+
 		`<mode>%s</mode><exposure>%g</exposure><old_ms>%d</old_ms></item></groups></Response>`,
 		stage.Release, stage.Stage, stage.Mode, stage.Cap, time.Since(stage.At).Milliseconds())
 }
 
-// broadcastStage notifies of the stage in force on every stream of notices. Under the lock.
+// broadcastStage sends the stage in force on all release streams. The caller holds f.mu.
 func (f *Fleet) broadcastStage() {
 	for stream := range f.noticeStreams {
 		stream.send(f.stageEvent())
 	}
 }
 
-// stageEvent is the stage in force as an event of the stream. Under the lock.
+// stageEvent returns the stage in force as a server-sent event. The caller holds f.mu.
 func (f *Fleet) stageEvent() string {
 	return fmt.Sprintf("event: stage\ndata: release=%d&tranche=%d&mode=%s&exposure=%g&old_ms=%d\n\n",
 		f.stage.Release, f.stage.Stage, f.stage.Mode, f.stage.Cap, time.Since(f.stage.At).Milliseconds())
--- a/internal/fake/fleet/rollout.go
+++ b/internal/fake/fleet/rollout.go
@@ -1,37 +1,39 @@
 package fleet
 
-// This file owns the rollout: the stages of the newest release, and the votes that move them.
+// The rollout: the stages of the newest release, and the votes that change them.
 
 import (
 	"net/http"
 	"time"
 )
 
-// minStageTime is the time before which a vote to promote a stage moves nothing.
+// minStageTime is the time that a stage must have been in force before a vote can promote it.
 const minStageTime = time.Second
 
-// Verdicts of a vote that move the rollout, and the error code of one that comes too late, as the platform's API writes them.
+// Verdicts of a vote that change the stage, and the error code for a vote on a stage that is no longer in force, as
+// in the platform's API.
 const (
 	voteForPromotion = "promote"
 	voteForRollback  = "abort"
 	codeStale        = "STALE"
 )
 
-// StartRollout begins the rollout of a release that fails a share of its requests.
+// StartRollout begins the rollout of a release whose backends fail the given share of their requests.
 func (f *Fleet) StartRollout(release int, failureShare float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.enterStage(canaryStage(release, 0), failureShare)
 }
 
-// CurrentStage is the stage in force.
+// CurrentStage returns the stage in force.
 func (f *Fleet) CurrentStage() Stage {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.stage
 }
 
-// enterStage notifies of a stage, starts its backends and drains those they replace. Under the lock.
+// enterStage puts a stage in force, announces it, starts its backends and drains those that they replace. The caller
+// holds f.mu.
 func (f *Fleet) enterStage(stage Stage, failureShare float64) {
 	f.setStage(stage)
 	if stage.Mode == ModeRollingBack {
@@ -42,27 +44,28 @@
 	f.publishEndpoints()
 }
 
-// setStage puts a stage in force and notifies of it. Under the lock.
+// setStage puts a stage in force and announces it. The caller holds f.mu.
 func (f *Fleet) setStage(stage Stage) {
 	f.stage, f.stageEnteredAt = stage, stage.At
 	f.Stages = append(f.Stages, stage)
 	f.broadcastStage()
 }
 
-// rollBackBackends replaces the ready backends of a release by cold ones of the release before it. Under the lock.
+// rollBackBackends replaces the ready backends of a release with cold backends of the previous release. The caller
+// holds f.mu.
 func (f *Fleet) rollBackBackends(release int) {
 	for _, backend := range f.backends {
 		if backend.state != stateReady || backend.Release != release {
 			continue
 		}
-		// Where a backend can't start, the fleet goes on with one less; the run's figures show it.
+		// If a backend can't be started the fleet runs with one fewer, which the figures of the run show.
 		_ = f.startBackend(backendOptions{release: release - 1, cores: backend.cores, startedAt: time.Now()})
 		f.drain(backend)
 	}
 }
 
-// rollOutBackends replaces ready backends of earlier releases by cold ones of the stage's release, until the release has its
-// share of the fleet. Under the lock.
+// rollOutBackends replaces ready backends of earlier releases with cold ones of the stage's release, until that
+// release runs on its share of the fleet. The caller holds f.mu.
 func (f *Fleet) rollOutBackends(stage Stage, failureShare float64) {
 	share := 1.0
 	if stage.Mode == ModeCanary {
@@ -92,7 +95,7 @@
 	}
 }
 
-// handleVote takes a vote and returns the status and error code of its response.
+// handleVote applies a vote and returns the status and error code of its response.
 func (f *Fleet) handleVote(release, stage int, verdict string) (status int, code string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -111,7 +114,7 @@
 	return http.StatusOK, ""
 }
 
-// promote enters the next stage, or makes the release the stable one after the last. Under the lock.
+// promote enters the next stage, or marks the release as stable after the last one. The caller holds f.mu.
 func (f *Fleet) promote() {
 	next := Stage{At: time.Now(), Release: f.stage.Release, Stage: f.stage.Stage, Mode: ModeStable, Cap: 1}
 	if f.stage.Stage+1 < len(stageShares) {
@@ -120,7 +123,7 @@
 	f.enterStage(next, f.failureShare(f.stage.Release))
 }
 
-// failureShare is the share of requests that backends of a release fail. Under the lock.
+// failureShare returns the share of requests that backends of a release fail. The caller holds f.mu.
 func (f *Fleet) failureShare(release int) float64 {
 	for _, backend := range f.backends {
 		if backend.Release == release {
--- a/internal/fake/fleet/stream.go
+++ b/internal/fake/fleet/stream.go
@@ -1,6 +1,6 @@
 package fleet
 
-// This file owns the streams on which instances are notified.
+// Streams by which the fake discovery and platform notify the instances.
 
 import (
 	"context"
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// streamBuffer is how many updates may wait for a reader.
+// streamBuffer is the number of updates that may be queued for a reader.
 const streamBuffer = 64
 
-// subscriber is one open stream.
+// subscriber is an open stream.
 type subscriber struct {
 	instance int
 	updates  chan string
@@ -25,20 +25,20 @@
 func (s *subscriber) send(update string) {
 	select {
 	case s.updates <- update:
-	default: // a reader that is so far behind gets the state in force when it connects again
+	default: // a reader this far behind receives the current state when it reconnects
 	}
 }
 
-// streamOptions say what a stream carries beside its updates.
+// streamOptions describe a stream apart from its updates.
 type streamOptions struct {
-	contentType   string
-	initial         string // the state at the time of connecting
-	keepAlive     string
+	contentType       string
+	initial           string // state at the time of connecting
+	keepAlive         string
 	keepAliveInterval time.Duration
-	muted         func() bool // no keep-alive is sent while it returns true
+	muted             func() bool // no keep-alive is sent while it returns true
 }
 
-// stream writes what comes to a subscriber until the client goes away.
+// stream writes the subscriber's updates until the client disconnects.
 func (s *subscriber) stream(ctx context.Context, w http.ResponseWriter, options streamOptions) {
 	w.Header().Set("Content-Type", options.contentType)
 	controller := http.NewResponseController(w)
--- a/internal/fake/loopback/loopback.go
+++ b/internal/fake/loopback/loopback.go
@@ -1,5 +1,5 @@
-// Package loopback opens the sockets of the fakes and of the end-to-end tests. They listen on 127.0.0.1 only, on ports that
-// the kernel chooses.
+// Package loopback opens the sockets of the fakes and the end-to-end tests. Listeners use 127.0.0.1 and, unless an
+// address is given, a port chosen by the kernel.
 package loopback
 
 import (
@@ -12,16 +12,16 @@
 
 const (
 	anyPort         = "127.0.0.1:0"
-	maxPortAttempts = 20 // of ListenPair
+	maxPortAttempts = 20 // for ListenPair
 )
 
 // Listen opens a TCP listener on a free port.
 func Listen() (net.Listener, error) { return ListenOn(anyPort) }
 
-// ListenOn opens a TCP listener on an address that the caller knows.
+// ListenOn opens a TCP listener on the given address.
 func ListenOn(address string) (net.Listener, error) {
 	var config net.ListenConfig
-	// Binding to loopback neither resolves a name nor waits, so there is nothing to cancel.
+	// Binding to loopback involves no name resolution and no waiting, so there is nothing to cancel.
 	return config.Listen(context.Background(), "tcp", address)
 }
 
@@ -31,8 +31,8 @@
 	return config.ListenPacket(context.Background(), "udp", anyPort)
 }
 
-// ListenPair opens a UDP socket and a TCP listener on one port. The kernel chooses the port among those that are free for UDP;
-// where TCP has it in use, another one is tried.
+// ListenPair opens a UDP socket and a TCP listener on the same port. The kernel chooses a port that is free for UDP;
+// if it is in use for TCP, another one is tried.
 func ListenPair() (net.PacketConn, net.Listener, error) { return listenPair(ListenPacket) }
 
 func listenPair(listenPacket func() (net.PacketConn, error)) (net.PacketConn, net.Listener, error) {
@@ -55,8 +55,8 @@
 	return nil, nil, inUse
 }
 
-// FreeAddress returns an address on which nobody listens at the moment of the call. Another process may take the port before
-// the caller's does; the run then ends with an error, which is no verdict on the program.
+// FreeAddress returns an address on which nothing listens at the time of the call. If another process takes the port
+// before the caller does, the run ends with an error, which is no verdict on the program.
 func FreeAddress() (string, error) {
 	listener, err := Listen()
 	if err != nil {
@@ -66,8 +66,8 @@
 	return address, listener.Close()
 }
 
-// Dial connects to an address within a timeout. It can't be canceled: a client that has begun a request sees it to its end
-// also after the run's context is done.
+// Dial connects to an address within a timeout. It can't be canceled, because a client completes a request that it
+// has begun even after the run's context is done.
 func Dial(address string, timeout time.Duration) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: timeout}
 	return dialer.DialContext(context.Background(), "tcp", address)
--- a/internal/fake/loopback/loopback_test.go
+++ b/internal/fake/loopback/loopback_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// fakePacketConn is a UDP socket in name only, at the port of a TCP listener.
+// fakePacketConn stands in for a UDP socket on the port of a TCP listener.
 type fakePacketConn struct {
 	net.PacketConn
 	address net.Addr
@@ -21,11 +21,11 @@
 	return nil
 }
 
-// A port that TCP has in use is given back and another one is tried, but not for ever.
+// If the UDP port is in use for TCP, the socket is closed and another port is tried, up to maxPortAttempts times.
 func TestListenPair(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		inUse  int // so many ports in turn
+		inUse  int // number of ports tried first that are in use for TCP
 		closed int
 		ok     bool
 	}{
@@ -39,25 +39,25 @@
 }
 
 func checkListenPair(t *testing.T, inUse, wantClosed int, ok bool) {
-	taken, err := Listen()
+	occupied, err := Listen()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer taken.Close()
-	free := &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)} // port 0 is never in use
-	asked, closed := 0, 0
+	defer occupied.Close()
+	free := &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)} // with port 0 the kernel chooses a free port
+	opened, closed := 0, 0
 	packets, listener, err := listenPair(func() (net.PacketConn, error) {
-		if asked++; asked <= inUse {
-			return fakePacketConn{nil, taken.Addr(), &closed}, nil
+		if opened++; opened <= inUse {
+			return fakePacketConn{nil, occupied.Addr(), &closed}, nil
 		}
 		return fakePacketConn{nil, free, &closed}, nil
 	})
 	if closed != wantClosed {
-		t.Errorf("%d sockets closed, want %d", closed, wantClosed)
+		t.Errorf("UDP sockets closed = %d, want %d", closed, wantClosed)
 	}
 	if !ok {
 		if !errors.Is(err, syscall.EADDRINUSE) {
-			t.Errorf("error %v", err)
+			t.Errorf("listenPair error = %v, want EADDRINUSE", err)
 		}
 		return
 	}
@@ -66,6 +66,6 @@
 	}
 	defer listener.Close()
 	if packets.LocalAddr() != net.Addr(free) {
-		t.Errorf("UDP at %v", packets.LocalAddr())
+		t.Errorf("UDP address = %v, want %v", packets.LocalAddr(), free)
 	}
 }
--- a/internal/fake/memfs/memfs.go
+++ b/internal/fake/memfs/memfs.go
@@ -1,5 +1,6 @@
-// Package memfs is a file system in memory for tests of the spool: it fails by script, loses what was not synced as a loss
-// of power would, and changes bytes as a broken disk would. Only tests may use it.
+// Package memfs is an in-memory file system with fault injection for tests of the spool. Operations fail as a test
+// specifies; a simulated power loss discards unsynced data; and a file's bytes can be changed as by a faulty disk.
+// Only tests may use it.
 package memfs
 
 import (
@@ -11,19 +12,20 @@
 	"onyxgate/internal/record/spool"
 )
 
-// FS is spool.Memory with faults.
+// FS is a spool.Memory with fault injection.
 type FS struct {
-	// Fail is asked before each operation: mkdir, create, write, sync, close (of a file that was written), remove, syncdir.
-	// An error makes it fail; of a write, `part` bytes go in all the same. Nil: nothing fails.
+	// Fail is called before each operation: mkdir, create, write, sync, close (of a file opened for writing), remove,
+	// syncdir. If it returns an error the operation fails; a failing write still writes the first part bytes. If Fail
+	// is nil no operation fails.
 	Fail func(op, name string, bytes int) (part int, err error)
 
 	memory *spool.Memory
 	mu     sync.Mutex
-	synced map[string]int // bytes of each file that is there
+	synced map[string]int // number of synced bytes of each existing file
 	locks  map[string]bool
 }
 
-// New makes an empty one.
+// New returns an empty file system.
 func New() *FS {
 	return &FS{memory: spool.NewMemory(), synced: map[string]int{}, locks: map[string]bool{}}
 }
@@ -35,13 +37,13 @@
 	return f.Fail(op, name, bytes)
 }
 
-// MkdirAll has nothing to do but to fail.
+// MkdirAll does nothing unless Fail makes it fail.
 func (f *FS) MkdirAll(dir string) error {
 	_, err := f.fail("mkdir", dir, 0)
 	return err
 }
 
-// Create makes a file to append to.
+// Create creates a file for appending.
 func (f *FS) Create(name string) (spool.File, error) {
 	if _, err := f.fail("create", name, 0); err != nil {
 		return nil, err
@@ -56,13 +58,13 @@
 	return &file{fs: f, name: name, inner: inner}, nil
 }
 
-// Open opens a file to read.
+// Open opens a file for reading.
 func (f *FS) Open(name string) (spool.ReadFile, error) { return f.memory.Open(name) }
 
 // List returns the files and directories in a directory.
 func (f *FS) List(dir string) ([]spool.FileInfo, error) { return f.memory.List(dir) }
 
-// Remove takes a file away.
+// Remove removes a file.
 func (f *FS) Remove(name string) error {
 	if _, err := f.fail("remove", name, 0); err != nil {
 		return err
@@ -73,13 +75,13 @@
 	return f.memory.Remove(name)
 }
 
-// SyncDir has nothing to do but to fail.
+// SyncDir does nothing unless Fail makes it fail.
 func (f *FS) SyncDir(dir string) error {
 	_, err := f.fail("syncdir", dir, 0)
 	return err
 }
 
-// Lock holds a name until the closer is closed, or until Crash.
+// Lock locks a name until the returned closer is closed or Crash is called.
 func (f *FS) Lock(name string) (io.Closer, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -90,10 +92,11 @@
 	return &lock{f, name}, nil
 }
 
-// DirID is the same for all directories.
+// DirID returns the same id for all directories.
 func (f *FS) DirID(dir string) (string, error) { return f.memory.DirID(dir) }
 
-// Crash drops what was not synced but for the first `keep` bytes of it in each file, and all locks.
+// Crash simulates a power loss: each file loses its unsynced bytes except for the first keep ones, and all locks are
+// released.
 func (f *FS) Crash(keep int) (err error) {
 	f.mu.Lock()
 	clear(f.locks)
@@ -105,7 +108,7 @@
 	return err
 }
 
-// Edit changes a file's bytes. Who has it open keeps the old ones.
+// Edit replaces the contents of a file. Readers that have it open still see the old contents.
 func (f *FS) Edit(name string, edit func([]byte) []byte) error {
 	old, err := f.memory.Open(name)
 	if err != nil {
@@ -138,7 +141,7 @@
 	return nil
 }
 
-// file is appended to by one writer.
+// file is a file opened for appending by a single writer.
 type file struct {
 	fs    *FS
 	name  string
--- a/internal/fake/memfs/memfs_test.go
+++ b/internal/fake/memfs/memfs_test.go
@@ -30,7 +30,7 @@
 	return string(text)
 }
 
-// A crash leaves what was synced, so many bytes of what was not, and no lock.
+// A crash preserves the synced bytes and the given number of unsynced ones, and releases the locks.
 func TestCrash(t *testing.T) {
 	files := New()
 	file := create(t, files, "dir/a")
@@ -48,25 +48,25 @@
 		t.Fatal(err)
 	}
 	if _, err := files.Lock("dir/lock"); !errors.Is(err, spool.ErrLocked) {
-		t.Errorf("a second lock: %v", err)
+		t.Errorf("second Lock error = %v, want %v", err, spool.ErrLocked)
 	}
 	if got := content(t, files, "dir/a"); got != "syncedwritten" {
-		t.Errorf("before the crash: %q", got)
+		t.Errorf("content before the crash = %q, want %q", got, "syncedwritten")
 	}
 	if err := files.Crash(3); err != nil {
 		t.Fatal(err)
 	}
 	if got := content(t, files, "dir/a"); got != "syncedwri" {
-		t.Errorf("after the crash: %q", got)
+		t.Errorf("content after the crash = %q, want %q", got, "syncedwri")
 	}
 	if _, err := files.Lock("dir/lock"); err != nil {
-		t.Errorf("a lock after the crash: %v", err)
+		t.Errorf("Lock after the crash: %v", err)
 	}
 }
 
-// Each operation fails as the script says, and of a write a part goes in all the same.
+// Each operation fails with the injected error, and a failing write still writes a part.
 func TestFail(t *testing.T) {
-	told := errors.New("told to fail")
+	errInjected := errors.New("injected failure")
 	files := New()
 	file := create(t, files, "dir/a")
 	for op, operation := range map[string]func() error{
@@ -79,26 +79,26 @@
 		"syncdir": func() error { return files.SyncDir("dir") },
 	} {
 		t.Run(op, func(t *testing.T) {
-			asked := 0
+			calls := 0
 			files.Fail = func(called, _ string, _ int) (int, error) {
-				if asked++; called != op {
-					t.Errorf("asked for %s", called)
+				if calls++; called != op {
+					t.Errorf("Fail called for operation %q, want %q", called, op)
 				}
-				return 2, told
+				return 2, errInjected
 			}
 			defer func() { files.Fail = nil }()
-			if err := operation(); !errors.Is(err, told) {
-				t.Errorf("it does not fail: %v", err)
+			if err := operation(); !errors.Is(err, errInjected) {
+				t.Errorf("%s error = %v, want %v", op, err, errInjected)
 			}
-			if asked != 1 {
-				t.Errorf("asked %d times", asked)
+			if calls != 1 {
+				t.Errorf("Fail called %d times, want 1", calls)
 			}
 		})
 	}
 	if got := content(t, files, "dir/a"); got != "wh" {
-		t.Errorf("of the write %q went in", got)
+		t.Errorf("content after the failed write = %q, want %q", got, "wh")
 	}
 	if list, err := files.List("dir"); err != nil || len(list) != 1 || list[0] != (spool.FileInfo{Name: "a", Bytes: 2}) {
-		t.Errorf("files %v, %v", list, err)
+		t.Errorf("List = %v, %v, want only file a with 2 bytes", list, err)
 	}
 }
--- a/internal/fake/postgres/postgres.go
+++ b/internal/fake/postgres/postgres.go
@@ -1,8 +1,9 @@
-// Package postgres fakes a PostgreSQL server by its published protocol. It plays the statements that sqlstore sends, keeps
-// what was committed in a file of its own, and fails as it is told. It is no database and knows no SQL.
+// Package postgres fakes a PostgreSQL server that speaks the published wire protocol. It executes the statements that
+// sqlstore sends, stores committed data in a file, and fails in the mode that a test sets. It is not a database and
+// does not parse SQL.
 package postgres
 
-// This file owns the server: what it keeps, how it fails, and its connections.
+// The server: its data, its failure modes and its connections.
 
 import (
 	"bufio"
@@ -18,12 +19,12 @@
 	"onyxgate/internal/record/sqlstore"
 )
 
-// Modes in which the server fails. A mode of five characters is a SQLSTATE with which each commit ends.
+// Failure modes of the server. A mode of five characters is the SQLSTATE with which each commit fails.
 const (
-	modeStall  = "stall"  // nothing is answered
-	modeRefuse = "refuse" // connections are closed at once, open ones too
-	modeFailCommit    = "cut"    // connections break at a commit, which does not count
-	modeLoseConfirmation   = "lose"   // connections break at a commit, which counts
+	modeStall            = "stall"  // no message is answered
+	modeRefuse           = "refuse" // new connections are closed at once, and open ones when the mode is set
+	modeFailCommit       = "cut"    // the connection breaks at a commit, which has no effect
+	modeLoseConfirmation = "lose"   // the connection breaks at a commit, which takes effect
 
 	sqlstateLength = 5
 )
@@ -31,36 +32,36 @@
 const (
 	scramSalt       = "onyxgate-standin"
 	scramIterations = 4096
-	maxLineSize         = 64 << 20 // of the file
+	maxLineSize     = 64 << 20 // in the file
 )
 
-// Server is a server with one database and one user.
+// Server is a fake server with one database and one user.
 type Server struct {
-	Entries []sqlstore.Row    // committed, in the order of their commits; read while no client writes
-	Gaps    []sqlstore.GapRow // the same
+	Entries []sqlstore.Row    // committed entries in commit order; read only while no client writes
+	Gaps    []sqlstore.GapRow // committed gaps, likewise
 
 	user        string
-	credentials scram.StoredCredentials // zero: no password is asked for
-	writeLock     sync.Mutex              // held by the transaction that writes: one at a time
+	credentials scram.StoredCredentials // zero: no password is required
+	writeLock   sync.Mutex              // held by the writing transaction, so that only one writes at a time
 
-	mu           sync.Mutex // holds everything below, and Entries and Gaps
+	mu           sync.Mutex // guards everything below, and Entries and Gaps
 	modeChanged  sync.Cond
 	mode         string
-	file         *os.File // a transaction a line
+	file         *os.File // one transaction per line
 	version      int      // of the schema
 	incarnations map[string]incarnation
-	storedKeys       map[string]bool // by entryKey
+	storedKeys   map[string]bool // keys of the committed entries, as returned by entryKey
 	connections  map[net.Conn]bool
 }
 
-// incarnation is one life of an instance, by the row that holds it.
+// incarnation is the row of an incarnation of an instance.
 type incarnation struct {
 	Instance, Place string
 	Through         int64
 	Closed          int64
 }
 
-// transaction is what a transaction changed, and a line of the file.
+// transaction holds the changes made by a transaction. It is written to the file as one line.
 type transaction struct {
 	Version int                    `json:",omitempty"`
 	Inc     map[string]incarnation `json:",omitempty"`
@@ -68,8 +69,8 @@
 	Gaps    []sqlstore.GapRow      `json:",omitempty"`
 }
 
-// New makes a server that goes on from the file at path, which is made where it is missing. It asks for the password by
-// SCRAM-SHA-256 unless it is empty. Errors are those of the file.
+// New returns a server with the data in the file at path, which is created if it does not exist. Clients must
+// authenticate with SCRAM-SHA-256 unless the password is empty.
 func New(path, user, password string) (*Server, error) {
 	s := &Server{
 		user: user, incarnations: map[string]incarnation{}, storedKeys: map[string]bool{}, connections: map[net.Conn]bool{},
@@ -93,21 +94,21 @@
 	return s, s.load()
 }
 
-// load applies the transactions of the file.
+// load applies the transactions in the file.
 func (s *Server) load() error {
 	lines := bufio.NewScanner(s.file)
 	lines.Buffer(nil, maxLineSize)
 	for lines.Scan() {
 		var t transaction
 		if json.Unmarshal(lines.Bytes(), &t) != nil {
-			break // the process was killed while it wrote the line, so the commit was never confirmed
+			break // the process was killed while writing the line, so the commit was never confirmed
 		}
 		s.apply(t)
 	}
 	return lines.Err()
 }
 
-// Fail sets how the server fails from now on: "" (not at all), "stall", "refuse", "cut", "lose" or a SQLSTATE.
+// Fail sets the failure mode: "" for normal operation, "stall", "refuse", "cut", "lose" or a SQLSTATE.
 func (s *Server) Fail(mode string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,7 +121,7 @@
 	}
 }
 
-// Serve takes connections until the listener closes.
+// Serve accepts connections until the listener is closed.
 func (s *Server) Serve(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
@@ -161,7 +162,7 @@
 	}
 }
 
-// awaitMode waits while the server stalls, and returns the mode in force.
+// awaitMode waits while the server stalls, and returns the current failure mode.
 func (s *Server) awaitMode() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -171,7 +172,8 @@
 	return s.mode
 }
 
-// apply makes a transaction count. Under the lock, or before the server serves.
+// apply adds the changes of a transaction to the committed data. The caller holds s.mu, unless the server does not
+// serve yet.
 func (s *Server) apply(t transaction) {
 	s.version = max(s.version, t.Version)
 	for name, row := range t.Inc {
@@ -183,12 +185,12 @@
 	s.Entries, s.Gaps = append(s.Entries, t.Entries...), append(s.Gaps, t.Gaps...)
 }
 
-// entryKey is the primary key of an entry.
+// entryKey returns the primary key of an entry.
 func entryKey(entry sqlstore.Row) string {
 	return entry.Incarnation + "/" + strconv.FormatUint(entry.Ordinal, 10)
 }
 
-// countRepeated counts the keys that more than one entry has. Under the lock.
+// countRepeated returns the number of keys that occur in more than one entry. The caller holds s.mu.
 func (s *Server) countRepeated() (n int) {
 	entries := map[string]int{}
 	for _, entry := range s.Entries {
--- a/internal/fake/postgres/session.go
+++ b/internal/fake/postgres/session.go
@@ -1,6 +1,6 @@
 package postgres
 
-// This file owns the protocol on one connection: the start, the messages, and what is sent for a statement.
+// The wire protocol on a connection: startup, messages and the replies to statements.
 
 import (
 	"net"
@@ -10,40 +10,40 @@
 	"github.com/xdg-go/scram"
 )
 
-// Object ids and sizes of the types of columns, as PostgreSQL numbers them.
+// Object ids and sizes of column types, as defined by PostgreSQL.
 const (
 	oidInt8   = 20
 	oidText   = 25
 	oidFloat8 = 701
 
-	sizeEightBytes    = 8
-	sizeVariable = -1
+	sizeEightBytes = 8
+	sizeVariable   = -1
 )
 
-// session is one connection. Only its own goroutine uses it.
+// session is the server's side of a connection. Only the connection's goroutine uses it.
 type session struct {
-	server        *Server
-	backend       *pgproto3.Backend
-	inTransaction bool
-	failed        bool // the transaction can only be rolled back
-	holdsWriteLock        bool // it holds server.writing
-	changes       transaction
-
-	// The statement that was parsed last, and its result.
+	server         *Server
+	backend        *pgproto3.Backend
+	inTransaction  bool
+	failed         bool // the transaction can only be rolled back
+	holdsWriteLock bool // the session holds server.writeLock
+	changes        transaction
+
+	// The most recently parsed statement and its result.
 	text    string
 	args    []string
 	columns []column
 	rows    [][]string
-	tag     string // empty: it failed, or its result was sent
+	tag     string // command tag; empty if the statement failed or its result has been sent
 }
 
-// column is a column of a result; its type is text where it says nothing else.
+// column is a column of a result.
 type column struct {
 	name string
 	oid  uint32
 }
 
-// handshake takes the client's start up to its first statement; false ends the connection.
+// handshake handles messages up to the end of startup. It returns false if the connection must be closed.
 func (s *session) handshake(conn net.Conn) bool {
 	for {
 		message, err := s.backend.ReceiveStartupMessage()
@@ -63,11 +63,12 @@
 	}
 }
 
-// completeStartup authenticates a user and tells it that statements may come; false ends the connection.
+// completeStartup authenticates the user and reports that the server is ready for statements. It returns false if the
+// connection must be closed.
 func (s *session) completeStartup(user string) bool {
 	if s.server.credentials.Iters > 0 && !s.authenticate(user) {
 		s.backend.Send(&pgproto3.ErrorResponse{Severity: "FATAL", Code: "28P01", Message: "password authentication failed"})
-		_ = s.backend.Flush() // the connection ends in any case
+		_ = s.backend.Flush() // the connection is closed in any case
 		return false
 	}
 	s.backend.Send(&pgproto3.AuthenticationOk{})
@@ -78,7 +79,7 @@
 	return s.backend.Flush() == nil
 }
 
-// authenticate has the SCRAM conversation with a client and tells whether it knows the password.
+// authenticate performs the SCRAM exchange with a client and reports whether the client knows the password.
 func (s *session) authenticate(user string) bool {
 	server, err := scram.SHA256.NewServer(func(string) (scram.StoredCredentials, error) { return s.server.credentials, nil })
 	if err != nil || user != s.server.user {
@@ -117,7 +118,7 @@
 	return false
 }
 
-// status is the transaction status that ReadyForQuery carries.
+// status returns the transaction status for ReadyForQuery.
 func (s *session) status() byte {
 	switch {
 	case s.failed:
@@ -128,7 +129,7 @@
 	return 'I'
 }
 
-// handle answers a message; false ends the connection.
+// handle answers a message. It returns false if the connection must be closed.
 func (s *session) handle(message pgproto3.FrontendMessage) bool {
 	switch m := message.(type) {
 	case *pgproto3.Query:
@@ -163,7 +164,7 @@
 	return true
 }
 
-// describeRows sends the columns of the result; nothing after an error.
+// describeRows sends the columns of the result, or nothing if the statement failed.
 func (s *session) describeRows() {
 	if s.tag == "" {
 		return
@@ -185,7 +186,7 @@
 	s.backend.Send(&pgproto3.RowDescription{Fields: fields})
 }
 
-// sendRows sends the rows of the result and its end; nothing after an error.
+// sendRows sends the rows of the result and the command tag, or nothing if the statement failed.
 func (s *session) sendRows() {
 	if s.tag == "" {
 		return
@@ -201,14 +202,15 @@
 	s.tag = ""
 }
 
-// sendError answers the statement with an error, after which a transaction can only be rolled back.
+// sendError reports the statement's failure. An open transaction can then only be rolled back.
 func (s *session) sendError(code, message string) {
 	s.failed = s.inTransaction
 	s.tag = ""
 	s.backend.Send(&pgproto3.ErrorResponse{Severity: "ERROR", Code: code, Message: message})
 }
 
-// columnsOf reads names of columns, each with its type behind a blank: big, real, or none for text.
+// columnsOf parses column specifications: a name, followed by a space and the type (big or real) unless the type is
+// text.
 func columnsOf(specs ...string) (columns []column) {
 	for _, spec := range specs {
 		name, kind, _ := strings.Cut(spec, " ")
--- a/internal/fake/postgres/statements.go
+++ b/internal/fake/postgres/statements.go
@@ -1,6 +1,7 @@
 package postgres
 
-// This file owns the statements, as far as they are played: transactions, and each of sqlstore's by the name in its comment.
+// Execution of statements: transaction control, and sqlstore's statements, which are identified by the name in their
+// leading comment.
 
 import (
 	"encoding/json"
@@ -12,13 +13,13 @@
 	"onyxgate/internal/record/sqlstore"
 )
 
-// SQLSTATEs of statements that can't be played.
+// SQLSTATEs of statements that can't be executed.
 const (
 	sqlstateInvalidText = "22P02"
 	sqlstateSyntax      = "42601"
 )
 
-// endTransaction drops what the transaction changed and lets the next one write.
+// endTransaction discards the transaction's changes and releases the write lock.
 func (s *session) endTransaction() {
 	s.inTransaction, s.failed, s.changes = false, false, transaction{}
 	if s.holdsWriteLock {
@@ -27,7 +28,7 @@
 	}
 }
 
-// commit makes the transaction last; false ends the connection without an answer.
+// commit makes the transaction's changes durable. It returns false if the connection must be closed without a reply.
 func (s *session) commit() bool {
 	server := s.server
 	defer s.endTransaction()
@@ -53,7 +54,7 @@
 	return mode != modeLoseConfirmation
 }
 
-// execute plays the statement that was parsed last; false ends the connection.
+// execute runs the most recently parsed statement. It returns false if the connection must be closed.
 func (s *session) execute() bool {
 	s.columns, s.rows, s.tag = nil, nil, "OK"
 	name, text := splitName(s.text)
@@ -85,7 +86,7 @@
 	return true
 }
 
-// splitName splits a statement into the comment that names it and its text.
+// splitName splits a statement into its leading comment, which names it, and the remaining text.
 func splitName(statement string) (name, text string) {
 	text = statement
 	if i := strings.Index(text, "*/ "); i > 0 {
@@ -94,7 +95,7 @@
 	return name, strings.TrimSpace(strings.TrimSuffix(text, ";"))
 }
 
-// statementHandlers play sqlstore's statementHandlers, under the server's lock.
+// statementHandlers execute sqlstore's statements by name. The caller holds the server's mu.
 var statementHandlers = map[string]func(s *session, text string){
 	sqlstore.NameMigrate:       (*session).migrate,
 	sqlstore.NameVersion:       (*session).selectVersion,
@@ -110,7 +111,7 @@
 
 func (s *session) migrate(text string) {
 	if strings.HasPrefix(text, "insert") {
-		s.changes.Version, _ = strconv.Atoi(s.args[0]) // sqlstore's own number
+		s.changes.Version, _ = strconv.Atoi(s.args[0]) // always a number in sqlstore's statement
 	}
 }
 
@@ -119,7 +120,7 @@
 	s.rows = [][]string{{strconv.Itoa(max(s.server.version, s.changes.Version))}}
 }
 
-// claim inserts an incarnation unless it is there.
+// claim inserts the row of an incarnation unless it exists.
 func (s *session) claim(string) {
 	name, instance, place := s.args[0], s.args[1], s.args[2]
 	if _, exists := s.incarnation(name); !exists {
@@ -127,14 +128,14 @@
 	}
 }
 
-// updateThrough raises the numbers up to which an incarnation's entries are stored and closed.
+// updateThrough raises the entry numbers up to which an incarnation is stored and closed.
 func (s *session) updateThrough(string) {
 	name := s.args[4]
 	row, exists := s.incarnation(name)
 	if !exists {
 		return
 	}
-	through, _ := strconv.ParseInt(s.args[0], 10, 64) // both are sqlstore's own numbers
+	through, _ := strconv.ParseInt(s.args[0], 10, 64) // always numbers in sqlstore's statement
 	closed, _ := strconv.ParseInt(s.args[2], 10, 64)
 	row.Through, row.Closed = max(row.Through, through), max(row.Closed, closed)
 	s.setIncarnation(name, row)
@@ -210,7 +211,7 @@
 	}
 }
 
-// count answers with the number of repeated keys, or with a row of count 1 for each entry, which the reader adds up.
+// count returns the number of repeated keys, or a row with a count of 1 for each entry; the reader adds these up.
 func (s *session) count(text string) {
 	if strings.Contains(text, "having") {
 		s.columns, s.rows = columnsOf("count big"), [][]string{{strconv.Itoa(s.server.countRepeated())}}
@@ -222,7 +223,7 @@
 	}
 }
 
-// incarnation reads a row as the transaction sees it.
+// incarnation returns the row of an incarnation as seen by the transaction.
 func (s *session) incarnation(name string) (row incarnation, exists bool) {
 	if row, exists = s.changes.Inc[name]; !exists {
 		row, exists = s.server.incarnations[name]
--- a/internal/fake/replay/replay.go
+++ b/internal/fake/replay/replay.go
@@ -1,8 +1,10 @@
-// Package replay compares the effects of a deterministic program with a recording of an earlier version's, to the byte.
+// Package replay compares the effects of a deterministic program byte for byte with a recording of an earlier
+// version.
 //
-// A recording is a text file that stays small: for each thousand effects it holds a hash of their text and of the events that
-// caused them, and one check byte for each effect, by which the first difference is found and named. It is written anew only by
-// a test run with -record, which belongs in a commit that changes decisions on purpose and says so.
+// A recording is a small text file. For each block of a thousand effects it holds a hash of these effects and of the
+// events that caused them, and one check byte per effect, which locates the first difference. A recording is
+// rewritten only by a test run with -record. That belongs in a commit that changes decisions on purpose and describes
+// the change.
 package replay
 
 import (
@@ -19,38 +21,39 @@
 	"testing"
 )
 
-// effectsPerBlock is the number of effects under one hash.
+// effectsPerBlock is the number of effects that a hash covers.
 const effectsPerBlock = 1000
 
-// hashSize is how much of a block's SHA-256 is kept.
+// hashSize is the number of bytes of a block's SHA-256 that are kept.
 const hashSize = 12
 
-// record has Close write the recording in place of comparing with it.
+// record makes Close write the recording instead of comparing with it.
 var record = flag.Bool("record", false, "write the recordings of replay tests in place of comparing with them")
 
-// Recorder takes one stream of events and effects and compares it with the recording in a file. It is used by the goroutine of its
-// test only.
+// Recorder compares a stream of events and effects with the recording in a file. Only the goroutine of its test may
+// use it.
 type Recorder struct {
 	t        testing.TB
 	path     string
-	recorded []block   // as read from the file
-	written  []block   // of this stream, the ended ones
-	current  block     // of this stream, not ended yet
-	hash     hash.Hash // of the events and effects of current
-	event    string    // the latest
+	recorded []block   // blocks read from the file
+	written  []block   // completed blocks of this stream
+	current  block     // block in progress
+	hash     hash.Hash // over the events and effects of current
+	event    string    // the latest event
 	events   int
 	effects  int
 	differs  bool
 }
 
-// block is what a recording keeps of blockEffects effects, or of the last ones. It is one line of the file.
+// block is the part of a recording, one line of the file, for effectsPerBlock effects; the last block may cover
+// fewer.
 type block struct {
-	hash   string // hexadecimal
-	checkBytes []byte // one for each effect
+	hash       string // in hexadecimal
+	checkBytes []byte // one per effect
 }
 
-// Open begins a stream; the recording is read from path, or written there by Close where the test runs with -record. A recording
-// that can't be read ends the test.
+// Open begins a stream. It reads the recording from path, and fails the test if that is impossible; if the test runs
+// with -record, Close writes the recording to path instead.
 func Open(t testing.TB, path string) *Recorder {
 	t.Helper()
 	r := &Recorder{t: t, path: path, hash: sha256.New()}
@@ -59,35 +62,35 @@
 	}
 	file, err := os.Open(path)
 	if err != nil {
-		t.Fatalf("no recording: %v", err)
+		t.Fatalf("open recording: %v", err)
 	}
 	defer file.Close()
 	lines := bufio.NewScanner(file)
 	for lines.Scan() {
 		sum, encoded, found := strings.Cut(lines.Text(), " ")
 		if !found {
-			t.Fatalf("%s: line without checks: %q", path, lines.Text())
+			t.Fatalf("%s: line %q, want a hash and check bytes", path, lines.Text())
 		}
 		checks, err := base64.StdEncoding.DecodeString(encoded)
 		if err != nil {
-			t.Fatalf("%s: %v", path, err)
+			t.Fatalf("%s: check bytes %q: %v", path, encoded, err)
 		}
 		r.recorded = append(r.recorded, block{hash: sum, checkBytes: checks})
 	}
 	if err := lines.Err(); err != nil {
-		t.Fatalf("%s: %v", path, err)
+		t.Fatalf("read recording %s: %v", path, err)
 	}
 	return r
 }
 
-// Event names what the effects that follow come from.
+// Event sets the event that causes the effects after it.
 func (r *Recorder) Event(text string) {
 	r.events++
 	r.event = text
 	r.hashText(text)
 }
 
-// Effect takes one effect of the latest event; the first one that differs from the recording fails the test.
+// Effect adds an effect of the latest event. The test fails at the first effect that differs from the recording.
 func (r *Recorder) Effect(text string) {
 	if r.differs {
 		return
@@ -106,10 +109,10 @@
 	}
 }
 
-// Differs tells that the test has failed already, so that the rest of the stream need not be played.
+// Differs reports whether the test has already failed, in which case the rest of the stream need not be played.
 func (r *Recorder) Differs() bool { return r.differs }
 
-// Close ends the stream: what is left is compared, and an effect that the recording has beyond it fails the test.
+// Close ends the stream and compares the last block. The test fails if the recording has further effects.
 func (r *Recorder) Close() {
 	r.t.Helper()
 	if r.differs {
@@ -132,7 +135,7 @@
 	r.hash.Write([]byte{'\n'})
 }
 
-// matches tells whether the recording has this check for the effect that comes next.
+// matches reports whether the recording has this check byte for the next effect.
 func (r *Recorder) matches(check byte) bool {
 	number, effect := len(r.written), len(r.current.checkBytes)
 	if number >= len(r.recorded) {
@@ -142,13 +145,13 @@
 	return effect < len(recorded) && recorded[effect] == check
 }
 
-// fail fails the test by its first effect that differs.
+// fail fails the test at its first differing effect.
 func (r *Recorder) fail(text string) {
 	r.differs = true
 	r.t.Errorf("%s: effect %d differs from the recording: %s\nits event, number %d: %s", r.path, r.effects, text, r.events, r.event)
 }
 
-// endBlock ends the current block and compares its hash with that of the recording, which covers the events too.
+// endBlock ends the current block and compares its hash, which also covers the events, with the recorded one.
 func (r *Recorder) endBlock() {
 	r.current.hash = hex.EncodeToString(r.hash.Sum(nil)[:hashSize])
 	r.hash.Reset()
@@ -160,18 +163,18 @@
 	r.current = block{}
 }
 
-// write writes the recording anew.
+// write writes the recording to its file.
 func (r *Recorder) write() {
 	var text strings.Builder
 	for _, b := range r.written {
 		fmt.Fprintf(&text, "%s %s\n", b.hash, base64.StdEncoding.EncodeToString(b.checkBytes))
 	}
 	if err := os.WriteFile(r.path, []byte(text.String()), 0o600); err != nil {
-		r.t.Fatal(err)
+		r.t.Fatalf("write recording %s: %v", r.path, err)
 	}
 }
 
-// checkByte folds a text into one byte: two different texts have different bytes in 255 of 256 cases.
+// checkByte hashes a text to one byte. Two different texts have different check bytes in 255 of 256 cases.
 func checkByte(text string) byte {
 	sum := fnv.New32a()
 	sum.Write([]byte(text))
--- a/internal/fake/replay/replay_test.go
+++ b/internal/fake/replay/replay_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// failureCollector is a test that keeps its failureCollector.
+// failureCollector is a testing.TB that collects the messages of Errorf.
 type failureCollector struct {
 	testing.TB
 	lines []string
@@ -19,7 +19,8 @@
 	f.lines = append(f.lines, fmt.Sprintf(format, args...))
 }
 
-// play plays a stream in which each effect has an event of its own, and writes the recording or compares with it.
+// play plays a stream in which every effect follows its own event. It writes the recording if write is set, and
+// otherwise compares with it.
 func play(t testing.TB, path string, write bool, event string, effects []string) {
 	t.Helper()
 	before := *record
@@ -33,15 +34,16 @@
 	r.Close()
 }
 
-// A stream that differs from its recording by one effect, one event, or in length fails with the place named.
+// A stream that differs from its recording in one effect, one event or its length fails, and the message locates the
+// difference.
 func TestDifferencesAreFound(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(effects []string) []string
 		event  string
-		want   string // empty: nothing differs
+		want   string // substring of the only message; empty if nothing differs
 	}{
-		{"the same", func(e []string) []string { return e }, "event", ""},
+		{"no difference", func(e []string) []string { return e }, "event", ""},
 		{"one effect", func(e []string) []string { e[1500] = "other"; return e }, "event", "effect 1501 differs"},
 		{"one effect left out", func(e []string) []string { return append(e[:1500], e[1501:]...) }, "event", "effect 1501 differs"},
 		{"one more at the end", func(e []string) []string { return append(e, "more") }, "event", "effect 2501 differs"},
@@ -60,7 +62,7 @@
 			play(found, path, false, c.event, c.change(effects))
 			got := strings.Join(found.lines, "; ")
 			if c.want == "" && got != "" || c.want != "" && (len(found.lines) != 1 || !strings.Contains(got, c.want)) {
-				t.Errorf("got %q, want %q", got, c.want)
+				t.Errorf("messages %q, want one containing %q (none if empty)", got, c.want)
 			}
 		})
 	}
