--- a/cmd/e2e/cluster.go
+++ b/cmd/e2e/cluster.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns the processes: the program as it is built, the instances as they start, die and leave, and the operators'
+// The processes of a run: building the program, starting, killing and stopping instances, and running operator
 // commands.
 
 import (
@@ -21,18 +21,18 @@
 )
 
 const (
-	maxStartDials    = 500                    // to connect to an instance that has been started
-	startDialInterval     = 10 * time.Millisecond  // between two such tries
-	dialTimeout   = 100 * time.Millisecond // of such a try
-	shutdownTimeout  = 8 * time.Second        // from SIGTERM until an instance has ended
-	logTailSize       = 2000                   // bytes of a log that a message quotes
-	outputTailSize    = 600                    // bytes of a command's output that a message quotes
-	defectEnv     = "ONYXGATE_DEFECT="
-	killAtEnv     = "ONYXGATE_KILL_AT="
-	programImport = "onyxgate/cmd/onyxgate"
+	maxStartDials     = 500                    // connection attempts to an instance that was started
+	startDialInterval = 10 * time.Millisecond  // between two such attempts
+	dialTimeout       = 100 * time.Millisecond // of one such attempt
+	shutdownTimeout   = 8 * time.Second        // from SIGTERM until an instance must have exited
+	logTailSize       = 2000                   // bytes of a log quoted in a message
+	outputTailSize    = 600                    // bytes of a command's output quoted in a message
+	defectEnv         = "ONYXGATE_DEFECT="
+	killAtEnv         = "ONYXGATE_KILL_AT="
+	programImport     = "onyxgate/cmd/onyxgate"
 )
 
-// buildProgram builds the program in a directory; the tag "defect" adds failpoints and defects to it.
+// buildProgram builds the program in a directory. The build tag "defect" adds failpoints and defects.
 func buildProgram(dir, tags string) (string, error) {
 	path := filepath.Join(dir, "onyxgate")
 	args := []string{"build", "-o", path}
@@ -40,53 +40,53 @@
 		args = append(args, "-tags", tags)
 	}
 	if text, err := newCommand("go", append(args, programImport)...).CombinedOutput(); err != nil {
-		return "", fmt.Errorf("building the program: %w\n%s", err, text)
+		return "", fmt.Errorf("build program: %w\n%s", err, text)
 	}
 	return path, nil
 }
 
-// newCommand prepares a child process, which the kernel kills when this process ends: nothing stays behind.
+// newCommand prepares a child process that the kernel kills when this process ends, so that none is left behind.
 func newCommand(program string, args ...string) *exec.Cmd {
 	command := exec.CommandContext(context.Background(), program, args...)
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	return command
 }
 
-// process is one instance from its start to its end.
+// process is a process of an instance.
 type process struct {
 	command *exec.Cmd
-	exited   chan struct{}
-	err     error // how it ended; read once ended is closed
+	exited  chan struct{}
+	err     error // result of Wait; may be read once exited is closed
 }
 
-// signal sends a signal. A process that has ended already needs none.
+// signal sends a signal. An error means that the process has already exited.
 func (p *process) signal(signal os.Signal) { _ = p.command.Process.Signal(signal) }
 
-// kill kills the process, unless it is dead, and waits until it is.
+// kill kills the process, if it still runs, and waits until it has exited.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	<-p.exited
 }
 
-// usage is what an instance took, as the kernel counts it.
+// usage is the resource usage of an instance, as reported by the kernel.
 type usage struct {
-	residentMB float64 // just before it was told to leave
+	residentMB float64 // just before it receives SIGTERM
 	cpu        time.Duration
 }
 
-// cluster is the instances of a run, each under a name and an address of its own.
+// cluster is the set of instances of a run. Each has its own name and address.
 type cluster struct {
 	fleet     *fleet.Fleet
 	program   string
 	dir       string
 	addresses []string
-	usages    []usage // by instance: of the process that stop ended
+	usages    []usage // by instance: usage of the process that stop ended
 
 	mu        sync.Mutex
-	processes []*process // nil: none was started, or stop has ended it
+	processes []*process // nil if none was started or stop has ended it
 }
 
-// newCluster chooses the instances' addresses. They stay the same as instances are started again and again.
+// newCluster chooses the instances' addresses, which stay the same when an instance is restarted.
 func newCluster(f *fleet.Fleet, program, dir string) (*cluster, error) {
 	c := &cluster{fleet: f, program: program, dir: dir, usages: make([]usage, f.Instances), processes: make([]*process, f.Instances)}
 	for range f.Instances {
@@ -101,22 +101,23 @@
 
 func instanceName(instance int) string { return fmt.Sprintf("n%d", instance) }
 
-// startOptions say how an instance is started.
+// startOptions configures the start of an instance.
 type startOptions struct {
 	instance int
 	seed     uint64
-	settings string   // path of our own settings; empty: none
-	env      []string // beside this process's own
+	settings string   // path of the file with our own settings; empty for none
+	env      []string // in addition to the environment of this process
 }
 
-// process is the instance's latest process.
+// process returns the latest process of an instance.
 func (c *cluster) process(instance int) *process {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.processes[instance]
 }
 
-// start starts an instance and waits until it listens. One that dies by SIGKILL at its start, as it was told to, is no error.
+// start starts an instance and waits until it listens. It is no error if a failpoint kills it with SIGKILL during
+// startup.
 func (c *cluster) start(options startOptions) error {
 	p, err := c.launch(options)
 	if err != nil {
@@ -128,7 +129,7 @@
 	return c.awaitListening(options.instance, p)
 }
 
-// launch starts an instance's process.
+// launch starts the process of an instance.
 func (c *cluster) launch(options startOptions) (*process, error) {
 	name := instanceName(options.instance)
 	text, err := c.fleet.Configuration(fleet.InstanceOptions{
@@ -145,7 +146,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer log.Close() // the process has a copy of its own
+	defer log.Close() // the process has its own copy of the descriptor
 	args := []string{"serve", "--config", config}
 	if options.settings != "" {
 		args = append(args, "--settings", options.settings)
@@ -170,7 +171,7 @@
 			if killedBySIGKILL(p.err) {
 				return nil
 			}
-			return fmt.Errorf("instance %s ended at its start: %w\n%s", instanceName(instance), p.err, c.logTail(instance))
+			return fmt.Errorf("instance %s exited during startup: %w\n%s", instanceName(instance), p.err, c.logTail(instance))
 		default:
 		}
 		if conn, err := loopback.Dial(c.addresses[instance], dialTimeout); err == nil {
@@ -179,14 +180,14 @@
 		}
 		time.Sleep(startDialInterval)
 	}
-	return fmt.Errorf("instance %s does not listen\n%s", instanceName(instance), c.logTail(instance))
+	return fmt.Errorf("instance %s does not accept connections on %s\n%s", instanceName(instance), c.addresses[instance], c.logTail(instance))
 }
 
 func (c *cluster) logPath(instance int) string {
 	return filepath.Join(c.dir, instanceName(instance)+".log")
 }
 
-// logTail is the end of an instance's log, for a person to read.
+// logTail returns the end of an instance's log, to be shown in a message.
 func (c *cluster) logTail(instance int) string {
 	text, err := os.ReadFile(c.logPath(instance))
 	if err != nil {
@@ -195,7 +196,7 @@
 	return string(text[max(0, len(text)-logTailSize):])
 }
 
-// killedBySIGKILL tells that a process ended by SIGKILL and by nothing of its own.
+// killedBySIGKILL reports whether err, the result of Wait, means that the process was terminated by SIGKILL.
 func killedBySIGKILL(err error) bool {
 	var exit *exec.ExitError
 	if !errors.As(err, &exit) {
@@ -205,7 +206,8 @@
 	return ok && status.Signaled() && status.Signal() == syscall.SIGKILL
 }
 
-// stop tells all instances to leave, waits until they have, and says which did not end well.
+// stop sends SIGTERM to all instances and waits until they have exited. It returns a violation for each that failed
+// or did not exit in time.
 func (c *cluster) stop() (violations []string) {
 	c.mu.Lock()
 	running := c.processes
@@ -230,21 +232,22 @@
 	return violations
 }
 
-// awaitExit waits until an instance has left, and kills one that does not. It returns a violation, or nothing.
+// awaitExit waits until an instance has exited, and kills it after shutdownTimeout. It returns a violation, or "" if
+// there is none.
 func (c *cluster) awaitExit(instance int, p *process) (violation string) {
 	select {
 	case <-p.exited:
 		if p.err != nil {
-			violation = fmt.Sprintf("instance %s ended with %v: %s", instanceName(instance), p.err, c.logTail(instance))
+			violation = fmt.Sprintf("instance %s exited with %v: %s", instanceName(instance), p.err, c.logTail(instance))
 		}
 	case <-time.After(shutdownTimeout):
 		p.kill()
-		violation = fmt.Sprintf("instance %s did not leave", instanceName(instance))
+		violation = fmt.Sprintf("instance %s did not exit within the shutdown timeout", instanceName(instance))
 	}
 	return violation
 }
 
-// residentMB is the memory of a process, as the kernel counts it; 0 where it has ended.
+// residentMB returns the resident memory of a process as reported by the kernel, or 0 if the process has exited.
 func residentMB(pid int) float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -259,7 +262,7 @@
 	return 0
 }
 
-// runCommand runs the operators' runCommand line and returns what it printed.
+// runCommand runs an operator command of the program and returns what it printed.
 func (c *cluster) runCommand(args ...string) ([]byte, error) {
 	command := newCommand(c.program, args...)
 	var out, stderr bytes.Buffer
--- a/cmd/e2e/day.go
+++ b/cmd/e2e/day.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns the newcomer's day: what a fleet of instances does while a release is rolled out.
+// The day scenario: traffic on a fleet of instances while one release is rolled out.
 
 import (
 	"fmt"
@@ -14,25 +14,26 @@
 )
 
 type dayCommand struct {
-	Seed     uint64        `default:"1" help:"Draws traffic and faults."`
-	Length   time.Duration `default:"24s" help:"How long clients send."`
-	Rate     float64       `default:"150" help:"Requests a second."`
+	Seed     uint64        `default:"1" help:"Seed of the traffic and the faults."`
+	Length   time.Duration `default:"24s" help:"How long clients send requests."`
+	Rate     float64       `default:"150" help:"Requests per second."`
 	Bad      float64       `default:"0" help:"Share of requests that the new release fails."`
-	Program  string        `type:"path" help:"A program that is built already, as an earlier version to compare with."`
-	Settings string        `type:"path" help:"Our settings for the instances."`
-	Short    bool          `help:"8 s, and only what must hold on any host."`
-	JSON     bool          `help:"Figures as JSON in place of the table."`
+	Program  string        `type:"path" help:"A program to run instead of building one, such as an earlier version to compare with."`
+	Settings string        `type:"path" help:"File with our own settings for the instances."`
+	Short    bool          `help:"Run for 8 s, and check only what must hold on any host."`
+	JSON     bool          `help:"Figures as JSON instead of the table."`
 }
 
 const (
 	shortDay   = 8 * time.Second
 	newRelease = 2
 
-	// maxResponseTime is how long after it was sent a response is late: the deadline that clients state, and a client's own delay.
+	// maxResponseTime is the time from sending a request after which its response counts as late: the deadline that
+	// clients send, and 50 ms for delays in the client itself.
 	maxResponseTime = 2*time.Second + 50*time.Millisecond
 )
 
-// Run carries out the day.
+// Run runs the day scenario.
 func (d dayCommand) Run() error {
 	if d.Short {
 		d.Length = shortDay
@@ -40,7 +41,7 @@
 	return run(&dayScenario{dayCommand: d, latencies: newLatencies()})
 }
 
-// dayScenario is the day as a scenario.
+// dayScenario implements scenario.
 type dayScenario struct {
 	dayCommand
 	figures   dayFigures
@@ -49,17 +50,17 @@
 
 // dayFigures are counted by clients and backends. The JSON keys are read by scripts.
 type dayFigures struct {
-	Seed       uint64                    `json:"seed"`
-	Requests   int                       `json:"txns"`
-	Outcomes   map[string]map[string]int `json:"outcomes"` // by class and outcome
-	Lost       int                       `json:"lost"`
-	Late       int                       `json:"late"`
-	Violations fleet.Violations          `json:"rules_broken"`
-	P50        float64                   `json:"p50_ms"`
-	P99        float64                   `json:"p99_ms"`
-	Stages     []string                  `json:"stages"`
-	ResidentMB   []float64                 `json:"resident_mb"` // of each instance, just before it leaves
-	CPUPerRequest        float64                   `json:"cpu_us_a_txn"`
+	Seed          uint64                    `json:"seed"`
+	Requests      int                       `json:"txns"`
+	Outcomes      map[string]map[string]int `json:"outcomes"` // by class and outcome
+	Lost          int                       `json:"lost"`
+	Late          int                       `json:"late"`
+	Violations    fleet.Violations          `json:"rules_broken"`
+	P50           float64                   `json:"p50_ms"`
+	P99           float64                   `json:"p99_ms"`
+	Stages        []string                  `json:"stages"`
+	ResidentMB    []float64                 `json:"resident_mb"` // of each instance, just before it receives SIGTERM
+	CPUPerRequest float64                   `json:"cpu_us_a_txn"`
 }
 
 func (d *dayScenario) options() testbedOptions {
@@ -77,7 +78,7 @@
 	return fleet.ClientOptions{Rate: func() float64 { return d.Rate }, Seed: d.Seed}
 }
 
-// inject rolls the release out after an eighth of the day.
+// inject starts the rollout after an eighth of the day.
 func (d *dayScenario) inject(bed *testbed) error {
 	end := bed.loadStartedAt.Add(d.Length)
 	done := make(chan struct{})
@@ -89,18 +90,18 @@
 	return nil
 }
 
-// showProgress shows the day go by, on a terminal.
+// showProgress shows the progress of the day if standard error is a terminal.
 func showProgress(f *fleet.Fleet, length time.Duration, done <-chan struct{}) {
 	if !isatty.IsTerminal(os.Stderr.Fd()) {
 		return
 	}
-	bar := progressbar.Default(int64(length/time.Second), "the day")
+	bar := progressbar.Default(int64(length/time.Second), "day")
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
 	for {
 		stage := f.CurrentStage()
 		bar.Describe(fmt.Sprintf("release %d stage %d %s", stage.Release, stage.Stage, stage.Mode))
-		_ = bar.Add(1) // only a display
+		_ = bar.Add(1) // an error concerns only the display
 		select {
 		case <-done:
 			_ = bar.Finish()
@@ -110,28 +111,28 @@
 	}
 }
 
-func (d *dayScenario) check(bed *testbed, found *verdict) error {
+func (d *dayScenario) check(bed *testbed, result *verdict) error {
 	d.count(bed)
 	for _, claim := range []struct {
 		what       string
 		violations int
-		timed      bool // judged by this host's clock; a slow host is not judged by it
+		timed      bool // depends on timing, which a slow host distorts; not checked in a short run
 	}{
-		{"requests lost", d.figures.Lost, false},
-		{"effects twice", d.figures.Violations.DuplicateEffects, false},
+		{"lost requests", d.figures.Lost, false},
+		{"duplicate effects", d.figures.Violations.DuplicateEffects, false},
 		{"attempts at a draining backend", d.figures.Violations.AfterDrain, true},
-		{"cold backends overloaded", d.figures.Violations.ColdOverloaded, true},
-		{"windows with too much exposure", d.figures.Violations.Exposure, true},
-		{"responses late", d.figures.Late, true},
+		{"overloaded cold backends", d.figures.Violations.ColdOverloaded, true},
+		{"windows above the exposure cap", d.figures.Violations.Exposure, true},
+		{"late responses", d.figures.Late, true},
 	} {
-		judged := !claim.timed || !d.Short
-		found.require(claim.violations == 0 || !judged, "%s: %d", claim.what, claim.violations)
+		checked := !claim.timed || !d.Short
+		result.require(claim.violations == 0 || !checked, "%s: %d", claim.what, claim.violations)
 	}
-	found.require(len(bed.fleet.Stages) >= 2, "no release was ever on trial")
+	result.require(len(bed.fleet.Stages) >= 2, "not put to the test: the release was never rolled out")
 	return nil
 }
 
-// count takes the figures from the clients' log, the fleet and the processes.
+// count computes the figures from the clients' log, the fleet and the processes.
 func (d *dayScenario) count(bed *testbed) {
 	f := &d.figures
 	f.Seed, f.Outcomes, f.Violations = d.Seed, map[string]map[string]int{}, bed.fleet.Audit()
@@ -169,13 +170,13 @@
 	}
 }
 
-func (d *dayScenario) report(found *verdict) error {
+func (d *dayScenario) report(result *verdict) error {
 	if d.JSON {
-		return found.print(d.figures)
+		return result.print(d.figures)
 	}
 	printDay(d.figures, d.latencies)
-	if len(found.violations) > 0 {
-		fmt.Println("violations:", found.violations)
+	if len(result.violations) > 0 {
+		fmt.Println("violations:", result.violations)
 	}
-	return found.err()
+	return result.err()
 }
--- a/cmd/e2e/day_table.go
+++ b/cmd/e2e/day_table.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns the figures of a day as tables for people.
+// Tables with the figures of a day.
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 	"onyxgate/internal/fake/fleet"
 )
 
-// outcomeColumns are the outcomes in the order of the table, and what they are called there.
+// outcomeColumns lists the outcomes in the order of the table, with their column titles.
 var outcomeColumns = []struct{ outcome, title string }{
 	{fleet.OutcomeServed, "served"},
 	{fleet.OutcomeRejected, "rejected"},
@@ -65,11 +65,11 @@
 }
 
 func printRules(f dayFigures) {
-	t := newTable(table.Row{"rule", "violations, seen from outside"})
+	t := newTable(table.Row{"rule", "violations, counted from outside"})
 	t.AppendRows([]table.Row{
 		{"no request lost", f.Lost},
-		{"no effect twice", f.Violations.DuplicateEffects},
-		{"drains kept", f.Violations.AfterDrain},
+		{"no duplicate effects", f.Violations.DuplicateEffects},
+		{"drains respected", f.Violations.AfterDrain},
 		{"no cold backend overloaded", f.Violations.ColdOverloaded},
 		{"exposure within the cap", f.Violations.Exposure},
 	})
--- a/cmd/e2e/exposure_test.go
+++ b/cmd/e2e/exposure_test.go
@@ -10,19 +10,19 @@
 	"onyxgate/internal/fake/fleet"
 )
 
-// trialSeed draws the traffic of the trials.
+// trialSeed is the seed of the traffic.
 const trialSeed = 27
 
-// singleInstanceRun is one instance, as a real process, among backends and a platform whose messages a proxy can hold back.
+// singleInstanceRun is a real process of one instance, with backends and a platform whose messages a proxy can hold.
 type singleInstanceRun struct {
 	*testbed
 	t     *testing.T
 	proxy *faultproxy.Proxy
-	stop  func() // ends the load and the instance, which must leave well
+	stop  func() // ends the load and stops the instance, which must exit without an error
 }
 
-// newTrial starts an instance on six backends of release 1, under traffic.
-func newTrial(t *testing.T) *singleInstanceRun {
+// newSingleInstanceRun starts an instance and traffic, with six backends of release 1.
+func newSingleInstanceRun(t *testing.T) *singleInstanceRun {
 	t.Helper()
 	bed, err := newTestbed(testbedOptions{fleet: fleet.Options{Instances: 1, Backends: 6, Cores: 4}})
 	if err != nil {
@@ -31,7 +31,7 @@
 	t.Cleanup(bed.close)
 	x := &singleInstanceRun{testbed: bed, t: t}
 	x.fleet.KeyAffinity = true
-	x.fleet.Linger = time.Minute // who is gone still answers: only the instance keeps requests from it
+	x.fleet.Linger = time.Minute // backends listed as gone still answer, so only the instance keeps requests away from them
 	x.fleet.SetManualRollout()
 	if x.proxy, err = faultproxy.New(x.fleet.PlatformAddress()); err != nil {
 		t.Fatal(err)
@@ -44,7 +44,7 @@
 	x.startLoad(fleet.ClientOptions{
 		Rate: func() float64 { return 300 },
 		Seed: trialSeed,
-		Keys: 2000, // few are asked for so often that they are kept out of a trial
+		Keys: 2000, // so that few keys are popular enough to be kept away from a canary release
 	})
 	x.stop = func() {
 		t.Helper()
@@ -56,24 +56,24 @@
 	return x
 }
 
-// waitFor waits for a condition, which has to come true.
-func (x *singleInstanceRun) waitFor(what string, holds func() bool) {
+// waitFor waits until a condition holds, and fails the test if it does not within 20 seconds.
+func (x *singleInstanceRun) waitFor(what string, condition func() bool) {
 	x.t.Helper()
-	for from := time.Now(); !holds(); time.Sleep(5 * time.Millisecond) {
+	for from := time.Now(); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Since(from) > 20*time.Second {
-			x.t.Fatalf("it never came to this: %s\n%s", what, x.cluster.logTail(0))
+			x.t.Fatalf("condition not met within 20 s: %s\n%s", what, x.cluster.logTail(0))
 		}
 	}
 }
 
-// awaitResponses waits until clients have had so many more responses.
+// awaitResponses waits until clients have received n more responses.
 func (x *singleInstanceRun) awaitResponses(n int) {
 	x.t.Helper()
 	from := len(x.clients.Log())
 	x.waitFor(fmt.Sprint(n, " more responses"), func() bool { return len(x.clients.Log()) >= from+n })
 }
 
-// awaitAttempts waits until so many more awaitAttempts have reached a release.
+// awaitAttempts waits until n more attempts have reached a release.
 func (x *singleInstanceRun) awaitAttempts(release, n int) {
 	x.t.Helper()
 	from := x.fleet.Attempts(release)
@@ -84,7 +84,7 @@
 	return fleet.Stage{Release: release, Mode: fleet.ModeCanary, Cap: 0.25}
 }
 
-// rollOutAndWithdraw tries a release on one backend and rolls it back again.
+// rollOutAndWithdraw rolls a release out to one backend and then rolls it back.
 func (x *singleInstanceRun) rollOutAndWithdraw(release int) {
 	x.t.Helper()
 	x.fleet.Announce(canaryStage(release))
@@ -102,10 +102,11 @@
 
 func isVote(firstLine string) bool { return strings.HasPrefix(firstLine, "POST ") }
 
-// Incident 27: a release's backend is listed seconds before its release update, and the release before it was withdrawn. Its
-// keys are its keys from the first answer on: before the update, as it comes, and after it.
+// Guards against incident 27: a backend of a release was listed seconds before its release update, after the previous
+// release had been withdrawn. Key affinity must hold from the release's first answer on: before, during and after the
+// update.
 func TestListedBeforeReleaseUpdate(t *testing.T) {
-	x := newTrial(t)
+	x := newSingleInstanceRun(t)
 	x.rollOutAndWithdraw(2)
 	x.proxy.Hold(isReleaseStream)
 	x.fleet.Announce(canaryStage(3))
@@ -119,7 +120,7 @@
 	x.stop()
 	seen := x.fleet.AffinityAudit()
 	if seen.BoundAttempts < 20 {
-		t.Errorf("not put to the test: keys of a later release were asked for %d times", seen.BoundAttempts)
+		t.Errorf("not put to the test: attempts with a key that a later release had answered = %d, want at least 20", seen.BoundAttempts)
 	}
 	if n := len(seen.Violations); n > 0 {
 		t.Errorf("%d of %d attempts with a key that release 3 had answered reached release 1, %d of them before the release update:\n%s",
@@ -127,9 +128,9 @@
 	}
 }
 
-// A release that was withdrawn gets nothing from there on, listed or not, whatever is announced after it.
+// A withdrawn release receives no attempts from then on, whether it is listed or not and whatever is announced later.
 func TestWithdrawnStaysClosed(t *testing.T) {
-	x := newTrial(t)
+	x := newSingleInstanceRun(t)
 	x.fleet.Announce(canaryStage(2))
 	if err := x.fleet.StartBackends(2, 1, 4); err != nil {
 		t.Fatal(err)
@@ -137,20 +138,20 @@
 	x.awaitAttempts(2, 20)
 	x.fleet.Announce(fleet.Stage{Release: 2, Mode: fleet.ModeRollingBack})
 	x.fleet.Announce(fleet.Stage{Release: 2, Mode: fleet.ModeRolledBack})
-	x.awaitResponses(100) // its backend stays listed as ready: the list lags
+	x.awaitResponses(100) // its backend stays listed as ready, because the endpoint list lags behind
 	time.Sleep(fleet.DrainGrace)
 	closed := x.fleet.Attempts(2)
 	x.fleet.Announce(canaryStage(3))
 	x.awaitResponses(400)
 	x.stop()
 	if n := x.fleet.Attempts(2) - closed; n > 0 {
-		t.Errorf("%d attempts reached release 2, which was withdrawn, after release 3 had been announced", n)
+		t.Errorf("attempts at withdrawn release 2 after release 3 was announced = %d, want 0", n)
 	}
 }
 
-// A vote's response that was on its way while the release was withdrawn tells what was, and opens nothing.
+// A vote's response that is in transit while the release is withdrawn is outdated and must not reopen the release.
 func TestLateVoteAnswer(t *testing.T) {
-	x := newTrial(t)
+	x := newSingleInstanceRun(t)
 	x.fleet.Announce(canaryStage(2))
 	if err := x.fleet.StartBackends(2, 1, 4); err != nil {
 		t.Fatal(err)
@@ -159,7 +160,7 @@
 	x.proxy.Hold(isVote)
 	x.waitFor("a vote's response is held", func() bool { return x.proxy.Holding() > 0 })
 	x.fleet.Announce(fleet.Stage{Release: 2, Mode: fleet.ModeRollingBack})
-	x.awaitResponses(20) // the update is there
+	x.awaitResponses(20) // by then the instance has received the update
 	x.proxy.Release()
 	x.awaitResponses(100)
 	time.Sleep(fleet.DrainGrace)
@@ -167,6 +168,6 @@
 	x.awaitResponses(400)
 	x.stop()
 	if n := x.fleet.Attempts(2) - closed; n > 0 {
-		t.Errorf("%d attempts reached release 2, which is rolled back, after a vote's response from before that", n)
+		t.Errorf("attempts at release 2 after its rollback and a delayed response to a vote = %d, want 0", n)
 	}
 }
--- a/cmd/e2e/faults_test.go
+++ b/cmd/e2e/faults_test.go
@@ -15,24 +15,26 @@
 	"onyxgate/internal/fake/fleet"
 )
 
-// go test ./cmd/e2e -run UnderFaults -args -schedules 24
+// More schedules: go test ./cmd/e2e -run UnderFaults -args -schedules 24
 var schedules = flag.Uint64("schedules", 3, "how many schedules TestExposureUnderFaults draws, from seed 0 on")
 
-// statePattern finds a release's state in what the platform writes, as a notice or as a vote's response.
+// statePattern matches a release's state in an event of the release stream. It does not match the XML of a vote's
+// response.
 var statePattern = regexp.MustCompile(`release=(\d+)&tranche=\d+&mode=\w+&exposure=([0-9.]+)`)
 
-// schedule is a schedule drawn from a seed: releases in succession, each listed before or after its release update, withdrawn
-// or released; messages of the platform to an instance held back; instances killed and told to end.
+// schedule is a sequence of events drawn from a seed. Releases follow one another; each is listed before or after its
+// release update and is then withdrawn or released. Messages of the platform to an instance are held, and instances
+// are killed or stopped.
 type schedule struct {
 	*testbed
-	t       *testing.T
-	random  *rand.Rand
-	proxies []*faultproxy.Proxy // by instance, before the platform
-	baseRelease    int                 // the release that carries the fleet
-	newestRelease  int
-	stage   fleet.Stage
-	eventCounts  map[string]int // of events, by kind
-	history []string
+	t             *testing.T
+	random        *rand.Rand
+	proxies       []*faultproxy.Proxy // by instance: proxy in front of the platform
+	baseRelease   int                 // the release that most of the fleet runs
+	newestRelease int
+	stage         fleet.Stage
+	eventCounts   map[string]int // by kind
+	history       []string
 }
 
 const (
@@ -40,10 +42,10 @@
 	faultSteps     = 22
 )
 
-// modeListed is the state of a release that is listed and not announced yet.
+// modeListed marks a release that is listed but not announced yet.
 const modeListed = "listed"
 
-// recordEvent counts an event and writes it into the schedule's history.
+// recordEvent counts an event and appends it to the history of the schedule.
 func (x *schedule) recordEvent(kind, format string, args ...any) {
 	x.eventCounts[kind]++
 	x.history = append(x.history, kind+" "+fmt.Sprintf(format, args...))
@@ -58,14 +60,14 @@
 	x.recordEvent("list", "%d of release %d", n, release)
 }
 
-// announce puts the newest release into a stage.
+// announce moves the newest release to a stage.
 func (x *schedule) announce(mode string, stage int, limit float64) {
 	x.stage = fleet.Stage{Release: x.newestRelease, Stage: stage, Mode: mode, Cap: limit}
 	x.fleet.Announce(x.stage)
 	x.recordEvent("announce", "release %d %s, stage %d, cap %g", x.newestRelease, mode, stage, limit)
 }
 
-// step draws the next event among those that a platform may bring about now.
+// step draws the next event among those possible in the current state.
 func (x *schedule) step() {
 	x.t.Helper()
 	instance := x.random.IntN(faultInstances)
@@ -79,7 +81,7 @@
 	}
 }
 
-// holdOrRelease holds back the platform's messages to an instance, or releases all that are held.
+// holdOrRelease holds the platform's messages to an instance, or releases all that are held.
 func (x *schedule) holdOrRelease(instance int) {
 	if x.eventCounts["hold"]%2 != 0 {
 		x.release()
@@ -89,23 +91,23 @@
 	x.recordEvent("hold", "of n%d", instance)
 }
 
-// restart ends an instance, by force or not, and starts it again.
+// restart stops an instance with SIGKILL or SIGTERM and starts it again.
 func (x *schedule) restart(instance int) {
 	x.t.Helper()
 	signal := []syscall.Signal{syscall.SIGKILL, syscall.SIGTERM}[x.random.IntN(2)]
 	p := x.cluster.process(instance)
 	p.signal(signal)
 	<-p.exited
-	time.Sleep(100 * time.Millisecond) // what it had sent arrives
+	time.Sleep(100 * time.Millisecond) // until attempts that it had sent have arrived
 	x.fleet.ForgetInstance(instance)
 	if err := x.cluster.start(startOptions{instance: instance, seed: x.random.Uint64()}); err != nil {
 		x.t.Fatal(err)
 	}
-	x.fleet.StageNotified(instance, x.stage.Release, x.stage.Cap) // by its configuration
+	x.fleet.StageNotified(instance, x.stage.Release, x.stage.Cap) // from its configuration file
 	x.recordEvent(signal.String(), "n%d", instance)
 }
 
-// release passes on all that is held.
+// release releases all held messages.
 func (x *schedule) release() {
 	for _, p := range x.proxies {
 		p.Release()
@@ -113,7 +115,7 @@
 	x.recordEvent("hold", "ends")
 }
 
-// advance moves the newest release on, rolls it back, or brings the next one.
+// advance moves the newest release to its next stage, rolls it back, or starts the next release.
 func (x *schedule) advance() {
 	x.t.Helper()
 	switch mode := x.stage.Mode; {
@@ -121,10 +123,10 @@
 		x.advanceCanary()
 	case mode == fleet.ModeRollingBack:
 		x.announce(fleet.ModeRolledBack, x.stage.Stage, 0)
-		if x.random.IntN(2) == 0 { // else it stays listed: the list lags
+		if x.random.IntN(2) == 0 { // otherwise it stays listed, because the endpoint list lags behind
 			x.fleet.DrainBackends(x.newestRelease, 20)
 		}
-	case x.random.IntN(2) == 0: // the next release, its list or its update first
+	case x.random.IntN(2) == 0: // the next release, listed or announced first
 		x.newestRelease++
 		x.startBackends(x.newestRelease, 1)
 		x.stage.Mode = modeListed
@@ -136,7 +138,7 @@
 	}
 }
 
-// advanceCanary lists the release on trial, rolls it back, or moves it to its next stage.
+// advanceCanary lists the canary release, rolls it back, or moves it to its next stage.
 func (x *schedule) advanceCanary() {
 	x.t.Helper()
 	switch {
@@ -155,7 +157,8 @@
 	}
 }
 
-// The rule on exposure holds, as backends see it, whatever order the schedule brings.
+// The rules on key affinity and closed releases hold, as seen by the backends, for any order of events that a
+// schedule draws.
 func TestExposureUnderFaults(t *testing.T) {
 	program, err := buildProgram(t.TempDir(), "")
 	if err != nil {
@@ -164,15 +167,15 @@
 	for seed := range *schedules {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			x := newRollout(t, program, seed)
+			x := newSchedule(t, program, seed)
 			x.play(seed)
 			x.check()
 		})
 	}
 }
 
-// newRollout starts instances on six backends of release 1, each behind a proxy of its own.
-func newRollout(t *testing.T, program string, seed uint64) *schedule {
+// newSchedule starts instances with six backends of release 1, each instance behind its own proxy.
+func newSchedule(t *testing.T, program string, seed uint64) *schedule {
 	t.Helper()
 	bed, err := newTestbed(testbedOptions{
 		fleet: fleet.Options{Instances: faultInstances, Backends: 6, Cores: 4}, program: program,
@@ -198,7 +201,8 @@
 	return x
 }
 
-// addProxy puts a proxy between an instance and the platform, which reads the states that the platform writes.
+// addProxy puts a proxy between an instance and the platform. The proxy records the states that the platform sends to
+// the instance.
 func (x *schedule) addProxy(instance int) {
 	x.t.Helper()
 	p, err := faultproxy.New(x.fleet.PlatformAddress())
@@ -208,7 +212,7 @@
 	x.t.Cleanup(p.Close)
 	p.OnPass(func(_ string, bytes []byte) {
 		for _, m := range statePattern.FindAllSubmatch(bytes, -1) {
-			// The expression lets only numbers through.
+			// The pattern matches only numbers.
 			release, _ := strconv.Atoi(string(m[1]))
 			limit, _ := strconv.ParseFloat(string(m[2]), 64)
 			x.fleet.StageNotified(instance, release, limit)
@@ -218,7 +222,7 @@
 	x.proxies = append(x.proxies, p)
 }
 
-// play carries the schedule out under traffic.
+// play runs the schedule under traffic.
 func (x *schedule) play(seed uint64) {
 	x.t.Helper()
 	x.startLoad(fleet.ClientOptions{Rate: func() float64 { return 400 }, Seed: seed, Keys: 1500})
@@ -235,7 +239,7 @@
 	}
 }
 
-// awaitResponses waits until clients have had so many more responses, or for 20 seconds.
+// awaitResponses waits until clients have received n more responses, for 20 seconds at most.
 func (x *schedule) awaitResponses(n int) {
 	from, began := len(x.clients.Log()), time.Now()
 	for len(x.clients.Log()) < from+n && time.Since(began) < 20*time.Second {
@@ -243,16 +247,17 @@
 	}
 }
 
-// check holds what the backends saw against the rule.
+// check checks what the backends observed against the rules.
 func (x *schedule) check() {
 	x.t.Helper()
 	affinity, closed := x.fleet.AffinityAudit(), x.fleet.ClosedReleaseAudit()
-	x.t.Logf("keys of a later release asked for %d times, closings told %d, schedule %v", affinity.BoundAttempts, closed.Notified, x.eventCounts)
+	x.t.Logf("attempts with a bound key: %d, closings notified: %d, events: %v", affinity.BoundAttempts, closed.Notified, x.eventCounts)
 	if affinity.BoundAttempts < 20 || closed.Notified == 0 || x.eventCounts["hold"] == 0 {
-		x.t.Errorf("not put to the test: %d keys asked for, %d closings, %v", affinity.BoundAttempts, closed.Notified, x.eventCounts)
+		x.t.Errorf("not put to the test: attempts with a bound key = %d (want at least 20), closings notified = %d (want at least 1), "+
+			"events %v (want at least one hold)", affinity.BoundAttempts, closed.Notified, x.eventCounts)
 	}
 	if violations := append(affinity.Violations, closed.Violations...); len(violations) > 0 {
-		x.t.Errorf("%d attempts broke the rule on exposure:\n%s\nschedule:\n%s", len(violations),
+		x.t.Errorf("attempts that violated key affinity or reached a closed release = %d, want 0:\n%s\nschedule:\n%s", len(violations),
 			strings.Join(violations[:min(len(violations), 5)], "\n"), strings.Join(x.history, "\n"))
 	}
 }
--- a/cmd/e2e/killer.go
+++ b/cmd/e2e/killer.go
@@ -1,7 +1,6 @@
 package main
 
-// This file owns the kills of the record's scenario: each instance dies again and again at drawn points, and the store fails
-// at drawn times.
+// Kills in the record scenario: instances die repeatedly at random failpoints, and the store fails at random times.
 
 import (
 	"context"
@@ -13,14 +12,15 @@
 )
 
 const (
-	// externalKill stands for a kill from outside among the kill points.
+	// externalKill is the kill point of a kill from outside the instance.
 	externalKill = "outside"
 
-	minStoreKills = 2
-	firstRandomStream   = 100 // of the random streams by which instances draw, one each
+	minStoreKills     = 2
+	firstRandomStream = 100 // number of the first random stream; each instance draws from its own
 )
 
-// killPoints are the failpoints at which an instance kills itself, and how often at most the draw lets one be passed before.
+// killPoints are the failpoints at which an instance kills itself. The kill happens at a random pass, no later than
+// pass maxPasses.
 var killPoints = []struct {
 	name      string
 	maxPasses int
@@ -40,16 +40,17 @@
 	{"spool.drop", 1},
 }
 
-// killer kills and restarts instances, and has the store fail, until there were enough kills. Its counts are read after run.
+// killer kills and restarts instances and injects store faults, until there were enough kills. Its counts may be read
+// after run.
 type killer struct {
 	scenario *recordScenario
 	cluster  *cluster
 
-	cancel context.CancelFunc // ends the killing
+	cancel context.CancelFunc // ends the run
 
-	mu            sync.Mutex // holds everything below
-	err           error      // the first one, after which there is no verdict
-	kills        []instanceKill
+	mu            sync.Mutex // guards everything below
+	err           error      // the first error; the run then has no verdict
+	kills         []instanceKill
 	instanceKills int
 	killsAt       map[string]int // by kill point
 	storeKills    int
@@ -61,7 +62,8 @@
 	return &killer{scenario: scenario, cluster: c, killsAt: map[string]int{}, storeFaults: map[string]int{}}
 }
 
-// run kills for so long at most. It returns an error where an instance ended by itself or a restart failed.
+// run kills instances for the given time at most. It returns an error if an instance exited on its own or a restart
+// failed.
 func (k *killer) run(length time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), length)
 	defer cancel()
@@ -76,7 +78,7 @@
 	return k.err
 }
 
-// fail notes an error and ends the killing.
+// fail records an error and ends the run.
 func (k *killer) fail(err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -92,11 +94,12 @@
 	return k.err != nil
 }
 
-// killRepeatedly has one instance die and start again until the killing ends, and leaves one that does not kill itself.
+// killRepeatedly kills and restarts an instance until the run ends. It then makes sure that the running process has
+// no kill point.
 func (k *killer) killRepeatedly(ctx context.Context, instance int, random *rand.Rand) {
 	for ctx.Err() == nil {
-		point, dies := k.awaitKill(ctx, instance, random)
-		if !dies {
+		point, killed := k.awaitKill(ctx, instance, random)
+		if !killed {
 			break
 		}
 		k.restart(k.drawStartOptions(instance, random))
@@ -104,15 +107,16 @@
 			k.countKill(point)
 		}
 	}
-	armed := killPoint(k.cluster.process(instance)) != "" // it would die in leaving
-	if armed && !k.hasFailed() {
+	hasKillPoint := killPoint(k.cluster.process(instance)) != "" // it would kill itself while shutting down
+	if hasKillPoint && !k.hasFailed() {
 		k.restart(k.scenario.startOptions(instance, random.Uint64()))
 	}
 }
 
-// awaitKill waits until an instance has died, or has lived for a drawn time and is to die now, and returns at which point:
-// empty where it ended without one, which restart tells apart. It does not die where the killing ends first.
-func (k *killer) awaitKill(ctx context.Context, instance int, random *rand.Rand) (point string, dies bool) {
+// awaitKill waits until an instance has exited or is to be killed after a random time, and returns the kill point.
+// The point is empty if the process exited without having one, which restart checks. If the run ends first, killed is
+// false.
+func (k *killer) awaitKill(ctx context.Context, instance int, random *rand.Rand) (point string, killed bool) {
 	p := k.cluster.process(instance)
 	timer := time.NewTimer(time.Duration(600+random.IntN(1200)) * time.Millisecond)
 	defer timer.Stop()
@@ -126,7 +130,7 @@
 	}
 }
 
-// drawStartOptions draws an instance's next life, with a kill point in three of four.
+// drawStartOptions draws the options of an instance's next process. Three of four processes have a kill point.
 func (k *killer) drawStartOptions(instance int, random *rand.Rand) startOptions {
 	env := k.scenario.env
 	if random.IntN(4) > 0 {
@@ -139,7 +143,7 @@
 	return options
 }
 
-// killPoint is the point at which an instance will kill itself; empty where it won't.
+// killPoint returns the point at which a process will kill itself, or "" if there is none.
 func killPoint(p *process) string {
 	for _, variable := range p.command.Env {
 		if value, ok := strings.CutPrefix(variable, killAtEnv); ok {
@@ -150,7 +154,7 @@
 	return ""
 }
 
-// restart kills an instance unless it is dead, and starts it again.
+// restart kills an instance, if it still runs, and starts it again.
 func (k *killer) restart(next startOptions) {
 	p := k.cluster.process(next.instance)
 	at := time.Now()
@@ -159,7 +163,7 @@
 	k.kills = append(k.kills, instanceKill{next.instance, at})
 	k.mu.Unlock()
 	if !killedBySIGKILL(p.err) {
-		k.fail(fmt.Errorf("instance %s ended by itself: %w\n%s", instanceName(next.instance), p.err,
+		k.fail(fmt.Errorf("instance %s exited without being killed: %w\n%s", instanceName(next.instance), p.err,
 			k.cluster.logTail(next.instance)))
 	}
 	if err := k.cluster.start(next); err != nil {
@@ -167,7 +171,7 @@
 	}
 }
 
-// countKill counts a kill, and ends the killing once there were enough. A full run needs one at each point.
+// countKill counts a kill, and ends the run once there were enough. A full run needs one kill at each point.
 func (k *killer) countKill(point string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -179,7 +183,7 @@
 	}
 }
 
-// failStore has the store fail again and again until the killing ends.
+// failStore injects faults into the store until the run ends.
 func (k *killer) failStore(ctx context.Context) {
 	random := k.scenario.random
 	for n := 0; ctx.Err() == nil; n++ {
@@ -204,7 +208,7 @@
 	}
 }
 
-// pause waits for a time, or until the context is done.
+// pause waits for a time or until ctx is done.
 func pause(ctx context.Context, length time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/cmd/e2e/main.go
+++ b/cmd/e2e/main.go
@@ -1,8 +1,8 @@
-// Command e2e runs end-to-end tests: real onyxgate processes among fakes on loopback, under faults drawn from a seed. It
-// counts from outside what the project claims and must never read an instance's own counts to judge the instance.
+// Command e2e runs end-to-end tests: real onyxgate processes with fakes on loopback and faults drawn from a seed. It
+// checks the project's claims from outside, and must never use an instance's own counts to judge that instance.
 //
-// Exit codes: 0 every claim passed, 1 one was violated or never put to the test, 2 the run could not be carried out, which is
-// no verdict.
+// Exit codes: 0 if every claim holds, 1 if a claim was violated or not exercised, 2 if the run could not be
+// completed, so that there is no verdict.
 package main
 
 import (
@@ -20,11 +20,11 @@
 
 func main() {
 	var line struct {
-		Day      dayCommand            `cmd:"" help:"A day in half a minute: three instances, ten backends, one release rolled out."`
-		Srv      srvCommand            `cmd:"" help:"Discovery and SRV that disagree."`
-		Record   recordCommand         `cmd:"" help:"The store of record through kills and stalls."`
-		Pgwire   postgresServerCommand `cmd:"" hidden:"" help:"The fake of a PostgreSQL server, as a process that can be killed."`
-		Holdlite sqliteLockCommand     `cmd:"" hidden:"" help:"Holds the write lock of a SQLite file until its input ends."`
+		Day      dayCommand            `cmd:"" help:"A rollout on three instances and ten backends: a day in half a minute."`
+		Srv      srvCommand            `cmd:"" help:"Discovery and SRV records that disagree."`
+		Record   recordCommand         `cmd:"" help:"The store of record under kills and stalls."`
+		Pgwire   postgresServerCommand `cmd:"" hidden:"" help:"A fake PostgreSQL server in a process that can be killed."`
+		Holdlite sqliteLockCommand     `cmd:"" hidden:"" help:"Holds the write lock of a SQLite file until end of input."`
 	}
 	command := kong.Parse(&line, kong.Name("e2e"), kong.UsageOnError())
 	switch err := command.Run(); {
--- a/cmd/e2e/record.go
+++ b/cmd/e2e/record.go
@@ -1,7 +1,7 @@
 package main
 
-// This file owns the scenario of the store of record: instances and store are killed and stalled at drawn points under load,
-// and the clients' log says what the record must hold.
+// The scenario for the store of record: instances and the store are killed and stalled at random points under load,
+// and the exported record is compared with the clients' log.
 
 import (
 	"fmt"
@@ -15,36 +15,36 @@
 )
 
 type recordCommand struct {
-	Seed   uint64  `default:"1" help:"Draws traffic, kill points and stalls."`
-	Kills  int     `default:"40" help:"Kills of instances, at least."`
+	Seed   uint64  `default:"1" help:"Seed of the traffic, kill points and stalls."`
+	Kills  int     `default:"40" help:"Minimum number of kills of instances."`
 	Store  string  `enum:"sqlite,postgres" default:"sqlite" help:"sqlite or postgres."`
-	Rate   float64 `default:"300" help:"Requests a second."`
-	Defect string  `enum:",answer-before-sync,no-dedupe" default:"" help:"A protection to switch off: the run must then fail."`
-	Short  bool    `help:"Fewer kills, and only what must hold on any host."`
+	Rate   float64 `default:"300" help:"Requests per second."`
+	Defect string  `enum:",answer-before-sync,no-dedupe" default:"" help:"A protection to disable, which must make the run fail."`
+	Short  bool    `help:"Make fewer kills, and check only what must hold on any host."`
 	JSON   bool    `help:"Accepted for symmetry: the figures are always JSON."`
-	Keep   bool    `help:"Leave the directory with logs, spools and store."`
+	Keep   bool    `help:"Keep the directory with logs, spools and store."`
 }
 
 const (
-	warmUpTime    = time.Second            // until all connections are there
-	recoveryTime  = 500 * time.Millisecond // of requests after the last fault
+	warmUpTime    = time.Second            // until all connections are established
+	recoveryTime  = 500 * time.Millisecond // of traffic after the last fault
 	shortMaxKills = 8
-	maxRunTime       = 50 * time.Second // of a full run
-	maxServedLoss = 0.01             // of the share of requests served, by a fault that clients should not feel
-	surgeFactor   = 2                // of the rate, in the middle of the stall
+	maxRunTime    = 50 * time.Second // of a full run
+	maxServedLoss = 0.01             // largest drop in the share of requests served through a fault that clients should not notice
+	surgeFactor   = 2                // of the request rate during the surge
 )
 
-// phaseLengths are the parts of a run.
+// phaseLengths are the lengths of the phases of a run.
 type phaseLengths struct {
 	calm, stall time.Duration
-	killing     time.Duration // at most
+	killing     time.Duration // maximum
 }
 
-// Run carries out the scenario.
+// Run runs the record scenario.
 func (r recordCommand) Run() error {
 	s := &recordScenario{
 		recordCommand: r,
-		lengths:         phaseLengths{calm: 6 * time.Second, stall: 6 * time.Second, killing: 26 * time.Second},
+		lengths:       phaseLengths{calm: 6 * time.Second, stall: 6 * time.Second, killing: 26 * time.Second},
 		random:        rand.New(rand.NewPCG(r.Seed, 3)),
 		figures:       recordFigures{Seed: r.Seed, Store: r.Store, Defect: r.Defect},
 	}
@@ -55,15 +55,15 @@
 	return run(s)
 }
 
-// recordScenario is the run as a scenario.
+// recordScenario implements scenario.
 type recordScenario struct {
 	recordCommand
-	lengths    phaseLengths
-	random   *rand.Rand // draws the faults of the store
+	lengths  phaseLengths
+	random   *rand.Rand // draws the store's faults
 	store    faultyStore
-	settings string // path
+	settings string // path of the settings file
 	env      []string
-	surge    atomic.Bool // traffic surges while the store stalls
+	surge    atomic.Bool // doubles the request rate during part of the stall
 	killer   *killer
 	figures  recordFigures
 
@@ -92,15 +92,15 @@
 	return instances, nil
 }
 
-// startOptions start an instance that does not kill itself.
+// startOptions returns the options to start an instance without a kill point.
 func (r *recordScenario) startOptions(instance int, seed uint64) startOptions {
 	return startOptions{instance: instance, seed: seed, settings: r.settings, env: r.env}
 }
 
-// writeRecordSettings writes settings with small segments and a short export period, so that each of them comes often. An answer
-// waits for its sync for as long as its client does: by default it goes out unsynced once the disk has hung for 200 ms (stall), which
-// is what keep-serving promises, and a kill may then take its entry. The claim that none is missing is of answers that were synced,
-// however slow the host's disk is.
+// writeRecordSettings writes settings with small segments and a short export period, so that both turn over often.
+// Answers wait for their sync for up to 5 s (stall), longer than any client waits. By default an answer is sent
+// unsynced once the disk has hung for 200 ms, as keep-serving promises, and a kill can then lose its entry. The claim
+// that no entry is missing is about synced answers, however slow the host's disk is.
 func writeRecordSettings(dir string, store faultyStore) (path string, err error) {
 	const text = `[record]
 mode = "spool"
@@ -148,7 +148,7 @@
 	return nil
 }
 
-// stall stalls the store, with a surge of traffic in the middle.
+// stall stalls the store, with a traffic surge in the middle.
 func (r *recordScenario) stall() error {
 	r.stallFrom = time.Now()
 	if err := r.store.stall(true); err != nil {
@@ -162,13 +162,13 @@
 	return r.store.stall(false)
 }
 
-func (r *recordScenario) check(bed *testbed, found *verdict) error {
+func (r *recordScenario) check(bed *testbed, result *verdict) error {
 	for i := range bed.fleet.Instances {
 		_, err := bed.cluster.runCommand("record", "ship", "--settings", r.settings, "--agent", instanceName(i))
-		found.requireNoError(err)
+		result.requireNoError(err)
 	}
 	_, err := bed.cluster.runCommand("record", "verify", "--settings", r.settings)
-	found.requireNoError(err)
+	result.requireNoError(err)
 	text, err := bed.cluster.runCommand("record", "export", "--settings", r.settings)
 	if err != nil {
 		return err
@@ -176,11 +176,11 @@
 	if err := r.count(bed, text); err != nil {
 		return err
 	}
-	r.judge(found)
+	r.checkClaims(result)
 	return nil
 }
 
-// count takes the figures from the clients' log, the exported record, the fleet and the killer.
+// count computes the figures from the clients' log, the exported record, the fleet and the killer.
 func (r *recordScenario) count(bed *testbed, export []byte) error {
 	f, log := &r.figures, bed.clients.Log()
 	exported, err := f.readExport(export)
@@ -194,30 +194,29 @@
 	f.OpenAtKills = countOpenAt(r.killer.kills, log)
 	f.InstanceKills, f.KillsAt = r.killer.instanceKills, r.killer.killsAt
 	f.StoreKills, f.StoreFaults = r.killer.storeKills, r.killer.storeFaults
-	f.Stalls = r.killer.storeStalls + 1 // and the long one before the kills
+	f.Stalls = r.killer.storeStalls + 1 // plus the long stall before the kills
 	f.Violations = bed.fleet.Audit()
 	f.DurationSeconds = time.Since(bed.startedAt).Seconds()
 	return nil
 }
 
-// judge holds the figures against the claims. A short run is judged by those alone that no slow host can
-// violate.
-func (r *recordScenario) judge(found *verdict) {
+// checkClaims checks the figures against the claims. A short run checks only those that a slow host cannot violate.
+func (r *recordScenario) checkClaims(result *verdict) {
 	f := r.figures
-	found.require(f.Missing == 0, "missing: %d", f.Missing)
-	found.require(f.Duplicates == 0, "duplicates: %d", f.Duplicates)
-	found.require(f.Invented == 0, "invented: %d", f.Invented)
-	found.require(f.Violations.DuplicateEffects == 0, "effects twice: %d", f.Violations.DuplicateEffects)
-	found.require(f.InstanceKills > 0 && f.StoreKills > 0 && f.Stalls > 0,
+	result.require(f.Missing == 0, "missing: %d", f.Missing)
+	result.require(f.Duplicates == 0, "duplicates: %d", f.Duplicates)
+	result.require(f.Invented == 0, "invented: %d", f.Invented)
+	result.require(f.Violations.DuplicateEffects == 0, "duplicate effects: %d", f.Violations.DuplicateEffects)
+	result.require(f.InstanceKills > 0 && f.StoreKills > 0 && f.Stalls > 0,
 		"not put to the test: %d kills of instances, %d of the store, %d stalls", f.InstanceKills, f.StoreKills, f.Stalls)
 	if r.Short {
 		return
 	}
-	found.require(f.InDoubt <= f.OpenAtKills, "in doubt: %d, with %d requests open at kills", f.InDoubt, f.OpenAtKills)
-	found.require(f.InstanceKills >= r.Kills, "not put to the test: %d kills of %d", f.InstanceKills, r.Kills)
-	found.require(f.ServedStalled >= f.ServedCalm-maxServedLoss,
+	result.require(f.InDoubt <= f.OpenAtKills, "in doubt: %d, with %d requests open at kills", f.InDoubt, f.OpenAtKills)
+	result.require(f.InstanceKills >= r.Kills, "not put to the test: %d kills of %d", f.InstanceKills, r.Kills)
+	result.require(f.ServedStalled >= f.ServedCalm-maxServedLoss,
 		"served while the store stalled: %.4f, calm %.4f", f.ServedStalled, f.ServedCalm)
-	found.require(f.DurationSeconds <= maxRunTime.Seconds(), "took %.0f s", f.DurationSeconds)
+	result.require(f.DurationSeconds <= maxRunTime.Seconds(), "took %.0f s", f.DurationSeconds)
 }
 
-func (r *recordScenario) report(found *verdict) error { return found.print(r.figures) }
+func (r *recordScenario) report(result *verdict) error { return result.print(r.figures) }
--- a/cmd/e2e/record_figures.go
+++ b/cmd/e2e/record_figures.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns the oracle of the record: what the clients got says what the exported record must hold.
+// The oracle of the record: it compares the exported record with the responses that the clients received.
 
 import (
 	"bufio"
@@ -17,49 +17,49 @@
 )
 
 const (
-	// States of an entry as the export writes them.
+	// States of an entry in the export.
 	stateAnswered    = "given"
-	stateClientGone = "unheard"
+	stateUndelivered = "unheard"
 	stateInDoubt     = "in doubt"
 
 	maxExportLine = 1 << 20
-	maxExamples   = 5 // of missing or invented entries that are printed
+	maxExamples   = 5 // number of missing or invented entries that are printed
 
-	// observationDelay is how much later than it happened a death, or a response, may be seen here.
+	// observationDelay is the largest delay with which a kill or a response is observed here.
 	observationDelay = 5 * time.Millisecond
 )
 
 // recordFigures are the figures of a run. The JSON keys are read by scripts.
 type recordFigures struct {
-	Seed           uint64           `json:"seed"`
-	Store          string           `json:"store"`
-	Defect         string           `json:"defect,omitempty"`
-	Responses      int              `json:"answers"`
-	Recorded       int              `json:"recorded"`
-	Missing        int              `json:"missing"`
-	Duplicates     int              `json:"duplicates"`
-	Invented       int              `json:"invented"`
-	InDoubt        int              `json:"in_doubt"`
-	OpenAtKills    int              `json:"open_at_kills"`
-	InstanceKills  int              `json:"kills_agent"`
-	KillsAt        map[string]int   `json:"kills_at"` // by kill point
-	StoreKills     int              `json:"kills_store"`
-	Stalls         int              `json:"stalls"`
-	StoreFaults    map[string]int   `json:"store_faults"`
-	ServedCalm     float64          `json:"settled_share_calm"`
+	Seed             uint64           `json:"seed"`
+	Store            string           `json:"store"`
+	Defect           string           `json:"defect,omitempty"`
+	Responses        int              `json:"answers"`
+	Recorded         int              `json:"recorded"`
+	Missing          int              `json:"missing"`
+	Duplicates       int              `json:"duplicates"`
+	Invented         int              `json:"invented"`
+	InDoubt          int              `json:"in_doubt"`
+	OpenAtKills      int              `json:"open_at_kills"`
+	InstanceKills    int              `json:"kills_agent"`
+	KillsAt          map[string]int   `json:"kills_at"` // by kill point
+	StoreKills       int              `json:"kills_store"`
+	Stalls           int              `json:"stalls"`
+	StoreFaults      map[string]int   `json:"store_faults"`
+	ServedCalm       float64          `json:"settled_share_calm"`
 	ServedStalled    float64          `json:"settled_share_stalled"`
-	P99Calm        float64          `json:"p99_ms_calm"`
+	P99Calm          float64          `json:"p99_ms_calm"`
 	P99Stalled       float64          `json:"p99_ms_stalled"`
 	ResponsesStalled int              `json:"answers_stalled"`
-	Violations     fleet.Violations `json:"rules_broken"`
-	DurationSeconds           float64          `json:"took_s"`
+	Violations       fleet.Violations `json:"rules_broken"`
+	DurationSeconds  float64          `json:"took_s"`
 }
 
-// entriesByRequest are an exported record, by request id.
+// entriesByRequest holds the entries of an exported record by request id.
 type entriesByRequest map[string][]sqlstore.Row
 
-// readExport reads a record as `onyxgate record export` prints it, and counts it. An entry that stands there again is counted
-// as a duplicate and left out.
+// readExport parses the output of `onyxgate record export` and counts its entries. A repeated entry is counted as a
+// duplicate and left out.
 func (f *recordFigures) readExport(text []byte) (entriesByRequest, error) {
 	exported := entriesByRequest{}
 	lines := bufio.NewScanner(bytes.NewReader(text))
@@ -68,7 +68,7 @@
 	for lines.Scan() {
 		var entry sqlstore.Row
 		if err := json.Unmarshal(lines.Bytes(), &entry); err != nil {
-			return nil, fmt.Errorf("export: %w", err)
+			return nil, fmt.Errorf("parse export: %w", err)
 		}
 		key := fmt.Sprintf("%s/%d", entry.Incarnation, entry.Ordinal)
 		if seen[key] {
@@ -85,24 +85,24 @@
 	return exported, nil
 }
 
-// compare holds the record against what the clients got.
+// compare compares the record with the responses that clients received.
 func (f *recordFigures) compare(log []fleet.Response, exported entriesByRequest) {
-	whole := map[string]fleet.Response{} // responses by request id
+	complete := map[string]fleet.Response{} // complete responses, by request id
 	for _, response := range log {
 		if isComplete(response) {
-			whole[response.ID] = response
+			complete[response.ID] = response
 			f.compareResponse(response, exported[response.ID])
 		}
 	}
 	for id, rows := range exported {
 		for _, entry := range rows {
-			response, got := whole[id]
+			response, got := complete[id]
 			f.compareEntry(entry, response, got)
 		}
 	}
 }
 
-// isComplete tells that a response reached the client whole.
+// isComplete reports whether the client received a complete response.
 func isComplete(response fleet.Response) bool {
 	switch response.Outcome {
 	case fleet.OutcomeServed, fleet.OutcomeRejected, fleet.OutcomeFailed:
@@ -111,11 +111,11 @@
 	return false
 }
 
-// compareResponse looks for a whole response in the record.
+// compareResponse looks up a complete response in the record.
 func (f *recordFigures) compareResponse(response fleet.Response, rows []sqlstore.Row) {
 	f.Responses++
 	found := slices.ContainsFunc(rows, func(entry sqlstore.Row) bool {
-		return entry.State != stateClientGone && matchesEntry(response, entry)
+		return entry.State != stateUndelivered && matchesEntry(response, entry)
 	})
 	if !found {
 		if f.Missing++; f.Missing <= maxExamples {
@@ -127,7 +127,7 @@
 	}
 }
 
-// compareEntry looks for an answered entry among the responses that clients got.
+// compareEntry looks up an answered entry among the responses that clients received.
 func (f *recordFigures) compareEntry(entry sqlstore.Row, response fleet.Response, got bool) {
 	if entry.State != stateAnswered || got && matchesEntry(response, entry) {
 		return
@@ -137,7 +137,7 @@
 	}
 }
 
-// matchesEntry tells that an entry says of a response what the client saw.
+// matchesEntry reports whether an entry matches the response that the client received.
 func matchesEntry(response fleet.Response, entry sqlstore.Row) bool {
 	body := ""
 	if response.Outcome == fleet.OutcomeServed {
@@ -147,13 +147,13 @@
 		instanceName(response.Instance) == entry.Instance
 }
 
-// instanceKill is when an instance died, as seen from outside.
+// instanceKill is the death of an instance as observed from outside.
 type instanceKill struct {
 	instance int
 	at       time.Time
 }
 
-// countOpenAt counts the requests that were under way at an instance's death, as their clients saw it.
+// countOpenAt counts the requests that were open, from their clients' view, when an instance was killed.
 func countOpenAt(deaths []instanceKill, log []fleet.Response) (n int) {
 	for _, d := range deaths {
 		for _, response := range log {
--- a/cmd/e2e/record_figures_test.go
+++ b/cmd/e2e/record_figures_test.go
@@ -11,7 +11,7 @@
 	"onyxgate/internal/record/sqlstore"
 )
 
-// The oracle of the record sees each kind of fault, and nothing where there is none.
+// The oracle detects each kind of fault in a record, and reports none for a correct record.
 func TestRecordOracle(t *testing.T) {
 	body := record.DigestOf([]byte("body"))
 	response := fleet.Response{ID: "r1", Class: "order", Instance: 1, Outcome: fleet.OutcomeServed, Body: body}
@@ -27,7 +27,7 @@
 	second := with(func(e *sqlstore.Row) { e.Ordinal = 8 })
 	otherBody := with(func(e *sqlstore.Row) { e.BodyDigest = "00" })
 	otherInstance := with(func(e *sqlstore.Row) { e.Instance = "n2" })
-	undelivered := with(func(e *sqlstore.Row) { e.State = stateClientGone })
+	undelivered := with(func(e *sqlstore.Row) { e.State = stateUndelivered })
 	inDoubt := with(func(e *sqlstore.Row) { e.State = stateInDoubt })
 	broken := fleet.Response{ID: "r1", Class: "order", Instance: 1, Outcome: fleet.OutcomeBroken}
 
@@ -45,8 +45,8 @@
 		{"in doubt", response, []sqlstore.Row{inDoubt}, recordFigures{Responses: 1, Recorded: 1, InDoubt: 1}},
 		{"the entry twice", response, []sqlstore.Row{entry, entry}, recordFigures{Responses: 1, Recorded: 1, Duplicates: 1}},
 		{"two entries", response, []sqlstore.Row{entry, second}, recordFigures{Responses: 1, Recorded: 2, Duplicates: 1}},
-		{"the client got nothing whole", broken, []sqlstore.Row{entry}, recordFigures{Recorded: 1, Invented: 1}},
-		{"undelivered to a client that got nothing", broken, []sqlstore.Row{undelivered}, recordFigures{Recorded: 1}},
+		{"entry for an incomplete response", broken, []sqlstore.Row{entry}, recordFigures{Recorded: 1, Invented: 1}},
+		{"undelivered entry for an incomplete response", broken, []sqlstore.Row{undelivered}, recordFigures{Recorded: 1}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var export []byte
@@ -64,7 +64,7 @@
 			}
 			got.compare([]fleet.Response{c.response}, exported)
 			if figuresText(t, got) != figuresText(t, c.want) {
-				t.Errorf("figures %s, want %s", figuresText(t, got), figuresText(t, c.want))
+				t.Errorf("figures = %s, want %s", figuresText(t, got), figuresText(t, c.want))
 			}
 		})
 	}
@@ -79,7 +79,7 @@
 	return string(text)
 }
 
-// A request is open at a death where it reached the instance before and had no response by then.
+// A request is open at a kill if it was sent to the instance before and had no response by then.
 func TestCountOpenAt(t *testing.T) {
 	died := time.Now()
 	at := func(ms int) time.Time { return died.Add(time.Duration(ms) * time.Millisecond) }
@@ -97,7 +97,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := countOpenAt([]instanceKill{{1, died}}, []fleet.Response{c.response}); got != c.want {
-				t.Errorf("%d open, want %d", got, c.want)
+				t.Errorf("open requests = %d, want %d", got, c.want)
 			}
 		})
 	}
--- a/cmd/e2e/report.go
+++ b/cmd/e2e/report.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns the verdict of a run: which claims were violated, and how that is printed.
+// The verdict of a run and its output.
 
 import (
 	"encoding/json"
@@ -8,39 +8,39 @@
 	"fmt"
 )
 
-// errViolations says that the run was carried out and a claim was violated.
+// errViolations means that the run was completed and a claim was violated.
 var errViolations = errors.New("a claim was violated")
 
-// verdict collects the violations of a run.
+// verdict collects the violations found in a run.
 type verdict struct {
 	violations []string
 }
 
-// require notes a violation unless the claim passed.
-func (c *verdict) require(passed bool, format string, args ...any) {
+// require adds a violation unless the claim holds.
+func (v *verdict) require(passed bool, format string, args ...any) {
 	if !passed {
-		c.violations = append(c.violations, fmt.Sprintf(format, args...))
+		v.violations = append(v.violations, fmt.Sprintf(format, args...))
 	}
 }
 
-// requireNoError notes a violation for an error.
-func (c *verdict) requireNoError(err error) {
+// requireNoError adds a violation for a non-nil error.
+func (v *verdict) requireNoError(err error) {
 	if err != nil {
-		c.violations = append(c.violations, err.Error())
+		v.violations = append(v.violations, err.Error())
 	}
 }
 
-// err is errViolations where there are any.
-func (c *verdict) err() error {
-	if len(c.violations) > 0 {
+// err returns errViolations if there are any violations.
+func (v *verdict) err() error {
+	if len(v.violations) > 0 {
 		return errViolations
 	}
 	return nil
 }
 
-// print writes the figures of a run and its verdict to standard output as one JSON object. It returns errViolations where a
-// claim was violated: exit code and "held" say the same.
-func (c *verdict) print(figures any) error {
+// print writes the figures and the verdict of a run to standard output as one JSON object. It returns errViolations
+// if a claim was violated, so that the exit code agrees with "held".
+func (v *verdict) print(figures any) error {
 	text, err := json.Marshal(figures)
 	if err != nil {
 		return err
@@ -49,13 +49,13 @@
 	if err := json.Unmarshal(text, &object); err != nil {
 		return err
 	}
-	object["held"] = len(c.violations) == 0
-	if len(c.violations) > 0 {
-		object["broken"] = c.violations
+	object["held"] = len(v.violations) == 0
+	if len(v.violations) > 0 {
+		object["broken"] = v.violations
 	}
 	if text, err = json.MarshalIndent(object, "", "  "); err != nil {
 		return err
 	}
 	fmt.Println(string(text))
-	return c.err()
+	return v.err()
 }
--- a/cmd/e2e/responses.go
+++ b/cmd/e2e/responses.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns what is read from the clients' log.
+// Statistics of the clients' log.
 
 import (
 	"fmt"
@@ -12,39 +12,39 @@
 )
 
 const (
-	maxLatency      = time.Minute // that a histogram holds
-	latencyPrecision   = 3           // significant ones that a histogram keeps
-	medianQuantile  = 50
-	highestQuantile = 99
+	maxLatency       = time.Minute // highest value in a histogram
+	latencyPrecision = 3           // significant digits of a histogram
+	medianQuantile   = 50
+	highestQuantile  = 99
 )
 
-// latencies holds the latencies of served requests.
+// latencies is a histogram of the latencies of served requests.
 type latencies struct{ histogram *hdrhistogram.Histogram }
 
 func newLatencies() latencies {
 	return latencies{hdrhistogram.New(1, maxLatency.Microseconds(), latencyPrecision)}
 }
 
-// add notes the latency of a served request.
+// add adds the latency of a served request.
 func (l latencies) add(response fleet.Response) {
 	micros := max(response.Done.Sub(response.Sent).Microseconds(), 1)
-	// A client gives up long before maxLatency, the only value that the histogram refuses.
+	// RecordValue fails only for values above maxLatency, and a client stops waiting long before that.
 	_ = l.histogram.RecordValue(micros)
 }
 
-// quantileMs is a quantile, in percent, in milliseconds.
+// quantileMs returns a quantile, given in percent, in milliseconds.
 func (l latencies) quantileMs(quantile float64) float64 {
 	return float64(l.histogram.ValueAtQuantile(quantile)) / 1000
 }
 
-// servedRequests is what the requests sent in a span came to.
+// servedRequests summarizes the responses to requests sent between two times.
 type servedRequests struct {
-	share    float64 // of the responses
+	share    float64 // fraction of the requests that were served
 	p99Ms    float64
 	requests int
 }
 
-// servedBetween counts the responses to what was sent in a span.
+// servedBetween summarizes the responses to requests sent between two times.
 func servedBetween(log []fleet.Response, from, to time.Time) (s servedRequests) {
 	times, n := newLatencies(), 0
 	for _, response := range log {
@@ -62,7 +62,7 @@
 	return s
 }
 
-// describeStage is a stage as a line of a report; began is when clients began to send.
+// describeStage formats a stage as a line of a report. Times are relative to began, when clients began to send.
 func describeStage(stage fleet.Stage, began time.Time) string {
 	return fmt.Sprintf("%5.1f s  release %d stage %d %s, cap %.0f%%",
 		max(stage.At.Sub(began).Seconds(), 0), stage.Release, stage.Stage, stage.Mode, 100*stage.Cap)
--- a/cmd/e2e/scenario.go
+++ b/cmd/e2e/scenario.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns the course of a run, which is the same for every scenario: set-up, load, faults, checks, report.
+// The sequence of a run, which is the same for every scenario: setup, load, faults, checks and report.
 
 import (
 	"context"
@@ -10,24 +10,23 @@
 	"onyxgate/internal/fake/fleet"
 )
 
-// scenario is what differs between the end-to-end tests. The methods are called once each, in this order.
+// scenario is an end-to-end test. Each method is called once, in this order.
 type scenario interface {
-	// options say what the run starts with.
+	// options returns the options of the testbed.
 	options() testbedOptions
-	// setUp makes the scenario's own fakes and settings, and says how each instance is started.
+	// setUp creates the scenario's own fakes and settings, and returns the options to start each instance.
 	setUp(bed *testbed) ([]startOptions, error)
-	// load says what clients send.
+	// load returns the traffic that clients send.
 	load() fleet.ClientOptions
-	// inject applies the faults while clients send, and returns when the load may end.
+	// inject injects the faults while clients send, and returns when the load may end.
 	inject(bed *testbed) error
-	// check judges the run after all instances have ended.
-	check(bed *testbed, found *verdict) error
-	// report prints figures and verdict; it returns errViolations where a claim was violated.
-	report(found *verdict) error
+	// check adds the violations of the run to the verdict, after all instances have exited.
+	check(bed *testbed, result *verdict) error
+	// report prints the figures and the verdict. It returns errViolations if a claim was violated.
+	report(result *verdict) error
 }
 
-// run carries out a scenario. It returns errViolations where a claim was violated, and any other error where there is no
-// verdict.
+// run runs a scenario. It returns errViolations if a claim was violated, and any other error if there is no verdict.
 func run(s scenario) error {
 	bed, err := newTestbed(s.options())
 	if err != nil {
@@ -48,28 +47,28 @@
 		return err
 	}
 	bed.endLoad()
-	found := &verdict{violations: bed.cluster.stop()}
-	if err := s.check(bed, found); err != nil {
+	result := &verdict{violations: bed.cluster.stop()}
+	if err := s.check(bed, result); err != nil {
 		return err
 	}
-	return s.report(found)
+	return s.report(result)
 }
 
-// testbedOptions say what a run starts with.
+// testbedOptions configures a testbed.
 type testbedOptions struct {
 	fleet   fleet.Options
-	program string // a program that is built already; empty: it is built
-	tags    string // build tags of the program
-	keep    bool   // the directory stays
+	program string // path of an existing program; empty to build it
+	tags    string // build tags for the program
+	keep    bool   // keep the directory after the run
 }
 
-// testbed is what every run has: a fake fleet, the instances as processes, and clients.
+// testbed is the environment of a run: a fake fleet, instances as processes, and clients.
 type testbed struct {
-	dir       string
-	fleet     *fleet.Fleet
-	cluster   *cluster
-	clients   *fleet.Clients
-	startedAt     time.Time // after the program was built
+	dir           string
+	fleet         *fleet.Fleet
+	cluster       *cluster
+	clients       *fleet.Clients
+	startedAt     time.Time // set once the program is built
 	loadStartedAt time.Time
 
 	cancelLoad context.CancelFunc
@@ -77,7 +76,7 @@
 	cleanups   []func()
 }
 
-// newTestbed builds the program and starts the fleet, in a directory of its own. No instance runs yet.
+// newTestbed builds the program and starts the fleet, in a temporary directory. It starts no instances.
 func newTestbed(options testbedOptions) (bed *testbed, err error) {
 	dir, err := os.MkdirTemp("", "e2e")
 	if err != nil {
@@ -85,7 +84,7 @@
 	}
 	bed = &testbed{dir: dir}
 	if !options.keep {
-		bed.addCleanup(func() { _ = os.RemoveAll(dir) }) // what stays behind is a directory of temporary files
+		bed.addCleanup(func() { _ = os.RemoveAll(dir) }) // a failure only leaves temporary files behind
 	}
 	defer func() {
 		if err != nil {
@@ -107,10 +106,11 @@
 	return bed, err
 }
 
-// addCleanup names what is to be done at the end, after the instances have ended. The last one named is done first.
+// addCleanup adds a function to be called by close after the instances have exited. The functions are called in
+// reverse order.
 func (b *testbed) addCleanup(f func()) { b.cleanups = append(b.cleanups, f) }
 
-// startLoad has clients send until endLoad. The options' addresses are those of the cluster.
+// startLoad starts clients that send until endLoad is called. It sets the options' addresses to those of the cluster.
 func (b *testbed) startLoad(options fleet.ClientOptions) {
 	options.Addresses = b.cluster.addresses
 	b.clients = fleet.NewClients(b.fleet, options)
@@ -128,7 +128,7 @@
 	<-b.loadEnded
 }
 
-// close ends what still runs.
+// close stops everything that still runs.
 func (b *testbed) close() {
 	if b.clients != nil {
 		b.cancelLoad()
--- a/cmd/e2e/srv.go
+++ b/cmd/e2e/srv.go
@@ -1,7 +1,6 @@
 package main
 
-// This file owns the scenario of the sources: discovery and a name server that disagree through a rollout, a restart and
-// outages, and what the backends saw of it.
+// The scenario for the sources: discovery and a name server disagree during a rollout, a restart and outages.
 
 import (
 	"fmt"
@@ -16,21 +15,21 @@
 )
 
 type srvCommand struct {
-	Seed   uint64  `default:"1" help:"Draws traffic and faults."`
-	Rate   float64 `default:"180" help:"Requests a second, over three instances."`
-	Defect string  `enum:",undrain,forget-drains" default:"" help:"A protection to switch off: the run must then fail."`
-	Short  bool    `help:"Half as long, and only what must hold on any host."`
+	Seed   uint64  `default:"1" help:"Seed of the traffic and the faults."`
+	Rate   float64 `default:"180" help:"Requests per second, over three instances."`
+	Defect string  `enum:",undrain,forget-drains" default:"" help:"A protection to disable, which must make the run fail."`
+	Short  bool    `help:"Run half as long, and check only what must hold on any host."`
 	JSON   bool    `help:"Accepted for symmetry: the figures are always JSON."`
 }
 
-// The instances, by their sources.
+// The instances differ in their sources.
 const (
-	discoveryOnly = 0
-	silentResolver  = 1 // its resolver is silent throughout
-	faultyResolver     = 2 // its resolver fails in drawn ways, and discovery falls silent for it
+	discoveryOnly  = 0
+	silentResolver = 1 // its resolver never answers
+	faultyResolver = 2 // its resolver fails in random modes, and its discovery becomes silent
 )
 
-// Run carries out the scenario.
+// Run runs the srv scenario.
 func (s srvCommand) Run() error {
 	scenario := &srvScenario{
 		srvCommand: s,
@@ -44,29 +43,29 @@
 	return run(scenario)
 }
 
-// srvScenario is the run as a scenario.
+// srvScenario implements scenario.
 type srvScenario struct {
 	srvCommand
-	random   *rand.Rand    // draws the faults of the resolver
-	unit     time.Duration // the unit of the phases
-	servers  map[int]*dnsserver.Server
-	settings [3]string // paths, by instance
-	env      []string
-	staleRecords    atomic.Bool // the name servers name whoever ever ran
-	phases   srvPhaseStarts
-	replacementIDs []string // ids of the backends that came while discovery was silent
-	figures  srvFigures
+	random         *rand.Rand    // draws the resolver's faults
+	unit           time.Duration // unit of the lengths of the phases
+	servers        map[int]*dnsserver.Server
+	settings       [3]string // paths of the settings files, by instance
+	env            []string
+	staleRecords   atomic.Bool // the name servers also list backends that have been removed
+	phases         srvPhaseStarts
+	replacementIDs []string // backends started while discovery was silent
+	figures        srvFigures
 }
 
-// srvPhaseStarts are the times at which the phases began.
+// srvPhaseStarts holds the start time of each phase.
 type srvPhaseStarts struct {
-	rollout      time.Time // the rollout: drains at every stage, while the resolver fails and names who drained
-	killed    time.Time // an instance dies in the wave, and starts with what it wrote down
-	rolloutEnded time.Time // the resolver is well again
-	calm      time.Time
-	discoveryMuted     time.Time // discovery is silent and backends change; SRV alone tells the truth
-	bothSilent      time.Time // both sources are silent
-	end       time.Time
+	rollout        time.Time // backends drain at every stage, while the resolver fails and still lists drained backends
+	killed         time.Time // an instance is killed during the rollout and restarts from its state file
+	rolloutEnded   time.Time // the resolver works again
+	calm           time.Time
+	discoveryMuted time.Time // discovery is silent and backends are replaced, so only SRV records are correct
+	bothSilent     time.Time // both sources are silent
+	end            time.Time
 }
 
 func (s *srvScenario) options() testbedOptions {
@@ -74,7 +73,7 @@
 }
 
 func (s *srvScenario) setUp(bed *testbed) (instances []startOptions, err error) {
-	bed.fleet.Linger = time.Minute // who is listed as gone still answers: only the instances keep requests from it
+	bed.fleet.Linger = time.Minute // backends listed as gone still answer, so only the instances keep requests away from them
 	s.staleRecords.Store(true)
 	s.servers = map[int]*dnsserver.Server{}
 	for _, instance := range []int{silentResolver, faultyResolver} {
@@ -90,7 +89,7 @@
 	return instances, nil
 }
 
-// startResolver starts an instance's name server and writes the settings that name it.
+// startResolver starts an instance's name server and writes settings that use it.
 func (s *srvScenario) startResolver(bed *testbed, instance int) error {
 	server, err := dnsserver.New(func() []string { return bed.fleet.Addresses(instance, s.staleRecords.Load()) })
 	if err != nil {
@@ -126,7 +125,7 @@
 		return err
 	}
 	s.phases.rolloutEnded = time.Now()
-	time.Sleep(2 * s.unit) // names come back
+	time.Sleep(2 * s.unit) // time for the resolver's records to be used again
 	s.phases.calm = time.Now()
 	time.Sleep(4 * s.unit)
 	if err := s.muteDiscovery(bed); err != nil {
@@ -140,7 +139,7 @@
 	return nil
 }
 
-// rollOut rolls a release out while the resolver fails; an instance is killed in the middle and started again.
+// rollOut rolls out a release while the resolver fails. An instance is killed halfway and started again.
 func (s *srvScenario) rollOut(bed *testbed) error {
 	s.phases.rollout = time.Now()
 	bed.fleet.StartRollout(newRelease, 0)
@@ -154,7 +153,7 @@
 	return nil
 }
 
-// failResolver has the resolver fail in drawn ways for a time.
+// failResolver makes the resolver fail in random modes for the given time.
 func (s *srvScenario) failResolver(bed *testbed, length time.Duration) {
 	server := s.servers[faultyResolver]
 	for until := time.Now().Add(length); time.Now().Before(until); s.observeFleet(bed) {
@@ -166,7 +165,8 @@
 	server.Fail("")
 }
 
-// muteDiscovery silences discovery for an instance and replaces backends, of which only SRV tells it.
+// muteDiscovery silences an instance's discovery and replaces backends, which the instance can only learn from SRV
+// records.
 func (s *srvScenario) muteDiscovery(bed *testbed) (err error) {
 	s.staleRecords.Store(false)
 	bed.fleet.MuteDiscovery(faultyResolver, true)
@@ -176,16 +176,16 @@
 	return err
 }
 
-// observeFleet notes how many backends run.
+// observeFleet records the smallest number of running backends.
 func (s *srvScenario) observeFleet(bed *testbed) {
 	running := len(bed.fleet.Addresses(discoveryOnly, false))
 	s.figures.FleetTrueMin = min(s.figures.FleetTrueMin, running)
 }
 
-func (s *srvScenario) check(bed *testbed, found *verdict) error {
+func (s *srvScenario) check(bed *testbed, result *verdict) error {
 	s.count(bed)
-	s.judge(found)
+	s.checkClaims(result)
 	return nil
 }
 
-func (s *srvScenario) report(found *verdict) error { return found.print(s.figures) }
+func (s *srvScenario) report(result *verdict) error { return result.print(s.figures) }
--- a/cmd/e2e/srv_figures.go
+++ b/cmd/e2e/srv_figures.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns the figures of the sources' scenario and the claims on them.
+// The figures of the srv scenario and the claims about them.
 
 import (
 	"time"
@@ -9,44 +9,44 @@
 )
 
 const (
-	maxLateMs       = 2000 // of an attempt at a backend, after its instance was told that it drains
+	maxLateMs       = 2000 // from notifying an instance of a drain to the last arrival of an attempt from it
 	minDrains       = 8
-	minQueries      = 10   // to the name servers, and more
-	minFaultKinds   = 3    // of the resolver, and more
-	minServedOfCalm = 0.95 // with SRV alone, of the share that is served in calm times
+	minQueries      = 10   // to the name servers; a run needs more
+	minFaultKinds   = 3    // of the resolver; a run needs more
+	minServedOfCalm = 0.95 // share served with SRV records alone, relative to the calm phase
 
-	// restartAllowance is how long after its restart an instance may reach no backend.
+	// restartAllowance is the time after a restart during which an instance may reach no backend.
 	restartAllowance = time.Second
-	// killMargin is how long before the kill a response may have broken off by it.
+	// killMargin is the time before a kill in which a broken response is attributed to the kill.
 	killMargin = time.Second
 )
 
 // srvFigures are the figures of a run. The JSON keys are read by scripts.
 type srvFigures struct {
-	Seed         uint64         `json:"seed"`
-	Defect       string         `json:"defect,omitempty"`
-	Drains       int            `json:"drains"`
-	LateAfterDrainMax      float64        `json:"late_after_drain_ms_max"`
-	FleetMin     int            `json:"fleet_min"`
-	FleetTrueMin int            `json:"fleet_true_min"`
-	ServedSilentResolver   float64        `json:"settled_share"` // with the resolver dead throughout
+	Seed                 uint64         `json:"seed"`
+	Defect               string         `json:"defect,omitempty"`
+	Drains               int            `json:"drains"`
+	LateAfterDrainMax    float64        `json:"late_after_drain_ms_max"`
+	FleetMin             int            `json:"fleet_min"`
+	FleetTrueMin         int            `json:"fleet_true_min"`
+	ServedSilentResolver float64        `json:"settled_share"` // of the instance with the silent resolver
 	ServedDiscoveryOnly  float64        `json:"settled_share_discovery_only"`
 	ServedResolverFaults float64        `json:"settled_share_resolver_faults"`
-	ServedCalm   float64        `json:"settled_share_calm"`
-	ServedDNSOnly    float64        `json:"settled_share_dns_only"`
-	ServedBothSilent   float64        `json:"settled_share_both_dead"`
-	ReachedBySRVOnly      int            `json:"met_by_srv_alone"` // backends of which only SRV told, reached by requests
-	Lost         int            `json:"lost"`
-	Exposure     int            `json:"exposure_breaks"`
-	ColdOverloaded         int            `json:"cold_breaks"`
-	DuplicateEffects        int            `json:"twice"`
-	Queries      int64          `json:"dns_queries"`
-	Faults       map[string]int `json:"dns_faults"`
-	LongestOutage       float64        `json:"outage_ms"`
-	DurationSeconds         float64        `json:"took_s"`
+	ServedCalm           float64        `json:"settled_share_calm"`
+	ServedDNSOnly        float64        `json:"settled_share_dns_only"`
+	ServedBothSilent     float64        `json:"settled_share_both_dead"`
+	ReachedBySRVOnly     int            `json:"met_by_srv_alone"` // backends listed only in SRV records that attempts reached
+	Lost                 int            `json:"lost"`
+	Exposure             int            `json:"exposure_breaks"`
+	ColdOverloaded       int            `json:"cold_breaks"`
+	DuplicateEffects     int            `json:"twice"`
+	Queries              int64          `json:"dns_queries"`
+	Faults               map[string]int `json:"dns_faults"`
+	LongestOutage        float64        `json:"outage_ms"`
+	DurationSeconds      float64        `json:"took_s"`
 }
 
-// count takes the figures from the clients' log, the fleet and the name servers.
+// count computes the figures from the clients' log, the fleet and the name servers.
 func (s *srvScenario) count(bed *testbed) {
 	f, log := &s.figures, bed.clients.Log()
 	s.countServed(log)
@@ -60,7 +60,7 @@
 	f.DurationSeconds = time.Since(bed.startedAt).Seconds()
 }
 
-// countServed takes the shares of served requests, by instance and phase.
+// countServed computes the shares of requests served, by instance and phase.
 func (s *srvScenario) countServed(log []fleet.Response) {
 	share := func(instance int, from, to time.Time) float64 {
 		var own []fleet.Response
@@ -80,7 +80,7 @@
 	f.ServedBothSilent = share(faultyResolver, p.bothSilent, p.end)
 }
 
-// countReached takes how many backends the instances reached.
+// countReached computes how many backends the instances reached.
 func (s *srvScenario) countReached(f *fleet.Fleet) {
 	p := s.phases
 	s.figures.ReachedBySRVOnly = f.CountBackendsReached(faultyResolver, s.replacementIDs, p.discoveryMuted, p.end)
@@ -92,7 +92,7 @@
 	)
 }
 
-// countLost counts the requests that got no whole response, less those that the kill of an instance broke off.
+// countLost counts the requests without a complete response, except for those broken by the kill of an instance.
 func (s *srvScenario) countLost(log []fleet.Response) (lost int) {
 	killed := s.phases.killed
 	for _, response := range log {
@@ -106,7 +106,7 @@
 	return lost
 }
 
-// longestOutage is the longest time between two served requests of an instance.
+// longestOutage returns the longest time between two consecutive served requests of an instance.
 func longestOutage(log []fleet.Response) (outage time.Duration) {
 	last := map[int]time.Time{}
 	for _, response := range log {
@@ -122,24 +122,23 @@
 	return outage
 }
 
-// judge holds the figures against the claims. A short run is judged by those alone that no slow host can
-// violate.
-func (s *srvScenario) judge(found *verdict) {
+// checkClaims checks the figures against the claims. A short run checks only those that a slow host cannot violate.
+func (s *srvScenario) checkClaims(result *verdict) {
 	f := s.figures
 	tested := f.Drains >= minDrains && f.Queries > minQueries && len(f.Faults) > minFaultKinds
-	found.require(tested, "not put to the test: %d drains, %d queries, faults %v", f.Drains, f.Queries, f.Faults)
-	found.require(f.LateAfterDrainMax <= maxLateMs, "attempts reached a draining backend %.0f ms after its instance was told", f.LateAfterDrainMax)
-	found.require(f.Lost == 0, "lost: %d", f.Lost)
-	found.require(f.DuplicateEffects == 0, "effects twice: %d", f.DuplicateEffects)
+	result.require(tested, "not put to the test: %d drains, %d queries, faults %v", f.Drains, f.Queries, f.Faults)
+	result.require(f.LateAfterDrainMax <= maxLateMs, "an attempt reached a draining backend %.0f ms after its instance was notified", f.LateAfterDrainMax)
+	result.require(f.Lost == 0, "lost: %d", f.Lost)
+	result.require(f.DuplicateEffects == 0, "duplicate effects: %d", f.DuplicateEffects)
 	if s.Short {
 		return
 	}
-	found.require(f.ReachedBySRVOnly > 0, "not put to the test: no attempt reached a backend of which only SRV told")
-	found.require(f.FleetMin > 0, "for a second no backend was reached, with %d running", f.FleetTrueMin)
-	found.require(f.ServedSilentResolver >= f.ServedDiscoveryOnly-maxServedLoss,
+	result.require(f.ReachedBySRVOnly > 0, "not put to the test: no attempt reached a backend listed only in SRV records")
+	result.require(f.FleetMin > 0, "no backend was reached for a second, with %d running", f.FleetTrueMin)
+	result.require(f.ServedSilentResolver >= f.ServedDiscoveryOnly-maxServedLoss,
 		"served with the resolver dead %.4f, with discovery alone %.4f", f.ServedSilentResolver, f.ServedDiscoveryOnly)
-	found.require(f.ServedDNSOnly >= minServedOfCalm*f.ServedCalm, "served with SRV alone %.4f, calm %.4f", f.ServedDNSOnly, f.ServedCalm)
-	found.require(f.Exposure == 0, "windows with too much exposure: %d", f.Exposure)
-	found.require(f.ColdOverloaded == 0, "cold backends overloaded: %d", f.ColdOverloaded)
-	found.require(f.DurationSeconds <= maxRunTime.Seconds(), "took %.0f s", f.DurationSeconds)
+	result.require(f.ServedDNSOnly >= minServedOfCalm*f.ServedCalm, "served with SRV alone %.4f, calm %.4f", f.ServedDNSOnly, f.ServedCalm)
+	result.require(f.Exposure == 0, "windows above the exposure cap: %d", f.Exposure)
+	result.require(f.ColdOverloaded == 0, "cold backends overloaded: %d", f.ColdOverloaded)
+	result.require(f.DurationSeconds <= maxRunTime.Seconds(), "took %.0f s", f.DurationSeconds)
 }
--- a/cmd/e2e/store.go
+++ b/cmd/e2e/store.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns what the stores of the record's scenario have in common.
+// The interface of the stores in the record scenario, and child processes.
 
 import (
 	"bufio"
@@ -11,7 +11,7 @@
 	"os/exec"
 )
 
-// Kinds of faults that every store has; the others have names of their own.
+// Kinds of faults that every store has. Others are specific to a store.
 const (
 	storeKilled  = "kill"
 	storeStalled = "stall"
@@ -19,15 +19,16 @@
 
 // faultyStore is a store that the scenario stalls and kills.
 type faultyStore interface {
-	// settings is the store's part of [record.store].
+	// settings returns the store's part of [record.store].
 	settings() string
 	// stall begins or ends a stall.
 	stall(on bool) error
-	// injectFault has the store fail for a drawn time, the n-th time, and returns the kind of the injectFault once it is over.
+	// injectFault makes the store fail for a random time. n counts the faults from 0. It returns the kind of the
+	// fault once the fault is over.
 	injectFault(n int, random *rand.Rand) (kind string, err error)
 	// recover ends all faults.
 	recover() error
-	// close ends the store; its data stays.
+	// close stops the store; its data remains.
 	close()
 }
 
@@ -38,14 +39,14 @@
 	return newSQLiteStore(dir), nil
 }
 
-// child is this program with another task, in a process of its own: it says with a line that it is ready, and takes orders
-// from its input, whose end ends it.
+// child is a process that runs this program with another command. It prints a line when it is ready, reads commands
+// from its standard input, and exits at the end of input.
 type child struct {
 	command *exec.Cmd
 	input   io.WriteCloser
 }
 
-// startChild starts this program with other arguments, and waits until it is ready.
+// startChild starts this program with the given arguments, and waits until it is ready.
 func startChild(args ...string) (*child, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -65,7 +66,7 @@
 	}
 	if !bufio.NewScanner(output).Scan() {
 		c.kill()
-		return nil, fmt.Errorf("the process %v does not start", args)
+		return nil, fmt.Errorf("child process %v exited before it was ready", args)
 	}
 	return c, nil
 }
@@ -76,15 +77,15 @@
 	return err
 }
 
-// stop has the child stop by itself.
+// stop closes the child's input and waits until it has exited.
 func (c *child) stop() error {
 	c.input.Close()
 	return c.command.Wait()
 }
 
-// kill kills the child and waits until it is dead.
+// kill kills the child and waits until it has exited.
 func (c *child) kill() {
-	// Both fail only where it is dead already; that it was killed is what Wait would say.
+	// Kill fails only if the child has already exited, and Wait only returns that it was killed.
 	_ = c.command.Process.Kill()
 	_ = c.command.Wait()
 }
--- a/cmd/e2e/store_postgres.go
+++ b/cmd/e2e/store_postgres.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns the PostgreSQL store of the record's scenario: a fake server as a process that can be killed.
+// The PostgreSQL store of the record scenario: a fake server in a process that can be killed.
 
 import (
 	"bufio"
@@ -17,16 +17,16 @@
 const (
 	postgresUser     = "accounts"
 	postgresPassword = "not a secret: a stand-in's"
-	postgresHealthy  = "" // the mode in which the server does not fail
+	postgresHealthy  = "" // failure mode for normal operation
 )
 
-// postgresFaults are the kinds of faults in their order: a kill, or a mode of the fake server.
+// postgresFaults are the kinds of faults in the order of injection: a kill, or a failure mode of the fake server.
 var postgresFaults = []string{storeKilled, storeStalled, "cut", "lose", "refuse", "40001", "53300", "57P01"}
 
-// postgresStore is a fake PostgreSQL server as a process of its own.
+// postgresStore is a fake PostgreSQL server in a child process.
 type postgresStore struct {
 	address      string
-	file         string // in which the server keeps what was committed
+	file         string // holds the committed data of the server
 	passwordFile string
 	server       *child
 }
@@ -86,13 +86,13 @@
 	s.server.kill()
 }
 
-// postgresServerCommand is the process of the server.
+// postgresServerCommand runs the fake server.
 type postgresServerCommand struct {
 	Listen string `required:""`
 	File   string `required:""`
 }
 
-// Run serves until standard input ends; each line of it is a mode in which the server fails from then on.
+// Run serves until the end of standard input. Each line of input sets the failure mode of the server.
 func (c postgresServerCommand) Run() error {
 	server, err := postgres.New(c.File, postgresUser, postgresPassword)
 	if err != nil {
--- a/cmd/e2e/store_sqlite.go
+++ b/cmd/e2e/store_sqlite.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns the SQLite store of the record's scenario: who holds the file's write lock stalls it.
+// The SQLite store of the record scenario. It is stalled by a process that holds the file's write lock.
 
 import (
 	"context"
@@ -14,13 +14,13 @@
 	"onyxgate/internal/record/sqlite"
 )
 
-// busyTimeout is how long the holder of the lock waits for it.
+// busyTimeout is how long the lock holder waits for the lock.
 const busyTimeout = 10 * time.Second
 
 // sqliteStore is a SQLite file.
 type sqliteStore struct {
-	path   string
-	lockHolder *child // of the write lock; nil: it was never held
+	path       string
+	lockHolder *child // child that holds the write lock; nil if the lock was never held
 }
 
 func newSQLiteStore(dir string) *sqliteStore {
@@ -40,7 +40,7 @@
 	return err
 }
 
-// injectFault holds the lock, and has its holder be killed within its transaction every other time.
+// injectFault holds the lock for a random time. Every other time, the lock holder is killed within its transaction.
 func (s *sqliteStore) injectFault(n int, random *rand.Rand) (kind string, err error) {
 	if err := s.stall(true); err != nil {
 		return "", err
@@ -53,7 +53,7 @@
 	return storeStalled, s.stall(false)
 }
 
-// recover has nothing to do: each fault ends by itself.
+// recover does nothing, since each fault ends by itself.
 func (s *sqliteStore) recover() error { return nil }
 
 func (s *sqliteStore) close() {
@@ -62,12 +62,12 @@
 	}
 }
 
-// sqliteLockCommand is the process that holds the lock.
+// sqliteLockCommand runs the process that holds the lock.
 type sqliteLockCommand struct {
 	Path string `arg:""`
 }
 
-// Run holds the write lock until standard input ends.
+// Run holds the write lock until the end of standard input.
 func (c sqliteLockCommand) Run() error {
 	ctx := context.Background()
 	store, err := sqlite.Open(c.Path, busyTimeout)
@@ -79,6 +79,6 @@
 	}
 	return store.HoldWriteLock(ctx, func() {
 		fmt.Println("locked")
-		_, _ = io.Copy(io.Discard, os.Stdin) // its end is what is waited for, by error or not
+		_, _ = io.Copy(io.Discard, os.Stdin) // returns at the end of input or on an error, which end the lock alike
 	})
 }
--- a/internal/fake/faultproxy/faultproxy.go
+++ b/internal/fake/faultproxy/faultproxy.go
@@ -144,7 +144,7 @@
 		if n > 0 {
 			if len(head) < maxFirstLine {
 				head = append(head, buffer[:n]...)
-				if line, _, whole := bytes.Cut(head, []byte("\r\n")); whole {
+				if line, _, found := bytes.Cut(head, []byte("\r\n")); found {
 					s.setFirstLine(string(line))
 				}
 			}
--- a/internal/fake/memfs/memfs.go
+++ b/internal/fake/memfs/memfs.go
@@ -149,26 +149,26 @@
 	bytes int
 }
 
-func (a *file) Write(b []byte) (int, error) {
-	part, failed := a.fs.fail("write", a.name, len(b))
-	wrote, err := a.inner.Write(b[:part])
-	a.bytes += wrote
+func (f *file) Write(b []byte) (int, error) {
+	part, failed := f.fs.fail("write", f.name, len(b))
+	wrote, err := f.inner.Write(b[:part])
+	f.bytes += wrote
 	return wrote, errors.Join(failed, err)
 }
 
-func (a *file) Sync() error {
-	if _, err := a.fs.fail("sync", a.name, 0); err != nil {
+func (f *file) Sync() error {
+	if _, err := f.fs.fail("sync", f.name, 0); err != nil {
 		return err
 	}
-	a.fs.mu.Lock()
-	defer a.fs.mu.Unlock()
-	a.fs.synced[a.name] = a.bytes
-	return a.inner.Sync()
+	f.fs.mu.Lock()
+	defer f.fs.mu.Unlock()
+	f.fs.synced[f.name] = f.bytes
+	return f.inner.Sync()
 }
 
-func (a *file) Close() error {
-	_, failed := a.fs.fail("close", a.name, 0)
-	return errors.Join(failed, a.inner.Close())
+func (f *file) Close() error {
+	_, failed := f.fs.fail("close", f.name, 0)
+	return errors.Join(failed, f.inner.Close())
 }
 
 var _ spool.FS = (*FS)(nil)
--- a/internal/fake/postgres/statements.go
+++ b/internal/fake/postgres/statements.go
@@ -78,8 +78,8 @@
 	}
 	s.server.mu.Lock()
 	defer s.server.mu.Unlock()
-	if play, ok := statementHandlers[name]; ok {
-		play(s, text)
+	if handler, ok := statementHandlers[name]; ok {
+		handler(s, text)
 	} else {
 		s.sendError(sqlstateSyntax, "not played here: "+s.text)
 	}
