--- a/internal/fake/fleet/fleet.go
+++ b/internal/fake/fleet/fleet.go
@@ -43,7 +43,7 @@
 	muted          map[int]bool // instances to which discovery sends nothing
 
 	endpointStreams    map[*subscriber]bool
-	noticeStreams      map[*subscriber]bool
+	releaseStreams     map[*subscriber]bool
 	discoveryListeners []net.Listener // one per instance
 	platformListener   net.Listener
 
@@ -68,7 +68,7 @@
 		PlatformOverride:   map[int]string{},
 		muted:              map[int]bool{},
 		endpointStreams:    map[*subscriber]bool{},
-		noticeStreams:      map[*subscriber]bool{},
+		releaseStreams:     map[*subscriber]bool{},
 		keyExecutedAt:      map[string]time.Time{},
 		executions:         map[string]int{},
 		requestTimes:       make([][]time.Time, options.Instances),
--- a/internal/fake/fleet/platform.go
+++ b/internal/fake/fleet/platform.go
@@ -11,34 +11,34 @@
 )
 
 const (
-	noticeKeepAlive = time.Second
-	codeSyntax      = "SYNTAX"
+	releaseKeepAlive = time.Second
+	codeSyntax       = "SYNTAX"
 )
 
 // servePlatform serves all instances until the listener is closed.
 func (f *Fleet) servePlatform(listener net.Listener) {
 	serve(listener, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/notices" {
-			f.serveNotices(w, r)
+			f.serveReleaseStream(w, r)
 		} else {
 			f.serveVote(w, r)
 		}
 	})
 }
 
-func (f *Fleet) serveNotices(w http.ResponseWriter, r *http.Request) {
+func (f *Fleet) serveReleaseStream(w http.ResponseWriter, r *http.Request) {
 	f.mu.Lock()
 	stream := newSubscriber(0)
-	f.noticeStreams[stream] = true
+	f.releaseStreams[stream] = true
 	first := f.stageEvent()
 	f.mu.Unlock()
 	stream.stream(r.Context(), w, streamOptions{
-		contentType: "text/event-stream", initial: first, keepAlive: ":\n", keepAliveInterval: noticeKeepAlive,
+		contentType: "text/event-stream", initial: first, keepAlive: ":\n", keepAliveInterval: releaseKeepAlive,
 		muted: func() bool { return false },
 	})
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.noticeStreams, stream)
+	delete(f.releaseStreams, stream)
 }
 
 func (f *Fleet) serveVote(w http.ResponseWriter, r *http.Request) {
@@ -66,7 +66,7 @@
 
 // broadcastStage sends the stage in force on all release streams. The caller holds f.mu.
 func (f *Fleet) broadcastStage() {
-	for stream := range f.noticeStreams {
+	for stream := range f.releaseStreams {
 		stream.send(f.stageEvent())
 	}
 }
