--- a/cmd/e2e/srv_figures.go
+++ b/cmd/e2e/srv_figures.go
@@ -35,7 +35,7 @@
 	ServedCalm           float64        `json:"settled_share_calm"`
 	ServedDNSOnly        float64        `json:"settled_share_dns_only"`
 	ServedBothSilent     float64        `json:"settled_share_both_dead"`
-	ReachedBySRVOnly     int            `json:"met_by_srv_alone"` // backends listed only in SRV records that attempts reached
+	ReachedBySRVOnly     int            `json:"met_by_srv_alone"` // backends reached by attempts though only SRV records listed them
 	Lost                 int            `json:"lost"`
 	Exposure             int            `json:"exposure_breaks"`
 	ColdOverloaded       int            `json:"cold_breaks"`
