--- a/cmd/e2e/faults_test.go
+++ b/cmd/e2e/faults_test.go
@@ -15,24 +15,26 @@
 	"onyxgate/internal/fake/fleet"
 )
 
-// go test ./cmd/e2e -run UnderFaults -args -schedules 24
+// More schedules: go test ./cmd/e2e -run UnderFaults -args -schedules 24
 var schedules = flag.Uint64("schedules", 3, "how many schedules TestExposureUnderFaults draws, from seed 0 on")
 
-// writtenState finds a release's state in what the platform writes, as a notice or as a vote's response.
-var writtenState = regexp.MustCompile(`release=(\d+)&tranche=\d+&mode=\w+&exposure=([0-9.]+)`)
+// statePattern matches a release's state in an event of the release stream. It does not match the XML of a vote's
+// response.
+var statePattern = regexp.MustCompile(`release=(\d+)&tranche=\d+&mode=\w+&exposure=([0-9.]+)`)
 
-// rollout is a schedule drawn from a seed: releases in succession, each listed before or after its release update, withdrawn
-// or released; messages of the platform to an instance held back; instances killed and told to end.
-type rollout struct {
+// schedule is a sequence of events drawn from a seed. Releases follow one another; each is listed before or after its
+// release update and is then withdrawn or released. Messages of the platform to an instance are held, and instances
+// are killed or stopped.
+type schedule struct {
 	*testbed
-	t       *testing.T
-	random  *rand.Rand
-	proxies []*faultproxy.Proxy // by instance, before the platform
-	base    int                 // the release that carries the fleet
-	newest  int
-	state   fleet.Stage
-	counts  map[string]int // of events, by kind
-	history []string
+	t             *testing.T
+	random        *rand.Rand
+	proxies       []*faultproxy.Proxy // by instance: proxy in front of the platform
+	baseRelease   int                 // the release that most of the fleet runs
+	newestRelease int
+	stage         fleet.Stage
+	eventCounts   map[string]int // by kind
+	history       []string
 }
 
 const (
@@ -40,33 +42,33 @@
 	faultSteps     = 22
 )
 
-// modeListed is the state of a release that is listed and not announced yet.
+// modeListed marks a release that is listed but not announced yet.
 const modeListed = "listed"
 
-// note counts an event and writes it into the schedule's history.
-func (x *rollout) note(kind, format string, args ...any) {
-	x.counts[kind]++
+// recordEvent counts an event and appends it to the history of the schedule.
+func (x *schedule) recordEvent(kind, format string, args ...any) {
+	x.eventCounts[kind]++
 	x.history = append(x.history, kind+" "+fmt.Sprintf(format, args...))
 }
 
-// list starts backends of a release.
-func (x *rollout) list(release, n int) {
+// startBackends starts backends of a release.
+func (x *schedule) startBackends(release, n int) {
 	x.t.Helper()
 	if err := x.fleet.StartBackends(release, n, 4); err != nil {
 		x.t.Fatal(err)
 	}
-	x.note("list", "%d of release %d", n, release)
+	x.recordEvent("list", "%d of release %d", n, release)
 }
 
-// announce puts the newest release into a stage.
-func (x *rollout) announce(mode string, stage int, limit float64) {
-	x.state = fleet.Stage{Release: x.newest, Stage: stage, Mode: mode, Cap: limit}
-	x.fleet.Announce(x.state)
-	x.note("announce", "release %d %s, stage %d, cap %g", x.newest, mode, stage, limit)
+// announce moves the newest release to a stage.
+func (x *schedule) announce(mode string, stage int, limit float64) {
+	x.stage = fleet.Stage{Release: x.newestRelease, Stage: stage, Mode: mode, Cap: limit}
+	x.fleet.Announce(x.stage)
+	x.recordEvent("announce", "release %d %s, stage %d, cap %g", x.newestRelease, mode, stage, limit)
 }
 
-// step draws the next event among those that a platform may bring about now.
-func (x *rollout) step() {
+// step draws the next event among those possible in the current state.
+func (x *schedule) step() {
 	x.t.Helper()
 	instance := x.random.IntN(faultInstances)
 	switch x.random.IntN(8) {
@@ -79,83 +81,84 @@
 	}
 }
 
-// holdOrRelease holds back the platform's messages to an instance, or releases all that are held.
-func (x *rollout) holdOrRelease(instance int) {
-	if x.counts["hold"]%2 != 0 {
+// holdOrRelease holds the platform's messages to an instance, or releases all that are held.
+func (x *schedule) holdOrRelease(instance int) {
+	if x.eventCounts["hold"]%2 != 0 {
 		x.release()
 		return
 	}
-	x.proxies[instance].Hold(func(firstLine string) bool { return notices(firstLine) || votes(firstLine) })
-	x.note("hold", "of n%d", instance)
+	x.proxies[instance].Hold(func(firstLine string) bool { return isReleaseStream(firstLine) || isVote(firstLine) })
+	x.recordEvent("hold", "of n%d", instance)
 }
 
-// restart ends an instance, by force or not, and starts it again.
-func (x *rollout) restart(instance int) {
+// restart stops an instance with SIGKILL or SIGTERM and starts it again.
+func (x *schedule) restart(instance int) {
 	x.t.Helper()
 	signal := []syscall.Signal{syscall.SIGKILL, syscall.SIGTERM}[x.random.IntN(2)]
 	p := x.cluster.process(instance)
 	p.signal(signal)
-	<-p.ended
-	time.Sleep(100 * time.Millisecond) // what it had sent arrives
+	<-p.exited
+	time.Sleep(100 * time.Millisecond) // until attempts that it had sent have arrived
 	x.fleet.ForgetInstance(instance)
 	if err := x.cluster.start(startOptions{instance: instance, seed: x.random.Uint64()}); err != nil {
 		x.t.Fatal(err)
 	}
-	x.fleet.StageNotified(instance, x.state.Release, x.state.Cap) // by its configuration
-	x.note(signal.String(), "n%d", instance)
+	x.fleet.StageNotified(instance, x.stage.Release, x.stage.Cap) // from its configuration file
+	x.recordEvent(signal.String(), "n%d", instance)
 }
 
-// release passes on all that is held.
-func (x *rollout) release() {
+// release releases all held messages.
+func (x *schedule) release() {
 	for _, p := range x.proxies {
 		p.Release()
 	}
-	x.note("hold", "ends")
+	x.recordEvent("hold", "ends")
 }
 
-// advance moves the newest release on, rolls it back, or brings the next one.
-func (x *rollout) advance() {
+// advance moves the newest release to its next stage, rolls it back, or starts the next release.
+func (x *schedule) advance() {
 	x.t.Helper()
-	switch mode := x.state.Mode; {
+	switch mode := x.stage.Mode; {
 	case mode == fleet.ModeCanary:
 		x.advanceCanary()
 	case mode == fleet.ModeRollingBack:
-		x.announce(fleet.ModeRolledBack, x.state.Stage, 0)
-		if x.random.IntN(2) == 0 { // else it stays listed: the list lags
-			x.fleet.DrainBackends(x.newest, 20)
+		x.announce(fleet.ModeRolledBack, x.stage.Stage, 0)
+		if x.random.IntN(2) == 0 { // otherwise it stays listed, because the endpoint list lags behind
+			x.fleet.DrainBackends(x.newestRelease, 20)
 		}
-	case x.random.IntN(2) == 0: // the next release, its list or its update first
-		x.newest++
-		x.list(x.newest, 1)
-		x.state.Mode = modeListed
+	case x.random.IntN(2) == 0: // the next release, listed or announced first
+		x.newestRelease++
+		x.startBackends(x.newestRelease, 1)
+		x.stage.Mode = modeListed
 	default:
 		if mode != modeListed {
-			x.newest++
+			x.newestRelease++
 		}
 		x.announce(fleet.ModeCanary, 0, 0.25)
 	}
 }
 
-// advanceCanary lists the release on trial, rolls it back, or moves it to its next stage.
-func (x *rollout) advanceCanary() {
+// advanceCanary lists the canary release, rolls it back, or moves it to its next stage.
+func (x *schedule) advanceCanary() {
 	x.t.Helper()
 	switch {
-	case x.fleet.ReadyBackends(x.newest) == 0:
-		x.list(x.newest, 1)
+	case x.fleet.ReadyBackends(x.newestRelease) == 0:
+		x.startBackends(x.newestRelease, 1)
 	case x.random.IntN(3) == 0:
-		x.announce(fleet.ModeRollingBack, x.state.Stage, 0)
-	case x.state.Stage < 2:
-		x.list(x.newest, 1)
-		x.announce(fleet.ModeCanary, x.state.Stage+1, []float64{0.25, 0.6, 1}[x.state.Stage+1])
+		x.announce(fleet.ModeRollingBack, x.stage.Stage, 0)
+	case x.stage.Stage < 2:
+		x.startBackends(x.newestRelease, 1)
+		x.announce(fleet.ModeCanary, x.stage.Stage+1, []float64{0.25, 0.6, 1}[x.stage.Stage+1])
 	default:
-		x.list(x.newest, 4)
-		x.fleet.DrainBackends(x.base, 20)
+		x.startBackends(x.newestRelease, 4)
+		x.fleet.DrainBackends(x.baseRelease, 20)
 		x.announce(fleet.ModeStable, 2, 1)
-		x.base = x.newest
+		x.baseRelease = x.newestRelease
 	}
 }
 
-// The rule on exposure holds, as backends see it, whatever order the schedule brings.
+// The rules on key affinity and closed releases hold, as seen by the backends, for any order of events that a
+// schedule draws.
 func TestExposureUnderFaults(t *testing.T) {
 	program, err := buildProgram(t.TempDir(), "")
 	if err != nil {
@@ -164,15 +167,15 @@
 	for seed := range *schedules {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			x := newRollout(t, program, seed)
+			x := newSchedule(t, program, seed)
 			x.play(seed)
-			x.judge()
+			x.check()
 		})
 	}
 }
 
-// newRollout starts instances on six backends of release 1, each behind a proxy of its own.
-func newRollout(t *testing.T, program string, seed uint64) *rollout {
+// newSchedule starts instances with six backends of release 1, each instance behind its own proxy.
+func newSchedule(t *testing.T, program string, seed uint64) *schedule {
 	t.Helper()
 	bed, err := newTestbed(testbedOptions{
 		fleet: fleet.Options{Instances: faultInstances, Backends: 6, Cores: 4}, program: program,
@@ -181,12 +184,12 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(bed.close)
-	x := &rollout{
-		testbed: bed, t: t, random: rand.New(rand.NewPCG(seed, 27)), base: 1, newest: 1, counts: map[string]int{},
-		state: fleet.Stage{Release: 1, Mode: fleet.ModeStable, Cap: 1},
+	x := &schedule{
+		testbed: bed, t: t, random: rand.New(rand.NewPCG(seed, 27)), baseRelease: 1, newestRelease: 1, eventCounts: map[string]int{},
+		stage: fleet.Stage{Release: 1, Mode: fleet.ModeStable, Cap: 1},
 	}
 	x.fleet.KeyAffinity, x.fleet.Linger = true, time.Minute
-	x.fleet.Manual()
+	x.fleet.SetManualRollout()
 	for instance := range faultInstances {
 		x.addProxy(instance)
 	}
@@ -198,8 +201,9 @@
 	return x
 }
 
-// addProxy puts a proxy between an instance and the platform, which reads the states that the platform writes.
-func (x *rollout) addProxy(instance int) {
+// addProxy puts a proxy between an instance and the platform. The proxy records the states that the platform sends to
+// the instance.
+func (x *schedule) addProxy(instance int) {
 	x.t.Helper()
 	p, err := faultproxy.New(x.fleet.PlatformAddress())
 	if err != nil {
@@ -207,8 +211,8 @@
 	}
 	x.t.Cleanup(p.Close)
 	p.OnPass(func(_ string, bytes []byte) {
-		for _, m := range writtenState.FindAllSubmatch(bytes, -1) {
-			// The expression lets only numbers through.
+		for _, m := range statePattern.FindAllSubmatch(bytes, -1) {
+			// The pattern matches only numbers.
 			release, _ := strconv.Atoi(string(m[1]))
 			limit, _ := strconv.ParseFloat(string(m[2]), 64)
 			x.fleet.StageNotified(instance, release, limit)
@@ -218,8 +222,8 @@
 	x.proxies = append(x.proxies, p)
 }
 
-// play carries the schedule out under traffic.
-func (x *rollout) play(seed uint64) {
+// play runs the schedule under traffic.
+func (x *schedule) play(seed uint64) {
 	x.t.Helper()
 	x.startLoad(fleet.ClientOptions{Rate: func() float64 { return 400 }, Seed: seed, Keys: 1500})
 	x.awaitResponses(100)
@@ -235,24 +239,25 @@
 	}
 }
 
-// awaitResponses waits until clients have had so many more responses, or for 20 seconds.
-func (x *rollout) awaitResponses(n int) {
+// awaitResponses waits until clients have received n more responses, for 20 seconds at most.
+func (x *schedule) awaitResponses(n int) {
 	from, began := len(x.clients.Log()), time.Now()
 	for len(x.clients.Log()) < from+n && time.Since(began) < 20*time.Second {
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// judge holds what the backends saw against the rule.
-func (x *rollout) judge() {
+// check checks what the backends observed against the rules.
+func (x *schedule) check() {
 	x.t.Helper()
-	affinity, closed := x.fleet.Affinity(), x.fleet.ClosedReleases()
-	x.t.Logf("keys of a later release asked for %d times, closings told %d, schedule %v", affinity.Asked, closed.Notified, x.counts)
-	if affinity.Asked < 20 || closed.Notified == 0 || x.counts["hold"] == 0 {
-		x.t.Errorf("not put to the test: %d keys asked for, %d closings, %v", affinity.Asked, closed.Notified, x.counts)
+	affinity, closed := x.fleet.AffinityAudit(), x.fleet.ClosedReleaseAudit()
+	x.t.Logf("attempts with a bound key: %d, closings notified: %d, events: %v", affinity.BoundAttempts, closed.Notified, x.eventCounts)
+	if affinity.BoundAttempts < 20 || closed.Notified == 0 || x.eventCounts["hold"] == 0 {
+		x.t.Errorf("not put to the test: attempts with a bound key = %d (want at least 20), closings notified = %d (want at least 1), "+
+			"events %v (want at least one hold)", affinity.BoundAttempts, closed.Notified, x.eventCounts)
 	}
 	if violations := append(affinity.Violations, closed.Violations...); len(violations) > 0 {
-		x.t.Errorf("%d attempts broke the rule on exposure:\n%s\nschedule:\n%s", len(violations),
+		x.t.Errorf("attempts that violated key affinity or reached a closed release = %d, want 0:\n%s\nschedule:\n%s", len(violations),
 			strings.Join(violations[:min(len(violations), 5)], "\n"), strings.Join(x.history, "\n"))
 	}
 }
--- a/cmd/e2e/record.go
+++ b/cmd/e2e/record.go
@@ -1,7 +1,7 @@
 package main
 
-// This file owns the scenario of the store of record: instances and store are killed and stalled at drawn points under load,
-// and the clients' log says what the record must hold.
+// The scenario for the store of record: instances and the store are killed and stalled at random points under load,
+// and the exported record is compared with the clients' log.
 
 import (
 	"fmt"
@@ -15,55 +15,55 @@
 )
 
 type recordCommand struct {
-	Seed   uint64  `default:"1" help:"Draws traffic, kill points and stalls."`
-	Kills  int     `default:"40" help:"Kills of instances, at least."`
+	Seed   uint64  `default:"1" help:"Seed of the traffic, kill points and stalls."`
+	Kills  int     `default:"40" help:"Minimum number of kills of instances."`
 	Store  string  `enum:"sqlite,postgres" default:"sqlite" help:"sqlite or postgres."`
-	Rate   float64 `default:"300" help:"Requests a second."`
-	Defect string  `enum:",answer-before-sync,no-dedupe" default:"" help:"A protection to switch off: the run must then fail."`
-	Short  bool    `help:"Fewer kills, and only what must hold on any host."`
+	Rate   float64 `default:"300" help:"Requests per second."`
+	Defect string  `enum:",answer-before-sync,no-dedupe" default:"" help:"A protection to disable, which must make the run fail."`
+	Short  bool    `help:"Make fewer kills, and check only what must hold on any host."`
 	JSON   bool    `help:"Accepted for symmetry: the figures are always JSON."`
-	Keep   bool    `help:"Leave the directory with logs, spools and store."`
+	Keep   bool    `help:"Keep the directory with logs, spools and store."`
 }
 
 const (
-	warmUpTime    = time.Second            // until all connections are there
-	recoveryTime  = 500 * time.Millisecond // of requests after the last fault
+	warmUpTime    = time.Second            // until all connections are established
+	recoveryTime  = 500 * time.Millisecond // of traffic after the last fault
 	shortMaxKills = 8
-	maxTook       = 50 * time.Second // of a full run
-	maxServedLoss = 0.01             // of the share of requests served, by a fault that clients should not feel
-	surgeFactor   = 2                // of the rate, in the middle of the stall
+	maxRunTime    = 50 * time.Second // of a full run
+	maxServedLoss = 0.01             // largest drop in the share of requests served through a fault that clients should not notice
+	surgeFactor   = 2                // of the request rate during the surge
 )
 
-// recordTimes are the parts of a run.
-type recordTimes struct {
+// phaseLengths are the lengths of the phases of a run.
+type phaseLengths struct {
 	calm, stall time.Duration
-	killing     time.Duration // at most
+	killing     time.Duration // maximum
 }
 
-// Run carries out the scenario.
+// Run runs the record scenario.
 func (r recordCommand) Run() error {
 	s := &recordScenario{
 		recordCommand: r,
-		times:         recordTimes{calm: 6 * time.Second, stall: 6 * time.Second, killing: 26 * time.Second},
+		lengths:       phaseLengths{calm: 6 * time.Second, stall: 6 * time.Second, killing: 26 * time.Second},
 		random:        rand.New(rand.NewPCG(r.Seed, 3)),
 		figures:       recordFigures{Seed: r.Seed, Store: r.Store, Defect: r.Defect},
 	}
 	if r.Short {
-		s.times = recordTimes{calm: 2 * time.Second, stall: 2 * time.Second, killing: 12 * time.Second}
+		s.lengths = phaseLengths{calm: 2 * time.Second, stall: 2 * time.Second, killing: 12 * time.Second}
 		s.Kills = min(r.Kills, shortMaxKills)
 	}
 	return run(s)
 }
 
-// recordScenario is the run as a scenario.
+// recordScenario implements scenario.
 type recordScenario struct {
 	recordCommand
-	times    recordTimes
-	random   *rand.Rand // draws the faults of the store
+	lengths  phaseLengths
+	random   *rand.Rand // draws the store's faults
 	store    faultyStore
-	settings string // path
+	settings string // path of the settings file
 	env      []string
-	surge    atomic.Bool // traffic surges while the store stalls
+	surge    atomic.Bool // doubles the request rate during part of the stall
 	killer   *killer
 	figures  recordFigures
 
@@ -81,7 +81,7 @@
 	if r.store, err = newFaultyStore(r.Store, bed.dir); err != nil {
 		return nil, err
 	}
-	bed.cleanup(r.store.close)
+	bed.addCleanup(r.store.close)
 	if r.settings, err = writeRecordSettings(bed.dir, r.store); err != nil {
 		return nil, err
 	}
@@ -92,15 +92,15 @@
 	return instances, nil
 }
 
-// startOptions start an instance that does not kill itself.
+// startOptions returns the options to start an instance without a kill point.
 func (r *recordScenario) startOptions(instance int, seed uint64) startOptions {
 	return startOptions{instance: instance, seed: seed, settings: r.settings, env: r.env}
 }
 
-// writeRecordSettings writes settings with small segments and a short export period, so that each of them comes often. An answer
-// waits for its sync for as long as its client does: by default it goes out unsynced once the disk has hung for 200 ms (stall), which
-// is what keep-serving promises, and a kill may then take its entry. The claim that none is missing is of answers that were synced,
-// however slow the host's disk is.
+// writeRecordSettings writes settings with small segments and a short export period, so that both turn over often.
+// Answers wait for their sync for up to 5 s (stall), longer than any client waits. By default an answer is sent
+// unsynced once the disk has hung for 200 ms, as keep-serving promises, and a kill can then lose its entry. The claim
+// that no entry is missing is about synced answers, however slow the host's disk is.
 func writeRecordSettings(dir string, store faultyStore) (path string, err error) {
 	const text = `[record]
 mode = "spool"
@@ -133,12 +133,12 @@
 func (r *recordScenario) inject(bed *testbed) error {
 	time.Sleep(warmUpTime)
 	r.calmFrom = time.Now()
-	time.Sleep(r.times.calm)
+	time.Sleep(r.lengths.calm)
 	if err := r.stall(); err != nil {
 		return err
 	}
 	r.killer = newKiller(r, bed.cluster)
-	if err := r.killer.run(r.times.killing); err != nil {
+	if err := r.killer.run(r.lengths.killing); err != nil {
 		return err
 	}
 	if err := r.store.recover(); err != nil {
@@ -148,7 +148,7 @@
 	return nil
 }
 
-// stall stalls the store, with a surge of traffic in the middle.
+// stall stalls the store, with a traffic surge in the middle.
 func (r *recordScenario) stall() error {
 	r.stallFrom = time.Now()
 	if err := r.store.stall(true); err != nil {
@@ -156,31 +156,31 @@
 	}
 	for _, surge := range []bool{false, true, false} {
 		r.surge.Store(surge)
-		time.Sleep(r.times.stall / 3)
+		time.Sleep(r.lengths.stall / 3)
 	}
 	r.stallTo = time.Now()
 	return r.store.stall(false)
 }
 
-func (r *recordScenario) check(bed *testbed, found *claims) error {
+func (r *recordScenario) check(bed *testbed, result *verdict) error {
 	for i := range bed.fleet.Instances {
-		_, err := bed.cluster.command("record", "ship", "--settings", r.settings, "--agent", instanceName(i))
-		found.requireNone(err)
+		_, err := bed.cluster.runCommand("record", "ship", "--settings", r.settings, "--agent", instanceName(i))
+		result.requireNoError(err)
 	}
-	_, err := bed.cluster.command("record", "verify", "--settings", r.settings)
-	found.requireNone(err)
-	text, err := bed.cluster.command("record", "export", "--settings", r.settings)
+	_, err := bed.cluster.runCommand("record", "verify", "--settings", r.settings)
+	result.requireNoError(err)
+	text, err := bed.cluster.runCommand("record", "export", "--settings", r.settings)
 	if err != nil {
 		return err
 	}
 	if err := r.count(bed, text); err != nil {
 		return err
 	}
-	r.judge(found)
+	r.checkClaims(result)
 	return nil
 }
 
-// count takes the figures from the clients' log, the exported record, the fleet and the killer.
+// count computes the figures from the clients' log, the exported record, the fleet and the killer.
 func (r *recordScenario) count(bed *testbed, export []byte) error {
 	f, log := &r.figures, bed.clients.Log()
 	exported, err := f.readExport(export)
@@ -190,34 +190,33 @@
 	f.compare(log, exported)
 	calm, stalled := servedBetween(log, r.calmFrom, r.stallFrom), servedBetween(log, r.stallFrom, r.stallTo)
 	f.ServedCalm, f.P99Calm = calm.share, calm.p99Ms
-	f.ServedStall, f.P99Stall, f.StallResponses = stalled.share, stalled.p99Ms, stalled.requests
-	f.OpenAtKills = countOpenAt(r.killer.deaths, log)
+	f.ServedStalled, f.P99Stalled, f.ResponsesStalled = stalled.share, stalled.p99Ms, stalled.requests
+	f.OpenAtKills = countOpenAt(r.killer.kills, log)
 	f.InstanceKills, f.KillsAt = r.killer.instanceKills, r.killer.killsAt
 	f.StoreKills, f.StoreFaults = r.killer.storeKills, r.killer.storeFaults
-	f.Stalls = r.killer.storeStalls + 1 // and the long one before the kills
+	f.Stalls = r.killer.storeStalls + 1 // plus the long stall before the kills
 	f.Violations = bed.fleet.Audit()
-	f.Took = time.Since(bed.began).Seconds()
+	f.DurationSeconds = time.Since(bed.startedAt).Seconds()
 	return nil
 }
 
-// judge holds the figures against the claims. A short run is judged by those alone that no slow host can
-// violate.
-func (r *recordScenario) judge(found *claims) {
+// checkClaims checks the figures against the claims. A short run checks only those that a slow host cannot violate.
+func (r *recordScenario) checkClaims(result *verdict) {
 	f := r.figures
-	found.require(f.Missing == 0, "missing: %d", f.Missing)
-	found.require(f.Duplicates == 0, "duplicates: %d", f.Duplicates)
-	found.require(f.Invented == 0, "invented: %d", f.Invented)
-	found.require(f.Violations.DuplicateEffects == 0, "effects twice: %d", f.Violations.DuplicateEffects)
-	found.require(f.InstanceKills > 0 && f.StoreKills > 0 && f.Stalls > 0,
+	result.require(f.Missing == 0, "missing: %d", f.Missing)
+	result.require(f.Duplicates == 0, "duplicates: %d", f.Duplicates)
+	result.require(f.Invented == 0, "invented: %d", f.Invented)
+	result.require(f.Violations.DuplicateEffects == 0, "duplicate effects: %d", f.Violations.DuplicateEffects)
+	result.require(f.InstanceKills > 0 && f.StoreKills > 0 && f.Stalls > 0,
 		"not put to the test: %d kills of instances, %d of the store, %d stalls", f.InstanceKills, f.StoreKills, f.Stalls)
 	if r.Short {
 		return
 	}
-	found.require(f.InDoubt <= f.OpenAtKills, "in doubt: %d, with %d requests open at kills", f.InDoubt, f.OpenAtKills)
-	found.require(f.InstanceKills >= r.Kills, "not put to the test: %d kills of %d", f.InstanceKills, r.Kills)
-	found.require(f.ServedStall >= f.ServedCalm-maxServedLoss,
-		"served while the store stalled: %.4f, calm %.4f", f.ServedStall, f.ServedCalm)
-	found.require(f.Took <= maxTook.Seconds(), "took %.0f s", f.Took)
+	result.require(f.InDoubt <= f.OpenAtKills, "in doubt: %d, with %d requests open at kills", f.InDoubt, f.OpenAtKills)
+	result.require(f.InstanceKills >= r.Kills, "not put to the test: %d kills of %d", f.InstanceKills, r.Kills)
+	result.require(f.ServedStalled >= f.ServedCalm-maxServedLoss,
+		"served while the store stalled: %.4f, calm %.4f", f.ServedStalled, f.ServedCalm)
+	result.require(f.DurationSeconds <= maxRunTime.Seconds(), "took %.0f s", f.DurationSeconds)
 }
 
-func (r *recordScenario) report(found *claims) error { return found.print(r.figures) }
+func (r *recordScenario) report(result *verdict) error { return result.print(r.figures) }
--- a/cmd/e2e/srv.go
+++ b/cmd/e2e/srv.go
@@ -1,7 +1,6 @@
 package main
 
-// This file owns the scenario of the sources: discovery and a name server that disagree through a rollout, a restart and
-// outages, and what the backends saw of it.
+// The scenario for the sources: discovery and a name server disagree during a rollout, a restart and outages.
 
 import (
 	"fmt"
@@ -16,57 +15,57 @@
 )
 
 type srvCommand struct {
-	Seed   uint64  `default:"1" help:"Draws traffic and faults."`
-	Rate   float64 `default:"180" help:"Requests a second, over three instances."`
-	Defect string  `enum:",undrain,forget-drains" default:"" help:"A protection to switch off: the run must then fail."`
-	Short  bool    `help:"Half as long, and only what must hold on any host."`
+	Seed   uint64  `default:"1" help:"Seed of the traffic and the faults."`
+	Rate   float64 `default:"180" help:"Requests per second, over three instances."`
+	Defect string  `enum:",undrain,forget-drains" default:"" help:"A protection to disable, which must make the run fail."`
+	Short  bool    `help:"Run half as long, and check only what must hold on any host."`
 	JSON   bool    `help:"Accepted for symmetry: the figures are always JSON."`
 }
 
-// The instances, by their sources.
+// The instances differ in their sources.
 const (
-	discoveryOnly = 0
-	deadResolver  = 1 // its resolver is silent throughout
-	faultyDNS     = 2 // its resolver fails in drawn ways, and discovery falls silent for it
+	discoveryOnly  = 0
+	silentResolver = 1 // its resolver never answers
+	faultyResolver = 2 // its resolver fails in random modes, and its discovery becomes silent
 )
 
-// Run carries out the scenario.
+// Run runs the srv scenario.
 func (s srvCommand) Run() error {
 	scenario := &srvScenario{
 		srvCommand: s,
 		random:     rand.New(rand.NewPCG(s.Seed, 4)),
-		part:       time.Second,
+		unit:       time.Second,
 		figures:    srvFigures{Seed: s.Seed, Defect: s.Defect, Faults: map[string]int{}},
 	}
 	if s.Short {
-		scenario.part /= 2
+		scenario.unit /= 2
 	}
 	return run(scenario)
 }
 
-// srvScenario is the run as a scenario.
+// srvScenario implements scenario.
 type srvScenario struct {
 	srvCommand
-	random   *rand.Rand    // draws the faults of the resolver
-	part     time.Duration // the unit of the phases
-	servers  map[int]*dnsserver.Server
-	settings [3]string // paths, by instance
-	env      []string
-	stale    atomic.Bool // the name servers name whoever ever ran
-	phases   srvPhases
-	replaced []string // ids of the backends that came while discovery was silent
-	figures  srvFigures
+	random         *rand.Rand    // draws the resolver's faults
+	unit           time.Duration // unit of the lengths of the phases
+	servers        map[int]*dnsserver.Server
+	settings       [3]string // paths of the settings files, by instance
+	env            []string
+	staleRecords   atomic.Bool // the name servers also list backends that have been removed
+	phases         srvPhaseStarts
+	replacementIDs []string // backends started while discovery was silent
+	figures        srvFigures
 }
 
-// srvPhases are the times at which the phases began.
-type srvPhases struct {
-	wave      time.Time // the rollout: drains at every stage, while the resolver fails and names who drained
-	killed    time.Time // an instance dies in the wave, and starts with what it wrote down
-	waveEnded time.Time // the resolver is well again
-	calm      time.Time
-	muted     time.Time // discovery is silent and backends change; SRV alone tells the truth
-	none      time.Time // both sources are silent
-	end       time.Time
+// srvPhaseStarts holds the start time of each phase.
+type srvPhaseStarts struct {
+	rollout        time.Time // backends drain at every stage, while the resolver fails and still lists drained backends
+	killed         time.Time // an instance is killed during the rollout and restarts from its state file
+	rolloutEnded   time.Time // the resolver works again
+	calm           time.Time
+	discoveryMuted time.Time // discovery is silent and backends are replaced, so only SRV records are correct
+	bothSilent     time.Time // both sources are silent
+	end            time.Time
 }
 
 func (s *srvScenario) options() testbedOptions {
@@ -74,15 +73,15 @@
 }
 
 func (s *srvScenario) setUp(bed *testbed) (instances []startOptions, err error) {
-	bed.fleet.Linger = time.Minute // who is listed as gone still answers: only the instances keep requests from it
-	s.stale.Store(true)
+	bed.fleet.Linger = time.Minute // backends listed as gone still answer, so only the instances keep requests away from them
+	s.staleRecords.Store(true)
 	s.servers = map[int]*dnsserver.Server{}
-	for _, instance := range []int{deadResolver, faultyDNS} {
+	for _, instance := range []int{silentResolver, faultyResolver} {
 		if err := s.startResolver(bed, instance); err != nil {
 			return nil, err
 		}
 	}
-	s.servers[deadResolver].Fail("silent")
+	s.servers[silentResolver].Fail("silent")
 	s.env = []string{defectEnv + s.Defect}
 	for i := range bed.fleet.Instances {
 		instances = append(instances, s.startOptions(i, s.Seed+uint64(i)))
@@ -90,13 +89,13 @@
 	return instances, nil
 }
 
-// startResolver starts an instance's name server and writes the settings that name it.
+// startResolver starts an instance's name server and writes settings that use it.
 func (s *srvScenario) startResolver(bed *testbed, instance int) error {
-	server, err := dnsserver.New(func() []string { return bed.fleet.Addresses(instance, s.stale.Load()) })
+	server, err := dnsserver.New(func() []string { return bed.fleet.Addresses(instance, s.staleRecords.Load()) })
 	if err != nil {
 		return err
 	}
-	bed.cleanup(server.Close)
+	bed.addCleanup(server.Close)
 	s.servers[instance] = server
 	const text = `[sources]
 state = %q
@@ -121,44 +120,44 @@
 
 func (s *srvScenario) inject(bed *testbed) error {
 	s.figures.FleetTrueMin = len(bed.fleet.Addresses(discoveryOnly, false))
-	time.Sleep(s.part)
+	time.Sleep(s.unit)
 	if err := s.rollOut(bed); err != nil {
 		return err
 	}
-	s.phases.waveEnded = time.Now()
-	time.Sleep(2 * s.part) // names come back
+	s.phases.rolloutEnded = time.Now()
+	time.Sleep(2 * s.unit) // time for the resolver's records to be used again
 	s.phases.calm = time.Now()
-	time.Sleep(4 * s.part)
+	time.Sleep(4 * s.unit)
 	if err := s.muteDiscovery(bed); err != nil {
 		return err
 	}
-	time.Sleep(6 * s.part)
-	s.phases.none = time.Now()
-	s.servers[faultyDNS].Fail("silent")
-	time.Sleep(4 * s.part)
+	time.Sleep(6 * s.unit)
+	s.phases.bothSilent = time.Now()
+	s.servers[faultyResolver].Fail("silent")
+	time.Sleep(4 * s.unit)
 	s.phases.end = time.Now()
 	return nil
 }
 
-// rollOut rolls a release out while the resolver fails; an instance is killed in the middle and started again.
+// rollOut rolls out a release while the resolver fails. An instance is killed halfway and started again.
 func (s *srvScenario) rollOut(bed *testbed) error {
-	s.phases.wave = time.Now()
+	s.phases.rollout = time.Now()
 	bed.fleet.StartRollout(newRelease, 0)
-	s.failResolver(bed, 9*s.part)
-	bed.cluster.process(faultyDNS).kill()
+	s.failResolver(bed, 9*s.unit)
+	bed.cluster.process(faultyResolver).kill()
 	s.phases.killed = time.Now()
-	if err := bed.cluster.start(s.startOptions(faultyDNS, s.Seed+9)); err != nil {
+	if err := bed.cluster.start(s.startOptions(faultyResolver, s.Seed+9)); err != nil {
 		return err
 	}
-	s.failResolver(bed, 7*s.part)
+	s.failResolver(bed, 7*s.unit)
 	return nil
 }
 
-// failResolver has the resolver fail in drawn ways for a time.
+// failResolver makes the resolver fail in random modes for the given time.
 func (s *srvScenario) failResolver(bed *testbed, length time.Duration) {
-	server := s.servers[faultyDNS]
+	server := s.servers[faultyResolver]
 	for until := time.Now().Add(length); time.Now().Before(until); s.observeFleet(bed) {
-		mode := dnsserver.Modes[s.random.IntN(len(dnsserver.Modes))]
+		mode := dnsserver.FailureModes[s.random.IntN(len(dnsserver.FailureModes))]
 		server.Fail(mode)
 		s.figures.Faults[mode]++
 		time.Sleep(time.Duration(300+s.random.IntN(600)) * time.Millisecond)
@@ -166,26 +165,27 @@
 	server.Fail("")
 }
 
-// muteDiscovery silences discovery for an instance and replaces backends, of which only SRV tells it.
+// muteDiscovery silences an instance's discovery and replaces backends, which the instance can only learn from SRV
+// records.
 func (s *srvScenario) muteDiscovery(bed *testbed) (err error) {
-	s.stale.Store(false)
-	bed.fleet.MuteDiscovery(faultyDNS, true)
-	s.phases.muted = time.Now()
-	s.replaced, err = bed.fleet.ReplaceBackends(2)
+	s.staleRecords.Store(false)
+	bed.fleet.MuteDiscovery(faultyResolver, true)
+	s.phases.discoveryMuted = time.Now()
+	s.replacementIDs, err = bed.fleet.ReplaceBackends(2)
 	s.observeFleet(bed)
 	return err
 }
 
-// observeFleet notes how many backends run.
+// observeFleet records the smallest number of running backends.
 func (s *srvScenario) observeFleet(bed *testbed) {
 	running := len(bed.fleet.Addresses(discoveryOnly, false))
 	s.figures.FleetTrueMin = min(s.figures.FleetTrueMin, running)
 }
 
-func (s *srvScenario) check(bed *testbed, found *claims) error {
+func (s *srvScenario) check(bed *testbed, result *verdict) error {
 	s.count(bed)
-	s.judge(found)
+	s.checkClaims(result)
 	return nil
 }
 
-func (s *srvScenario) report(found *claims) error { return found.print(s.figures) }
+func (s *srvScenario) report(result *verdict) error { return result.print(s.figures) }
--- a/internal/fake/faultproxy/faultproxy.go
+++ b/internal/fake/faultproxy/faultproxy.go
@@ -1,6 +1,6 @@
-// Package faultproxy is a TCP proxy on loopback for end-to-end tests. It passes bytes on unchanged and can hold back what the
-// target sends, on connections that a test chooses by the first line of what the client sent. It never changes, reorders or
-// drops a byte.
+// Package faultproxy is a TCP proxy on loopback for end-to-end tests. It forwards bytes unchanged, and can delay what
+// the target sends on connections that a test selects by the first line sent by the client. It never changes,
+// reorders or drops a byte.
 package faultproxy
 
 import (
@@ -15,74 +15,74 @@
 const (
 	dialTimeout  = 5 * time.Second
 	bufferSize   = 32 << 10
-	maxFirstLine = 4 << 10 // bytes within which the first line has to end
+	maxFirstLine = 4 << 10 // a first line that does not end within this many bytes is not recognized
 )
 
-// Proxy forwards connections to one target. Its methods may be called at any time and by anyone.
+// Proxy forwards connections to one target. Its methods are safe for concurrent use.
 type Proxy struct {
 	listener net.Listener
 	target   string
 
-	mu          sync.Mutex
-	changed     *sync.Cond                           // of matches
-	matches     func(firstLine string) bool          // connections that are held; nil: none
-	onPass      func(firstLine string, bytes []byte) // nil: nobody
-	waiting     int                                  // connections on which bytes of the target are held now
-	connections map[net.Conn]bool                    // open ones, of both sides
+	mu             sync.Mutex
+	matchesChanged *sync.Cond                           // signaled when matches changes
+	matches        func(firstLine string) bool          // selects the connections to hold; nil holds none
+	onPass         func(firstLine string, bytes []byte) // may be nil
+	holding        int                                  // number of connections with bytes from the target held now
+	connections    map[net.Conn]bool                    // open connections on both sides
 }
 
-// New starts a proxy for a target on a port that the kernel chooses.
+// New starts a proxy for a target, on a port chosen by the kernel.
 func New(target string) (*Proxy, error) {
 	listener, err := loopback.Listen()
 	if err != nil {
 		return nil, err
 	}
 	p := &Proxy{listener: listener, target: target, connections: map[net.Conn]bool{}}
-	p.changed = sync.NewCond(&p.mu)
+	p.matchesChanged = sync.NewCond(&p.mu)
 	go p.accept()
 	return p, nil
 }
 
-// Address is where the proxy listens.
+// Address returns the address on which the proxy listens.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Hold keeps back what the target sends on connections whose first line matches, from now on and until Release.
+// Hold delays what the target sends on connections whose first line matches, until Release is called.
 func (p *Proxy) Hold(matches func(firstLine string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.matches = matches
 }
 
-// Release passes on all that is held.
+// Release forwards everything that is held.
 func (p *Proxy) Release() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.matches = nil
-	p.changed.Broadcast()
+	p.matchesChanged.Broadcast()
 }
 
-// OnPass sets a function that sees the target's bytes just before they go to the client. It is set before the first connection
-// and must not call the proxy.
+// OnPass sets a function that is called with the target's bytes just before they are forwarded to the client. It must
+// be set before the first connection, and the function must not call the proxy.
 func (p *Proxy) OnPass(onPass func(firstLine string, bytes []byte)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.onPass = onPass
 }
 
-// Holding is the number of connections on which bytes are held now.
+// Holding returns the number of connections on which bytes are held now.
 func (p *Proxy) Holding() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.waiting
+	return p.holding
 }
 
-// Close ends the proxy and all its connections.
+// Close stops the proxy and closes all its connections.
 func (p *Proxy) Close() {
 	p.listener.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.matches = nil
-	p.changed.Broadcast()
+	p.matchesChanged.Broadcast()
 	for c := range p.connections {
 		c.Close()
 	}
@@ -90,65 +90,65 @@
 
 func (p *Proxy) accept() {
 	for {
-		near, err := p.listener.Accept()
+		client, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		far, err := loopback.Dial(p.target, dialTimeout)
+		target, err := loopback.Dial(p.target, dialTimeout)
 		if err != nil {
-			near.Close()
+			client.Close()
 			continue
 		}
-		s := &session{proxy: p, near: near, far: far, named: make(chan struct{})}
+		s := &session{proxy: p, client: client, target: target, firstLineKnown: make(chan struct{})}
 		p.mu.Lock()
-		p.connections[near], p.connections[far] = true, true
+		p.connections[client], p.connections[target] = true, true
 		p.mu.Unlock()
-		go s.forward()
-		go s.backward()
+		go s.copyToTarget()
+		go s.copyToClient()
 	}
 }
 
-// session is one connection through the proxy.
+// session is a connection through the proxy.
 type session struct {
-	proxy     *Proxy
-	near, far net.Conn // the client's and the target's
-	once      sync.Once
-	named     chan struct{} // closed once the first line is known
-	firstLine string
+	proxy          *Proxy
+	client, target net.Conn
+	once           sync.Once
+	firstLineKnown chan struct{} // closed once the first line is known
+	firstLine      string
 }
 
 func (s *session) close() {
-	s.near.Close()
-	s.far.Close()
+	s.client.Close()
+	s.target.Close()
 	s.proxy.mu.Lock()
 	defer s.proxy.mu.Unlock()
-	delete(s.proxy.connections, s.near)
-	delete(s.proxy.connections, s.far)
+	delete(s.proxy.connections, s.client)
+	delete(s.proxy.connections, s.target)
 }
 
-// name sets the first line; only the first call counts.
-func (s *session) name(line string) {
+// setFirstLine sets the first line; only the first call has an effect.
+func (s *session) setFirstLine(line string) {
 	s.once.Do(func() {
 		s.firstLine = line
-		close(s.named)
+		close(s.firstLineKnown)
 	})
 }
 
-// forward passes on what the client sends and takes the first line from it.
-func (s *session) forward() {
+// copyToTarget forwards what the client sends, and reads the first line from it.
+func (s *session) copyToTarget() {
 	defer s.close()
-	defer s.name("")
+	defer s.setFirstLine("")
 	buffer, head := make([]byte, bufferSize), []byte(nil)
 	for {
-		n, err := s.near.Read(buffer)
+		n, err := s.client.Read(buffer)
 		if n > 0 {
 			if len(head) < maxFirstLine {
 				head = append(head, buffer[:n]...)
-				if line, _, whole := bytes.Cut(head, []byte("\r\n")); whole {
-					s.name(string(line))
+				if line, _, found := bytes.Cut(head, []byte("\r\n")); found {
+					s.setFirstLine(string(line))
 				}
 			}
-			if _, err := s.far.Write(buffer[:n]); err != nil {
+			if _, err := s.target.Write(buffer[:n]); err != nil {
 				return
 			}
 		}
@@ -158,18 +158,19 @@
 	}
 }
 
-// backward passes on what the target sends, once it may go. It waits for the first line, by which connections are chosen.
-func (s *session) backward() {
+// copyToClient forwards what the target sends, once it need not be held. It waits for the first line, which selects
+// the connections to hold.
+func (s *session) copyToClient() {
 	defer s.close()
 	buffer := make([]byte, bufferSize)
 	for {
-		n, err := s.far.Read(buffer)
+		n, err := s.target.Read(buffer)
 		if n > 0 {
-			<-s.named
-			if !s.wait(buffer[:n]) {
+			<-s.firstLineKnown
+			if !s.awaitRelease(buffer[:n]) {
 				return
 			}
-			if _, err := s.near.Write(buffer[:n]); err != nil {
+			if _, err := s.client.Write(buffer[:n]); err != nil {
 				return
 			}
 		}
@@ -179,21 +180,21 @@
 	}
 }
 
-// wait returns when these bytes of the target may pass, and whether the client is still there. What was held while the client
-// left is not shown to OnPass, since nobody reads it.
-func (s *session) wait(bytes []byte) (open bool) {
+// awaitRelease returns once bytes from the target may be forwarded, and reports whether the client is still
+// connected. If the client has disconnected in the meantime OnPass does not see the bytes, since nobody reads them.
+func (s *session) awaitRelease(bytes []byte) (open bool) {
 	p := s.proxy
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	held := func() bool { return p.matches != nil && p.matches(s.firstLine) }
 	if held() {
-		p.waiting++
+		p.holding++
 		for held() {
-			p.changed.Wait()
+			p.matchesChanged.Wait()
 		}
-		p.waiting--
+		p.holding--
 	}
-	if !p.connections[s.near] {
+	if !p.connections[s.client] {
 		return false
 	}
 	if p.onPass != nil {
--- a/internal/fake/fleet/configuration.go
+++ b/internal/fake/fleet/configuration.go
@@ -1,6 +1,6 @@
 package fleet
 
-// This file owns the configuration that an instance starts with, in the users' JSON.
+// The configuration file of an instance, in the users' JSON format.
 
 import (
 	"cmp"
@@ -11,15 +11,15 @@
 
 type object = map[string]any
 
-// InstanceOptions say what an instance is told of itself.
+// InstanceOptions are the settings of an instance that differ from those of the others.
 type InstanceOptions struct {
 	Index  int
 	Name   string
-	Listen string // the address for clients
+	Listen string // address on which it accepts clients
 	Seed   uint64
 }
 
-// Configuration is the JSON file that an instance starts with.
+// Configuration returns the JSON configuration file of an instance.
 func (f *Fleet) Configuration(options InstanceOptions) ([]byte, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -47,19 +47,19 @@
 				"connect-timeout-us": 250_000, "idle-close-us": 30_000_000,
 			},
 			"contract": object{
-				"drain-grace-us": Grace.Microseconds(), "cold-from": ColdFrom, "warm-up-us": WarmUp.Microseconds(),
-				"overload-factor": Overload, "fall-us": FallTime.Microseconds(),
+				"drain-grace-us": DrainGrace.Microseconds(), "cold-from": ColdSpeed, "warm-up-us": WarmUp.Microseconds(),
+				"overload-factor": OverloadFactor, "fall-us": MaxOverloadTime.Microseconds(),
 			},
 			"family-info": object{
 				"spare-tries": FreeAttempts, "most-shares": stageCaps, "rings": stageShares, "keys-stay": f.KeyAffinity,
-				"counted-over-us": Window.Microseconds(), "decided-by": "single", "back-votes": 1,
+				"counted-over-us": ExposureWindow.Microseconds(), "decided-by": "single", "back-votes": 1,
 				"ballot-ttl-us": 4_000_000, "call-timeout-us": 800_000,
 			},
 		},
 	})
 }
 
-// stageObject is the stage in force. Under the lock.
+// stageObject returns the stage in force. The caller holds f.mu.
 func (f *Fleet) stageObject() object {
 	return object{
 		"release": f.stage.Release, "tranche": f.stage.Stage, "mode": f.stage.Mode, "exposure": f.stage.Cap,
--- a/internal/fake/fleet/platform.go
+++ b/internal/fake/fleet/platform.go
@@ -1,6 +1,6 @@
 package fleet
 
-// This file owns the platform's API: the stream of notices and the votes.
+// The platform's API: the release stream and the votes.
 
 import (
 	"fmt"
@@ -11,34 +11,34 @@
 )
 
 const (
-	noticeKeepAlive = time.Second
-	codeSyntax      = "SYNTAX"
+	releaseKeepAlive = time.Second
+	codeSyntax       = "SYNTAX"
 )
 
-// servePlatform serves all instances until the listener closes.
+// servePlatform serves all instances until the listener is closed.
 func (f *Fleet) servePlatform(listener net.Listener) {
 	serve(listener, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/notices" {
-			f.serveNotices(w, r)
+			f.serveReleaseStream(w, r)
 		} else {
 			f.serveVote(w, r)
 		}
 	})
 }
 
-func (f *Fleet) serveNotices(w http.ResponseWriter, r *http.Request) {
+func (f *Fleet) serveReleaseStream(w http.ResponseWriter, r *http.Request) {
 	f.mu.Lock()
 	stream := newSubscriber(0)
-	f.noticeStreams[stream] = true
+	f.releaseStreams[stream] = true
 	first := f.stageEvent()
 	f.mu.Unlock()
 	stream.stream(r.Context(), w, streamOptions{
-		contentType: "text/event-stream", first: first, keepAlive: ":\n", keepAliveTime: noticeKeepAlive,
+		contentType: "text/event-stream", initial: first, keepAlive: ":\n", keepAliveInterval: releaseKeepAlive,
 		muted: func() bool { return false },
 	})
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.noticeStreams, stream)
+	delete(f.releaseStreams, stream)
 }
 
 func (f *Fleet) serveVote(w http.ResponseWriter, r *http.Request) {
@@ -54,24 +54,24 @@
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
 	w.WriteHeader(status)
-	write(w, text)
+	writeBody(w, text)
 }
 
-// voteResponse tells a voter the stage in force after its vote.
+// voteResponse returns the body of the response to a vote: the stage in force after it.
 func voteResponse(stage Stage) string {
 	return fmt.Sprintf(`<?xml version="1.0"?><Response><groups><item><release>%d</release><tranche>%d</tranche>`+
 		`<mode>%s</mode><exposure>%g</exposure><old_ms>%d</old_ms></item></groups></Response>`,
 		stage.Release, stage.Stage, stage.Mode, stage.Cap, time.Since(stage.At).Milliseconds())
 }
 
-// broadcastStage notifies of the stage in force on every stream of notices. Under the lock.
+// broadcastStage sends the stage in force on all release streams. The caller holds f.mu.
 func (f *Fleet) broadcastStage() {
-	for stream := range f.noticeStreams {
+	for stream := range f.releaseStreams {
 		stream.send(f.stageEvent())
 	}
 }
 
-// stageEvent is the stage in force as an event of the stream. Under the lock.
+// stageEvent returns the stage in force as a server-sent event. The caller holds f.mu.
 func (f *Fleet) stageEvent() string {
 	return fmt.Sprintf("event: stage\ndata: release=%d&tranche=%d&mode=%s&exposure=%g&old_ms=%d\n\n",
 		f.stage.Release, f.stage.Stage, f.stage.Mode, f.stage.Cap, time.Since(f.stage.At).Milliseconds())
