--- a/cmd/e2e/day.go
+++ b/cmd/e2e/day.go
@@ -139,7 +139,7 @@
 	for _, response := range bed.clients.Log() {
 		d.countResponse(response)
 	}
-	f.P50, f.P99 = d.latencies.quantileMs(medianQuantile), d.latencies.quantileMs(highestQuantile)
+	f.P50, f.P99 = d.latencies.quantileMs(medianQuantile), d.latencies.quantileMs(tailQuantile)
 	for _, stage := range bed.fleet.Stages {
 		f.Stages = append(f.Stages, describeStage(stage, bed.loadStartedAt))
 	}
--- a/cmd/e2e/exposure_test.go
+++ b/cmd/e2e/exposure_test.go
@@ -10,8 +10,8 @@
 	"onyxgate/internal/fake/fleet"
 )
 
-// trialSeed is the seed of the traffic.
-const trialSeed = 27
+// testSeed is the seed of the traffic.
+const testSeed = 27
 
 // singleInstanceRun is a real process of one instance, with backends and a platform whose messages a proxy can hold.
 type singleInstanceRun struct {
@@ -38,12 +38,12 @@
 	}
 	t.Cleanup(x.proxy.Close)
 	x.fleet.PlatformOverride[0] = x.proxy.Address()
-	if err := x.cluster.start(startOptions{instance: 0, seed: trialSeed}); err != nil {
+	if err := x.cluster.start(startOptions{instance: 0, seed: testSeed}); err != nil {
 		t.Fatal(err)
 	}
 	x.startLoad(fleet.ClientOptions{
 		Rate: func() float64 { return 300 },
-		Seed: trialSeed,
+		Seed: testSeed,
 		Keys: 2000, // so that few keys are popular enough to be kept away from a canary release
 	})
 	x.stop = func() {
--- a/cmd/e2e/killer.go
+++ b/cmd/e2e/killer.go
@@ -177,8 +177,8 @@
 	defer k.mu.Unlock()
 	k.instanceKills++
 	k.killsAt[point]++
-	atEachPoint := len(k.killsAt) >= len(killPoints)
-	if k.instanceKills >= k.scenario.Kills && k.storeKills >= minStoreKills && (k.scenario.Short || atEachPoint) {
+	enoughPoints := len(k.killsAt) >= len(killPoints)
+	if k.instanceKills >= k.scenario.Kills && k.storeKills >= minStoreKills && (k.scenario.Short || enoughPoints) {
 		k.cancel()
 	}
 }
--- a/cmd/e2e/main.go
+++ b/cmd/e2e/main.go
@@ -19,14 +19,14 @@
 )
 
 func main() {
-	var line struct {
+	var cli struct {
 		Day      dayCommand            `cmd:"" help:"A rollout on three instances and ten backends: a day in half a minute."`
 		Srv      srvCommand            `cmd:"" help:"Discovery and SRV records that disagree."`
 		Record   recordCommand         `cmd:"" help:"The store of record under kills and stalls."`
 		Pgwire   postgresServerCommand `cmd:"" hidden:"" help:"A fake PostgreSQL server in a process that can be killed."`
 		Holdlite sqliteLockCommand     `cmd:"" hidden:"" help:"Holds the write lock of a SQLite file until end of input."`
 	}
-	command := kong.Parse(&line, kong.Name("e2e"), kong.UsageOnError())
+	command := kong.Parse(&cli, kong.Name("e2e"), kong.UsageOnError())
 	switch err := command.Run(); {
 	case errors.Is(err, errViolations):
 		os.Exit(exitViolations)
--- a/cmd/e2e/record_figures.go
+++ b/cmd/e2e/record_figures.go
@@ -154,11 +154,11 @@
 }
 
 // countOpenAt counts the requests that were open, from their clients' view, when an instance was killed.
-func countOpenAt(deaths []instanceKill, log []fleet.Response) (n int) {
-	for _, d := range deaths {
+func countOpenAt(kills []instanceKill, log []fleet.Response) (n int) {
+	for _, kill := range kills {
 		for _, response := range log {
-			reached := response.Instance == d.instance && response.Outcome != fleet.OutcomeUnreachable
-			underWay := response.Sent.Before(d.at) && response.Done.After(d.at.Add(-observationDelay))
+			reached := response.Instance == kill.instance && response.Outcome != fleet.OutcomeUnreachable
+			underWay := response.Sent.Before(kill.at) && response.Done.After(kill.at.Add(-observationDelay))
 			if reached && underWay {
 				n++
 			}
--- a/cmd/e2e/record_figures_test.go
+++ b/cmd/e2e/record_figures_test.go
@@ -12,7 +12,7 @@
 )
 
 // The oracle detects each kind of fault in a record, and reports none for a correct record.
-func TestRecordOracle(t *testing.T) {
+func TestCompareDetectsRecordFaults(t *testing.T) {
 	body := record.DigestOf([]byte("body"))
 	response := fleet.Response{ID: "r1", Class: "order", Instance: 1, Outcome: fleet.OutcomeServed, Body: body}
 	entry := sqlstore.Row{
@@ -81,8 +81,8 @@
 
 // A request is open at a kill if it was sent to the instance before and had no response by then.
 func TestCountOpenAt(t *testing.T) {
-	died := time.Now()
-	at := func(ms int) time.Time { return died.Add(time.Duration(ms) * time.Millisecond) }
+	killedAt := time.Now()
+	at := func(ms int) time.Time { return killedAt.Add(time.Duration(ms) * time.Millisecond) }
 	for _, c := range []struct {
 		name     string
 		response fleet.Response
@@ -96,7 +96,7 @@
 		{"unreachable", fleet.Response{Instance: 1, Sent: at(-10), Done: at(10), Outcome: fleet.OutcomeUnreachable}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := countOpenAt([]instanceKill{{1, died}}, []fleet.Response{c.response}); got != c.want {
+			if got := countOpenAt([]instanceKill{{1, killedAt}}, []fleet.Response{c.response}); got != c.want {
 				t.Errorf("open requests = %d, want %d", got, c.want)
 			}
 		})
--- a/cmd/e2e/responses.go
+++ b/cmd/e2e/responses.go
@@ -15,7 +15,7 @@
 	maxLatency       = time.Minute // highest value in a histogram
 	latencyPrecision = 3           // significant digits of a histogram
 	medianQuantile   = 50
-	highestQuantile  = 99
+	tailQuantile     = 99
 )
 
 // latencies is a histogram of the latencies of served requests.
@@ -46,19 +46,19 @@
 
 // servedBetween summarizes the responses to requests sent between two times.
 func servedBetween(log []fleet.Response, from, to time.Time) (s servedRequests) {
-	times, n := newLatencies(), 0
+	times, served := newLatencies(), 0
 	for _, response := range log {
 		if response.Sent.Before(from) || response.Sent.After(to) {
 			continue
 		}
 		s.requests++
 		if response.Outcome == fleet.OutcomeServed {
-			n++
+			served++
 			times.add(response)
 		}
 	}
-	s.share = float64(n) / float64(max(s.requests, 1))
-	s.p99Ms = times.quantileMs(highestQuantile)
+	s.share = float64(served) / float64(max(s.requests, 1))
+	s.p99Ms = times.quantileMs(tailQuantile)
 	return s
 }
 
--- a/cmd/e2e/srv_figures.go
+++ b/cmd/e2e/srv_figures.go
@@ -53,8 +53,8 @@
 	s.countReached(bed.fleet)
 	f.Lost = s.countLost(log)
 	f.LongestOutage = longestOutage(log).Seconds() * 1000
-	rules := bed.fleet.Audit()
-	f.Exposure, f.ColdOverloaded, f.DuplicateEffects = rules.Exposure, rules.ColdOverloaded, rules.DuplicateEffects
+	violations := bed.fleet.Audit()
+	f.Exposure, f.ColdOverloaded, f.DuplicateEffects = violations.Exposure, violations.ColdOverloaded, violations.DuplicateEffects
 	f.Drains, f.LateAfterDrainMax = bed.fleet.DrainsNotified, bed.fleet.LatestAfterDrain.Seconds()*1000
 	f.Queries = s.servers[silentResolver].Queries.Load() + s.servers[faultyResolver].Queries.Load()
 	f.DurationSeconds = time.Since(bed.startedAt).Seconds()
--- a/internal/fake/fleet/audit_test.go
+++ b/internal/fake/fleet/audit_test.go
@@ -17,7 +17,7 @@
 }
 
 // Attempts at a canary release are compared with the cap's share of the requests in the same window.
-func TestOverexposed(t *testing.T) {
+func TestCountOverexposed(t *testing.T) {
 	began := time.Now()
 	every := func(step time.Duration, n int) (times []time.Time) {
 		for i := range n {
@@ -60,10 +60,10 @@
 	short := idempotent
 	short.DedupWindow = 0
 	for _, c := range []struct {
-		name     string
-		class    Class
-		repeated bool
-		twice    int
+		name       string
+		class      Class
+		repeated   bool
+		duplicates int
 	}{
 		{"safe", safe, false, 0},
 		{"idempotent, in its window", idempotent, true, 0},
@@ -79,8 +79,8 @@
 			if got := f.beginExecution(a); got != c.repeated {
 				t.Errorf("second execution: repeated = %v, want %v", got, c.repeated)
 			}
-			if got := f.Audit().DuplicateEffects; got != c.twice {
-				t.Errorf("duplicate effects = %d, want %d", got, c.twice)
+			if got := f.Audit().DuplicateEffects; got != c.duplicates {
+				t.Errorf("duplicate effects = %d, want %d", got, c.duplicates)
 			}
 		})
 	}
@@ -88,7 +88,7 @@
 
 // A key binds its instance to the latest release that answered it, until that release is rolled back or the process
 // ends.
-func TestAffinityRule(t *testing.T) {
+func TestCheckAttemptFindsEarlierReleases(t *testing.T) {
 	a := attempt{requestID: "r", key: "7"}
 	answered := func(f *Fleet) {
 		f.affinity.answers[instanceKey{0, "7"}] = []firstAnswer{{release: 2, at: time.Now().Add(-2 * answerTransitTime)}}
--- a/internal/fake/postgres/statements.go
+++ b/internal/fake/postgres/statements.go
@@ -143,15 +143,15 @@
 
 func (s *session) selectOwner(text string) {
 	row, exists := s.incarnation(s.args[0])
-	asksForNumbers := strings.Contains(text, "through")
-	if asksForNumbers {
+	selectsThrough := strings.Contains(text, "through")
+	if selectsThrough {
 		s.columns = columnsOf("through big", "closed big")
 	} else {
 		s.columns = columnsOf("place text")
 	}
 	switch {
 	case !exists:
-	case asksForNumbers:
+	case selectsThrough:
 		s.rows = [][]string{{strconv.FormatInt(row.Through, 10), strconv.FormatInt(row.Closed, 10)}}
 	default:
 		s.rows = [][]string{{row.Place}}
