--- a/cmd/e2e/cluster.go
+++ b/cmd/e2e/cluster.go
@@ -21,7 +21,7 @@
 )
 
 const (
-	maxStartDials     = 500                    // connection attempts to an instance that was started
+	maxStartDials     = 500                    // connection attempts until the startup of an instance has failed
 	startDialInterval = 10 * time.Millisecond  // between two such attempts
 	dialTimeout       = 100 * time.Millisecond // of one such attempt
 	shutdownTimeout   = 8 * time.Second        // from SIGTERM until an instance must have exited
@@ -32,7 +32,8 @@
 	programImport     = "onyxgate/cmd/onyxgate"
 )
 
-// buildProgram builds the program in a directory. The build tag "defect" adds failpoints and defects.
+// buildProgram builds the program in a directory and returns its path. The build tag "defect" adds failpoints and
+// defects.
 func buildProgram(dir, tags string) (string, error) {
 	path := filepath.Join(dir, "onyxgate")
 	args := []string{"build", "-o", path}
@@ -59,7 +60,7 @@
 	err     error // result of Wait; may be read once exited is closed
 }
 
-// signal sends a signal. An error means that the process has already exited.
+// signal sends a signal. It has no effect if the process has already exited.
 func (p *process) signal(signal os.Signal) { _ = p.command.Process.Signal(signal) }
 
 // kill kills the process, if it still runs, and waits until it has exited.
@@ -105,11 +106,11 @@
 type startOptions struct {
 	instance int
 	seed     uint64
-	settings string   // path of the file with our own settings; empty for none
+	settings string   // path of onyxgate's own settings file; empty for none
 	env      []string // in addition to the environment of this process
 }
 
-// process returns the latest process of an instance.
+// process returns the latest process of an instance, or nil if none was started or stop has ended it.
 func (c *cluster) process(instance int) *process {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -242,7 +243,7 @@
 		}
 	case <-time.After(shutdownTimeout):
 		p.kill()
-		violation = fmt.Sprintf("instance %s did not exit within the shutdown timeout", instanceName(instance))
+		violation = fmt.Sprintf("instance %s did not exit within the shutdown timeout and was killed", instanceName(instance))
 	}
 	return violation
 }
@@ -262,7 +263,7 @@
 	return 0
 }
 
-// runCommand runs an operator command of the program and returns what it printed.
+// runCommand runs an operator command of the program and returns its standard output.
 func (c *cluster) runCommand(args ...string) ([]byte, error) {
 	command := newCommand(c.program, args...)
 	var out, stderr bytes.Buffer
--- a/cmd/e2e/day.go
+++ b/cmd/e2e/day.go
@@ -19,7 +19,7 @@
 	Rate     float64       `default:"150" help:"Requests per second."`
 	Bad      float64       `default:"0" help:"Share of requests that the new release fails."`
 	Program  string        `type:"path" help:"A program to run instead of building one, such as an earlier version to compare with."`
-	Settings string        `type:"path" help:"File with our own settings for the instances."`
+	Settings string        `type:"path" help:"File with onyxgate's own settings for the instances."`
 	Short    bool          `help:"Run for 8 s, and check only what must hold on any host."`
 	JSON     bool          `help:"Figures as JSON instead of the table."`
 }
@@ -48,7 +48,7 @@
 	latencies latencies
 }
 
-// dayFigures are counted by clients and backends. The JSON keys are read by scripts.
+// dayFigures are the figures of a run, all measured outside the instances. The JSON keys are read by scripts.
 type dayFigures struct {
 	Seed          uint64                    `json:"seed"`
 	Requests      int                       `json:"txns"`
--- a/cmd/e2e/day_table.go
+++ b/cmd/e2e/day_table.go
@@ -29,7 +29,7 @@
 	for _, stage := range f.Stages {
 		fmt.Println(stage)
 	}
-	fmt.Printf("memory of the instances %.1f MB, CPU a request %.0f us\n", f.ResidentMB, f.CPUPerRequest)
+	fmt.Printf("memory of the instances %.1f MB, CPU per request %.0f us\n", f.ResidentMB, f.CPUPerRequest)
 	printRules(f)
 }
 
--- a/cmd/e2e/exposure_test.go
+++ b/cmd/e2e/exposure_test.go
@@ -10,7 +10,7 @@
 	"onyxgate/internal/fake/fleet"
 )
 
-// testSeed is the seed of the traffic.
+// testSeed is the seed of the traffic and of the instance.
 const testSeed = 27
 
 // singleInstanceRun is a real process of one instance, with backends and a platform whose messages a proxy can hold.
@@ -160,7 +160,7 @@
 	x.proxy.Hold(isVote)
 	x.waitFor("a vote's response is held", func() bool { return x.proxy.Holding() > 0 })
 	x.fleet.Announce(fleet.Stage{Release: 2, Mode: fleet.ModeRollingBack})
-	x.awaitResponses(20) // by then the instance has received the update
+	x.awaitResponses(20) // time for the instance to receive the update
 	x.proxy.Release()
 	x.awaitResponses(100)
 	time.Sleep(fleet.DrainGrace)
--- a/cmd/e2e/faults_test.go
+++ b/cmd/e2e/faults_test.go
@@ -16,7 +16,7 @@
 )
 
 // More schedules: go test ./cmd/e2e -run UnderFaults -args -schedules 24
-var schedules = flag.Uint64("schedules", 3, "how many schedules TestExposureUnderFaults draws, from seed 0 on")
+var schedules = flag.Uint64("schedules", 3, "number of schedules that TestExposureUnderFaults runs, with seeds from 0")
 
 // statePattern matches a release's state in an event of the release stream. It does not match the XML of a vote's
 // response.
@@ -30,7 +30,7 @@
 	t             *testing.T
 	random        *rand.Rand
 	proxies       []*faultproxy.Proxy // by instance: proxy in front of the platform
-	baseRelease   int                 // the release that most of the fleet runs
+	baseRelease   int                 // the latest release that became stable
 	newestRelease int
 	stage         fleet.Stage
 	eventCounts   map[string]int // by kind
@@ -98,7 +98,7 @@
 	p := x.cluster.process(instance)
 	p.signal(signal)
 	<-p.exited
-	time.Sleep(100 * time.Millisecond) // until attempts that it had sent have arrived
+	time.Sleep(100 * time.Millisecond) // time for attempts that it had sent to arrive
 	x.fleet.ForgetInstance(instance)
 	if err := x.cluster.start(startOptions{instance: instance, seed: x.random.Uint64()}); err != nil {
 		x.t.Fatal(err)
@@ -174,7 +174,8 @@
 	}
 }
 
-// newSchedule starts instances with six backends of release 1, each instance behind its own proxy.
+// newSchedule starts instances with six backends of release 1. Each instance reaches the platform through its own
+// proxy.
 func newSchedule(t *testing.T, program string, seed uint64) *schedule {
 	t.Helper()
 	bed, err := newTestbed(testbedOptions{
--- a/cmd/e2e/killer.go
+++ b/cmd/e2e/killer.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// externalKill is the kill point of a kill from outside the instance.
+	// externalKill is counted as the kill point if the killer, not a failpoint, kills an instance.
 	externalKill = "outside"
 
 	minStoreKills     = 2
-	firstRandomStream = 100 // number of the first random stream; each instance draws from its own
+	firstRandomStream = 100 // of the random number generators: instance i uses stream firstRandomStream+i
 )
 
-// killPoints are the failpoints at which an instance kills itself. The kill happens at a random pass, no later than
-// pass maxPasses.
+// killPoints are the failpoints at which an instance kills itself. It does so when it reaches the failpoint for the
+// n-th time, with n drawn from 1 to maxPasses.
 var killPoints = []struct {
 	name      string
 	maxPasses int
@@ -40,8 +40,8 @@
 	{"spool.drop", 1},
 }
 
-// killer kills and restarts instances and injects store faults, until there were enough kills. Its counts may be read
-// after run.
+// killer kills and restarts instances and injects store faults, until there were enough kills or the time is up.
+// Its counts may be read after run.
 type killer struct {
 	scenario *recordScenario
 	cluster  *cluster
@@ -62,8 +62,8 @@
 	return &killer{scenario: scenario, cluster: c, killsAt: map[string]int{}, storeFaults: map[string]int{}}
 }
 
-// run kills instances for the given time at most. It returns an error if an instance exited on its own or a restart
-// failed.
+// run kills instances for the given time at most. It returns an error if an instance exited on its own, a restart
+// failed or a store fault could not be injected.
 func (k *killer) run(length time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), length)
 	defer cancel()
@@ -94,8 +94,8 @@
 	return k.err != nil
 }
 
-// killRepeatedly kills and restarts an instance until the run ends. It then makes sure that the running process has
-// no kill point.
+// killRepeatedly kills and restarts an instance until the run ends. Unless the run has failed, it then
+// makes sure that the running process has no kill point.
 func (k *killer) killRepeatedly(ctx context.Context, instance int, random *rand.Rand) {
 	for ctx.Err() == nil {
 		point, killed := k.awaitKill(ctx, instance, random)
@@ -114,8 +114,8 @@
 }
 
 // awaitKill waits until an instance has exited or is to be killed after a random time, and returns the kill point.
-// The point is empty if the process exited without having one, which restart checks. If the run ends first, killed is
-// false.
+// The point is empty if the process exited without having one; restart then decides whether that is an error. If the
+// run ends first, killed is false.
 func (k *killer) awaitKill(ctx context.Context, instance int, random *rand.Rand) (point string, killed bool) {
 	p := k.cluster.process(instance)
 	timer := time.NewTimer(time.Duration(600+random.IntN(1200)) * time.Millisecond)
@@ -154,7 +154,8 @@
 	return ""
 }
 
-// restart kills an instance, if it still runs, and starts it again.
+// restart kills an instance, if it still runs, and starts it again. The run fails if the instance had exited for
+// another reason than SIGKILL.
 func (k *killer) restart(next startOptions) {
 	p := k.cluster.process(next.instance)
 	at := time.Now()
@@ -171,7 +172,8 @@
 	}
 }
 
-// countKill counts a kill, and ends the run once there were enough. A full run needs one kill at each point.
+// countKill counts a kill, and ends the run once there were enough. A full run also needs as many different kill
+// points as killPoints has, where an external kill counts as one.
 func (k *killer) countKill(point string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/cmd/e2e/record.go
+++ b/cmd/e2e/record.go
@@ -19,18 +19,18 @@
 	Kills  int     `default:"40" help:"Minimum number of kills of instances."`
 	Store  string  `enum:"sqlite,postgres" default:"sqlite" help:"sqlite or postgres."`
 	Rate   float64 `default:"300" help:"Requests per second."`
-	Defect string  `enum:",answer-before-sync,no-dedupe" default:"" help:"A protection to disable, which must make the run fail."`
+	Defect string  `enum:",answer-before-sync,no-dedupe" default:"" help:"Protection to disable; the run must then fail."`
 	Short  bool    `help:"Make fewer kills, and check only what must hold on any host."`
 	JSON   bool    `help:"Accepted for symmetry: the figures are always JSON."`
 	Keep   bool    `help:"Keep the directory with logs, spools and store."`
 }
 
 const (
-	warmUpTime    = time.Second            // until all connections are established
+	warmUpTime    = time.Second            // for the connections to be established
 	recoveryTime  = 500 * time.Millisecond // of traffic after the last fault
 	shortMaxKills = 8
 	maxRunTime    = 50 * time.Second // of a full run
-	maxServedLoss = 0.01             // largest drop in the share of requests served through a fault that clients should not notice
+	maxServedLoss = 0.01             // tolerated drop in the share of served requests during a fault that clients should not notice
 	surgeFactor   = 2                // of the request rate during the surge
 )
 
@@ -97,10 +97,11 @@
 	return startOptions{instance: instance, seed: seed, settings: r.settings, env: r.env}
 }
 
-// writeRecordSettings writes settings with small segments and a short export period, so that both turn over often.
-// Answers wait for their sync for up to 5 s (stall), longer than any client waits. By default an answer is sent
-// unsynced once the disk has hung for 200 ms, as keep-serving promises, and a kill can then lose its entry. The claim
-// that no entry is missing is about synced answers, however slow the host's disk is.
+// writeRecordSettings writes settings with small segments and a short export period, so that segments are rotated
+// and entries are exported often. Answers wait for their sync for up to 5 s (stall), longer than any client waits. By
+// default an answer is sent unsynced once the disk has hung for 200 ms, as the policy keep-serving promises, and a kill
+// can then lose its entry. The claim that no entry is missing covers only synced answers, so a slow host disk must
+// not lead to unsynced ones.
 func writeRecordSettings(dir string, store faultyStore) (path string, err error) {
 	const text = `[record]
 mode = "spool"
@@ -203,20 +204,20 @@
 // checkClaims checks the figures against the claims. A short run checks only those that a slow host cannot violate.
 func (r *recordScenario) checkClaims(result *verdict) {
 	f := r.figures
-	result.require(f.Missing == 0, "missing: %d", f.Missing)
-	result.require(f.Duplicates == 0, "duplicates: %d", f.Duplicates)
-	result.require(f.Invented == 0, "invented: %d", f.Invented)
+	result.require(f.Missing == 0, "responses missing from the record: %d", f.Missing)
+	result.require(f.Duplicates == 0, "duplicate entries: %d", f.Duplicates)
+	result.require(f.Invented == 0, "entries that match no response: %d", f.Invented)
 	result.require(f.Violations.DuplicateEffects == 0, "duplicate effects: %d", f.Violations.DuplicateEffects)
 	result.require(f.InstanceKills > 0 && f.StoreKills > 0 && f.Stalls > 0,
-		"not put to the test: %d kills of instances, %d of the store, %d stalls", f.InstanceKills, f.StoreKills, f.Stalls)
+		"not put to the test: %d kills of instances, %d kills of the store, %d stalls", f.InstanceKills, f.StoreKills, f.Stalls)
 	if r.Short {
 		return
 	}
-	result.require(f.InDoubt <= f.OpenAtKills, "in doubt: %d, with %d requests open at kills", f.InDoubt, f.OpenAtKills)
-	result.require(f.InstanceKills >= r.Kills, "not put to the test: %d kills of %d", f.InstanceKills, r.Kills)
+	result.require(f.InDoubt <= f.OpenAtKills, "entries in doubt: %d, with only %d requests open at kills", f.InDoubt, f.OpenAtKills)
+	result.require(f.InstanceKills >= r.Kills, "not put to the test: %d kills of instances, want at least %d", f.InstanceKills, r.Kills)
 	result.require(f.ServedStalled >= f.ServedCalm-maxServedLoss,
-		"served while the store stalled: %.4f, calm %.4f", f.ServedStalled, f.ServedCalm)
-	result.require(f.DurationSeconds <= maxRunTime.Seconds(), "took %.0f s", f.DurationSeconds)
+		"share served while the store stalled: %.4f, in the calm phase: %.4f", f.ServedStalled, f.ServedCalm)
+	result.require(f.DurationSeconds <= maxRunTime.Seconds(), "the run took %.0f s, longer than allowed", f.DurationSeconds)
 }
 
 func (r *recordScenario) report(result *verdict) error { return result.print(r.figures) }
--- a/cmd/e2e/record_figures.go
+++ b/cmd/e2e/record_figures.go
@@ -23,7 +23,7 @@
 	stateInDoubt     = "in doubt"
 
 	maxExportLine = 1 << 20
-	maxExamples   = 5 // number of missing or invented entries that are printed
+	maxExamples   = 5 // number of missing entries that are printed, and likewise of invented ones
 
 	// observationDelay is the largest delay with which a kill or a response is observed here.
 	observationDelay = 5 * time.Millisecond
@@ -85,7 +85,7 @@
 	return exported, nil
 }
 
-// compare compares the record with the responses that clients received.
+// compare compares the record with the responses that clients received, and counts the differences.
 func (f *recordFigures) compare(log []fleet.Response, exported entriesByRequest) {
 	complete := map[string]fleet.Response{} // complete responses, by request id
 	for _, response := range log {
@@ -111,7 +111,8 @@
 	return false
 }
 
-// compareResponse looks up a complete response in the record.
+// compareResponse counts a complete response. It counts the response as missing unless it matches an entry of its
+// request that is not marked undelivered, and counts a duplicate if its request has several entries.
 func (f *recordFigures) compareResponse(response fleet.Response, rows []sqlstore.Row) {
 	f.Responses++
 	found := slices.ContainsFunc(rows, func(entry sqlstore.Row) bool {
@@ -127,7 +128,8 @@
 	}
 }
 
-// compareEntry looks up an answered entry among the responses that clients received.
+// compareEntry counts an answered entry as invented unless it matches the complete response that the client received.
+// got is false if the client received none.
 func (f *recordFigures) compareEntry(entry sqlstore.Row, response fleet.Response, got bool) {
 	if entry.State != stateAnswered || got && matchesEntry(response, entry) {
 		return
@@ -147,13 +149,14 @@
 		instanceName(response.Instance) == entry.Instance
 }
 
-// instanceKill is the death of an instance as observed from outside.
+// instanceKill is the kill of an instance, as observed from outside.
 type instanceKill struct {
 	instance int
 	at       time.Time
 }
 
-// countOpenAt counts the requests that were open, from their clients' view, when an instance was killed.
+// countOpenAt counts the requests that were open, from their clients' view, when their instance was killed, with a
+// tolerance of observationDelay.
 func countOpenAt(kills []instanceKill, log []fleet.Response) (n int) {
 	for _, kill := range kills {
 		for _, response := range log {
--- a/cmd/e2e/record_figures_test.go
+++ b/cmd/e2e/record_figures_test.go
@@ -39,12 +39,12 @@
 	}{
 		{"recorded", response, []sqlstore.Row{entry}, recordFigures{Responses: 1, Recorded: 1}},
 		{"not recorded", response, nil, recordFigures{Responses: 1, Missing: 1}},
-		{"with another body", response, []sqlstore.Row{otherBody}, recordFigures{Responses: 1, Recorded: 1, Missing: 1, Invented: 1}},
-		{"by another instance", response, []sqlstore.Row{otherInstance}, recordFigures{Responses: 1, Recorded: 1, Missing: 1, Invented: 1}},
-		{"as undelivered", response, []sqlstore.Row{undelivered}, recordFigures{Responses: 1, Recorded: 1, Missing: 1}},
-		{"in doubt", response, []sqlstore.Row{inDoubt}, recordFigures{Responses: 1, Recorded: 1, InDoubt: 1}},
-		{"the entry twice", response, []sqlstore.Row{entry, entry}, recordFigures{Responses: 1, Recorded: 1, Duplicates: 1}},
-		{"two entries", response, []sqlstore.Row{entry, second}, recordFigures{Responses: 1, Recorded: 2, Duplicates: 1}},
+		{"recorded with another body", response, []sqlstore.Row{otherBody}, recordFigures{Responses: 1, Recorded: 1, Missing: 1, Invented: 1}},
+		{"recorded by another instance", response, []sqlstore.Row{otherInstance}, recordFigures{Responses: 1, Recorded: 1, Missing: 1, Invented: 1}},
+		{"recorded as undelivered", response, []sqlstore.Row{undelivered}, recordFigures{Responses: 1, Recorded: 1, Missing: 1}},
+		{"recorded as in doubt", response, []sqlstore.Row{inDoubt}, recordFigures{Responses: 1, Recorded: 1, InDoubt: 1}},
+		{"the same entry twice", response, []sqlstore.Row{entry, entry}, recordFigures{Responses: 1, Recorded: 1, Duplicates: 1}},
+		{"two entries for one response", response, []sqlstore.Row{entry, second}, recordFigures{Responses: 1, Recorded: 2, Duplicates: 1}},
 		{"entry for an incomplete response", broken, []sqlstore.Row{entry}, recordFigures{Recorded: 1, Invented: 1}},
 		{"undelivered entry for an incomplete response", broken, []sqlstore.Row{undelivered}, recordFigures{Recorded: 1}},
 	} {
@@ -88,12 +88,12 @@
 		response fleet.Response
 		want     int
 	}{
-		{"under way", fleet.Response{Instance: 1, Sent: at(-10), Done: at(10), Outcome: fleet.OutcomeBroken}, 1},
-		{"answered before", fleet.Response{Instance: 1, Sent: at(-30), Done: at(-20), Outcome: fleet.OutcomeServed}, 0},
-		{"seen a moment before", fleet.Response{Instance: 1, Sent: at(-30), Done: at(-1), Outcome: fleet.OutcomeServed}, 1},
-		{"sent after", fleet.Response{Instance: 1, Sent: at(1), Done: at(9), Outcome: fleet.OutcomeServed}, 0},
-		{"of another instance", fleet.Response{Instance: 2, Sent: at(-10), Done: at(10), Outcome: fleet.OutcomeBroken}, 0},
-		{"unreachable", fleet.Response{Instance: 1, Sent: at(-10), Done: at(10), Outcome: fleet.OutcomeUnreachable}, 0},
+		{"open at the kill", fleet.Response{Instance: 1, Sent: at(-10), Done: at(10), Outcome: fleet.OutcomeBroken}, 1},
+		{"answered before the kill", fleet.Response{Instance: 1, Sent: at(-30), Done: at(-20), Outcome: fleet.OutcomeServed}, 0},
+		{"answered just before the kill", fleet.Response{Instance: 1, Sent: at(-30), Done: at(-1), Outcome: fleet.OutcomeServed}, 1},
+		{"sent after the kill", fleet.Response{Instance: 1, Sent: at(1), Done: at(9), Outcome: fleet.OutcomeServed}, 0},
+		{"sent to another instance", fleet.Response{Instance: 2, Sent: at(-10), Done: at(10), Outcome: fleet.OutcomeBroken}, 0},
+		{"instance unreachable", fleet.Response{Instance: 1, Sent: at(-10), Done: at(10), Outcome: fleet.OutcomeUnreachable}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := countOpenAt([]instanceKill{{1, killedAt}}, []fleet.Response{c.response}); got != c.want {
--- a/cmd/e2e/report.go
+++ b/cmd/e2e/report.go
@@ -8,7 +8,7 @@
 	"fmt"
 )
 
-// errViolations means that the run was completed and a claim was violated.
+// errViolations means that the run was completed and a claim was violated or not exercised.
 var errViolations = errors.New("a claim was violated")
 
 // verdict collects the violations found in a run.
--- a/cmd/e2e/responses.go
+++ b/cmd/e2e/responses.go
@@ -37,10 +37,10 @@
 	return float64(l.histogram.ValueAtQuantile(quantile)) / 1000
 }
 
-// servedRequests summarizes the responses to requests sent between two times.
+// servedRequests is the result of servedBetween.
 type servedRequests struct {
 	share    float64 // fraction of the requests that were served
-	p99Ms    float64
+	p99Ms    float64 // of the latencies of served requests
 	requests int
 }
 
@@ -62,7 +62,7 @@
 	return s
 }
 
-// describeStage formats a stage as a line of a report. Times are relative to began, when clients began to send.
+// describeStage formats a stage as a line of a report. Its time is relative to began, when clients began to send.
 func describeStage(stage fleet.Stage, began time.Time) string {
 	return fmt.Sprintf("%5.1f s  release %d stage %d %s, cap %.0f%%",
 		max(stage.At.Sub(began).Seconds(), 0), stage.Release, stage.Stage, stage.Mode, 100*stage.Cap)
--- a/cmd/e2e/scenario.go
+++ b/cmd/e2e/scenario.go
@@ -10,7 +10,7 @@
 	"onyxgate/internal/fake/fleet"
 )
 
-// scenario is an end-to-end test. Each method is called once, in this order.
+// scenario is an end-to-end test. The methods are called in this order, each at most once.
 type scenario interface {
 	// options returns the options of the testbed.
 	options() testbedOptions
@@ -122,7 +122,7 @@
 	}()
 }
 
-// endLoad stops the clients and waits until the last request has its response.
+// endLoad stops the clients and waits until their open requests have ended.
 func (b *testbed) endLoad() {
 	b.cancelLoad()
 	<-b.loadEnded
--- a/cmd/e2e/srv.go
+++ b/cmd/e2e/srv.go
@@ -1,6 +1,7 @@
 package main
 
-// The scenario for the sources: discovery and a name server disagree during a rollout, a restart and outages.
+// The scenario for the sources of the backend list: discovery and a name server disagree during a rollout, a restart and
+// outages.
 
 import (
 	"fmt"
@@ -17,12 +18,12 @@
 type srvCommand struct {
 	Seed   uint64  `default:"1" help:"Seed of the traffic and the faults."`
 	Rate   float64 `default:"180" help:"Requests per second, over three instances."`
-	Defect string  `enum:",undrain,forget-drains" default:"" help:"A protection to disable, which must make the run fail."`
+	Defect string  `enum:",undrain,forget-drains" default:"" help:"Protection to disable; the run must then fail."`
 	Short  bool    `help:"Run half as long, and check only what must hold on any host."`
 	JSON   bool    `help:"Accepted for symmetry: the figures are always JSON."`
 }
 
-// The instances differ in their sources.
+// Indexes of the instances, which differ in their sources.
 const (
 	discoveryOnly  = 0
 	silentResolver = 1 // its resolver never answers
@@ -51,7 +52,7 @@
 	servers        map[int]*dnsserver.Server
 	settings       [3]string // paths of the settings files, by instance
 	env            []string
-	staleRecords   atomic.Bool // the name servers also list backends that have been removed
+	staleRecords   atomic.Bool // the name servers also list backends that are draining or gone
 	phases         srvPhaseStarts
 	replacementIDs []string // backends started while discovery was silent
 	figures        srvFigures
--- a/cmd/e2e/srv_figures.go
+++ b/cmd/e2e/srv_figures.go
@@ -11,8 +11,8 @@
 const (
 	maxLateMs       = 2000 // from notifying an instance of a drain to the last arrival of an attempt from it
 	minDrains       = 8
-	minQueries      = 10   // to the name servers; a run needs more
-	minFaultKinds   = 3    // of the resolver; a run needs more
+	minQueries      = 10   // to the name servers; a run needs more than this
+	minFaultKinds   = 3    // failure modes of the resolver, including normal operation; a run needs more than this
 	minServedOfCalm = 0.95 // share served with SRV records alone, relative to the calm phase
 
 	// restartAllowance is the time after a restart during which an instance may reach no backend.
@@ -27,9 +27,9 @@
 	Defect               string         `json:"defect,omitempty"`
 	Drains               int            `json:"drains"`
 	LateAfterDrainMax    float64        `json:"late_after_drain_ms_max"`
-	FleetMin             int            `json:"fleet_min"`
-	FleetTrueMin         int            `json:"fleet_true_min"`
-	ServedSilentResolver float64        `json:"settled_share"` // of the instance with the silent resolver
+	FleetMin             int            `json:"fleet_min"`      // smallest number of backends reached by an instance in a second
+	FleetTrueMin         int            `json:"fleet_true_min"` // smallest number of ready backends
+	ServedSilentResolver float64        `json:"settled_share"`  // of the instance with the silent resolver
 	ServedDiscoveryOnly  float64        `json:"settled_share_discovery_only"`
 	ServedResolverFaults float64        `json:"settled_share_resolver_faults"`
 	ServedCalm           float64        `json:"settled_share_calm"`
@@ -92,7 +92,8 @@
 	)
 }
 
-// countLost counts the requests without a complete response, except for those broken by the kill of an instance.
+// countLost counts the requests whose response was broken or never came, except for those broken by the kill of an
+// instance.
 func (s *srvScenario) countLost(log []fleet.Response) (lost int) {
 	killed := s.phases.killed
 	for _, response := range log {
@@ -106,7 +107,7 @@
 	return lost
 }
 
-// longestOutage returns the longest time between two consecutive served requests of an instance.
+// longestOutage returns the longest time between two consecutive served requests of the same instance.
 func longestOutage(log []fleet.Response) (outage time.Duration) {
 	last := map[int]time.Time{}
 	for _, response := range log {
@@ -127,18 +128,20 @@
 	f := s.figures
 	tested := f.Drains >= minDrains && f.Queries > minQueries && len(f.Faults) > minFaultKinds
 	result.require(tested, "not put to the test: %d drains, %d queries, faults %v", f.Drains, f.Queries, f.Faults)
-	result.require(f.LateAfterDrainMax <= maxLateMs, "an attempt reached a draining backend %.0f ms after its instance was notified", f.LateAfterDrainMax)
-	result.require(f.Lost == 0, "lost: %d", f.Lost)
+	result.require(f.LateAfterDrainMax <= maxLateMs,
+		"an attempt reached a draining backend %.0f ms after its instance was notified", f.LateAfterDrainMax)
+	result.require(f.Lost == 0, "lost requests: %d", f.Lost)
 	result.require(f.DuplicateEffects == 0, "duplicate effects: %d", f.DuplicateEffects)
 	if s.Short {
 		return
 	}
 	result.require(f.ReachedBySRVOnly > 0, "not put to the test: no attempt reached a backend listed only in SRV records")
-	result.require(f.FleetMin > 0, "no backend was reached for a second, with %d running", f.FleetTrueMin)
+	result.require(f.FleetMin > 0, "an instance reached no backend for a second, with at least %d running", f.FleetTrueMin)
 	result.require(f.ServedSilentResolver >= f.ServedDiscoveryOnly-maxServedLoss,
-		"served with the resolver dead %.4f, with discovery alone %.4f", f.ServedSilentResolver, f.ServedDiscoveryOnly)
-	result.require(f.ServedDNSOnly >= minServedOfCalm*f.ServedCalm, "served with SRV alone %.4f, calm %.4f", f.ServedDNSOnly, f.ServedCalm)
+		"share served with a silent resolver: %.4f, with discovery alone: %.4f", f.ServedSilentResolver, f.ServedDiscoveryOnly)
+	result.require(f.ServedDNSOnly >= minServedOfCalm*f.ServedCalm,
+		"share served with SRV records alone: %.4f, in the calm phase: %.4f", f.ServedDNSOnly, f.ServedCalm)
 	result.require(f.Exposure == 0, "windows above the exposure cap: %d", f.Exposure)
-	result.require(f.ColdOverloaded == 0, "cold backends overloaded: %d", f.ColdOverloaded)
-	result.require(f.DurationSeconds <= maxRunTime.Seconds(), "took %.0f s", f.DurationSeconds)
+	result.require(f.ColdOverloaded == 0, "overloaded cold backends: %d", f.ColdOverloaded)
+	result.require(f.DurationSeconds <= maxRunTime.Seconds(), "the run took %.0f s, longer than allowed", f.DurationSeconds)
 }
--- a/cmd/e2e/store.go
+++ b/cmd/e2e/store.go
@@ -28,7 +28,7 @@
 	injectFault(n int, random *rand.Rand) (kind string, err error)
 	// recover ends all faults.
 	recover() error
-	// close stops the store; its data remains.
+	// close ends the store's child process, if there is one. The data remains.
 	close()
 }
 
--- a/cmd/e2e/store_sqlite.go
+++ b/cmd/e2e/store_sqlite.go
@@ -79,6 +79,6 @@
 	}
 	return store.HoldWriteLock(ctx, func() {
 		fmt.Println("locked")
-		_, _ = io.Copy(io.Discard, os.Stdin) // returns at the end of input or on an error, which end the lock alike
+		_, _ = io.Copy(io.Discard, os.Stdin) // the lock ends at the end of input or at an error
 	})
 }
--- a/internal/fake/dnsserver/dnsserver.go
+++ b/internal/fake/dnsserver/dnsserver.go
@@ -47,7 +47,8 @@
 	udp, tcp  *dns.Server
 }
 
-// New starts a server with an SRV record for each address that the function returns. It is called for each query.
+// New starts a server with an SRV record for each address that the function returns. The function is called for each
+// query that is answered, possibly from several goroutines at once.
 func New(addresses func() []string) (*Server, error) {
 	s := &Server{addresses: addresses}
 	s.mode.Store("")
--- a/internal/fake/faultproxy/faultproxy.go
+++ b/internal/fake/faultproxy/faultproxy.go
@@ -1,6 +1,6 @@
 // Package faultproxy is a TCP proxy on loopback for end-to-end tests. It forwards bytes unchanged, and can delay what
-// the target sends on connections that a test selects by the first line sent by the client. It never changes,
-// reorders or drops a byte.
+// the target sends on connections that a test selects by the first line sent by the client. It never changes or
+// reorders bytes, and drops none while both sides of a connection are open.
 package faultproxy
 
 import (
@@ -15,7 +15,7 @@
 const (
 	dialTimeout  = 5 * time.Second
 	bufferSize   = 32 << 10
-	maxFirstLine = 4 << 10 // a first line that does not end within this many bytes is not recognized
+	maxFirstLine = 4 << 10 // bytes after which the first line is no longer looked for
 )
 
 // Proxy forwards connections to one target. Its methods are safe for concurrent use.
@@ -24,7 +24,7 @@
 	target   string
 
 	mu             sync.Mutex
-	matchesChanged *sync.Cond                           // signaled when matches changes
+	matchesChanged *sync.Cond                           // signaled when matches becomes nil
 	matches        func(firstLine string) bool          // selects the connections to hold; nil holds none
 	onPass         func(firstLine string, bytes []byte) // may be nil
 	holding        int                                  // number of connections with bytes from the target held now
@@ -46,7 +46,8 @@
 // Address returns the address on which the proxy listens.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Hold delays what the target sends on connections whose first line matches, until Release is called.
+// Hold delays what the target sends on connections whose first line matches, until Release is called. It
+// replaces the function of an earlier call.
 func (p *Proxy) Hold(matches func(firstLine string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -180,8 +181,8 @@
 	}
 }
 
-// awaitRelease returns once bytes from the target may be forwarded, and reports whether the client is still
-// connected. If the client has disconnected in the meantime OnPass does not see the bytes, since nobody reads them.
+// awaitRelease returns once bytes from the target may be forwarded, and reports whether the connection is
+// still open. If it was closed in the meantime OnPass does not see the bytes, since nobody reads them.
 func (s *session) awaitRelease(bytes []byte) (open bool) {
 	p := s.proxy
 	p.mu.Lock()
--- a/internal/fake/fleet/affinity.go
+++ b/internal/fake/fleet/affinity.go
@@ -18,13 +18,13 @@
 
 // AffinityAudit is the result of the key affinity checks.
 type AffinityAudit struct {
-	BoundAttempts int      // attempts with a key that a release later than the first had answered
-	Violations    []string // one line for each attempt that reached an earlier release
+	BoundAttempts int      // attempts with a key that a later release than the first had answered, once per such release
+	Violations    []string // one line per attempt and release that had answered its key, if the attempt reached an earlier one
 }
 
 // ClosedReleaseAudit is the result of the checks on closed releases.
 type ClosedReleaseAudit struct {
-	Notified   int      // notifications to an instance that a release is closed
+	Notified   int      // first notifications to an instance that a release is closed
 	Violations []string // one line for each attempt that arrived later than closedGrace
 }
 
@@ -93,7 +93,8 @@
 	}
 }
 
-// StageNotified records that a release's exposure cap has been written to an instance.
+// StageNotified records that a release's exposure cap has been written to an instance. Only the first cap of 0 has an
+// effect.
 func (f *Fleet) StageNotified(instance, release int, limit float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fake/fleet/audit.go
+++ b/internal/fake/fleet/audit.go
@@ -1,6 +1,7 @@
 package fleet
 
-// Checks of the rules from outside. They use only what reached the backends and when, never an instance's own counts.
+// Checks of the rules from outside. They use only what clients sent and what reached the backends, and when, never an
+// instance's own counts.
 
 import "time"
 
@@ -26,8 +27,8 @@
 	f.requestTimes[instance] = append(f.requestTimes[instance], time.Now())
 }
 
-// attemptArrived checks and counts an attempt that has reached a backend, and fills in its incarnation and whether
-// the backend was draining.
+// attemptArrived checks and counts an attempt that has reached a backend, and fills in the incarnation of its instance's
+// process and whether the backend was draining.
 func (f *Fleet) attemptArrived(b *Backend, a *attempt) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -153,7 +154,7 @@
 }
 
 // CountBackendsReached returns how many of the given backends were reached by an instance's attempts between two
-// times.
+// times, both extended to whole Unix seconds.
 func (f *Fleet) CountBackendsReached(instance int, ids []string, from, to time.Time) (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -168,8 +169,8 @@
 	return n
 }
 
-// MinBackendsReached returns the smallest number of backends that an instance's attempts reached in any whole second
-// between two times.
+// MinBackendsReached returns the smallest number of backends that an instance's attempts reached in any whole Unix
+// second between two times. If there is no such second it returns the number of backends ever started.
 func (f *Fleet) MinBackendsReached(instance int, from, to time.Time) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fake/fleet/audit_test.go
+++ b/internal/fake/fleet/audit_test.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// A key binds its instance to the latest release that answered it, until that release is rolled back or the process
-// ends.
+// A key that a release has answered must not reach an earlier release through the same instance, until the release that
+// answered is rolled back or the process ends.
 func TestCheckAttemptFindsEarlierReleases(t *testing.T) {
 	a := attempt{requestID: "r", key: "7"}
 	answered := func(f *Fleet) {
--- a/internal/fake/fleet/backend.go
+++ b/internal/fake/fleet/backend.go
@@ -195,7 +195,7 @@
 
 func (b *Backend) releaseCore() { <-b.busyCores }
 
-// work sleeps for the execution time of a request of the class, varied by up to 20%.
+// work sleeps for the execution time of a request of the class at the backend's current speed, varied by up to 20%.
 func (b *Backend) work(class Class) {
 	time.Sleep(time.Duration(float64(class.Work) / b.speed() * (0.8 + 0.4*rand.Float64())))
 }
--- a/internal/fake/fleet/clients.go
+++ b/internal/fake/fleet/clients.go
@@ -1,7 +1,7 @@
 package fleet
 
 // The clients: they send requests with deadlines at a given rate, retry them and log the responses. This log is the
-// only oracle of an end-to-end test.
+// only oracle for the responses that the instances sent.
 
 import (
 	"context"
@@ -14,8 +14,8 @@
 	"onyxgate/internal/record"
 )
 
-// Outcomes of a client's request. The first three are responses of the instance. The record uses the same texts, and
-// they are keys of the figures that scripts read.
+// Outcomes of one try of a client's request. The record uses the same texts for the first three. All are keys in the
+// figures that scripts read.
 const (
 	OutcomeServed      = "settled"
 	OutcomeRejected    = "declined"
@@ -94,7 +94,7 @@
 	}
 }
 
-// Run sends requests until ctx is done, and returns once the last open request has its response.
+// Run sends requests until ctx is done, and returns once all open requests have ended, with their retries.
 func (c *Clients) Run(ctx context.Context) {
 	random := rand.New(rand.NewPCG(c.options.Seed, 2))
 	var requests sync.WaitGroup
--- a/internal/fake/fleet/contract.go
+++ b/internal/fake/fleet/contract.go
@@ -1,7 +1,7 @@
 package fleet
 
-// The part of the users' contract that the instances, the fake backends and the audit share: request classes, limits
-// and rollout stages.
+// The part of the users' contract that the instances, the fake backends and the audit share: request classes,
+// backend limits and rollout stages.
 
 import "time"
 
@@ -45,7 +45,7 @@
 	DrainGrace      = 1000 * time.Millisecond // attempts may still reach a backend for this long after it is listed as draining
 	ColdSpeed       = 0.4                     // fraction of full speed at which a backend starts cold
 	WarmUp          = 3 * time.Second         // time until a cold backend reaches full speed
-	OverloadFactor  = 4.0                     // a warming backend is overloaded above this number of attempts in flight per core at full speed
+	OverloadFactor  = 4.0                     // a warming backend is overloaded above this many attempts in flight per core, times its speed
 	MaxOverloadTime = time.Second             // a warming backend that is overloaded for longer fails permanently
 	FreeAttempts    = 2                       // attempts at the canary release that each window allows beyond its exposure cap
 	ExposureWindow  = 4 * time.Second         // the window over which exposure is counted
--- a/internal/fake/fleet/fleet.go
+++ b/internal/fake/fleet/fleet.go
@@ -1,6 +1,7 @@
 // Package fleet fakes the platform's side on loopback: backends, discovery, the rollout with its votes, and clients.
 // It implements the users' protocol and counts, from outside the instances, the figures that the end-to-end tests
-// check. It is deliberately small: it does not model a real fleet, and it must not depend on the code under test.
+// check. It is deliberately small: it does not model a real fleet, and what it counts must not depend on the code under
+// test. From that it uses only the digest of response bodies.
 package fleet
 
 import (
@@ -125,7 +126,7 @@
 	}
 }
 
-// startBackend adds a backend. The caller holds f.mu and publishes the endpoint list.
+// startBackend adds a backend. Once the fleet is serving, the caller holds f.mu and publishes the endpoint list.
 func (f *Fleet) startBackend(options backendOptions) error {
 	backend, err := newBackend(f, fmt.Sprintf("a%d", len(f.backends)+1), options)
 	if err != nil {
--- a/internal/fake/fleet/platform.go
+++ b/internal/fake/fleet/platform.go
@@ -28,7 +28,7 @@
 
 func (f *Fleet) serveReleaseStream(w http.ResponseWriter, r *http.Request) {
 	f.mu.Lock()
-	stream := newSubscriber(0)
+	stream := newSubscriber(0) // all instances receive the same updates
 	f.releaseStreams[stream] = true
 	first := f.stageEvent()
 	f.mu.Unlock()
--- a/internal/fake/fleet/stream.go
+++ b/internal/fake/fleet/stream.go
@@ -25,7 +25,7 @@
 func (s *subscriber) send(update string) {
 	select {
 	case s.updates <- update:
-	default: // a reader this far behind receives the current state when it reconnects
+	default: // dropped; a reader this far behind receives the current state if it reconnects
 	}
 }
 
@@ -38,7 +38,7 @@
 	muted             func() bool // no keep-alive is sent while it returns true
 }
 
-// stream writes the subscriber's updates until the client disconnects.
+// stream writes the initial state and then the subscriber's updates and keep-alives, until the client disconnects.
 func (s *subscriber) stream(ctx context.Context, w http.ResponseWriter, options streamOptions) {
 	w.Header().Set("Content-Type", options.contentType)
 	controller := http.NewResponseController(w)
--- a/internal/fake/loopback/loopback.go
+++ b/internal/fake/loopback/loopback.go
@@ -1,5 +1,5 @@
-// Package loopback opens the sockets of the fakes and the end-to-end tests. Listeners use 127.0.0.1 and, unless an
-// address is given, a port chosen by the kernel.
+// Package loopback opens the sockets of the fakes and the end-to-end tests. Unless the caller gives an address,
+// listeners use 127.0.0.1 and a port chosen by the kernel.
 package loopback
 
 import (
@@ -55,8 +55,8 @@
 	return nil, nil, inUse
 }
 
-// FreeAddress returns an address on which nothing listens at the time of the call. If another process takes the port
-// before the caller does, the run ends with an error, which is no verdict on the program.
+// FreeAddress returns an address on which nothing listens at the time of the call. Another process may take the
+// port before the caller does. Callers treat that as a failure of the test setup, not of the program under test.
 func FreeAddress() (string, error) {
 	listener, err := Listen()
 	if err != nil {
--- a/internal/fake/memfs/memfs.go
+++ b/internal/fake/memfs/memfs.go
@@ -15,8 +15,8 @@
 // FS is a spool.Memory with fault injection.
 type FS struct {
 	// Fail is called before each operation: mkdir, create, write, sync, close (of a file opened for writing), remove,
-	// syncdir. If it returns an error the operation fails; a failing write still writes the first part bytes. If Fail
-	// is nil no operation fails.
+	// syncdir. If it returns an error the operation fails. A write writes part bytes, whether it fails or not.
+	// If Fail is nil no operation fails.
 	Fail func(op, name string, bytes int) (part int, err error)
 
 	memory *spool.Memory
@@ -81,7 +81,8 @@
 	return err
 }
 
-// Lock locks a name until the returned closer is closed or Crash is called.
+// Lock locks a name until the returned closer is closed or Crash is called. It returns spool.ErrLocked if the name is
+// already locked.
 func (f *FS) Lock(name string) (io.Closer, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fake/postgres/postgres.go
+++ b/internal/fake/postgres/postgres.go
@@ -19,7 +19,7 @@
 	"onyxgate/internal/record/sqlstore"
 )
 
-// Failure modes of the server. A mode of five characters is the SQLSTATE with which each commit fails.
+// Failure modes of the server. Any other mode of five characters is the SQLSTATE with which each commit fails.
 const (
 	modeStall            = "stall"  // no message is answered
 	modeRefuse           = "refuse" // new connections are closed at once, and open ones when the mode is set
@@ -57,8 +57,8 @@
 // incarnation is the row of an incarnation of an instance.
 type incarnation struct {
 	Instance, Place string
-	Through         int64
-	Closed          int64
+	Through         int64 // ordinal up to which its entries are stored
+	Closed          int64 // 1 if no entries will follow
 }
 
 // transaction holds the changes made by a transaction. It is written to the file as one line.
@@ -172,7 +172,7 @@
 	return s.mode
 }
 
-// apply adds the changes of a transaction to the committed data. The caller holds s.mu, unless the server does not
+// apply adds the changes of a transaction to the committed data. The caller holds s.mu, or the server does not
 // serve yet.
 func (s *Server) apply(t transaction) {
 	s.version = max(s.version, t.Version)
--- a/internal/fake/postgres/session.go
+++ b/internal/fake/postgres/session.go
@@ -26,7 +26,7 @@
 	backend        *pgproto3.Backend
 	inTransaction  bool
 	failed         bool // the transaction can only be rolled back
-	holdsWriteLock bool // the session holds server.writeLock
+	holdsWriteLock bool
 	changes        transaction
 
 	// The most recently parsed statement and its result.
@@ -149,7 +149,7 @@
 			s.args = append(s.args, string(parameter))
 		}
 		s.backend.Send(&pgproto3.BindComplete{})
-	case *pgproto3.Describe:
+	case *pgproto3.Describe: // executes the statement to learn its columns; Execute then sends the rows
 		if !s.execute() {
 			return false
 		}
--- a/internal/fake/postgres/statements.go
+++ b/internal/fake/postgres/statements.go
@@ -128,7 +128,8 @@
 	}
 }
 
-// updateThrough raises the entry numbers up to which an incarnation is stored and closed.
+// updateThrough raises the ordinal up to which an incarnation's entries are stored, and the flag for a closed
+// incarnation.
 func (s *session) updateThrough(string) {
 	name := s.args[4]
 	row, exists := s.incarnation(name)
--- a/internal/fake/replay/replay.go
+++ b/internal/fake/replay/replay.go
@@ -3,8 +3,8 @@
 //
 // A recording is a small text file. For each block of a thousand effects it holds a hash of these effects and of the
 // events that caused them, and one check byte per effect, which locates the first difference. A recording is
-// rewritten only by a test run with -record. That belongs in a commit that changes decisions on purpose and describes
-// the change.
+// rewritten only by a test run with -record. A rewritten recording belongs in a commit that changes decisions on
+// purpose and describes the change.
 package replay
 
 import (
@@ -28,7 +28,7 @@
 const hashSize = 12
 
 // record makes Close write the recording instead of comparing with it.
-var record = flag.Bool("record", false, "write the recordings of replay tests in place of comparing with them")
+var record = flag.Bool("record", false, "write the recordings of replay tests instead of comparing with them")
 
 // Recorder compares a stream of events and effects with the recording in a file. Only the goroutine of its test may
 // use it.
@@ -45,8 +45,7 @@
 	differs  bool
 }
 
-// block is the part of a recording, one line of the file, for effectsPerBlock effects; the last block may cover
-// fewer.
+// block is one line of a recording. It covers effectsPerBlock effects, or fewer at the end of the stream.
 type block struct {
 	hash       string // in hexadecimal
 	checkBytes []byte // one per effect
