--- a/internal/assembly/metrics.go
+++ b/internal/assembly/metrics.go
@@ -25,23 +25,23 @@
 var requestMetrics = []metric[core.Counts]{
 	{"onyxgate_requests_accepted_total", "requests accepted from clients", func(n core.Counts) float64 { return float64(n.Accepted) }},
 	{`onyxgate_requests_ended_total{outcome="served"}`, "answered by a backend", func(n core.Counts) float64 { return float64(n.Served) }},
-	{`onyxgate_requests_ended_total{outcome="rejected"}`, "answered that trying again is harmless", func(n core.Counts) float64 { return float64(n.Rejected) }},
-	{`onyxgate_requests_ended_total{outcome="failed"}`, "answered that it may have run", func(n core.Counts) float64 { return float64(n.Failed) }},
+	{`onyxgate_requests_ended_total{outcome="rejected"}`, "rejected: the client may safely try again", func(n core.Counts) float64 { return float64(n.Rejected) }},
+	{`onyxgate_requests_ended_total{outcome="failed"}`, "failed: the request may have run", func(n core.Counts) float64 { return float64(n.Failed) }},
 	{`onyxgate_requests_ended_total{outcome="client_gone"}`, "the client left before its answer", func(n core.Counts) float64 { return float64(n.ClientGone) }},
 	{"onyxgate_requests_open", "requests without an answer yet", func(n core.Counts) float64 { return float64(n.OpenRequests) }},
 	{"onyxgate_attempts_open", "attempts at backends without a result yet", func(n core.Counts) float64 { return float64(n.OpenAttempts) }},
-	{"onyxgate_attempts_withheld_total", "attempts that might not go out any more when their connection was up", func(n core.Counts) float64 { return float64(n.AttemptsWithheld) }},
-	{"onyxgate_invariant_violations_total", "invariants found violated", func(core.Counts) float64 { return float64(invariant.Violations()) }},
+	{"onyxgate_attempts_withheld_total", "attempts no longer allowed when their connection was established", func(n core.Counts) float64 { return float64(n.AttemptsWithheld) }},
+	{"onyxgate_invariant_violations_total", "violations of invariants", func(core.Counts) float64 { return float64(invariant.Violations()) }},
 }
 
 var releaseMetrics = []metric[core.Counts]{
 	{"onyxgate_release_newest", "number of the newest release", func(n core.Counts) float64 { return float64(n.Releases.Newest.Release) }},
-	{"onyxgate_release_stage", "its stage", func(n core.Counts) float64 { return float64(n.Releases.Newest.Stage) }},
+	{"onyxgate_release_stage", "stage of the newest release", func(n core.Counts) float64 { return float64(n.Releases.Newest.Stage) }},
 	{"onyxgate_release_rolling_out", "number of the newest running release under a cap", func(n core.Counts) float64 { return float64(n.Releases.RollingOut) }},
 	{"onyxgate_affinity_keys", "keys remembered with the release that answered them", func(n core.Counts) float64 { return float64(n.Releases.AffinityKeys) }},
-	{`onyxgate_backends_skipped_total{reason="closed"}`, "backends passed over: their release is closed to the request", func(n core.Counts) float64 { return float64(n.Releases.Skipped.Closed) }},
-	{`onyxgate_backends_skipped_total{reason="cap"}`, "backends passed over: their release has used up its cap", func(n core.Counts) float64 { return float64(n.Releases.Skipped.CapReached) }},
-	{`onyxgate_backends_skipped_total{reason="affinity"}`, "backends passed over: the key belongs to a later release", func(n core.Counts) float64 { return float64(n.Releases.Skipped.Affinity) }},
+	{`onyxgate_backends_skipped_total{reason="closed"}`, "backends skipped: their release is closed to the request", func(n core.Counts) float64 { return float64(n.Releases.Skipped.Closed) }},
+	{`onyxgate_backends_skipped_total{reason="cap"}`, "backends skipped: their release has used up its allowance", func(n core.Counts) float64 { return float64(n.Releases.Skipped.CapReached) }},
+	{`onyxgate_backends_skipped_total{reason="affinity"}`, "backends skipped: the key has affinity to a later release", func(n core.Counts) float64 { return float64(n.Releases.Skipped.Affinity) }},
 }
 
 var sourceMetrics = []metric[host.Counts]{
@@ -49,8 +49,8 @@
 	{"onyxgate_sources_questions_total", "DNS questions sent", func(n host.Counts) float64 { return float64(n.Questions) }},
 	{"onyxgate_sources_failed_lookups_total", "look-ups that failed", func(n host.Counts) float64 { return float64(n.FailedLookups) }},
 	{"onyxgate_sources_negative_answers_total", "answers that the service does not exist", func(n host.Counts) float64 { return float64(n.NegativeAnswers) }},
-	{"onyxgate_sources_changes_total", "changes of the fleet that the core took", func(n host.Counts) float64 { return float64(n.Changes) }},
-	{"onyxgate_sources_backends_running", "backends running, by all sources", func(n host.Counts) float64 { return float64(n.Running) }},
+	{"onyxgate_sources_changes_total", "changes of the fleet passed to the core", func(n host.Counts) float64 { return float64(n.Changes) }},
+	{"onyxgate_sources_backends_running", "backends running, according to all sources", func(n host.Counts) float64 { return float64(n.Running) }},
 	{`onyxgate_sources_doubted{source="discovery"}`, "1 while discovery is doubted, else 0", doubtGauge(sources.Discovery)},
 	{`onyxgate_sources_doubted{source="srv"}`, "1 while SRV is doubted, else 0", doubtGauge(sources.SRV)},
 }
@@ -62,15 +62,15 @@
 var recordMetrics = []metric[recorder.Status]{
 	{"onyxgate_record_entries_total", "answers recorded", func(s recorder.Status) float64 { return float64(s.Entries) }},
 	{"onyxgate_record_syncs_total", "syncs of the spool", func(s recorder.Status) float64 { return float64(s.Syncs) }},
-	{"onyxgate_record_spool_failures_total", "writes and syncs that failed", func(s recorder.Status) float64 { return float64(s.Failures) }},
-	{"onyxgate_record_unsynced_total", "answers that went out before they were durable", func(s recorder.Status) float64 { return float64(s.Unsynced) }},
-	{"onyxgate_record_unrecorded_total", "answers that went unrecorded", func(s recorder.Status) float64 { return float64(s.Unrecorded) }},
-	{"onyxgate_record_gaps_total", "gaps noted in the record", func(s recorder.Status) float64 { return float64(s.Gaps) }},
-	{"onyxgate_record_exported_total", "entries that the store has taken", func(s recorder.Status) float64 { return float64(s.Exported) }},
-	{"onyxgate_record_in_doubt_total", "requests that were open when an earlier process died", func(s recorder.Status) float64 { return float64(s.InDoubt) }},
+	{"onyxgate_record_spool_failures_total", "failed writes and syncs of the spool", func(s recorder.Status) float64 { return float64(s.Failures) }},
+	{"onyxgate_record_unsynced_total", "answers sent before their entry was durable", func(s recorder.Status) float64 { return float64(s.Unsynced) }},
+	{"onyxgate_record_unrecorded_total", "answers that were not recorded", func(s recorder.Status) float64 { return float64(s.Unrecorded) }},
+	{"onyxgate_record_gaps_total", "gaps in the record", func(s recorder.Status) float64 { return float64(s.Gaps) }},
+	{"onyxgate_record_exported_total", "entries and gaps exported to the store", func(s recorder.Status) float64 { return float64(s.Exported) }},
+	{"onyxgate_record_in_doubt_total", "exported entries in doubt: an earlier process died before their completion", func(s recorder.Status) float64 { return float64(s.InDoubt) }},
 	{"onyxgate_record_spool_bytes", "size of the spool", func(s recorder.Status) float64 { return float64(s.SpoolBytes) }},
-	{"onyxgate_record_queued_bytes", "waiting to be written to the spool", func(s recorder.Status) float64 { return float64(s.QueuedBytes) }},
-	{"onyxgate_record_oldest_unexported_seconds", "age of the oldest entry that the store does not have", func(s recorder.Status) float64 { return s.OldestWaiting / 1000 }},
+	{"onyxgate_record_queued_bytes", "bytes waiting to be written to the spool", func(s recorder.Status) float64 { return float64(s.QueuedBytes) }},
+	{"onyxgate_record_oldest_unexported_seconds", "age of the next entry to export; 0 if a gap is next or nothing waits", func(s recorder.Status) float64 { return s.OldestWaiting / 1000 }},
 }
 
 // doubtGauge returns the value function of a gauge that is 1 while the source is doubted and 0 otherwise.
